--- a/alderhaven-entry/src/admission_desk.rs
+++ b/alderhaven-entry/src/admission_desk.rs
@@ -15,8 +15,8 @@
 };
 use alderhaven_policy::config_registry::ConfigView;
 use alderhaven_policy::policy_kind::PolicyKind;
+use alderhaven_policy::service_admission::ServiceLoad;
 use alderhaven_policy::service_capacity::QueryReport;
-use alderhaven_policy::service_lane::ServiceLoad;
 use tokio::sync::{Notify, oneshot};
 use tokio::time;
 
@@ -121,7 +121,7 @@
         let state = self.lock();
         view.manifests
             .keys()
-            .filter_map(|service| Some((service.to_string(), state.gate.load_of(service)?)))
+            .filter_map(|service| Some((service.to_string(), state.gate.service_load(service)?)))
             .collect()
     }
 
@@ -130,7 +130,7 @@
     pub fn is_overloaded(&self, service: &ServiceName) -> bool {
         self.lock()
             .gate
-            .load_of(service)
+            .service_load(service)
             .is_some_and(|load| load.waiting > 0)
     }
 
@@ -146,7 +146,7 @@
             let next = {
                 let mut state = self.lock();
                 state.decide_ready(self.clock.now());
-                state.gate.next_give_up()
+                state.gate.next_expiry()
             };
             match next {
                 Some(point) => {
@@ -221,7 +221,8 @@
             }
         }
         for ticket in unclaimed {
-            self.gate.finished(&ticket, QueryReport::default(), now);
+            self.gate
+                .record_finished(&ticket, QueryReport::default(), now);
         }
     }
 }
@@ -243,7 +244,9 @@
         state.gate.cancel(&self.request.service, self.request.id);
         // The ticket may have been sent while the caller went away.
         if let Ok(Ok(ticket)) = self.verdict.try_recv() {
-            state.gate.finished(&ticket, QueryReport::default(), now);
+            state
+                .gate
+                .record_finished(&ticket, QueryReport::default(), now);
             state.decide_ready(now);
         }
     }
--- a/alderhaven-entry/src/admission_pass.rs
+++ b/alderhaven-entry/src/admission_pass.rs
@@ -76,13 +76,13 @@
             }
         }
         let ticket = &mut self.ticket;
-        self.desk.change(|gate, _| gate.replied(ticket));
+        self.desk.change(|gate, _| gate.record_reply(ticket));
     }
 
     fn report(&self) -> QueryReport {
         QueryReport {
             queue_wait: mean(self.queued, self.attempts),
-            service: mean(self.service, self.ran),
+            service_time: mean(self.service, self.ran),
             attempts: self.attempts,
             not_run: self.not_run,
         }
@@ -94,7 +94,7 @@
         let report = self.report();
         let ticket = &self.ticket;
         self.desk
-            .change(|gate, now| gate.finished(ticket, report, now));
+            .change(|gate, now| gate.record_finished(ticket, report, now));
     }
 }
 
--- a/alderhaven-entry/src/claim_ledger.rs
+++ b/alderhaven-entry/src/claim_ledger.rs
@@ -131,8 +131,8 @@
         let state = self.lock();
         LedgerReport {
             counts: state.batcher.counts(),
-            waiting: state.batcher.waiting(),
-            releases: state.batcher.releases(),
+            waiting: state.batcher.waiting_count(),
+            releases: state.batcher.release_count(),
         }
     }
 
@@ -151,7 +151,7 @@
             tokio::select! {
                 Some((slot, reply)) = under_way.next() => {
                     let now = self.clock.now();
-                    self.lock().batcher.finish(slot, reply, now);
+                    self.lock().batcher.handle_reply(slot, reply, now);
                 }
                 () = wake => {}
                 () = self.changed.notified() => {}
--- a/alderhaven-entry/src/group_follower.rs
+++ b/alderhaven-entry/src/group_follower.rs
@@ -29,7 +29,7 @@
     pub fn apply(&self) {
         let mut relays: Vec<KnownRelay> = self
             .group
-            .working(MemberRole::Relay)
+            .working_members(MemberRole::Relay)
             .into_iter()
             .filter_map(|member| {
                 Some(KnownRelay {
@@ -46,7 +46,7 @@
         }
         // The order does not depend on the order of news, so that equal groups choose alike.
         relays.sort_by(|one, other| one.candidate.node.cmp(&other.candidate.node));
-        let entries = match self.group.working(MemberRole::Entry).len() {
+        let entries = match self.group.working_members(MemberRole::Entry).len() {
             // Each host runs one entry and one relay.
             0 => relays.len(),
             known => known,
--- a/alderhaven-entry/src/node.rs
+++ b/alderhaven-entry/src/node.rs
@@ -207,7 +207,7 @@
 
     /// Asks for the planned stop; a second time, to end at once.
     pub fn request_stop(&self) {
-        self.state.stop.request();
+        self.state.stop.request_stop();
     }
 
     /// Waits until the entry may end: all requests are answered, or the report says how many were
@@ -312,7 +312,7 @@
     }
 
     fn drain(&self) {
-        self.stop.request_once();
+        self.stop.request_stop_once();
     }
 }
 
--- a/alderhaven-entry/src/relay_routes.rs
+++ b/alderhaven-entry/src/relay_routes.rs
@@ -88,7 +88,7 @@
             .flat_map(|entry| &entry.replicas)
             .map(|replica| SubsetTarget {
                 target: replica.target.clone(),
-                connections: replica.connections,
+                max_connections: replica.connections,
             })
             .collect();
         self.choose(&known);
--- a/alderhaven-entry/src/replica_board.rs
+++ b/alderhaven-entry/src/replica_board.rs
@@ -116,20 +116,22 @@
 
     /// Notes first attempts, which earn hedges and retries.
     pub fn note_sent(&self, attempts: u32) {
-        self.hedging().sent(attempts);
-        self.retries().sent(attempts);
+        self.hedging().record_sent(attempts);
+        self.retries().record_sent(attempts);
     }
 
     /// Gets the service time that is expected of any target, zero where nothing is known.
     #[must_use]
     pub fn expected_service(&self, group: &HedgeGroup) -> TimeSpan {
-        self.hedging().expected_service(group).unwrap_or_default()
+        self.hedging()
+            .expected_service_time(group)
+            .unwrap_or_default()
     }
 
     /// Gets the time after which an attempt is hedged; none where it is not.
     #[must_use]
     pub fn hedge_delay(&self, group: &HedgeGroup, is_idempotent: bool) -> Option<TimeSpan> {
-        self.hedging().delay(group, is_idempotent)
+        self.hedging().hedge_delay(group, is_idempotent)
     }
 
     /// Takes a token for a hedge; false where none may be sent.
@@ -140,12 +142,12 @@
 
     /// Notes whether a hedge was refused for want of a free slot.
     pub fn note_hedge(&self, is_refused: bool) {
-        self.hedging().hedge_ended(is_refused);
+        self.hedging().record_hedge_end(is_refused);
     }
 
     /// Notes the latency of an answered attempt and its time at the target.
     pub fn note_answer(&self, group: &HedgeGroup, latency: TimeSpan, service: TimeSpan) {
-        self.hedging().answered(group, latency, service);
+        self.hedging().record_answer(group, latency, service);
     }
 
     /// Decides whether an attempt that ended is sent again.
--- a/alderhaven-entry/src/running_query.rs
+++ b/alderhaven-entry/src/running_query.rs
@@ -149,7 +149,10 @@
         let runner = self.runner;
         let sequence = runner.next_sequence();
         self.gather.begin_attempt(slot, chosen.replica, sequence);
-        runner.board.chooser().sent(&self.table, chosen.index);
+        runner
+            .board
+            .chooser()
+            .record_sent(&self.table, chosen.index);
         runner.metrics.attempts.inc();
         if is_hedge {
             runner.metrics.hedges.inc();
@@ -181,7 +184,7 @@
 
     /// Chooses a replica that was not tried yet, and the relay to reach it through.
     fn choose(&self, slot: usize, now: TimePoint) -> Option<ChosenReplica> {
-        let entry = self.gather.entry(slot);
+        let entry = self.gather.shard_entry(slot);
         let usable: SmallVec<[(TargetIndex, usize, Arc<RelayLink>); 4]> = entry
             .replicas
             .iter()
@@ -224,7 +227,7 @@
             .filter(|(place, attempt)| *place == 0 || attempt.outcome != no_slot)
             .filter(|(_, attempt)| !self.lost_paths.contains(&attempt.sequence))
             .filter_map(|(_, attempt)| {
-                let target = &self.gather.entry(slot).replicas[attempt.replica].target;
+                let target = &self.gather.shard_entry(slot).replicas[attempt.replica].target;
                 self.table.index_of(target)
             })
             .collect()
@@ -249,7 +252,7 @@
     }
 
     fn attempt(&self, slot: usize, replica: usize, sequence: u64) -> ScatterAttempt {
-        let entry = self.gather.entry(slot);
+        let entry = self.gather.shard_entry(slot);
         let replica = &entry.replicas[replica];
         ScatterAttempt {
             sequence,
@@ -346,7 +349,7 @@
     }
 
     fn has_untried(&self, slot: usize) -> bool {
-        self.tried(slot).len() < self.gather.entry(slot).replicas.len()
+        self.tried(slot).len() < self.gather.shard_entry(slot).replicas.len()
     }
 
     fn is_covered_enough(&self) -> bool {
@@ -370,16 +373,16 @@
             self.lost_paths.push(reply.sequence);
         }
         match self.gather.accept(reply.sequence, reply.result) {
-            GatherEvent::AttemptOver {
+            GatherEvent::AttemptEnded {
                 slot,
                 outcome,
-                others_under_way: false,
+                others_in_flight: false,
             } => self.retry(slot, outcome),
-            GatherEvent::Stray => {
+            GatherEvent::Ignored => {
                 self.runner.metrics.stray_replies.inc();
             }
             GatherEvent::ShardAnswered { slot } => self.trial.answered(slot),
-            GatherEvent::AttemptOver { .. } => {}
+            GatherEvent::AttemptEnded { .. } => {}
         }
         self.end_trial();
     }
@@ -436,7 +439,7 @@
             }
             let is_ejected = board
                 .chooser()
-                .finished(entry, sample, Some(reply.wait), now);
+                .record_finished(entry, sample, Some(reply.wait), now);
             if is_ejected {
                 self.runner.metrics.ejections.inc();
             }
@@ -458,8 +461,13 @@
             outcome,
             is_idempotent: self.plan.template.idempotent,
             retries: u32::try_from(retries).unwrap_or(u32::MAX),
-            untried: self.gather.entry(slot).replicas.len().saturating_sub(tried),
-            expected: self.expected,
+            untried_replicas: self
+                .gather
+                .shard_entry(slot)
+                .replicas
+                .len()
+                .saturating_sub(tried),
+            expected_service_time: self.expected,
             deadline: board.clock().point(self.plan.expires()),
         });
         match decision {
@@ -529,7 +537,7 @@
             let Some(entry) = self.table.get(placed.index) else {
                 continue;
             };
-            let waited = entry.gauge.wait(now);
+            let waited = entry.stats.wait(now);
             let sample = AttemptSample::Unfinished {
                 elapsed: now.since(placed.sent_at).saturating_sub(waited),
                 expected: self.expected,
@@ -538,7 +546,7 @@
                 .runner
                 .board
                 .chooser()
-                .finished(entry, sample, None, now);
+                .record_finished(entry, sample, None, now);
             by_link
                 .entry(placed.link.address())
                 .or_insert_with(|| (Arc::clone(&placed.link), Vec::new()))
--- a/alderhaven-entry/src/settings.rs
+++ b/alderhaven-entry/src/settings.rs
@@ -152,12 +152,12 @@
         self.quarantine.check(&mut check);
         check.within("links.ping_every", &self.links.ping_every, &TIME_RANGE);
         let mut errors = check.finish();
-        if self.stop.address_life < self.answers.ttl {
+        if self.stop.directory_lifetime < self.answers.ttl {
             errors.push(Error::invalid(
                 "stop.address_life",
                 format!(
                     "{} is refused: allowed is answers.ttl ({}) or more, for callers keep an address that long",
-                    self.stop.address_life, self.answers.ttl
+                    self.stop.directory_lifetime, self.answers.ttl
                 ),
             ));
         }
@@ -172,7 +172,7 @@
         let shares = [
             ("wait_share", admission.wait_share),
             ("lower_wait_share", admission.lower_wait_share),
-            ("give_up_share", admission.give_up_share),
+            ("give_up_share", admission.queue_timeout_share),
         ];
         for (name, share) in shares {
             check.within(&format!("admission.{name}"), &share, &(0.0..=1.0));
@@ -190,8 +190,8 @@
         let shares = [
             ("hedging.quantile", hedging.quantile),
             ("hedging.budget", hedging.budget),
-            ("hedging.max_refused", hedging.max_refused),
-            ("retries.budget", self.choices.retries.budget),
+            ("hedging.max_refused", hedging.max_refused_share),
+            ("retries.budget", self.choices.retries.retries_per_attempt),
         ];
         for (name, share) in shares {
             check.within(&format!("choices.{name}"), &share, &(0.0..=1.0));
--- a/alderhaven-front/src/left_fate.rs
+++ b/alderhaven-front/src/abandoned_status.rs
@@ -2,11 +2,11 @@
 
 /// A `LeftFate` says whether such an attempt may run all the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeftFate {
+pub enum AbandonedStatus {
     /// It was never sent, and will not be.
     Unsent,
     /// It was sent to a failure domain that was lost, and will hardly run.
-    CutOff,
+    DomainLost,
     /// Its failure domain is silent; it may run.
     MayRun,
 }
--- a/alderhaven-front/src/admission_pass.rs
+++ b/alderhaven-front/src/admission_permit.rs
@@ -3,47 +3,48 @@
 use std::sync::Arc;
 
 use alderhaven_core::time::TimePoint;
-use alderhaven_policy::room_limit::QueryNeed;
+use alderhaven_policy::concurrency_limit::QuerySignal;
 
 use crate::query_admission::QueryAdmission;
-use crate::shard_set::ShardSet;
+use crate::shard_set_id::ShardSetId;
 
 /// An `AdmissionPass` stands for one admitted query.
 ///
 /// It is given back when it is dropped: a caller that goes away drops its query at any point, and a
 /// place that was never given back would shrink the front for good.
 #[derive(Debug)]
-pub struct AdmissionPass {
+pub struct AdmissionPermit {
     admission: Arc<QueryAdmission>,
-    shards: ShardSet,
-    admitted: TimePoint,
-    need: QueryNeed,
+    shards: ShardSetId,
+    admitted_at: TimePoint,
+    need: QuerySignal,
 }
 
-impl AdmissionPass {
+impl AdmissionPermit {
     /// Returns the pass of a query that is admitted at `admitted`.
     #[must_use]
     pub const fn new(
         admission: Arc<QueryAdmission>,
-        shards: ShardSet,
+        shards: ShardSetId,
         admitted: TimePoint,
     ) -> Self {
         Self {
             admission,
             shards,
-            admitted,
-            need: QueryNeed::Unknown,
+            admitted_at: admitted,
+            need: QuerySignal::Uninformative,
         }
     }
 
     /// Notes what the query says of the room.
-    pub const fn note_need(&mut self, need: QueryNeed) {
+    pub const fn record_signal(&mut self, need: QuerySignal) {
         self.need = need;
     }
 }
 
-impl Drop for AdmissionPass {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
-        self.admission.finish(self.shards, self.admitted, self.need);
+        self.admission
+            .finish(self.shards, self.admitted_at, self.need);
     }
 }
--- a/alderhaven-front/src/attempt.rs
+++ b/alderhaven-front/src/attempt.rs
@@ -5,7 +5,7 @@
 
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::replica_gauge::AttemptResult;
+use alderhaven_policy::replica_stats::AttemptResult;
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
@@ -13,7 +13,7 @@
 use log::Level;
 
 use crate::attempt_phase::AttemptPhase;
-use crate::front_answer::PassedReply;
+use crate::front_answer::ForwardedReply;
 use crate::front_event::FrontEvent;
 use crate::query_call::QueryCall;
 use crate::target_handle::TargetHandle;
@@ -26,7 +26,7 @@
 
 /// An `AttemptEnd` is what an attempt came to.
 #[derive(Debug)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The target ran the request and succeeded.
     Success(TargetReply),
     /// The target ran the request and failed.
@@ -38,7 +38,7 @@
     /// The target could not be reached; nothing was sent.
     Unreachable,
     /// The request was over, or the target closed, before anything was sent.
-    Withdrawn,
+    Cancelled,
     /// The request was sent and no whole reply to it came: it may have run.
     Lost,
 }
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct TargetReply {
     /// The reply.
-    pub reply: PassedReply,
+    pub reply: ForwardedReply,
     /// The proof of it, which callers check.
     pub proof: Option<HeaderValue>,
 }
@@ -63,13 +63,13 @@
     /// Whether the request may run more than once.
     pub is_idempotent: bool,
     /// When the time of the request is over.
-    pub ends_at: TimePoint,
+    pub deadline: TimePoint,
     /// Set once the request was answered: nothing more is sent for it then.
-    pub is_over: Arc<AtomicBool>,
+    pub is_request_finished: Arc<AtomicBool>,
     /// Whether the attempt may send, and whether it has begun to.
     pub phase: AttemptPhase,
     /// The usual time of such an attempt.
-    pub usual: TimeSpan,
+    pub typical_latency: TimeSpan,
     /// The protocol.
     pub dialect: Arc<dyn WireDialect>,
     /// The clock.
@@ -84,16 +84,16 @@
     /// The target.
     pub target: Arc<TargetHandle>,
     /// How long it took.
-    pub took: TimeSpan,
+    pub elapsed: TimeSpan,
     /// What it came to.
-    pub end: AttemptEnd,
+    pub outcome: AttemptOutcome,
 }
 
 /// Notes the end of an attempt at its target, also where the attempt is dropped.
 struct AttemptGuard {
     target: Arc<TargetHandle>,
-    sent: TimePoint,
-    usual: TimeSpan,
+    sent_at: TimePoint,
+    typical_latency: TimeSpan,
     clock: ProcessClock,
     result: AttemptResult,
 }
@@ -103,13 +103,13 @@
         let now = self.clock.now();
         let is_newly_aside = {
             let mut gauge = self.target.gauge();
-            let was_aside = gauge.is_aside(now);
-            gauge.end(self.sent, self.usual, self.result, now);
-            gauge.is_aside(now) && !was_aside
+            let was_aside = gauge.is_ejected(now);
+            gauge.end_attempt(self.sent_at, self.typical_latency, self.result, now);
+            gauge.is_ejected(now) && !was_aside
         };
         if is_newly_aside {
             let entry = self.target.entry();
-            FrontEvent::TargetAside {
+            FrontEvent::TargetEjected {
                 target: entry.id.clone(),
                 service: entry.service.clone(),
             }
@@ -122,39 +122,39 @@
     /// Sends the attempt and reads its reply.
     pub async fn run(self) -> AttemptReport {
         let sent = self.clock.now();
-        self.target.gauge().begin(sent);
+        self.target.gauge().begin_attempt(sent);
         let mut guard = AttemptGuard {
             target: Arc::clone(&self.target),
-            sent,
-            usual: self.usual,
+            sent_at: sent,
+            typical_latency: self.typical_latency,
             clock: self.clock,
-            result: AttemptResult::CalledOff,
+            result: AttemptResult::Cancelled,
         };
         let (shard, target, clock) = (self.shard, Arc::clone(&self.target), self.clock);
         let end = self.exchange().await;
         guard.result = match &end {
-            AttemptEnd::Success(_) => AttemptResult::Answered,
-            AttemptEnd::Unreachable => AttemptResult::Unreachable,
-            AttemptEnd::Withdrawn => AttemptResult::CalledOff,
+            AttemptOutcome::Success(_) => AttemptResult::Answered,
+            AttemptOutcome::Unreachable => AttemptResult::Unreachable,
+            AttemptOutcome::Cancelled => AttemptResult::Cancelled,
             _ => AttemptResult::Failed,
         };
         drop(guard);
         AttemptReport {
             shard,
             target,
-            took: clock.now().since(sent),
-            end,
+            elapsed: clock.now().since(sent),
+            outcome: end,
         }
     }
 
-    async fn exchange(self) -> AttemptEnd {
+    async fn exchange(self) -> AttemptOutcome {
         let Ok(mut taken) = self.target.pool.take(!self.is_idempotent).await else {
-            return AttemptEnd::Unreachable;
+            return AttemptOutcome::Unreachable;
         };
         // Built only now: the wait for a connection has used up some of the time that is left.
-        let Some(request) = self.request() else {
+        let Some(request) = self.build_request() else {
             self.target.pool.give_back_unused(taken);
-            return AttemptEnd::Withdrawn;
+            return AttemptOutcome::Cancelled;
         };
         match send(&self.target, &mut taken, request).await {
             Ok(response) => {
@@ -166,19 +166,19 @@
     }
 
     /// Builds the request; none where it is no longer to be sent.
-    fn request(&self) -> Option<Request<WholeBody>> {
+    fn build_request(&self) -> Option<Request<WholeBody>> {
         let now = self.clock.now();
-        let is_late = self.is_over.load(Ordering::Relaxed) || now >= self.ends_at;
+        let is_late = self.is_request_finished.load(Ordering::Relaxed) || now >= self.deadline;
         // The target may have been closed while the attempt waited for a connection.
         if is_late || self.target.is_closed() || !self.phase.begin_send() {
             return None;
         }
         let entry = self.target.entry();
         let call = TargetCall {
-            head: &self.call.forwarded,
+            head: &self.call.forwarded_head,
             body: &self.call.body,
             target: &entry.id,
-            time_left: self.ends_at.since(now),
+            time_left: self.deadline.since(now),
         };
         self.dialect.target_request(&call).ok()
     }
@@ -188,22 +188,22 @@
     target: &TargetHandle,
     taken: &mut PooledConnection,
     request: Request<WholeBody>,
-) -> Result<Response<Incoming>, AttemptEnd> {
+) -> Result<Response<Incoming>, AttemptOutcome> {
     let mut refused = match taken.sender().try_send_request(request).await {
         Ok(response) => return Ok(response),
         Err(refused) => refused,
     };
     // A request that comes back was never written: the target had closed the idle connection.
     let Some(request) = refused.take_message() else {
-        return Err(AttemptEnd::Lost);
+        return Err(AttemptOutcome::Lost);
     };
     if taken.is_new() || target.pool.replace(taken).await.is_err() {
-        return Err(AttemptEnd::Unreachable);
+        return Err(AttemptOutcome::Unreachable);
     }
     let sent = taken.sender().try_send_request(request).await;
     sent.map_err(|mut refused| match refused.take_message() {
-        Some(_) => AttemptEnd::Unreachable,
-        None => AttemptEnd::Lost,
+        Some(_) => AttemptOutcome::Unreachable,
+        None => AttemptOutcome::Lost,
     })
 }
 
@@ -213,37 +213,39 @@
     response: Response<Incoming>,
     request_id: &str,
     dialect: &dyn WireDialect,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let (head, body) = response.into_parts();
     let kind = dialect.reply_kind(request_id, head.status, &head.headers);
-    if kind == ReplyKind::Foreign {
+    if kind == ReplyKind::RequestIdMismatch {
         // The reply to an earlier request came late or twice: this one's may come or not, and what
         // else comes on the connection can't be told apart.
-        return AttemptEnd::Lost;
+        return AttemptOutcome::Lost;
     }
     let Ok(body) = Limited::new(body, MAX_REPLY_BYTES).collect().await else {
         return match kind {
-            ReplyKind::NotRun => AttemptEnd::NotRun,
-            ReplyKind::WrongTarget => AttemptEnd::WrongTarget,
-            _ => AttemptEnd::Lost,
+            ReplyKind::NotRun => AttemptOutcome::NotRun,
+            ReplyKind::WrongTarget => AttemptOutcome::WrongTarget,
+            _ => AttemptOutcome::Lost,
         };
     };
-    target.pool.give_back(taken, kept_for(&head.headers));
+    target
+        .pool
+        .give_back(taken, keep_alive_timeout(&head.headers));
     let reply = TargetReply {
         proof: dialect.reply_proof(&head.headers),
-        reply: reply_of(head.status, head.headers, body.to_bytes()),
+        reply: passed_reply(head.status, head.headers, body.to_bytes()),
     };
     match kind {
-        ReplyKind::Success => AttemptEnd::Success(reply),
-        ReplyKind::Failure => AttemptEnd::Failure(reply),
-        ReplyKind::NotRun => AttemptEnd::NotRun,
-        ReplyKind::WrongTarget => AttemptEnd::WrongTarget,
-        ReplyKind::Foreign => AttemptEnd::Lost,
+        ReplyKind::Success => AttemptOutcome::Success(reply),
+        ReplyKind::Failure => AttemptOutcome::Failure(reply),
+        ReplyKind::NotRun => AttemptOutcome::NotRun,
+        ReplyKind::WrongTarget => AttemptOutcome::WrongTarget,
+        ReplyKind::RequestIdMismatch => AttemptOutcome::Lost,
     }
 }
 
-const fn reply_of(status: StatusCode, headers: HeaderMap, body: Bytes) -> PassedReply {
-    PassedReply {
+const fn passed_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> ForwardedReply {
+    ForwardedReply {
         status,
         headers,
         body,
@@ -251,7 +253,7 @@
 }
 
 /// Gets how long the target keeps the connection, by the `Keep-Alive` header.
-fn kept_for(headers: &HeaderMap) -> Option<TimeSpan> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<TimeSpan> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = text
         .split(',')
--- a/alderhaven-front/src/attempt_phase.rs
+++ b/alderhaven-front/src/attempt_phase.rs
@@ -10,7 +10,7 @@
 
 const WAITING: u8 = 0;
 const SENT: u8 = 1;
-const CALLED_OFF: u8 = 2;
+const CANCELLED: u8 = 2;
 
 /// An `AttemptPhase` is shared by an attempt and the request that it is for.
 #[derive(Clone, Debug, Default)]
@@ -20,16 +20,16 @@
     /// Begins to send; returns false where the request was called off before.
     #[must_use]
     pub fn begin_send(&self) -> bool {
-        self.leave_waiting(SENT)
+        self.try_leave_waiting(SENT)
     }
 
     /// Calls the attempt off; returns true where nothing was sent, and never will be.
     #[must_use]
-    pub fn call_off(&self) -> bool {
-        self.leave_waiting(CALLED_OFF)
+    pub fn cancel(&self) -> bool {
+        self.try_leave_waiting(CANCELLED)
     }
 
-    fn leave_waiting(&self, next: u8) -> bool {
+    fn try_leave_waiting(&self, next: u8) -> bool {
         let step = self
             .0
             .compare_exchange(WAITING, next, Ordering::AcqRel, Ordering::Acquire);
--- a/alderhaven-front/src/caller_server.rs
+++ b/alderhaven-front/src/caller_server.rs
@@ -18,13 +18,13 @@
 
 /// The connections that may wait to be accepted. Where that queue is full the system drops the
 /// packet, and the caller's next one comes a second later, after most deadlines.
-const ACCEPT_QUEUE: u32 = 1_024;
+const ACCEPT_BACKLOG: u32 = 1_024;
 
 /// The least buffer of a connection that the HTTP library accepts, in bytes.
-const MIN_BUFFER: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 
 /// The pause after a failed accept, which is out of descriptors in nearly all cases.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
 
 /// Opens a listener.
 ///
@@ -34,7 +34,7 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(ACCEPT_QUEUE)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// Serves callers' requests until the process takes nothing new.
@@ -45,7 +45,7 @@
                 Ok((stream, _)) => {
                     tokio::spawn(serve_caller(stream, context.clone()));
                 }
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             () = context.stop.finishing() => return,
         }
@@ -68,7 +68,7 @@
         .timer(TokioTimer::new())
         // The library counts the time between two requests as part of the second one's head.
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout).as_duration())
-        .max_buf_size(limits.max_head.as_bytes().max(MIN_BUFFER))
+        .max_buf_size(limits.max_head.as_bytes().max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
@@ -80,20 +80,21 @@
 }
 
 /// Serves questions for fronts and for readiness, for as long as the process runs.
-pub async fn serve_questions(
+pub async fn serve_directory(
     listener: TcpListener,
     context: FrontContext,
     directory: FrontDirectory,
 ) {
-    let answer =
-        move |request: &Request<Incoming>| directory_service::answer(&context, &directory, request);
+    let answer = move |request: &Request<Incoming>| {
+        directory_service::directory_response(&context, &directory, request)
+    };
     serve_with(listener, answer).await;
 }
 
 /// Serves the metrics, for as long as the process runs.
 pub async fn serve_metrics(listener: TcpListener, context: FrontContext) {
     serve_with(listener, move |request: &Request<Incoming>| {
-        directory_service::metrics(&context, request)
+        directory_service::metrics_response(&context, request)
     })
     .await;
 }
@@ -104,7 +105,7 @@
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let answer = answer.clone();
--- a/alderhaven-front/src/caller_service.rs
+++ b/alderhaven-front/src/caller_service.rs
@@ -25,17 +25,17 @@
 use alderhaven_policy::drain::DrainState;
 
 /// When a caller should come back to a front without a configuration.
-const START_RETRY_MIN: TimeSpan = TimeSpan::from_millis(150);
+const NO_CONFIG_RETRY_MIN: TimeSpan = TimeSpan::from_millis(150);
 /// What is added to it at random.
-const START_RETRY_SPREAD: TimeSpan = TimeSpan::from_millis(250);
+const NO_CONFIG_RETRY_JITTER: TimeSpan = TimeSpan::from_millis(250);
 
 /// The longest that a request waits for the first configuration. A refusal would send its caller to fronts
 /// that start in the same moment.
-const START_WAIT: TimeSpan = TimeSpan::from_millis(600);
+const MAX_CONFIG_WAIT: TimeSpan = TimeSpan::from_millis(600);
 
 /// The share of the caller's patience that such a wait may take, so that enough is left for another
 /// front.
-const START_WAIT_SHARE: f64 = 0.4;
+const MAX_CONFIG_WAIT_FRACTION: f64 = 0.4;
 
 /// Answers one request of a caller.
 ///
@@ -49,7 +49,7 @@
     let arrived = context.clock.now();
     let (head, body) = request.into_parts();
     let answer = answer(&context, head, body, arrived).await;
-    let mut response = context.dialect.caller_answer(answer);
+    let mut response = context.dialect.caller_response(answer);
     if context.stop.state() != DrainState::Serving {
         // The caller should ask for another front before its next request.
         let close = HeaderValue::from_static("close");
@@ -69,39 +69,41 @@
         time_left,
     } = context.dialect.caller_head(&head);
     let patience = time_left.unwrap_or(context.options.default_deadline);
-    let limit = patience.mul_f64(START_WAIT_SHARE).min(START_WAIT);
+    let limit = patience
+        .mul_f64(MAX_CONFIG_WAIT_FRACTION)
+        .min(MAX_CONFIG_WAIT);
     let view = context.catalog.view_with_routing(limit).await;
     let Some(routing) = view.routing.clone() else {
-        return refuse_start(request_id);
+        return refuse_without_config(request_id);
     };
-    let site = site_of(&head);
+    let site = site_name(&head);
     let Some(route) = view.find_route(&site, head.uri.path()).cloned() else {
-        return refuse(request_id, BadRequest::NoRoute, routing.version);
+        return refuse_bad_request(request_id, BadRequest::NoRoute, routing.version);
     };
     let limit = patience.min(route.rule.timeout).as_duration();
     let body = match read_body(body, routing.limits.max_body.as_bytes(), limit).await {
         Ok(body) => body,
-        Err(reason) => return refuse(request_id, reason, routing.version),
+        Err(reason) => return refuse_bad_request(request_id, reason, routing.version),
     };
     let Ok(forwarded) = context.dialect.forwarded_head(&head) else {
-        return refuse(request_id, BadRequest::Unreadable, routing.version);
+        return refuse_bad_request(request_id, BadRequest::Unreadable, routing.version);
     };
     let call = Arc::new(QueryCall {
         head,
-        forwarded,
+        forwarded_head: forwarded,
         body,
         request_id: Arc::from(request_id),
-        arrived,
+        arrived_at: arrived,
         time_left: patience,
     });
-    if let Some(wait) = crash_wait(context, &call) {
-        return refuse_crashing(&call, wait);
+    if let Some(wait) = crash_retry_after(context, &call) {
+        return refuse_crashing_request(&call, wait);
     }
     QueryRun::answer(context, &view, &route, &call).await
 }
 
 /// Gets how long the request is refused because it crashes targets; none where it is not.
-fn crash_wait(context: &FrontContext, call: &QueryCall) -> Option<TimeSpan> {
+fn crash_retry_after(context: &FrontContext, call: &QueryCall) -> Option<TimeSpan> {
     let crashes = context.catalog.crashes();
     if !crashes.has_strikes() {
         return None;
@@ -109,7 +111,7 @@
     crashes.refused_for(&call.fingerprint())
 }
 
-fn refuse_crashing(call: &QueryCall, wait: TimeSpan) -> FrontAnswer {
+fn refuse_crashing_request(call: &QueryCall, wait: TimeSpan) -> FrontAnswer {
     let reason = RefusalReason::Crashes;
     FrontEvent::RequestRefused {
         request: call.request_id.to_string(),
@@ -122,7 +124,7 @@
     }
 }
 
-fn refuse_start(request_id: String) -> FrontAnswer {
+fn refuse_without_config(request_id: String) -> FrontAnswer {
     let reason = RefusalReason::NoConfiguration;
     FrontEvent::RequestRefused {
         request: request_id,
@@ -132,12 +134,12 @@
     let spread: f64 = rand::rng().random_range(0.0..1.0);
     FrontAnswer::NotRun {
         reason,
-        retry_after: START_RETRY_MIN + START_RETRY_SPREAD.mul_f64(spread),
+        retry_after: NO_CONFIG_RETRY_MIN + NO_CONFIG_RETRY_JITTER.mul_f64(spread),
     }
 }
 
-fn refuse(request_id: String, reason: BadRequest, version: u64) -> FrontAnswer {
-    FrontEvent::RequestBad {
+fn refuse_bad_request(request_id: String, reason: BadRequest, version: u64) -> FrontAnswer {
+    FrontEvent::RequestInvalid {
         request: request_id,
         reason,
         version,
@@ -147,7 +149,7 @@
 }
 
 /// Gets the name of the site that a request is for, without a port and in small letters.
-fn site_of(head: &Parts) -> String {
+fn site_name(head: &Parts) -> String {
     let from_header = || head.headers.get(header::HOST)?.to_str().ok();
     let host = head.uri.host().or_else(from_header).unwrap_or_default();
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
--- a/alderhaven-front/src/catalog.rs
+++ b/alderhaven-front/src/catalog.rs
@@ -26,23 +26,23 @@
 use crate::catalog_state;
 use crate::catalog_state::CatalogState;
 use crate::catalog_view::CatalogView;
-use crate::crash_board::CrashBoard;
+use crate::crash_tracker::CrashTracker;
 use crate::front_event::FrontEvent;
 use crate::target_entry::TargetEntry;
-use crate::target_handle::{TargetHandle, TargetStanding};
+use crate::target_handle::{TargetHandle, TargetStatus};
 use crate::target_pool::TargetPool;
 use crate::wire_dialect::WireDialect;
 
 mod evacuations;
-mod words;
+mod node_reports;
 
 /// How long a target whose registration has gone is kept as a last resort. Registrations lapse while
 /// the store is away although their targets live, and are back within two seconds of its return; a
 /// target that has left serves for at least three more.
-const LAPSED_FOR: TimeSpan = TimeSpan::from_millis(1_700);
+const EXPIRED_TARGET_RETENTION: TimeSpan = TimeSpan::from_millis(1_700);
 
 /// The connections to a target of a service of which the configuration says nothing.
-const DEFAULT_CONNECTIONS: usize = 8;
+const DEFAULT_MAX_CONNECTIONS: usize = 8;
 
 /// A `Catalog` is shared by all parts of a process.
 pub struct Catalog {
@@ -52,7 +52,7 @@
     state: Mutex<CatalogState>,
     view: ArcSwap<CatalogView>,
     changed: watch::Sender<u64>,
-    crashes: CrashBoard,
+    crashes: CrashTracker,
 }
 
 /// `CatalogOptions` say where a process stands and what it may send.
@@ -89,13 +89,13 @@
             state: Mutex::new(CatalogState::new(share, store_kinds)),
             view: ArcSwap::from_pointee(CatalogView::new(share)),
             changed: watch::Sender::new(0),
-            crashes: CrashBoard::new(clock),
+            crashes: CrashTracker::new(clock),
         }
     }
 
     /// Gets what is known of requests that crash targets.
     #[must_use]
-    pub const fn crashes(&self) -> &CrashBoard {
+    pub const fn crashes(&self) -> &CrashTracker {
         &self.crashes
     }
 
@@ -145,35 +145,35 @@
     /// One kind alone is not all: peers that asked for the rest would take its absence for the truth,
     /// and refuse every request for want of targets.
     #[must_use]
-    pub fn is_listed(&self) -> bool {
-        self.state().is_listed()
+    pub fn is_fully_listed(&self) -> bool {
+        self.state().is_fully_listed()
     }
 
     /// Returns true where an object of the kind is known, or it is known that there may be none.
     #[must_use]
-    pub fn is_listed_kind(&self, kind: ObjectKind) -> bool {
+    pub fn is_kind_listed(&self, kind: ObjectKind) -> bool {
         let state = self.state();
         let is_any = state.objects.keys().any(|key| key.kind == kind);
-        is_any || state.is_listed() || state.listed_kinds.contains(&kind)
+        is_any || state.is_fully_listed() || state.listed_kinds.contains(&kind)
     }
 
     /// Returns true where requests can be served: a configuration is known, and the targets are.
     ///
     /// A front that is named without targets refuses what it gets.
     #[must_use]
-    pub fn is_usable(&self) -> bool {
-        self.view().routing.is_some() && self.is_listed_kind(ObjectKind::Target)
+    pub fn can_serve_requests(&self) -> bool {
+        self.view().routing.is_some() && self.is_kind_listed(ObjectKind::Target)
     }
 
     /// Notes that a peer which knew all objects has told them.
-    pub fn set_told(&self) {
-        self.state().is_told = true;
+    pub fn mark_listed_by_peer(&self) {
+        self.state().is_listed_by_peer = true;
     }
 
     /// Gets the latest of each node's contact with the store.
     #[must_use]
-    pub fn contacts(&self) -> Vec<StoreContact> {
-        self.state().contacts.values().cloned().collect()
+    pub fn store_contacts(&self) -> Vec<StoreContact> {
+        self.state().store_contacts.values().cloned().collect()
     }
 
     /// Gets how this node stands in its group.
@@ -193,11 +193,11 @@
     }
 
     /// Notes the nodes that are alive with their capacities, this one included.
-    pub fn note_nodes(&self, nodes: &[(NodeId, CpuCapacity)]) {
+    pub fn set_live_nodes(&self, nodes: &[(NodeId, CpuCapacity)]) {
         let mut state = self.state();
         let mut is_changed = state
             .share
-            .note(nodes.iter().map(|(_, capacity)| *capacity));
+            .update(nodes.iter().map(|(_, capacity)| *capacity));
         let share = state.share;
         let is_large = |capacity: CpuCapacity| share.is_large_host(capacity);
         let large_nodes = nodes.iter().filter(|(_, capacity)| is_large(*capacity));
@@ -207,7 +207,7 @@
             is_changed = true;
         }
         if is_changed {
-            self.rebuild(&mut state);
+            self.rebuild_view(&mut state);
         }
     }
 
@@ -223,11 +223,11 @@
                 continue;
             }
             is_new = true;
-            is_rebuilt |= self.apply(&mut state, &object);
+            is_rebuilt |= self.apply_object(&mut state, &object);
             state.objects.insert(object.key.clone(), object);
         }
         if is_rebuilt {
-            self.rebuild(&mut state);
+            self.rebuild_view(&mut state);
         }
         drop(state);
         if is_new {
@@ -259,7 +259,7 @@
     }
 
     /// Applies one object; returns true where the view changes.
-    fn apply(&self, state: &mut CatalogState, object: &StoredObject) -> bool {
+    fn apply_object(&self, state: &mut CatalogState, object: &StoredObject) -> bool {
         match object.key.kind {
             ObjectKind::Routing => self.apply_routing(state, object),
             ObjectKind::Target => self.apply_target(state, object),
@@ -268,7 +268,7 @@
                 false
             }
             ObjectKind::Contact => {
-                self.apply_contact(state, object);
+                self.apply_store_contact(state, object);
                 false
             }
             ObjectKind::Strike => {
@@ -287,7 +287,7 @@
         let routing = match self.dialect.read_routing(body) {
             Ok(routing) => routing,
             Err(reason) => {
-                FrontEvent::ConfigRefused {
+                FrontEvent::ConfigRejected {
                     revision: object.version.0,
                     reason,
                 }
@@ -299,7 +299,7 @@
         if known >= Some(routing.version) {
             return false;
         }
-        FrontEvent::ConfigTaken {
+        FrontEvent::ConfigApplied {
             version: routing.version,
             before: known,
             routes: routing.routes.len(),
@@ -312,11 +312,11 @@
     fn apply_target(&self, state: &mut CatalogState, object: &StoredObject) -> bool {
         let id = &object.key.name;
         let Some(body) = &object.body else {
-            self.lapse(state, id);
+            self.mark_expired(state, id);
             return true;
         };
         match self.dialect.read_target(id, body) {
-            Ok(entry) => self.take_target(state, entry),
+            Ok(entry) => self.upsert_target(state, entry),
             Err(reason) => {
                 // Such an entry names no target to use; one of that id that was known is gone.
                 FrontEvent::TargetUnreadable {
@@ -324,77 +324,79 @@
                     reason,
                 }
                 .emit(Level::Warn);
-                self.lapse(state, id);
+                self.mark_expired(state, id);
             }
         }
         true
     }
 
-    fn take_target(&self, state: &mut CatalogState, entry: TargetEntry) {
+    fn upsert_target(&self, state: &mut CatalogState, entry: TargetEntry) {
         let warmup_left = entry.warmup_left;
         if let Some(known) = state.targets.get(&entry.id)
             && is_same_process(&known.entry(), &entry)
         {
             known.update(entry);
-            known.warmup().note_cold(warmup_left, self.clock.now());
+            known.warmup().record_cold(warmup_left, self.clock.now());
             return;
         }
         let is_near = entry.domain.as_ref() == Some(&self.options.domain);
-        let pool = TargetPool::new(entry.address, DEFAULT_CONNECTIONS, self.clock);
+        let pool = TargetPool::new(entry.address, DEFAULT_MAX_CONNECTIONS, self.clock);
         let id = entry.id.clone();
         let is_evacuated = entry
             .domain
             .as_ref()
-            .is_some_and(|domain| state.evacuated.contains_key(domain));
-        let silence = state.silence_of(entry.domain.as_ref());
+            .is_some_and(|domain| state.evacuated_domains.contains_key(domain));
+        let silence = state.domain_silence(entry.domain.as_ref());
         let handle = TargetHandle::new(entry, pool, is_near, silence);
         handle.set_evacuated(is_evacuated);
-        handle.warmup().note_cold(warmup_left, self.clock.now());
+        handle.warmup().record_cold(warmup_left, self.clock.now());
         state.targets.insert(id, Arc::new(handle));
     }
 
-    fn lapse(&self, state: &mut CatalogState, id: &str) {
+    fn mark_expired(&self, state: &mut CatalogState, id: &str) {
         let Some(target) = state.targets.get(id) else {
             return;
         };
-        let standing = match target.standing() {
-            TargetStanding::Ready => TargetStanding::Lapsed(self.clock.now() + LAPSED_FOR),
+        let standing = match target.status() {
+            TargetStatus::Ready => {
+                TargetStatus::Expired(self.clock.now() + EXPIRED_TARGET_RETENTION)
+            }
             other => other,
         };
-        target.set_standing(standing);
-        FrontEvent::TargetGone {
+        target.set_status(standing);
+        FrontEvent::TargetDeregistered {
             target: id.to_owned(),
             service: target.entry().service.clone(),
-            was_leaving: standing == TargetStanding::Leaving,
+            was_leaving: standing == TargetStatus::Leaving,
         }
         .emit(Level::Info);
     }
 
-    fn rebuild(&self, state: &mut CatalogState) {
-        let view = state.view(&self.options, self.clock.now());
+    fn rebuild_view(&self, state: &mut CatalogState) {
+        let view = state.build_view(&self.options, self.clock.now());
         self.view.store(Arc::new(view));
     }
 
     /// Opens connections ahead of requests, and drops targets whose time as a last resort is over.
-    pub async fn keep_up(self: Arc<Self>) {
+    pub async fn run_maintenance(self: Arc<Self>) {
         let mut changed = self.changed();
         loop {
-            self.warm_near_targets();
-            let lapse_over = LAPSED_FOR.as_duration() + Duration::from_millis(50);
+            self.preconnect_own_domain_targets();
+            let lapse_over = EXPIRED_TARGET_RETENTION.as_duration() + Duration::from_millis(50);
             if time::timeout(lapse_over, changed.changed()).await.is_err() {
                 let mut state = self.state();
                 let has_lapsed = state
                     .targets
                     .values()
-                    .any(|target| matches!(target.standing(), TargetStanding::Lapsed(_)));
+                    .any(|target| matches!(target.status(), TargetStatus::Expired(_)));
                 if has_lapsed {
-                    self.rebuild(&mut state);
+                    self.rebuild_view(&mut state);
                 }
             }
         }
     }
 
-    fn warm_near_targets(&self) {
+    fn preconnect_own_domain_targets(&self) {
         let view = self.view();
         if !view.share.is_large() {
             return;
@@ -403,13 +405,13 @@
         let names = routes.flat_map(|route| route.rule.destination.services());
         let services = names.filter_map(|name| view.services.get(name));
         for target in services.flat_map(|service| &service.targets) {
-            if target.is_near
-                && target.standing() == TargetStanding::Ready
+            if target.is_in_own_domain
+                && target.status() == TargetStatus::Ready
                 && !target.is_evacuated()
-                && target.start_warming()
+                && target.start_preconnect()
             {
                 let target = Arc::clone(target);
-                tokio::spawn(async move { target.pool.warm().await });
+                tokio::spawn(async move { target.pool.preconnect().await });
             }
         }
     }
--- a/alderhaven-front/src/catalog/evacuations.rs
+++ b/alderhaven-front/src/catalog/evacuations.rs
@@ -12,10 +12,10 @@
 impl Catalog {
     /// Gets the failure domains that are evacuated, with how long this node has known it.
     #[must_use]
-    pub fn evacuated(&self) -> Vec<EvacuatedDomain> {
+    pub fn evacuated_domains(&self) -> Vec<EvacuatedDomain> {
         let now = self.clock.now();
         let state = self.state();
-        let evacuated = state.evacuated.iter();
+        let evacuated = state.evacuated_domains.iter();
         evacuated
             .map(|(domain, since)| EvacuatedDomain {
                 domain: domain.clone(),
@@ -47,7 +47,7 @@
         let revision = object.version.0;
         let now = self.clock.now();
         if is_evacuated {
-            state.evacuated.entry(domain.clone()).or_insert(now);
+            state.evacuated_domains.entry(domain.clone()).or_insert(now);
             FrontEvent::DomainEvacuated {
                 domain: domain.to_string(),
                 revision,
@@ -56,12 +56,12 @@
             .emit(Level::Warn);
             return;
         }
-        let Some(since) = state.evacuated.remove(&domain) else {
+        let Some(since) = state.evacuated_domains.remove(&domain) else {
             return;
         };
         for target in &targets {
             // A target may have become cold meanwhile, and its registration says so late.
-            if let Some(span) = state.warmup_span(&target.entry().service) {
+            if let Some(span) = state.warmup_duration(&target.entry().service) {
                 target.warmup().presume_cold(span, now);
             }
         }
--- a/alderhaven-front/src/catalog/words.rs
+++ b/alderhaven-front/src/catalog/node_reports.rs
@@ -13,21 +13,21 @@
 use crate::wall_clock;
 
 /// The body of the word of a node that reaches the store.
-const CONTACT_REACHED: &str = "reached";
+const STORE_REACHED_BODY: &str = "reached";
 /// The body of the word of a node that does not.
-const CONTACT_LOST: &str = "lost";
+const STORE_LOST_BODY: &str = "lost";
 
 /// The most words about crashes that this node adds to; each has some hundred bytes, and all nodes
 /// hold all of them.
-const MOST_STRIKE_OBJECTS: usize = 256;
+const MAX_STRIKE_OBJECTS: usize = 256;
 
 impl Catalog {
     /// Tells all nodes whether this one reaches the store.
-    pub fn publish_contact(&self, node: &NodeId, is_reached: bool, wall_millis: u64) {
+    pub fn publish_store_contact(&self, node: &NodeId, is_reached: bool, wall_millis: u64) {
         let body = if is_reached {
-            CONTACT_REACHED
+            STORE_REACHED_BODY
         } else {
-            CONTACT_LOST
+            STORE_LOST_BODY
         };
         self.publish(
             ObjectKind::Contact,
@@ -50,7 +50,7 @@
             .keys()
             .filter(|key| key.kind == ObjectKind::Strike)
             .count()
-            < MOST_STRIKE_OBJECTS;
+            < MAX_STRIKE_OBJECTS;
         if has_room {
             let name = format!("{fingerprint}-{}", self.options.node);
             self.publish(ObjectKind::Strike, name, body, wall_millis);
@@ -72,23 +72,23 @@
         }]);
     }
 
-    pub(super) fn apply_contact(&self, state: &mut CatalogState, object: &StoredObject) {
+    pub(super) fn apply_store_contact(&self, state: &mut CatalogState, object: &StoredObject) {
         let Ok(node) = object.key.name.parse::<NodeId>() else {
             return;
         };
         let contact = StoreContact {
             node: node.clone(),
-            is_reached: object.body.as_deref() == Some(CONTACT_REACHED),
-            heard_at: self.clock.now(),
+            is_reached: object.body.as_deref() == Some(STORE_REACHED_BODY),
+            reported_at: self.clock.now(),
         };
-        state.contacts.insert(node, contact);
+        state.store_contacts.insert(node, contact);
     }
 
     pub(super) fn apply_strikes(&self, object: &StoredObject) {
         let Some(body) = &object.body else {
             return;
         };
-        if let Err(reason) = self.crashes.take(body, wall_clock::millis()) {
+        if let Err(reason) = self.crashes.merge_remote(body, wall_clock::unix_millis()) {
             FrontEvent::StrikesUnreadable {
                 name: object.key.name.clone(),
                 reason,
--- a/alderhaven-front/src/catalog_state.rs
+++ b/alderhaven-front/src/catalog_state.rs
@@ -17,11 +17,11 @@
 use crate::routing_config::RoutingConfig;
 use crate::service_rule::ServiceRule;
 use crate::service_targets::ServiceTargets;
-use crate::target_handle::{SharedSilence, TargetHandle, TargetStanding};
+use crate::target_handle::{SharedSilence, TargetHandle, TargetStatus};
 
 /// The parts into which a target's cap of connections is divided: one for the nodes as they are, and
 /// one for the connections that a target still counts of nodes which lost power and are back.
-const CAP_PARTS: f64 = 2.0;
+const CONNECTION_CAP_DIVISOR: f64 = 2.0;
 
 /// Gets the kinds that the store keeps; words about contacts go among the nodes only.
 pub(crate) const fn store_kinds(has_evacuations: bool) -> &'static [ObjectKind] {
@@ -38,7 +38,7 @@
 pub(crate) struct CatalogState {
     pub(crate) objects: BTreeMap<ObjectKey, StoredObject>,
     /// Whether a peer which knew all objects has told them.
-    pub(crate) is_told: bool,
+    pub(crate) is_listed_by_peer: bool,
     /// The kinds that the store has listed, empty or not.
     pub(crate) listed_kinds: BTreeSet<ObjectKind>,
     /// The kinds that the store keeps.
@@ -47,13 +47,13 @@
     pub(crate) route_states: HashMap<String, Arc<RouteState>>,
     pub(crate) targets: BTreeMap<String, Arc<TargetHandle>>,
     /// The failure domains that are evacuated, with when this node learnt it.
-    pub(crate) evacuated: BTreeMap<FailureDomain, TimePoint>,
+    pub(crate) evacuated_domains: BTreeMap<FailureDomain, TimePoint>,
     /// What was heard of each failure domain.
-    pub(crate) silences: BTreeMap<FailureDomain, SharedSilence>,
+    pub(crate) domain_silences: BTreeMap<FailureDomain, SharedSilence>,
     /// The live nodes on large hosts, this one included where it is one.
     pub(crate) large_nodes: Vec<NodeId>,
     pub(crate) budgets: HashMap<String, Arc<Mutex<RepeatBudget>>>,
-    pub(crate) contacts: BTreeMap<NodeId, StoreContact>,
+    pub(crate) store_contacts: BTreeMap<NodeId, StoreContact>,
     pub(crate) share: GroupShare,
     /// The rule for repeats where it has changed since the start.
     pub(crate) repeats: Option<RepeatOptions>,
@@ -64,60 +64,59 @@
     pub(crate) fn new(share: GroupShare, store_kinds: &'static [ObjectKind]) -> Self {
         Self {
             objects: BTreeMap::new(),
-            is_told: false,
+            is_listed_by_peer: false,
             listed_kinds: BTreeSet::new(),
             store_kinds,
             routing: None,
             route_states: HashMap::new(),
             targets: BTreeMap::new(),
-            evacuated: BTreeMap::new(),
-            silences: BTreeMap::new(),
+            evacuated_domains: BTreeMap::new(),
+            domain_silences: BTreeMap::new(),
             large_nodes: Vec::new(),
             budgets: HashMap::new(),
-            contacts: BTreeMap::new(),
+            store_contacts: BTreeMap::new(),
             share,
             repeats: None,
         }
     }
 
     /// Returns true where all objects are known.
-    pub fn is_listed(&self) -> bool {
+    pub fn is_fully_listed(&self) -> bool {
         let is_known = |kind| self.listed_kinds.contains(kind);
-        self.is_told || self.store_kinds.iter().all(is_known)
+        self.is_listed_by_peer || self.store_kinds.iter().all(is_known)
     }
 
     /// Builds the view of what is known; targets whose time as a last resort is over are dropped.
-    pub fn view(&mut self, options: &CatalogOptions, now: TimePoint) -> CatalogView {
-        self.drop_gone(now);
+    pub fn build_view(&mut self, options: &CatalogOptions, now: TimePoint) -> CatalogView {
+        self.remove_expired_targets(now);
         CatalogView {
             routing: self.routing.clone(),
-            routes: self.routes(),
-            services: self.services(options),
+            routes: self.build_routes(),
+            services: self.build_services(options),
             targets: self.targets.clone().into_iter().collect(),
             share: self.share,
         }
     }
 
     /// Gets what was heard of a failure domain; a target without one shares it with no other.
-    pub fn silence_of(&mut self, domain: Option<&FailureDomain>) -> SharedSilence {
+    pub fn domain_silence(&mut self, domain: Option<&FailureDomain>) -> SharedSilence {
         let Some(domain) = domain else {
             return SharedSilence::default();
         };
-        let silence = self.silences.entry(domain.clone()).or_default();
+        let silence = self.domain_silences.entry(domain.clone()).or_default();
         Arc::clone(silence)
     }
 
     /// Gets how long a cold target of a service stays so; none where it tolerates any load.
-    pub fn warmup_span(&self, service: &str) -> Option<TimeSpan> {
+    pub fn warmup_duration(&self, service: &str) -> Option<TimeSpan> {
         let routing = self.routing.as_ref()?;
         Some(routing.services.get(service)?.warmup?.span)
     }
 
-    fn drop_gone(&mut self, now: TimePoint) {
+    fn remove_expired_targets(&mut self, now: TimePoint) {
         let objects = &self.objects;
         self.targets.retain(|id, target| {
-            let is_over =
-                matches!(target.standing(), TargetStanding::Lapsed(until) if until <= now);
+            let is_over = matches!(target.status(), TargetStatus::Expired(until) if until <= now);
             let key = ObjectKey {
                 kind: ObjectKind::Target,
                 name: id.clone(),
@@ -125,12 +124,12 @@
             let is_gone = objects
                 .get(&key)
                 .is_some_and(|object| object.body.is_none());
-            let has_left = is_gone && target.standing() == TargetStanding::Leaving;
+            let has_left = is_gone && target.status() == TargetStatus::Leaving;
             !is_over && !has_left
         });
     }
 
-    fn services(&mut self, options: &CatalogOptions) -> HashMap<String, Arc<ServiceTargets>> {
+    fn build_services(&mut self, options: &CatalogOptions) -> HashMap<String, Arc<ServiceTargets>> {
         let mut by_service: HashMap<String, Vec<Arc<TargetHandle>>> = HashMap::new();
         for target in self.targets.values() {
             let service = target.entry().service.clone();
@@ -147,7 +146,9 @@
                 .as_ref()
                 .and_then(|routing| routing.services.get(&name));
             if let Some(rule) = rule {
-                let limit = self.share.connections(rule.max_connections, CAP_PARTS);
+                let limit = self
+                    .share
+                    .connection_limit(rule.max_connections, CONNECTION_CAP_DIVISOR);
                 for target in &targets {
                     target.pool.set_limit(limit);
                     let allowance = self.warmup_allowance(rule, &target.entry().id, options);
@@ -185,7 +186,7 @@
         ))
     }
 
-    fn routes(&mut self) -> HashMap<String, Vec<Arc<LiveRoute>>> {
+    fn build_routes(&mut self) -> HashMap<String, Vec<Arc<LiveRoute>>> {
         let Some(routing) = self.routing.clone() else {
             return HashMap::new();
         };
@@ -196,7 +197,7 @@
                 rule: rule.clone(),
                 version: routing.version,
                 state: Arc::clone(learnt),
-                shards: rule.destination.shard_set(),
+                shards: rule.destination.shard_set_id(),
             };
             routes
                 .entry(rule.site.clone())
--- a/alderhaven-front/src/catalog_view.rs
+++ b/alderhaven-front/src/catalog_view.rs
@@ -9,7 +9,7 @@
 use crate::route_state::RouteState;
 use crate::routing_config::RoutingConfig;
 use crate::service_targets::ServiceTargets;
-use crate::shard_set::ShardSet;
+use crate::shard_set_id::ShardSetId;
 use crate::target_handle::TargetHandle;
 
 /// A `CatalogView` is the configuration with the targets as they are known.
@@ -37,7 +37,7 @@
     /// What was learnt.
     pub state: Arc<RouteState>,
     /// Its shards; none where it goes to one service.
-    pub shards: Option<ShardSet>,
+    pub shards: Option<ShardSetId>,
 }
 
 impl CatalogView {
--- a/alderhaven-front/src/crash_board.rs
+++ b/alderhaven-front/src/crash_tracker.rs
@@ -11,14 +11,14 @@
 use alderhaven_core::ids::ShardId;
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::crash_strike::{CrashStrike, StrikeNews};
+use alderhaven_policy::crash_strike::{CrashStrike, StrikeUpdate};
 use alderhaven_policy::policy_kind::PolicyKind;
 use alderhaven_policy::quarantine::{CrashQuarantine, QuarantineOptions};
 use serde::{Deserialize, Serialize};
 
 /// A `CrashBoard` is shared by all requests of a process.
 #[derive(Debug)]
-pub struct CrashBoard {
+pub struct CrashTracker {
     clock: ProcessClock,
     quarantine: Mutex<CrashQuarantine>,
     /// Whether any request has a strike, readable without the lock on each request's way.
@@ -27,7 +27,7 @@
 
 /// A `SharedStrike` is a strike as it is told to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct SharedStrike {
+struct PublishedStrike {
     fingerprint: RequestFingerprint,
     crash: u64,
     target: String,
@@ -40,7 +40,7 @@
     cleared: bool,
 }
 
-impl CrashBoard {
+impl CrashTracker {
     /// Returns a board without strikes.
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
@@ -78,57 +78,59 @@
 
     /// Notes strikes of a request; returns what other nodes are to be told, where that is new.
     #[must_use]
-    pub fn note(
+    pub fn record_strikes(
         &self,
         fingerprint: RequestFingerprint,
         strikes: Vec<CrashStrike>,
         wall_millis: u64,
     ) -> Option<String> {
-        let news: Vec<StrikeNews> = strikes
+        let news: Vec<StrikeUpdate> = strikes
             .into_iter()
-            .map(|strike| StrikeNews {
+            .map(|strike| StrikeUpdate {
                 fingerprint,
                 strike,
                 age: TimeSpan::ZERO,
             })
             .collect();
         self.merge(&news);
-        self.shared(&fingerprint, wall_millis)
+        self.encode_strikes(&fingerprint, wall_millis)
     }
 
     /// Notes that a replica of a shard answered a request; returns what other nodes are to be told,
     /// where that clears a strike.
     #[must_use]
-    pub fn answered(
+    pub fn record_answer(
         &self,
         fingerprint: &RequestFingerprint,
         shard: ShardId,
         wall_millis: u64,
     ) -> Option<String> {
-        let cleared = self.lock().answered(fingerprint, shard, self.clock.now());
+        let cleared = self
+            .lock()
+            .record_answer(fingerprint, shard, self.clock.now());
         if cleared.is_empty() {
             return None;
         }
-        self.shared(fingerprint, wall_millis)
+        self.encode_strikes(fingerprint, wall_millis)
     }
 
     /// Takes over what another node was told or has seen.
     ///
     /// # Errors
     /// Says what can't be read.
-    pub fn take(&self, body: &str, wall_millis: u64) -> Result<(), String> {
-        let strikes: Vec<SharedStrike> =
+    pub fn merge_remote(&self, body: &str, wall_millis: u64) -> Result<(), String> {
+        let strikes: Vec<PublishedStrike> =
             serde_json::from_str(body).map_err(|error| error.to_string())?;
         let now = self.clock.now();
-        let news: Result<Vec<StrikeNews>, String> = strikes
+        let news: Result<Vec<StrikeUpdate>, String> = strikes
             .into_iter()
-            .map(|strike| strike.news(now, wall_millis))
+            .map(|strike| strike.into_update(now, wall_millis))
             .collect();
         self.merge(&news?);
         Ok(())
     }
 
-    fn merge(&self, news: &[StrikeNews]) {
+    fn merge(&self, news: &[StrikeUpdate]) {
         let mut quarantine = self.lock();
         let _fresh = quarantine.merge(news, self.clock.now());
         if !quarantine.is_empty() {
@@ -136,12 +138,12 @@
         }
     }
 
-    fn shared(&self, fingerprint: &RequestFingerprint, wall_millis: u64) -> Option<String> {
+    fn encode_strikes(&self, fingerprint: &RequestFingerprint, wall_millis: u64) -> Option<String> {
         let strikes = self.lock().strikes(self.clock.now());
-        let shared: Vec<SharedStrike> = strikes
+        let shared: Vec<PublishedStrike> = strikes
             .iter()
             .filter(|news| news.fingerprint == *fingerprint)
-            .map(|news| SharedStrike::new(news, wall_millis))
+            .map(|news| PublishedStrike::new(news, wall_millis))
             .collect();
         if shared.is_empty() {
             return None;
@@ -156,12 +158,12 @@
     }
 }
 
-impl SharedStrike {
-    fn new(news: &StrikeNews, wall_millis: u64) -> Self {
+impl PublishedStrike {
+    fn new(news: &StrikeUpdate, wall_millis: u64) -> Self {
         let strike = &news.strike;
         Self {
             fingerprint: news.fingerprint,
-            crash: strike.crash,
+            crash: strike.crash_id,
             target: strike.target.to_string(),
             domain: strike.domain.to_string(),
             shard: strike.shard.0,
@@ -171,14 +173,14 @@
         }
     }
 
-    fn news(self, now: TimePoint, wall_millis: u64) -> Result<StrikeNews, String> {
+    fn into_update(self, now: TimePoint, wall_millis: u64) -> Result<StrikeUpdate, String> {
         let age = TimeSpan::from_millis(wall_millis.saturating_sub(self.seen_ms));
         let target = self.target.parse().map_err(|_| "no target's name")?;
         let domain = self.domain.parse().map_err(|_| "no domain's name")?;
-        Ok(StrikeNews {
+        Ok(StrikeUpdate {
             fingerprint: self.fingerprint,
             strike: CrashStrike {
-                crash: self.crash,
+                crash_id: self.crash,
                 target,
                 domain,
                 shard: ShardId(self.shard),
--- a/alderhaven-front/src/directory_service.rs
+++ b/alderhaven-front/src/directory_service.rs
@@ -10,28 +10,28 @@
 
 /// Answers a question.
 #[must_use]
-pub fn answer(
+pub fn directory_response(
     context: &FrontContext,
     directory: &FrontDirectory,
     request: &Request<Incoming>,
 ) -> Response<WholeBody> {
     let head = request_head(request);
-    if let Some(question) = context.dialect.directory_question(&head) {
-        let fronts = directory.fronts_for(&question);
+    if let Some(question) = context.dialect.directory_query(&head) {
+        let fronts = directory.choose_fronts(&question);
         if fronts.is_empty() {
-            return plain(StatusCode::SERVICE_UNAVAILABLE);
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
-        return context.dialect.directory_answer(&fronts, directory.ttl());
+        return context.dialect.directory_response(&fronts, directory.ttl());
     }
-    if context.dialect.is_ready_question(&head) {
+    if context.dialect.is_readiness_probe(&head) {
         let is_ready = directory.is_ready();
-        return plain(if is_ready {
+        return empty_response(if is_ready {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         });
     }
-    plain(StatusCode::NOT_FOUND)
+    empty_response(StatusCode::NOT_FOUND)
 }
 
 /// The path of the metrics.
@@ -42,18 +42,21 @@
 
 /// Answers a question for the metrics or the status.
 #[must_use]
-pub fn metrics(context: &FrontContext, request: &Request<Incoming>) -> Response<WholeBody> {
+pub fn metrics_response(
+    context: &FrontContext,
+    request: &Request<Incoming>,
+) -> Response<WholeBody> {
     match request.uri().path() {
         METRICS_PATH => Response::new(WholeBody::from(context.encode_metrics())),
-        STATUS_PATH => status(&FrontStatus::of(context)),
-        _ => plain(StatusCode::NOT_FOUND),
+        STATUS_PATH => status_response(&FrontStatus::of(context)),
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-fn status(status: &FrontStatus) -> Response<WholeBody> {
+fn status_response(status: &FrontStatus) -> Response<WholeBody> {
     match serde_json::to_vec(status) {
         Ok(body) => Response::new(WholeBody::from(body)),
-        Err(_) => plain(StatusCode::INTERNAL_SERVER_ERROR),
+        Err(_) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
@@ -64,7 +67,7 @@
     head.into_parts().0
 }
 
-fn plain(status: StatusCode) -> Response<WholeBody> {
+fn empty_response(status: StatusCode) -> Response<WholeBody> {
     let mut response = Response::new(WholeBody::default());
     *response.status_mut() = status;
     response
--- a/alderhaven-front/src/event_log.rs
+++ b/alderhaven-front/src/event_log.rs
@@ -13,10 +13,10 @@
 use crate::front_event::FrontEvent;
 
 /// The lines of one kind in a second.
-const LINES_PER_SECOND: f64 = 10.0;
+const DEFAULT_LINES_PER_SECOND: f64 = 10.0;
 
 /// The lines of one kind that may come at once: one for each request that a short fault hits.
-const LINES_AT_ONCE: f64 = 40.0;
+const DEFAULT_BURST_LINES: f64 = 40.0;
 
 /// `LogOptions` are the settings of the log of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -33,24 +33,24 @@
 impl Default for LogOptions {
     fn default() -> Self {
         Self {
-            rate: RatePerSecond::new(LINES_PER_SECOND).unwrap_or_default(),
-            burst: LINES_AT_ONCE,
+            rate: RatePerSecond::new(DEFAULT_LINES_PER_SECOND).unwrap_or_default(),
+            burst: DEFAULT_BURST_LINES,
             success_period: 0,
         }
     }
 }
 
 /// The limits are those of the process, like its log.
-static LIMITS: OnceLock<ProcessLimits> = OnceLock::new();
+static LIMITS: OnceLock<ProcessLogLimits> = OnceLock::new();
 
-struct ProcessLimits {
+struct ProcessLogLimits {
     clock: ProcessClock,
     limit: Mutex<LogLimit>,
     success_period: u64,
     successes: AtomicU64,
 }
 
-impl ProcessLimits {
+impl ProcessLogLimits {
     fn new(options: &LogOptions) -> Self {
         Self {
             clock: ProcessClock::default(),
@@ -64,16 +64,16 @@
 /// Sets the limits of the process; once something was written they stay as they are.
 pub fn configure(options: &LogOptions) {
     // A second call would change limits that lines were counted by.
-    let _is_set = LIMITS.set(ProcessLimits::new(options));
+    let _is_set = LIMITS.set(ProcessLogLimits::new(options));
 }
 
-fn limits() -> &'static ProcessLimits {
-    LIMITS.get_or_init(|| ProcessLimits::new(&LogOptions::default()))
+fn limits() -> &'static ProcessLogLimits {
+    LIMITS.get_or_init(|| ProcessLogLimits::new(&LogOptions::default()))
 }
 
 /// Counts a request that was answered whole; returns true where it is one that gets a line.
 #[must_use]
-pub fn is_sampled() -> bool {
+pub fn sample_success() -> bool {
     let limits = limits();
     if limits.success_period == 0 {
         return false;
@@ -87,21 +87,21 @@
     #[serde(flatten)]
     event: &'a FrontEvent,
     /// The lines of this kind that were left out before this one.
-    #[serde(skip_serializing_if = "is_none")]
+    #[serde(skip_serializing_if = "is_zero")]
     left_out: u64,
 }
 
 /// Writes an event, unless there are too many of its kind.
 pub fn write(level: Level, event: &FrontEvent) {
-    if let Some(left_out) = take(level, event.kind()) {
+    if let Some(left_out) = admit_line(level, event.kind()) {
         logging::emit(level, &CountedEvent { event, left_out });
     }
 }
 
 /// Writes an event that is built only where there are not too many of its kind: a line names dozens of
 /// targets, and of a hundred partial answers a second ten have one.
-pub fn write_built(level: Level, kind: &'static str, build: impl FnOnce() -> FrontEvent) {
-    if let Some(left_out) = take(level, kind) {
+pub fn write_with(level: Level, kind: &'static str, build: impl FnOnce() -> FrontEvent) {
+    if let Some(left_out) = admit_line(level, kind) {
         let event = &build();
         logging::emit(level, &CountedEvent { event, left_out });
     }
@@ -109,7 +109,7 @@
 
 /// Asks for a line of a kind; gets the number that were left out before it, or none where this one is
 /// left out too.
-fn take(level: Level, kind: &'static str) -> Option<u64> {
+fn admit_line(level: Level, kind: &'static str) -> Option<u64> {
     if level > log::max_level() {
         return None;
     }
@@ -123,6 +123,6 @@
     clippy::trivially_copy_pass_by_ref,
     reason = "the serialiser passes a reference"
 )]
-const fn is_none(left_out: &u64) -> bool {
+const fn is_zero(left_out: &u64) -> bool {
     *left_out == 0
 }
--- a/alderhaven-front/src/front_answer.rs
+++ b/alderhaven-front/src/front_answer.rs
@@ -18,7 +18,7 @@
         records: Bytes,
     },
     /// A target's reply, as it is.
-    Passed(PassedReply),
+    Forwarded(ForwardedReply),
     /// The request has not run and never will.
     NotRun {
         /// Why.
@@ -29,7 +29,7 @@
     /// The request may have run, and there is no answer.
     Unknown {
         /// Whether the time was up.
-        is_late: bool,
+        is_timed_out: bool,
     },
     /// The request itself is at fault.
     BadRequest(BadRequest),
@@ -37,7 +37,7 @@
 
 /// A `PassedReply` is a target's whole reply.
 #[derive(Clone, Debug)]
-pub struct PassedReply {
+pub struct ForwardedReply {
     /// The status.
     pub status: StatusCode,
     /// The headers.
--- a/alderhaven-front/src/front_context.rs
+++ b/alderhaven-front/src/front_context.rs
@@ -6,7 +6,7 @@
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_node::stop_handle::StopHandle;
-use alderhaven_policy::wake_lag::WakeLag;
+use alderhaven_policy::timer_lag::TimerLag;
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::Catalog;
@@ -31,7 +31,7 @@
     /// The admission of queries.
     pub admission: Arc<QueryAdmission>,
     /// How late the process wakes up.
-    pub lag: Arc<Mutex<WakeLag>>,
+    pub timer_lag: Arc<Mutex<TimerLag>>,
     /// The clock.
     pub clock: ProcessClock,
     /// The settings of requests.
@@ -43,23 +43,23 @@
 #[serde(default, deny_unknown_fields)]
 pub struct RequestOptions {
     /// The one-way latency to callers.
-    pub caller_path: TimeSpan,
+    pub caller_latency: TimeSpan,
     /// What an answer takes beside its way: merging, writing, and waking up on a busy host.
-    pub answer_work: TimeSpan,
+    pub answer_overhead: TimeSpan,
     /// How long a caller is waited for that does not say how long it waits.
     pub default_deadline: TimeSpan,
     /// How long an attempt goes on after its request was answered without it: long enough for the
     /// reply of a server that pauses, so that its connection can be kept.
-    pub linger: TimeSpan,
+    pub drain_timeout: TimeSpan,
 }
 
 impl Default for RequestOptions {
     fn default() -> Self {
         Self {
-            caller_path: TimeSpan::from_millis(3),
-            answer_work: TimeSpan::from_millis(6),
+            caller_latency: TimeSpan::from_millis(3),
+            answer_overhead: TimeSpan::from_millis(6),
             default_deadline: TimeSpan::from_secs(10),
-            linger: TimeSpan::from_millis(400),
+            drain_timeout: TimeSpan::from_millis(400),
         }
     }
 }
@@ -68,7 +68,7 @@
     /// Writes all metrics in the text format.
     #[must_use]
     pub fn encode_metrics(&self) -> String {
-        let evacuated = self.catalog.evacuated().len();
+        let evacuated = self.catalog.evacuated_domains().len();
         self.metrics
             .evacuated_domains
             .set(i64::try_from(evacuated).unwrap_or(i64::MAX));
@@ -79,16 +79,19 @@
     }
 
     /// Notes a timer of this process that was due at `due`.
-    pub fn note_wake(&self, due: TimePoint) {
+    pub fn record_wake(&self, due: TimePoint) {
         let now = self.clock.now();
-        let mut lag = self.lag.lock().unwrap_or_else(PoisonError::into_inner);
-        lag.note(due, now);
+        let mut lag = self
+            .timer_lag
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        lag.record_wakeup(due, now);
     }
 
     /// Gets how late the process wakes up.
     #[must_use]
     pub fn wake_lag(&self) -> TimeSpan {
-        self.lag
+        self.timer_lag
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .get()
--- a/alderhaven-front/src/front_directory.rs
+++ b/alderhaven-front/src/front_directory.rs
@@ -8,13 +8,13 @@
 use alderhaven_node::node_group::NodeGroup;
 use alderhaven_node::stop_handle::StopHandle;
 use alderhaven_policy::drain::DrainState;
-use alderhaven_policy::front_choice::{self, ChoiceOptions, FrontOffer};
+use alderhaven_policy::front_choice::{self, FrontCandidate, FrontChoiceOptions};
 use alderhaven_policy::membership::member_record::{CpuCapacity, MemberState};
 use rand::RngExt;
 use smallvec::SmallVec;
 
 use crate::catalog::Catalog;
-use crate::wire_dialect::DirectoryQuestion;
+use crate::wire_dialect::DirectoryQuery;
 
 /// A `FrontDirectory` answers which fronts a caller should use.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     group: NodeGroup,
     stop: StopHandle,
     own: OwnFront,
-    options: ChoiceOptions,
+    options: FrontChoiceOptions,
     ttl: TimeSpan,
 }
 
@@ -47,7 +47,7 @@
         stop: StopHandle,
         own: OwnFront,
         ttl: TimeSpan,
-        options: ChoiceOptions,
+        options: FrontChoiceOptions,
     ) -> Self {
         Self {
             catalog,
@@ -68,41 +68,44 @@
     /// Returns true where this process serves callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.stop.state() == DrainState::Serving && self.catalog.is_usable()
+        self.stop.state() == DrainState::Serving && self.catalog.can_serve_requests()
     }
 
     /// Chooses the fronts for a caller.
     #[must_use]
-    pub fn fronts_for(&self, question: &DirectoryQuestion) -> SmallVec<[SocketAddr; 8]> {
+    pub fn choose_fronts(&self, question: &DirectoryQuery) -> SmallVec<[SocketAddr; 8]> {
         let turn = rand::rng().random_range(0..usize::from(u16::MAX));
         let offers = self.offers(MemberState::Alive);
         let domain = question.domain.as_ref();
-        let chosen = front_choice::choose(&offers, domain, &self.options, turn);
+        let chosen = front_choice::choose_fronts(&offers, domain, &self.options, turn);
         if !chosen.is_empty() {
             return chosen;
         }
         let offers = self.offers(MemberState::Suspect);
-        front_choice::choose(&offers, domain, &self.options, turn)
+        front_choice::choose_fronts(&offers, domain, &self.options, turn)
     }
 
-    fn offers(&self, state: MemberState) -> Vec<FrontOffer> {
+    fn offers(&self, state: MemberState) -> Vec<FrontCandidate> {
         let view = self.catalog.view();
         let now = self.group.now();
-        let own = self.is_ready().then(|| FrontOffer {
+        let own = self.is_ready().then(|| FrontCandidate {
             address: self.own.address,
             domain: self.own.domain.clone(),
-            size: view.share.size(self.own.capacity),
+            relative_size: view.share.relative_size(self.own.capacity),
             is_started: true,
         });
         let members = self.group.members();
         let others = members.iter().skip(1).filter_map(|member| {
-            let has_config = member.config.is_some_and(|config| config.progress > 0);
+            let has_config = member.config.is_some_and(|config| config.version_sum > 0);
             let record = &member.record;
-            let offer = FrontOffer {
+            let offer = FrontCandidate {
                 address: record.caller_address?,
                 domain: record.domain.clone(),
-                size: view.share.size(record.capacity),
-                is_started: front_choice::is_started(has_config, now.since(member.met_at)),
+                relative_size: view.share.relative_size(record.capacity),
+                is_started: front_choice::is_presumed_started(
+                    has_config,
+                    now.since(member.discovered_at),
+                ),
             };
             (member.state == state).then_some(offer)
         });
--- a/alderhaven-front/src/front_event.rs
+++ b/alderhaven-front/src/front_event.rs
@@ -9,7 +9,7 @@
 
 use crate::event_log;
 use crate::front_answer::{BadRequest, RefusalReason};
-use crate::front_metrics::AttemptFate;
+use crate::front_metrics::UnansweredReason;
 
 /// A `FrontEvent` is one line of the log.
 #[derive(Clone, Debug, Serialize)]
@@ -31,7 +31,7 @@
         error: Option<String>,
     },
     /// A configuration came into force.
-    ConfigTaken {
+    ConfigApplied {
         /// Its version.
         version: u64,
         /// The version before it.
@@ -40,7 +40,7 @@
         routes: usize,
     },
     /// A configuration can't be read; the one before it stays in force.
-    ConfigRefused {
+    ConfigRejected {
         /// The store's version of the object.
         revision: u64,
         /// What can't be read.
@@ -54,7 +54,7 @@
         reason: String,
     },
     /// A registration has gone.
-    TargetGone {
+    TargetDeregistered {
         /// The target.
         target: String,
         /// Its service.
@@ -63,7 +63,7 @@
         was_leaving: bool,
     },
     /// A target could not be reached some times in a row, and gets no attempts for a while.
-    TargetAside {
+    TargetEjected {
         /// The target.
         target: String,
         /// Its service.
@@ -140,7 +140,7 @@
         reason: String,
     },
     /// The store is reached again.
-    StoreBack,
+    StoreRecovered,
     /// A request was not answered as its caller wanted.
     RequestEnded {
         /// The caller's id of this attempt.
@@ -150,7 +150,7 @@
         /// The version of the configuration that it was handled by.
         version: u64,
         /// How it ended.
-        end: RequestEnd,
+        end: RequestOutcome,
         /// How long it took, in milliseconds.
         took_ms: u64,
         /// The shards that were asked, or 1.
@@ -162,7 +162,7 @@
         /// Whether the request may run more than once.
         is_idempotent: bool,
         /// What became of the attempts that brought no answer, those that are still out included.
-        lost: Vec<LostAttempt>,
+        lost: Vec<UnansweredAttempt>,
         /// The services of which no target could be asked.
         without_target: Vec<String>,
     },
@@ -174,7 +174,7 @@
         reason: RefusalReason,
     },
     /// A request was at fault itself.
-    RequestBad {
+    RequestInvalid {
         /// The caller's id of this attempt.
         request: String,
         /// Why.
@@ -187,7 +187,7 @@
 /// A `RequestEnd` is how a request ended.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, Serialize, EncodeLabelValue)]
 #[serde(rename_all = "snake_case")]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// It was answered whole.
     Complete,
     /// Some shards are left out.
@@ -204,7 +204,7 @@
     CallerLeft,
 }
 
-impl RequestEnd {
+impl RequestOutcome {
     /// Gets the kind of the lines of requests that ended so; each has its own limit.
     #[must_use]
     pub const fn kind(self) -> &'static str {
@@ -218,11 +218,11 @@
 
 /// A `LostAttempt` is an attempt that brought no answer.
 #[derive(Clone, Debug, Serialize)]
-pub struct LostAttempt {
+pub struct UnansweredAttempt {
     /// The target.
     pub target: String,
     /// What became of it.
-    pub fate: AttemptFate,
+    pub reason: UnansweredReason,
     /// The status that the target answered with, where it failed and the answer came to this front.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
@@ -243,25 +243,25 @@
             Self::Started { .. } => "started",
             Self::Stopping { .. } => "stopping",
             Self::Reloaded { .. } => "reloaded",
-            Self::ConfigTaken { .. } => "config_taken",
-            Self::ConfigRefused { .. } => "config_refused",
+            Self::ConfigApplied { .. } => "config_taken",
+            Self::ConfigRejected { .. } => "config_refused",
             Self::TargetUnreadable { .. } => "target_unreadable",
-            Self::TargetGone { .. } => "target_gone",
-            Self::TargetAside { .. } => "target_aside",
+            Self::TargetDeregistered { .. } => "target_gone",
+            Self::TargetEjected { .. } => "target_aside",
             Self::DomainSilent { .. } => "domain_silent",
             Self::DomainHeard { .. } => "domain_heard",
             Self::DomainEvacuated { .. } => "domain_evacuated",
             Self::DomainReturned { .. } => "domain_returned",
             Self::EvacuationUnreadable { .. } => "evacuation_unreadable",
             Self::StoreLost { .. } => "store_lost",
-            Self::StoreBack => "store_back",
+            Self::StoreRecovered => "store_back",
             Self::StrikesUnreadable { .. } => "strikes_unreadable",
             Self::TargetsCrashed { .. } => "targets_crashed",
             Self::LinkLost { .. } => "link_lost",
             Self::NodesChanged { .. } => "nodes_changed",
             Self::RequestEnded { end, .. } => end.kind(),
             Self::RequestRefused { .. } => "request_refused",
-            Self::RequestBad { .. } => "request_bad",
+            Self::RequestInvalid { .. } => "request_bad",
         }
     }
 }
--- a/alderhaven-front/src/front_metrics.rs
+++ b/alderhaven-front/src/front_metrics.rs
@@ -14,7 +14,7 @@
 use prometheus_client::registry::Registry;
 
 use crate::front_answer::RefusalReason;
-use crate::front_event::RequestEnd;
+use crate::front_event::RequestOutcome;
 
 /// The upper bounds of the latency buckets in seconds: from a lookup in the same domain to the longest
 /// patience of a caller.
@@ -23,20 +23,20 @@
 /// A `FrontMetrics` counts what a front does; its clones share the counts.
 #[derive(Clone, Debug)]
 pub struct FrontMetrics {
-    requests: Family<EndLabels, Counter>,
-    seconds: Family<ShapeLabels, Histogram>,
-    attempts: Family<SendLabels, Counter>,
-    lost: Family<FateLabels, Counter>,
-    store_calls: Family<StoreLabels, Counter>,
+    requests: Family<RequestLabels, Counter>,
+    request_seconds: Family<ShapeLabels, Histogram>,
+    attempts: Family<AttemptLabels, Counter>,
+    unanswered_attempts: Family<UnansweredLabels, Counter>,
+    store_calls: Family<StoreCallLabels, Counter>,
     refusals: Family<RefusalLabels, Counter>,
-    peer_messages: Family<PeerLabels, Counter>,
+    peer_messages: Family<PeerMessageLabels, Counter>,
     peer_bytes: Family<PeerByteLabels, Counter>,
     /// The shards that answers left out.
     pub missing_parts: Counter,
     /// The repeats that the budget refused.
     pub refused_repeats: Counter,
     /// The asks of fronts of other failure domains that were carried out.
-    pub carried_asks: Counter,
+    pub served_group_requests: Counter,
     /// The version of the configuration in force.
     pub config_version: Gauge,
     /// The nodes of the group that are alive.
@@ -48,8 +48,8 @@
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct EndLabels {
-    end: RequestEnd,
+struct RequestLabels {
+    end: RequestOutcome,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -58,13 +58,13 @@
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct SendLabels {
-    kind: SendKind,
+struct AttemptLabels {
+    kind: AttemptKind,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct FateLabels {
-    fate: AttemptFate,
+struct UnansweredLabels {
+    fate: UnansweredReason,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -73,7 +73,7 @@
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct PeerLabels {
+struct PeerMessageLabels {
     kind: String,
 }
 
@@ -91,9 +91,9 @@
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct StoreLabels {
+struct StoreCallLabels {
     kind: String,
-    result: StoreResultLabel,
+    result: StoreCallResult,
 }
 
 /// A `QueryShape` says how many services a request went to.
@@ -107,7 +107,7 @@
 
 /// A `SendKind` says why an attempt was sent.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
-pub enum SendKind {
+pub enum AttemptKind {
     /// It is the first for its shard.
     First,
     /// It is the first for its shard, through a front of another failure domain.
@@ -121,7 +121,7 @@
 /// An `AttemptFate` is what became of an attempt that brought no answer.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AttemptFate {
+pub enum UnansweredReason {
     /// The target ran it and failed.
     Failed,
     /// The target refused without running it.
@@ -141,7 +141,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq, EncodeLabelValue)]
-enum StoreResultLabel {
+enum StoreCallResult {
     Answered,
     Failed,
 }
@@ -150,16 +150,16 @@
     fn default() -> Self {
         Self {
             requests: Family::default(),
-            seconds: Family::new_with_constructor(|| Histogram::new(LATENCY_BUCKETS)),
+            request_seconds: Family::new_with_constructor(|| Histogram::new(LATENCY_BUCKETS)),
             attempts: Family::default(),
-            lost: Family::default(),
+            unanswered_attempts: Family::default(),
             store_calls: Family::default(),
             refusals: Family::default(),
             peer_messages: Family::default(),
             peer_bytes: Family::default(),
             missing_parts: Counter::default(),
             refused_repeats: Counter::default(),
-            carried_asks: Counter::default(),
+            served_group_requests: Counter::default(),
             config_version: Gauge::default(),
             nodes: Gauge::default(),
             evacuated_domains: Gauge::default(),
@@ -170,20 +170,22 @@
 
 impl FrontMetrics {
     /// Counts a request that ended.
-    pub fn observe_request(&self, shape: QueryShape, end: RequestEnd, took: TimeSpan) {
-        self.requests.get_or_create(&EndLabels { end }).inc();
-        let seconds = self.seconds.get_or_create(&ShapeLabels { shape });
+    pub fn observe_request(&self, shape: QueryShape, end: RequestOutcome, took: TimeSpan) {
+        self.requests.get_or_create(&RequestLabels { end }).inc();
+        let seconds = self.request_seconds.get_or_create(&ShapeLabels { shape });
         seconds.observe(took.as_secs_f64());
     }
 
     /// Counts an attempt that was sent.
-    pub fn observe_send(&self, kind: SendKind) {
-        self.attempts.get_or_create(&SendLabels { kind }).inc();
+    pub fn observe_attempt(&self, kind: AttemptKind) {
+        self.attempts.get_or_create(&AttemptLabels { kind }).inc();
     }
 
     /// Counts an attempt that brought no answer.
-    pub fn observe_lost(&self, fate: AttemptFate) {
-        self.lost.get_or_create(&FateLabels { fate }).inc();
+    pub fn observe_unanswered_attempt(&self, fate: UnansweredReason) {
+        self.unanswered_attempts
+            .get_or_create(&UnansweredLabels { fate })
+            .inc();
     }
 
     /// Counts a request that was refused before any target was asked.
@@ -194,12 +196,12 @@
     /// Counts a call of the store for objects of a kind.
     pub fn observe_store_call(&self, kind: ObjectKind, is_answered: bool) {
         let result = if is_answered {
-            StoreResultLabel::Answered
+            StoreCallResult::Answered
         } else {
-            StoreResultLabel::Failed
+            StoreCallResult::Failed
         };
         let kind = kind.to_string();
-        let labels = StoreLabels { kind, result };
+        let labels = StoreCallLabels { kind, result };
         self.store_calls.get_or_create(&labels).inc();
     }
 
@@ -207,7 +209,7 @@
     pub fn set_peer_traffic(&self, traffic: &PeerTraffic) {
         for kind in MessageKind::ALL {
             let count = traffic.sent_of(kind);
-            let labels = PeerLabels {
+            let labels = PeerMessageLabels {
                 kind: kind.to_string(),
             };
             let messages = self.peer_messages.get_or_create(&labels);
@@ -241,12 +243,12 @@
         let mut registry = Registry::with_prefix("alderhaven_front");
         let own = self.clone();
         registry.register("requests", "Requests by their end", own.requests);
-        registry.register("request_seconds", "Time to the answer", own.seconds);
+        registry.register("request_seconds", "Time to the answer", own.request_seconds);
         registry.register("attempts", "Attempts sent, by reason", own.attempts);
         registry.register(
             "lost_attempts",
             "Attempts without answer, by fate",
-            own.lost,
+            own.unanswered_attempts,
         );
         registry.register(
             "store_calls",
@@ -281,7 +283,7 @@
         registry.register(
             "carried_asks",
             "Asks of other fronts carried out",
-            own.carried_asks,
+            own.served_group_requests,
         );
         registry.register(
             "config_version",
--- a/alderhaven-front/src/front_node.rs
+++ b/alderhaven-front/src/front_node.rs
@@ -27,19 +27,19 @@
 use crate::group_links::GroupLinks;
 use crate::group_server;
 use crate::query_admission::QueryAdmission;
+use crate::store_availability::StoreAvailability;
 use crate::store_follower::StoreFollower;
-use crate::store_reach::StoreReach;
 use crate::wire_dialect::WireDialect;
 
 /// The time until all nodes have heard that one leaves: two rounds of urgent gossip, and the tenth
 /// of a second in which views are published.
-const HEARD_WITHIN: TimeSpan = TimeSpan::from_millis(400);
+const LEAVE_PROPAGATION_TIME: TimeSpan = TimeSpan::from_millis(400);
 
 /// The part of a planned stop that is kept for requests in flight: that of most routes' timeouts.
-const FINISH_WITHIN: TimeSpan = TimeSpan::from_millis(1_500);
+const IN_FLIGHT_RESERVE: TimeSpan = TimeSpan::from_millis(1_500);
 
 /// How many times the life of a directory's answer some callers keep it.
-const KEPT_LIVES: f64 = 3.0;
+const DIRECTORY_TTL_MULTIPLE: f64 = 3.0;
 
 /// A `FrontNode` is a running front.
 #[derive(Clone)]
@@ -79,7 +79,7 @@
             links: GroupLinks::new(group.clone(), clock),
             metrics: metrics.clone(),
             admission: Arc::new(QueryAdmission::new(clock)),
-            lag: Arc::default(),
+            timer_lag: Arc::default(),
             stop: StopHandle::default(),
             clock,
             options: options.requests,
@@ -90,7 +90,7 @@
             addresses,
         };
         node.serve(listeners, &options);
-        let reach = Arc::new(StoreReach::default());
+        let reach = Arc::new(StoreAvailability::default());
         for kind in catalog_state::store_kinds(options.has_evacuations) {
             let (store, group) = (Arc::clone(&store), node.group.clone());
             let follower = StoreFollower::new(
@@ -101,13 +101,13 @@
                 *kind,
             );
             let follower = follower.with_metrics(metrics.clone());
-            let follower = follower.with_start(options.start);
-            let follower = follower.with_reach(Arc::clone(&reach));
+            let follower = follower.with_group_start(options.start);
+            let follower = follower.with_availability(Arc::clone(&reach));
             tokio::spawn(follower.run());
         }
-        tokio::spawn(Arc::clone(&catalog).keep_up());
-        tokio::spawn(note_nodes(node.group.clone(), catalog, metrics));
-        node.drive_stop(&options);
+        tokio::spawn(Arc::clone(&catalog).run_maintenance());
+        tokio::spawn(track_live_nodes(node.group.clone(), catalog, metrics));
+        node.spawn_drain(&options);
         FrontEvent::Started {
             node: options.node.to_string(),
         }
@@ -122,7 +122,7 @@
     pub fn request_stop(&self) {
         let is_repeated = self.context.stop.state() != DrainState::Serving;
         FrontEvent::Stopping { is_repeated }.emit(Level::Info);
-        self.context.stop.request_once();
+        self.context.stop.request_stop_once();
     }
 
     /// Takes over settings that were read again. What is bound to an address or told to peers stays as
@@ -151,13 +151,13 @@
 
     /// Gets how many asks of other fronts were carried out.
     #[must_use]
-    pub fn carried_asks(&self) -> u64 {
-        self.context.metrics.carried_asks.get()
+    pub fn served_group_requests(&self) -> u64 {
+        self.context.metrics.served_group_requests.get()
     }
 
     /// Gets the number of nodes that are alive, this one included.
     #[must_use]
-    pub fn known_nodes(&self) -> usize {
+    pub fn live_node_count(&self) -> usize {
         let members = self.group.members();
         let live = members.iter().filter(|member| member.state.takes_work());
         live.count()
@@ -165,7 +165,7 @@
 
     /// Gets the number of requests that were part of crashes of targets.
     #[must_use]
-    pub fn suspect_requests(&self) -> usize {
+    pub fn crash_suspect_count(&self) -> usize {
         self.context.catalog.crashes().len()
     }
 
@@ -196,12 +196,12 @@
             tokio::spawn(caller_server::serve_metrics(listener, context()));
         }
         for listener in [listeners.directory, listeners.ready] {
-            let serving = caller_server::serve_questions(listener, context(), directory.clone());
+            let serving = caller_server::serve_directory(listener, context(), directory.clone());
             tokio::spawn(serving);
         }
     }
 
-    fn drive_stop(&self, options: &FrontOptions) {
+    fn spawn_drain(&self, options: &FrontOptions) {
         let drain = drain_options(options);
         let stop = self.context.stop.clone();
         let in_flight = self.context.stop.clone();
@@ -215,11 +215,14 @@
 /// callers find their connections closed without an answer.
 #[must_use]
 pub fn drain_options(options: &FrontOptions) -> DrainOptions {
-    let reserved = FINISH_WITHIN + HEARD_WITHIN;
+    let reserved = IN_FLIGHT_RESERVE + LEAVE_PROPAGATION_TIME;
     let most = options.stop_limit.saturating_sub(reserved);
     DrainOptions {
-        heard_within: HEARD_WITHIN,
-        address_life: options.directory_ttl.mul_f64(KEPT_LIVES).min(most),
+        leave_propagation_time: LEAVE_PROPAGATION_TIME,
+        directory_lifetime: options
+            .directory_ttl
+            .mul_f64(DIRECTORY_TTL_MULTIPLE)
+            .min(most),
         limit: options.stop_limit,
     }
 }
@@ -248,14 +251,14 @@
         .stamps(move || stamps.stamps())
         .look_up(move |key| objects.object(key))
         .accept(move |news| accept.accept(news))
-        .is_listed(move || listed.is_listed())
+        .is_listed(move || listed.is_fully_listed())
         .changed(catalog.changed())
         .build();
     NodeGroup::start_with(group, access).await
 }
 
 /// Keeps the catalog's number of nodes up to date.
-async fn note_nodes(group: NodeGroup, catalog: Arc<Catalog>, metrics: FrontMetrics) {
+async fn track_live_nodes(group: NodeGroup, catalog: Arc<Catalog>, metrics: FrontMetrics) {
     let mut changed = group.changed();
     let mut before = 0;
     loop {
@@ -265,7 +268,7 @@
             .map(|member| (member.record.node.clone(), member.record.capacity))
             .collect();
         let live = nodes.len();
-        catalog.note_nodes(&nodes);
+        catalog.set_live_nodes(&nodes);
         if live != before {
             FrontEvent::NodesChanged {
                 nodes: live,
--- a/alderhaven-front/src/front_options.rs
+++ b/alderhaven-front/src/front_options.rs
@@ -4,7 +4,7 @@
 
 use alderhaven_core::ids::{FailureDomain, HostId, NodeId};
 use alderhaven_core::time::TimeSpan;
-use alderhaven_policy::front_choice::ChoiceOptions;
+use alderhaven_policy::front_choice::FrontChoiceOptions;
 use alderhaven_policy::group_start::GroupStart;
 use alderhaven_policy::membership::member_record::CpuCapacity;
 use alderhaven_policy::repeat_budget::RepeatOptions;
@@ -57,5 +57,5 @@
     pub requests: RequestOptions,
     /// The settings of the directory's choice.
     #[builder(default)]
-    pub choice: ChoiceOptions,
+    pub choice: FrontChoiceOptions,
 }
--- a/alderhaven-front/src/front_status.rs
+++ b/alderhaven-front/src/front_status.rs
@@ -36,7 +36,7 @@
             config_version: view.routing.as_ref().map(|routing| routing.version),
             nodes: live.count(),
             targets: view.targets.len(),
-            evacuated: context.catalog.evacuated(),
+            evacuated: context.catalog.evacuated_domains(),
         }
     }
 }
--- a/alderhaven-front/src/group_links.rs
+++ b/alderhaven-front/src/group_links.rs
@@ -30,15 +30,15 @@
 /// By it the other front learns how the two clocks differ, as exactly as that time is short, and so
 /// notices how long later asks were under way. Half a second too much is what targets may be told;
 /// starting fronts take some tenths to answer.
-const FIRST_REPLY_LIMIT: Duration = Duration::from_millis(400);
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long a front that missed a flush is not asked: a frozen or silent one would cost each query
 /// its hedges, and asking the targets directly costs only bytes.
-const MISSED_PAUSE: TimeSpan = TimeSpan::from_millis(1_500);
+const UNRESPONSIVE_PAUSE: TimeSpan = TimeSpan::from_millis(1_500);
 
 /// How often a connection on which nothing comes is looked at, whether it was given up. It costs a wake
 /// of the process, and a connection that stays open longer costs nothing.
-const LINK_LOOK: Duration = Duration::from_secs(4);
+const RETIRED_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
 /// A `GroupLinks` is shared by all requests of a process.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
 struct GroupLink {
     address: SocketAddr,
     clock: ProcessClock,
-    next: AtomicU64,
+    next_number: AtomicU64,
     state: Mutex<LinkState>,
 }
 
@@ -64,21 +64,21 @@
     epoch: u64,
     is_connecting: bool,
     paused_until: TimePoint,
-    awaited: HashMap<u64, AwaitedAsk>,
+    pending: HashMap<u64, PendingRequest>,
 }
 
 /// An `AwaitedAsk` is an ask to which replies may come.
 #[derive(Debug)]
-struct AwaitedAsk {
+struct PendingRequest {
     /// The connection that it was sent on.
     epoch: u64,
     sender: FrameSender,
-    sink: mpsc::UnboundedSender<GroupNews>,
+    event_sender: mpsc::UnboundedSender<GroupEvent>,
 }
 
 /// A `GroupNews` is what is heard of an ask.
 #[derive(Debug)]
-pub enum GroupNews {
+pub enum GroupEvent {
     /// Ends of attempts.
     Reply(GroupReply),
     /// The connection is lost: the attempts may have run.
@@ -87,12 +87,12 @@
 
 /// A `GroupTicket` is an open ask; dropping it tells the other front that its caller has left.
 #[derive(Debug)]
-pub struct GroupTicket {
+pub struct GroupCall {
     link: Arc<GroupLink>,
     number: u64,
     is_answered: bool,
     /// What is heard.
-    pub news: mpsc::UnboundedReceiver<GroupNews>,
+    pub events: mpsc::UnboundedReceiver<GroupEvent>,
 }
 
 impl GroupLinks {
@@ -115,9 +115,9 @@
     /// Sends an ask to a front of a failure domain; none where no connection to one stands. A
     /// connection is then opened for later asks.
     #[must_use]
-    pub fn ask(&self, domain: &FailureDomain, ask: GroupAsk) -> Option<GroupTicket> {
+    pub fn send(&self, domain: &FailureDomain, ask: GroupAsk) -> Option<GroupCall> {
         let now = self.clock.now();
-        let fronts = self.fronts(domain);
+        let fronts = self.largest_fronts(domain);
         let mut usable: Vec<Arc<GroupLink>> = Vec::new();
         for address in fronts {
             let link = self.link(address);
@@ -131,11 +131,11 @@
             return None;
         }
         let place = rand::rng().random_range(0..usable.len());
-        usable.swap_remove(place).ask(ask)
+        usable.swap_remove(place).send(ask)
     }
 
     /// Gets the largest hosts' fronts of a failure domain: a small one would hold its answer up.
-    fn fronts(&self, domain: &FailureDomain) -> Vec<SocketAddr> {
+    fn largest_fronts(&self, domain: &FailureDomain) -> Vec<SocketAddr> {
         let members = self.group.members();
         let others = members.iter().skip(1);
         let near: Vec<&MemberView> = others
@@ -154,7 +154,7 @@
             Arc::new(GroupLink {
                 address,
                 clock: self.clock,
-                next: AtomicU64::new(0),
+                next_number: AtomicU64::new(0),
                 state: Mutex::default(),
             })
         });
@@ -172,8 +172,8 @@
         is_connected && now >= state.paused_until
     }
 
-    fn ask(self: Arc<Self>, mut ask: GroupAsk) -> Option<GroupTicket> {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+    fn send(self: Arc<Self>, mut ask: GroupAsk) -> Option<GroupCall> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         ask.number = number;
         ask.sent_us = self.clock.now().as_micros();
         let (news_sender, news) = mpsc::unbounded_channel();
@@ -181,35 +181,38 @@
             let mut state = self.state();
             let sender = state.sender.clone()?;
             sender.send(PeerMessage::GroupAsk(ask)).ok()?;
-            let awaited = AwaitedAsk {
+            let awaited = PendingRequest {
                 epoch: state.epoch,
                 sender,
-                sink: news_sender,
+                event_sender: news_sender,
             };
-            state.awaited.insert(number, awaited);
+            state.pending.insert(number, awaited);
         }
-        Some(GroupTicket {
+        Some(GroupCall {
             link: self,
             number,
             is_answered: false,
-            news,
+            events: news,
         })
     }
 
-    fn hear(&self, reply: GroupReply) {
+    fn dispatch_reply(&self, reply: GroupReply) {
         let state = self.state();
-        if let Some(awaited) = state.awaited.get(&reply.number) {
+        if let Some(awaited) = state.pending.get(&reply.number) {
             // A query that was answered meanwhile no longer listens.
-            let _is_answered = awaited.sink.send(GroupNews::Reply(reply));
+            let _is_answered = awaited.event_sender.send(GroupEvent::Reply(reply));
         }
     }
 
     /// Takes over a connection that was opened, or rests where none could be.
-    fn connected(&self, opened: Option<(FrameSender, FrameReader)>) -> Option<(u64, FrameReader)> {
+    fn finish_connecting(
+        &self,
+        opened: Option<(FrameSender, FrameReader)>,
+    ) -> Option<(u64, FrameReader)> {
         let mut state = self.state();
         state.is_connecting = false;
         let Some((sender, reader)) = opened else {
-            state.paused_until = self.clock.now() + MISSED_PAUSE;
+            state.paused_until = self.clock.now() + UNRESPONSIVE_PAUSE;
             return None;
         };
         state.sender = Some(sender);
@@ -217,10 +220,10 @@
     }
 
     /// Forgets a connection that has ended; every ask that is open on it hears that it is lost.
-    fn lose(&self, epoch: u64) {
+    fn fail_connection(&self, epoch: u64) {
         let mut state = self.state();
-        let lost: Vec<AwaitedAsk> = state
-            .awaited
+        let lost: Vec<PendingRequest> = state
+            .pending
             .extract_if(|_, awaited| awaited.epoch == epoch)
             .map(|(_, awaited)| awaited)
             .collect();
@@ -234,7 +237,7 @@
             self.report_loss(lost.len());
         }
         for awaited in lost {
-            let _is_answered = awaited.sink.send(GroupNews::Lost);
+            let _is_answered = awaited.event_sender.send(GroupEvent::Lost);
         }
     }
 
@@ -242,20 +245,20 @@
     /// a while; what is open on it may still be answered.
     fn retire(&self, number: u64) {
         let mut state = self.state();
-        let epoch = state.awaited.get(&number).map(|awaited| awaited.epoch);
+        let epoch = state.pending.get(&number).map(|awaited| awaited.epoch);
         if epoch != Some(state.epoch) {
             return;
         }
-        state.paused_until = self.clock.now() + MISSED_PAUSE;
+        state.paused_until = self.clock.now() + UNRESPONSIVE_PAUSE;
         state.sender = None;
         state.epoch += 1;
-        self.report_loss(state.awaited.len());
+        self.report_loss(state.pending.len());
     }
 
     /// Returns true where a connection was given up and nothing is open on it.
-    fn is_done(&self, epoch: u64) -> bool {
+    fn is_retired_and_drained(&self, epoch: u64) -> bool {
         let state = self.state();
-        let is_open = state.awaited.values().any(|awaited| awaited.epoch == epoch);
+        let is_open = state.pending.values().any(|awaited| awaited.epoch == epoch);
         state.epoch != epoch && !is_open
     }
 
@@ -272,9 +275,9 @@
     }
 }
 
-impl GroupTicket {
+impl GroupCall {
     /// Notes that the query was answered: the attempts may end by themselves.
-    pub const fn answered(&mut self) {
+    pub const fn mark_answered(&mut self) {
         self.is_answered = true;
     }
 
@@ -282,14 +285,14 @@
     /// asks use another connection, since one may go silent for good without a reset. Those that are
     /// open stay so: of a front that is only late they would all be lost at once, and with them
     /// queries that had just been sent.
-    pub fn missed(&self) {
+    pub fn mark_overdue(&self) {
         self.link.retire(self.number);
     }
 }
 
-impl Drop for GroupTicket {
+impl Drop for GroupCall {
     fn drop(&mut self) {
-        let Some(awaited) = self.link.state().awaited.remove(&self.number) else {
+        let Some(awaited) = self.link.state().pending.remove(&self.number) else {
             return;
         };
         let close = GroupClose {
@@ -316,8 +319,8 @@
     }
     tokio::spawn(async move {
         let opened = open(&link).await;
-        if let Some((epoch, reader)) = link.connected(opened) {
-            read(&link, epoch, reader).await;
+        if let Some((epoch, reader)) = link.finish_connecting(opened) {
+            read_replies(&link, epoch, reader).await;
         }
     });
 }
@@ -330,26 +333,26 @@
     let connecting = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(link.address));
     let (sender, mut reader) = connection::split(connecting.await.ok()?.ok()?).ok()?;
     let first = GroupAsk {
-        number: link.next.fetch_add(1, Ordering::Relaxed),
+        number: link.next_number.fetch_add(1, Ordering::Relaxed),
         sent_us: link.clock.now().as_micros(),
         method: "GET".to_owned(),
         path: "/".to_owned(),
         ..GroupAsk::default()
     };
     sender.send(PeerMessage::GroupAsk(first)).ok()?;
-    let replied = time::timeout(FIRST_REPLY_LIMIT, connection::next_message(&mut reader));
+    let replied = time::timeout(FIRST_REPLY_TIMEOUT, connection::next_message(&mut reader));
     replied.await.ok()??;
     Some((sender, reader))
 }
 
 /// Hears replies until the connection ends, or until nothing is open on one that was given up.
-async fn read(link: &GroupLink, epoch: u64, mut reader: FrameReader) {
+async fn read_replies(link: &GroupLink, epoch: u64, mut reader: FrameReader) {
     while let Some(message) = next_message(link, epoch, &mut reader).await {
         if let PeerMessage::GroupReply(reply) = message {
-            link.hear(reply);
+            link.dispatch_reply(reply);
         }
     }
-    link.lose(epoch);
+    link.fail_connection(epoch);
 }
 
 async fn next_message(
@@ -358,10 +361,10 @@
     reader: &mut FrameReader,
 ) -> Option<PeerMessage> {
     loop {
-        let next = time::timeout(LINK_LOOK, connection::next_message(reader)).await;
+        let next = time::timeout(RETIRED_CHECK_INTERVAL, connection::next_message(reader)).await;
         match next {
             Ok(message) => return message,
-            Err(_) if link.is_done(epoch) => return None,
+            Err(_) if link.is_retired_and_drained(epoch) => return None,
             Err(_) => {}
         }
     }
--- a/alderhaven-front/src/group_plan.rs
+++ b/alderhaven-front/src/group_plan.rs
@@ -10,15 +10,15 @@
 use alderhaven_core::ids::FailureDomain;
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-use crate::shard_run::ShardRun;
+use crate::shard_state::ShardState;
 use crate::target_handle::TargetHandle;
 
 /// What a target may be expected to take longer than the best one and still be chosen because it
 /// lies where most others do.
-const DETOUR: TimeSpan = TimeSpan::from_millis(6);
+const MAX_GROUPING_COST: TimeSpan = TimeSpan::from_millis(6);
 
 /// A `ChosenShard` is a shard, by its place in the query, with the target that it is to be sent to.
-pub type ChosenShard = (usize, Arc<TargetHandle>);
+pub type ShardAssignment = (usize, Arc<TargetHandle>);
 
 /// A `ShardGroup` is a group of shards that are asked together.
 #[derive(Debug)]
@@ -26,20 +26,23 @@
     /// The failure domain of the targets.
     pub domain: FailureDomain,
     /// The shards, by their places in the query, each with its target.
-    pub shards: Vec<ChosenShard>,
+    pub shards: Vec<ShardAssignment>,
 }
 
 /// Groups the shards whose best target lies in another failure domain; those that are in no group
 /// are asked directly. `best` holds the best target of each shard.
 #[must_use]
-pub fn group(
-    shards: &[ShardRun],
+pub fn group_cross_domain_shards(
+    shards: &[ShardState],
     best: &[Option<Arc<TargetHandle>>],
     usual: TimeSpan,
     now: TimePoint,
 ) -> Vec<ShardGroup> {
-    let is_far =
-        |target: &Option<Arc<TargetHandle>>| target.as_ref().is_some_and(|target| !target.is_near);
+    let is_far = |target: &Option<Arc<TargetHandle>>| {
+        target
+            .as_ref()
+            .is_some_and(|target| !target.is_in_own_domain)
+    };
     let mut far: Vec<usize> = (0..shards.len())
         .filter(|place| is_far(&best[*place]))
         .collect();
@@ -55,12 +58,12 @@
 /// those that are sent directly. A query's hedges are due in the same moment, since its first
 /// attempts were sent in one, and most go to other failure domains.
 #[must_use]
-pub fn split(chosen: Vec<ChosenShard>) -> (Vec<ShardGroup>, Vec<ChosenShard>) {
-    let mut by_domain: BTreeMap<FailureDomain, Vec<ChosenShard>> = BTreeMap::new();
+pub fn group_by_domain(chosen: Vec<ShardAssignment>) -> (Vec<ShardGroup>, Vec<ShardAssignment>) {
+    let mut by_domain: BTreeMap<FailureDomain, Vec<ShardAssignment>> = BTreeMap::new();
     let mut direct = Vec::new();
     for (place, target) in chosen {
         let domain = target.entry().domain.clone();
-        match domain.filter(|_| !target.is_near) {
+        match domain.filter(|_| !target.is_in_own_domain) {
             Some(domain) => by_domain.entry(domain).or_default().push((place, target)),
             None => direct.push((place, target)),
         }
@@ -72,12 +75,12 @@
 }
 
 fn largest_group(
-    shards: &[ShardRun],
+    shards: &[ShardState],
     far: &[usize],
     usual: TimeSpan,
     now: TimePoint,
 ) -> Option<ShardGroup> {
-    let mut by_domain: BTreeMap<FailureDomain, Vec<ChosenShard>> = BTreeMap::new();
+    let mut by_domain: BTreeMap<FailureDomain, Vec<ShardAssignment>> = BTreeMap::new();
     for place in far {
         let Some(service) = &shards[*place].service else {
             continue;
@@ -93,7 +96,7 @@
             };
             let group = by_domain.entry(domain).or_default();
             let is_new = group.last().is_none_or(|(last, _)| last != place);
-            if !target.is_near && is_new && cost <= least + DETOUR {
+            if !target.is_in_own_domain && is_new && cost <= least + MAX_GROUPING_COST {
                 group.push((*place, Arc::clone(target)));
             }
         }
--- a/alderhaven-front/src/group_server.rs
+++ b/alderhaven-front/src/group_server.rs
@@ -23,14 +23,14 @@
 use tokio::time;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::attempt::{AttemptEnd, AttemptPlan, AttemptReport};
+use crate::attempt::{AttemptOutcome, AttemptPlan, AttemptReport};
 use crate::attempt_phase::AttemptPhase;
 use crate::front_context::{self, FrontContext};
 use crate::query_call::QueryCall;
-use crate::target_handle::TargetStanding;
+use crate::target_handle::TargetStatus;
 
 /// The pause after a failed accept, which is out of descriptors in nearly all cases.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
 
 /// Serves other fronts for as long as the process runs.
 pub async fn serve(listener: TcpListener, context: FrontContext) {
@@ -39,37 +39,40 @@
             Ok((stream, _)) => {
                 tokio::spawn(serve_front(stream, context.clone()));
             }
-            Err(_) => time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
 /// An ask that is carried out; dropping it breaks its attempts off.
-struct OpenAsk {
-    is_over: Arc<AtomicBool>,
+struct OpenRequest {
+    is_request_finished: Arc<AtomicBool>,
     task: AbortOnDropHandle<()>,
 }
 
 async fn serve_front(stream: TcpStream, context: FrontContext) -> io::Result<()> {
     let (sender, mut reader) = connection::split(stream)?;
-    let mut asks: HashMap<u64, OpenAsk> = HashMap::new();
+    let mut asks: HashMap<u64, OpenRequest> = HashMap::new();
     let mut age = DeliveryAge::default();
     // The asks go with the connection: an asking front that is gone has no callers any more.
     while let Some(message) = connection::next_message(&mut reader).await {
         match message {
             PeerMessage::GroupAsk(ask) => {
                 let now = context.clock.now();
-                let late_by = age.note(TimePoint::from_micros(ask.sent_us), now);
+                let late_by = age.record_delivery(TimePoint::from_micros(ask.sent_us), now);
                 asks.retain(|_, open| !open.task.is_finished());
-                asks.insert(ask.number, begin(ask, late_by, &context, sender.clone()));
+                asks.insert(
+                    ask.number,
+                    start_request(ask, late_by, &context, sender.clone()),
+                );
             }
             PeerMessage::GroupClose(close) => {
                 let Some(open) = asks.remove(&close.number) else {
                     continue;
                 };
-                open.is_over.store(true, Ordering::Relaxed);
+                open.is_request_finished.store(true, Ordering::Relaxed);
                 if !close.is_abandoned {
-                    tokio::spawn(linger(open, context.options.linger));
+                    tokio::spawn(drain_attempts(open, context.options.drain_timeout));
                 }
             }
             _ => {}
@@ -79,15 +82,20 @@
 }
 
 /// Lets the attempts of an ask end by themselves for a while, so that their connections are kept.
-async fn linger(open: OpenAsk, limit: TimeSpan) {
+async fn drain_attempts(open: OpenRequest, limit: TimeSpan) {
     let _is_over = time::timeout(limit.as_duration(), open.task).await;
 }
 
-fn begin(ask: GroupAsk, late_by: TimeSpan, context: &FrontContext, sender: FrameSender) -> OpenAsk {
+fn start_request(
+    ask: GroupAsk,
+    late_by: TimeSpan,
+    context: &FrontContext,
+    sender: FrameSender,
+) -> OpenRequest {
     let is_over = Arc::new(AtomicBool::new(false));
     let run = GroupRun::new(ask, late_by, context.clone(), sender, Arc::clone(&is_over));
-    OpenAsk {
-        is_over,
+    OpenRequest {
+        is_request_finished: is_over,
         task: AbortOnDropHandle::new(tokio::spawn(run.run())),
     }
 }
@@ -95,12 +103,12 @@
 struct GroupRun {
     context: FrontContext,
     sender: FrameSender,
-    ask: GroupAsk,
+    request: GroupAsk,
     flush_at: TimePoint,
-    ends_at: TimePoint,
-    is_over: Arc<AtomicBool>,
-    ends: Vec<GroupEnd>,
-    parts: Vec<Bytes>,
+    deadline: TimePoint,
+    is_request_finished: Arc<AtomicBool>,
+    attempt_ends: Vec<GroupEnd>,
+    reply_bodies: Vec<Bytes>,
 }
 
 impl GroupRun {
@@ -115,21 +123,21 @@
         let left = |micros: u64| TimeSpan::from_micros(micros).saturating_sub(late_by);
         Self {
             flush_at: now + left(ask.flush_us),
-            ends_at: now + left(ask.remaining_us),
+            deadline: now + left(ask.remaining_us),
             context,
             sender,
-            ask,
-            is_over,
-            ends: Vec::new(),
-            parts: Vec::new(),
+            request: ask,
+            is_request_finished: is_over,
+            attempt_ends: Vec::new(),
+            reply_bodies: Vec::new(),
         }
     }
 
     async fn run(mut self) {
         // A planned stop waits for it.
         let _flight = self.context.stop.begin_request();
-        self.context.metrics.carried_asks.inc();
-        let mut attempts = self.attempts();
+        self.context.metrics.served_group_requests.inc();
+        let mut attempts = self.start_attempts();
         let mut is_flushed = false;
         loop {
             if attempts.is_empty() {
@@ -139,8 +147,8 @@
             tokio::select! {
                 biased;
                 Some(report) = attempts.next() => {
-                    self.note(report);
-                    if is_flushed || self.ask.is_separate {
+                    self.record_report(report);
+                    if is_flushed || self.request.is_separate {
                         self.flush();
                     }
                 }
@@ -152,18 +160,18 @@
         }
     }
 
-    fn attempts(&mut self) -> FuturesUnordered<BoxFuture<'static, AttemptReport>> {
+    fn start_attempts(&mut self) -> FuturesUnordered<BoxFuture<'static, AttemptReport>> {
         let attempts = FuturesUnordered::new();
-        let Some(call) = self.call() else {
+        let Some(call) = self.rebuild_call() else {
             return attempts;
         };
         let view = self.context.catalog.view();
-        for (place, id) in self.ask.targets.iter().enumerate() {
+        for (place, id) in self.request.targets.iter().enumerate() {
             let target = view.targets.get(id);
             let ready = target.filter(|target| !target.is_closed());
             let Some(target) = ready else {
-                self.ends
-                    .push(end(place, GroupOutcome::NotSent, TimeSpan::ZERO));
+                self.attempt_ends
+                    .push(group_end(place, GroupOutcome::NotSent, TimeSpan::ZERO));
                 continue;
             };
             let plan = AttemptPlan {
@@ -171,10 +179,10 @@
                 target: Arc::clone(target),
                 call: Arc::clone(&call),
                 is_idempotent: true,
-                ends_at: self.ends_at,
-                is_over: Arc::clone(&self.is_over),
+                deadline: self.deadline,
+                is_request_finished: Arc::clone(&self.is_request_finished),
                 phase: AttemptPhase::default(),
-                usual: TimeSpan::from_micros(self.ask.usual_us),
+                typical_latency: TimeSpan::from_micros(self.request.usual_us),
                 dialect: Arc::clone(&self.context.dialect),
                 clock: self.context.clock,
             };
@@ -184,57 +192,58 @@
     }
 
     /// Builds the caller's request again; none where the ask can't be read.
-    fn call(&self) -> Option<Arc<QueryCall>> {
+    fn rebuild_call(&self) -> Option<Arc<QueryCall>> {
         let now = self.context.clock.now();
-        let head = head_of(&self.ask)?;
+        let head = request_head(&self.request)?;
         let forwarded = self.context.dialect.forwarded_head(&head).ok()?;
         Some(Arc::new(QueryCall {
             head,
-            forwarded,
-            body: self.ask.body.clone(),
-            request_id: Arc::from(self.ask.request_id.as_str()),
-            arrived: now,
-            time_left: self.ends_at.since(now),
+            forwarded_head: forwarded,
+            body: self.request.body.clone(),
+            request_id: Arc::from(self.request.request_id.as_str()),
+            arrived_at: now,
+            time_left: self.deadline.since(now),
         }))
     }
 
-    fn note(&mut self, report: AttemptReport) {
-        let outcome = match report.end {
-            AttemptEnd::Success(reply) => {
-                let mut answered = end(report.shard, GroupOutcome::Answered, report.took);
+    fn record_report(&mut self, report: AttemptReport) {
+        let outcome = match report.outcome {
+            AttemptOutcome::Success(reply) => {
+                let mut answered = group_end(report.shard, GroupOutcome::Answered, report.elapsed);
                 if let Some(proof) = reply.proof {
                     answered.proof = Bytes::copy_from_slice(proof.as_bytes());
                 }
-                self.ends.push(answered);
-                self.parts.push(reply.reply.body);
+                self.attempt_ends.push(answered);
+                self.reply_bodies.push(reply.reply.body);
                 return;
             }
-            AttemptEnd::Failure(_) => GroupOutcome::Failed,
-            AttemptEnd::NotRun => GroupOutcome::NotRun,
-            AttemptEnd::Unreachable | AttemptEnd::Withdrawn => GroupOutcome::NotSent,
-            AttemptEnd::WrongTarget => {
-                report.target.set_standing(TargetStanding::Leaving);
+            AttemptOutcome::Failure(_) => GroupOutcome::Failed,
+            AttemptOutcome::NotRun => GroupOutcome::NotRun,
+            AttemptOutcome::Unreachable | AttemptOutcome::Cancelled => GroupOutcome::NotSent,
+            AttemptOutcome::WrongTarget => {
+                report.target.set_status(TargetStatus::Leaving);
                 GroupOutcome::NotRun
             }
-            AttemptEnd::Lost => GroupOutcome::Lost,
+            AttemptOutcome::Lost => GroupOutcome::Lost,
         };
-        self.ends.push(end(report.shard, outcome, report.took));
+        self.attempt_ends
+            .push(group_end(report.shard, outcome, report.elapsed));
     }
 
     fn flush(&mut self) {
-        let records = usize::try_from(self.ask.records).unwrap_or(usize::MAX);
+        let records = usize::try_from(self.request.records).unwrap_or(usize::MAX);
         let reply = GroupReply {
-            number: self.ask.number,
-            ends: std::mem::take(&mut self.ends),
-            records: top_records::greatest(&self.parts, records),
+            number: self.request.number,
+            ends: std::mem::take(&mut self.attempt_ends),
+            records: top_records::greatest_records(&self.reply_bodies, records),
         };
-        self.parts.clear();
+        self.reply_bodies.clear();
         // Where the connection is lost the asking front hears of it by itself.
         let _is_lost = self.sender.send(PeerMessage::GroupReply(reply));
     }
 }
 
-fn end(place: usize, outcome: GroupOutcome, took: TimeSpan) -> GroupEnd {
+fn group_end(place: usize, outcome: GroupOutcome, took: TimeSpan) -> GroupEnd {
     GroupEnd {
         place: u32::try_from(place).unwrap_or(u32::MAX),
         outcome: outcome.into(),
@@ -243,7 +252,7 @@
     }
 }
 
-fn head_of(ask: &GroupAsk) -> Option<Parts> {
+fn request_head(ask: &GroupAsk) -> Option<Parts> {
     let mut request = Request::builder()
         .method(ask.method.as_str())
         .uri(ask.path.as_str());
--- a/alderhaven-front/src/lib.rs
+++ b/alderhaven-front/src/lib.rs
@@ -5,7 +5,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod admission_pass;
+pub mod abandoned_status;
+pub mod admission_permit;
 pub mod attempt;
 pub mod attempt_phase;
 pub mod caller_limits;
@@ -14,7 +15,7 @@
 pub mod catalog;
 mod catalog_state;
 pub mod catalog_view;
-pub mod crash_board;
+pub mod crash_tracker;
 pub mod directory_service;
 pub mod evacuated_domain;
 pub mod event_log;
@@ -30,7 +31,6 @@
 pub mod group_links;
 pub mod group_plan;
 pub mod group_server;
-pub mod left_fate;
 pub mod query_admission;
 pub mod query_call;
 pub mod query_run;
@@ -40,11 +40,11 @@
 pub mod routing_config;
 pub mod service_rule;
 pub mod service_targets;
-pub mod shard_part;
-pub mod shard_run;
-pub mod shard_set;
+pub mod shard_reply;
+pub mod shard_set_id;
+pub mod shard_state;
+pub mod store_availability;
 pub mod store_follower;
-pub mod store_reach;
 pub mod target_entry;
 pub mod target_handle;
 pub mod target_pool;
--- a/alderhaven-front/src/query_admission.rs
+++ b/alderhaven-front/src/query_admission.rs
@@ -7,34 +7,34 @@
 
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_core::time::TimePoint;
-use alderhaven_policy::caller_wait::CallerDelay;
+use alderhaven_policy::caller_delay::CallerDelay;
+use alderhaven_policy::concurrency_limit::QuerySignal;
 use alderhaven_policy::query_gate::{GateDecision, GateQuery, GateRefusal, QueryGate};
-use alderhaven_policy::room_limit::QueryNeed;
 use tokio::sync::oneshot;
 
-use crate::admission_pass::AdmissionPass;
+use crate::admission_permit::AdmissionPermit;
 use crate::front_context;
 use crate::route_rule::RouteRule;
-use crate::shard_set::ShardSet;
+use crate::shard_set_id::ShardSetId;
 
 /// The sets of services that are kept. Each change of a route's shards begins a new one; those of which nothing is
 /// in flight are forgotten above it.
-const MOST_GATES: usize = 64;
+const MAX_GATES: usize = 64;
 
 /// A `QueryAdmission` admits the queries of one front.
 #[derive(Debug)]
 pub struct QueryAdmission {
     clock: ProcessClock,
     next_id: AtomicU64,
-    gates: Mutex<HashMap<ShardSet, GateState>>,
+    gates: Mutex<HashMap<ShardSetId, GateState>>,
 }
 
-type GateVerdict = Result<(), GateRefusal>;
+type GateResult = Result<(), GateRefusal>;
 
 #[derive(Debug, Default)]
 struct GateState {
     gate: QueryGate,
-    waiters: HashMap<u64, oneshot::Sender<GateVerdict>>,
+    waiters: HashMap<u64, oneshot::Sender<GateResult>>,
 }
 
 impl QueryAdmission {
@@ -55,24 +55,24 @@
     pub async fn admit(
         self: &Arc<Self>,
         rule: &RouteRule,
-        shards: ShardSet,
+        shards: ShardSetId,
         delay: CallerDelay,
-    ) -> Result<AdmissionPass, GateRefusal> {
+    ) -> Result<AdmissionPermit, GateRefusal> {
         let now = self.clock.now();
         let query = GateQuery {
             id: self.next_id.fetch_add(1, Ordering::Relaxed),
             rank: rule.rank,
-            target: rule.latency_target,
+            latency_target: rule.latency_target,
             is_late: delay.is_late(rule.latency_target),
         };
         // The waiter is there before the lock is given up: else the query could be decided on in
         // between, with nobody to tell.
         let (until, verdict) = {
             let mut gates = self.lock();
-            forget_idle(&mut gates);
+            remove_idle_gates(&mut gates);
             let state = gates.entry(shards).or_default();
             match state.offer(query, now) {
-                GateDecision::Admit => return Ok(self.pass(shards)),
+                GateDecision::Admit => return Ok(self.permit(shards)),
                 GateDecision::Refuse(refusal) => return Err(refusal),
                 GateDecision::Wait { until, .. } => {
                     let (sender, verdict) = oneshot::channel();
@@ -81,36 +81,36 @@
                 }
             }
         };
-        let place = WaitingPlace {
+        let place = QueuedQuery {
             admission: self,
             shards,
             id: query.id,
-            verdict,
+            result: verdict,
         };
         place.wait(until).await
     }
 
     /// Takes back the place of a query that was admitted at `admitted`.
-    pub(crate) fn finish(&self, shards: ShardSet, admitted: TimePoint, need: QueryNeed) {
+    pub(crate) fn finish(&self, shards: ShardSetId, admitted: TimePoint, need: QuerySignal) {
         let now = self.clock.now();
         let mut gates = self.lock();
         if let Some(state) = gates.get_mut(&shards) {
-            state.gate.finished(now.since(admitted), need);
-            state.decide_ready(now);
+            state.gate.record_finished(now.since(admitted), need);
+            state.admit_ready(now);
         }
     }
 
-    fn pass(self: &Arc<Self>, shards: ShardSet) -> AdmissionPass {
-        AdmissionPass::new(Arc::clone(self), shards, self.clock.now())
+    fn permit(self: &Arc<Self>, shards: ShardSetId) -> AdmissionPermit {
+        AdmissionPermit::new(Arc::clone(self), shards, self.clock.now())
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<ShardSet, GateState>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<ShardSetId, GateState>> {
         self.gates.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn forget_idle(gates: &mut HashMap<ShardSet, GateState>) {
-    if gates.len() > MOST_GATES {
+fn remove_idle_gates(gates: &mut HashMap<ShardSetId, GateState>) {
+    if gates.len() > MAX_GATES {
         gates.retain(|_, state| !state.gate.is_idle());
     }
 }
@@ -122,53 +122,53 @@
             && let Some(waiter) = outranked.and_then(|id| self.waiters.remove(&id))
         {
             // A caller that has just gone needs no answer.
-            let _is_gone = waiter.send(Err(self.gate.outranked(now)));
+            let _is_gone = waiter.send(Err(self.gate.outranked_refusal(now)));
         }
         decision
     }
 
     /// Lets waiting queries go for which there is room now.
-    fn decide_ready(&mut self, now: TimePoint) {
+    fn admit_ready(&mut self, now: TimePoint) {
         while let Some(id) = self.gate.next_ready(now) {
             let waiter = self.waiters.remove(&id);
             let is_told = waiter.is_some_and(|waiter| waiter.send(Ok(())).is_ok());
             if !is_told {
                 // Its caller left at this moment, and the room is free again.
-                self.gate.take_back();
+                self.gate.release_unused();
             }
         }
     }
 }
 
 /// A place in line; it is given up where the wait is over or the caller goes away.
-struct WaitingPlace<'a> {
+struct QueuedQuery<'a> {
     admission: &'a Arc<QueryAdmission>,
-    shards: ShardSet,
+    shards: ShardSetId,
     id: u64,
-    verdict: oneshot::Receiver<GateVerdict>,
+    result: oneshot::Receiver<GateResult>,
 }
 
-impl WaitingPlace<'_> {
-    async fn wait(mut self, until: TimePoint) -> Result<AdmissionPass, GateRefusal> {
+impl QueuedQuery<'_> {
+    async fn wait(mut self, until: TimePoint) -> Result<AdmissionPermit, GateRefusal> {
         let verdict = tokio::select! {
             biased;
-            verdict = &mut self.verdict => verdict.ok(),
+            verdict = &mut self.result => verdict.ok(),
             () = front_context::sleep_until(self.admission.clock, until) => None,
         };
         match verdict {
-            Some(Ok(())) => Ok(self.admission.pass(self.shards)),
+            Some(Ok(())) => Ok(self.admission.permit(self.shards)),
             Some(Err(refusal)) => Err(refusal),
             None => self.give_up(),
         }
     }
 
     /// Leaves the line, unless its turn came at this moment.
-    fn give_up(&mut self) -> Result<AdmissionPass, GateRefusal> {
+    fn give_up(&mut self) -> Result<AdmissionPermit, GateRefusal> {
         let now = self.admission.clock.now();
         let mut gates = self.admission.lock();
-        if let Ok(verdict) = self.verdict.try_recv() {
+        if let Ok(verdict) = self.result.try_recv() {
             drop(gates);
-            return verdict.map(|()| self.admission.pass(self.shards));
+            return verdict.map(|()| self.admission.permit(self.shards));
         }
         let state = gates.entry(self.shards).or_default();
         state.waiters.remove(&self.id);
@@ -176,7 +176,7 @@
     }
 }
 
-impl Drop for WaitingPlace<'_> {
+impl Drop for QueuedQuery<'_> {
     /// A caller that goes away while it waits leaves the line, and gives back a turn that it was given
     /// at this moment.
     fn drop(&mut self) {
@@ -188,9 +188,9 @@
         if state.waiters.remove(&self.id).is_some() {
             state.gate.cancel(self.id, now);
         }
-        if let Ok(Ok(())) = self.verdict.try_recv() {
-            state.gate.take_back();
-            state.decide_ready(now);
+        if let Ok(Ok(())) = self.result.try_recv() {
+            state.gate.release_unused();
+            state.admit_ready(now);
         }
     }
 }
--- a/alderhaven-front/src/query_call.rs
+++ b/alderhaven-front/src/query_call.rs
@@ -16,13 +16,13 @@
     /// The head.
     pub head: Parts,
     /// The head as targets get it.
-    pub forwarded: ForwardedHead,
+    pub forwarded_head: ForwardedHead,
     /// The body.
     pub body: Bytes,
     /// The caller's id of this attempt.
     pub request_id: Arc<str>,
     /// When it arrived.
-    pub arrived: TimePoint,
+    pub arrived_at: TimePoint,
     /// How long the caller waits, counted from its arrival.
     pub time_left: TimeSpan,
 }
--- a/alderhaven-front/src/query_run/ending.rs
+++ b/alderhaven-front/src/query_run/completion.rs
@@ -5,67 +5,67 @@
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::answer_time::AnswerStep;
+use alderhaven_policy::concurrency_limit::QuerySignal;
 use alderhaven_policy::query_gate::{GateReason, GateRefusal};
-use alderhaven_policy::room_limit::QueryNeed;
 use alderhaven_policy::top_records;
 use futures::StreamExt;
 use log::Level;
 use rand::RngExt;
 use tokio::time;
 
-use crate::attempt::AttemptEnd;
+use crate::attempt::AttemptOutcome;
 use crate::event_log;
-use crate::front_answer::{FrontAnswer, PassedReply, RefusalReason};
+use crate::front_answer::{ForwardedReply, FrontAnswer, RefusalReason};
 use crate::front_context::FrontContext;
-use crate::front_event::{FrontEvent, LostAttempt, RequestEnd};
-use crate::front_metrics::{AttemptFate, QueryShape};
+use crate::front_event::{FrontEvent, RequestOutcome, UnansweredAttempt};
+use crate::front_metrics::{QueryShape, UnansweredReason};
 use crate::query_call::QueryCall;
 use crate::query_run::QueryRun;
 use crate::route_destination::RouteDestination;
-use crate::shard_part::ShardPart;
+use crate::shard_reply::ShardReply;
 
 /// The shortest time after which a caller should come back.
 const RETRY_AFTER_MIN: TimeSpan = TimeSpan::from_millis(60);
 /// What is added to it at random, so that callers who were refused together come back one by one.
-const RETRY_AFTER_SPREAD: TimeSpan = TimeSpan::from_millis(120);
+const RETRY_AFTER_JITTER: TimeSpan = TimeSpan::from_millis(120);
 
 /// What the time to come back after a refusal for want of room is spread over, so that callers who were
 /// refused together come back one by one.
-const ROOM_SPREAD: std::ops::Range<f64> = 0.5..1.5;
+const REFUSAL_JITTER_FACTOR: std::ops::Range<f64> = 0.5..1.5;
 
 impl QueryRun<'_> {
     pub(super) fn finish(mut self, step: AnswerStep) -> FrontAnswer {
-        self.is_over.store(true, Ordering::Relaxed);
-        self.let_linger();
-        self.look_for_crashes();
+        self.is_request_finished.store(true, Ordering::Relaxed);
+        self.drain_attempts();
+        self.probe_crash_suspects();
         let answer = match step {
             AnswerStep::Answer | AnswerStep::Wait(_) => {
                 self.clear_strikes();
-                self.success()
+                self.success_answer()
             }
-            AnswerStep::GiveUp => self.failure(false),
-            AnswerStep::TimeUp => self.failure(true),
+            AnswerStep::GiveUp => self.failure_answer(false),
+            AnswerStep::TimeUp => self.failure_answer(true),
         };
-        self.report(self.end_of(&answer));
+        self.report_outcome(self.request_outcome(&answer));
         answer
     }
 
     /// Lets the attempts that are still out go on for a while, so that their connections are kept.
-    pub(super) fn let_linger(&mut self) {
-        for ask in &mut self.asks {
-            ask.ticket.answered();
+    pub(super) fn drain_attempts(&mut self) {
+        for ask in &mut self.group_requests {
+            ask.call.mark_answered();
         }
         if self.attempts.is_empty() {
             return;
         }
         let mut attempts = std::mem::take(&mut self.attempts);
-        let linger = self.context.options.linger.as_duration();
+        let linger = self.context.options.drain_timeout.as_duration();
         let state = Arc::clone(&self.route.state);
         tokio::spawn(async move {
             let drain = async {
                 while let Some(report) = attempts.next().await {
-                    if matches!(report.end, AttemptEnd::Success(_)) {
-                        state.note_time(report.took);
+                    if matches!(report.outcome, AttemptOutcome::Success(_)) {
+                        state.record_latency(report.elapsed);
                     }
                 }
             };
@@ -73,22 +73,24 @@
         });
     }
 
-    pub(super) fn success(&mut self) -> FrontAnswer {
+    pub(super) fn success_answer(&mut self) -> FrontAnswer {
         let RouteDestination::Shards { records, .. } = self.route.rule.destination else {
-            let part = self.shards.iter_mut().find_map(|shard| shard.part.take());
+            let part = self.shards.iter_mut().find_map(|shard| shard.reply.take());
             return match part {
-                Some(ShardPart::Own(part)) => FrontAnswer::Passed(part.reply),
-                Some(ShardPart::Merged { .. }) | None => FrontAnswer::Unknown { is_late: false },
+                Some(ShardReply::Single(part)) => FrontAnswer::Forwarded(part.reply),
+                Some(ShardReply::Merged { .. }) | None => FrontAnswer::Unknown {
+                    is_timed_out: false,
+                },
             };
         };
-        let parts: Vec<&ShardPart> = self
+        let parts: Vec<&ShardReply> = self
             .shards
             .iter()
-            .filter_map(|shard| shard.part.as_ref())
+            .filter_map(|shard| shard.reply.as_ref())
             .collect();
         let own = parts.iter().filter_map(|part| match part {
-            ShardPart::Own(reply) => Some(&reply.reply.body),
-            ShardPart::Merged { .. } => None,
+            ShardReply::Single(reply) => Some(&reply.reply.body),
+            ShardReply::Merged { .. } => None,
         });
         FrontAnswer::Gathered {
             proofs: parts
@@ -96,22 +98,22 @@
                 .filter_map(|part| part.proof().cloned())
                 .collect(),
             missing: self.shards.len() - parts.len(),
-            records: top_records::greatest(own.chain(&self.blocks), records),
+            records: top_records::greatest_records(own.chain(&self.merged_blocks), records),
         }
     }
 
     /// Calls off the attempts that have sent nothing yet: the request has not run there.
-    fn call_off_unsent(&mut self) {
-        for open in self.open.drain(..) {
-            if open.phase.call_off() {
-                self.shards[open.shard].note_unsent();
+    fn cancel_unsent(&mut self) {
+        for open in self.open_attempts.drain(..) {
+            if open.phase.cancel() {
+                self.shards[open.shard].record_unsent();
             }
         }
     }
 
-    pub(super) fn failure(&mut self, is_late: bool) -> FrontAnswer {
-        self.call_off_unsent();
-        let has_run = self.shards.iter().any(|shard| shard.ran > 0);
+    pub(super) fn failure_answer(&mut self, is_late: bool) -> FrontAnswer {
+        self.cancel_unsent();
+        let has_run = self.shards.iter().any(|shard| shard.possible_runs > 0);
         if !has_run {
             let is_asked = self.shards.iter().any(|shard| !shard.tried.is_empty());
             return FrontAnswer::NotRun {
@@ -129,91 +131,93 @@
             .iter_mut()
             .find_map(|shard| shard.failure.take());
         match failure {
-            Some(failure) if !is_gathered => FrontAnswer::Passed(failure.reply),
-            _ => FrontAnswer::Unknown { is_late },
+            Some(failure) if !is_gathered => FrontAnswer::Forwarded(failure.reply),
+            _ => FrontAnswer::Unknown {
+                is_timed_out: is_late,
+            },
         }
     }
 
-    fn end_of(&self, answer: &FrontAnswer) -> RequestEnd {
+    fn request_outcome(&self, answer: &FrontAnswer) -> RequestOutcome {
         match answer {
-            FrontAnswer::Gathered { missing: 0, .. } => RequestEnd::Complete,
+            FrontAnswer::Gathered { missing: 0, .. } => RequestOutcome::Complete,
             FrontAnswer::Gathered { missing, .. } => {
                 self.context.metrics.missing_parts.inc_by(*missing as u64);
-                RequestEnd::Partial
+                RequestOutcome::Partial
             }
-            FrontAnswer::Passed(PassedReply { status, .. }) if status.is_success() => {
-                RequestEnd::Complete
+            FrontAnswer::Forwarded(ForwardedReply { status, .. }) if status.is_success() => {
+                RequestOutcome::Complete
             }
-            FrontAnswer::Passed(_) => RequestEnd::TargetFailed,
-            FrontAnswer::NotRun { .. } => RequestEnd::NotRun,
-            FrontAnswer::Unknown { is_late: true } => RequestEnd::TimeUp,
-            FrontAnswer::Unknown { .. } | FrontAnswer::BadRequest(_) => RequestEnd::Unknown,
+            FrontAnswer::Forwarded(_) => RequestOutcome::TargetFailed,
+            FrontAnswer::NotRun { .. } => RequestOutcome::NotRun,
+            FrontAnswer::Unknown { is_timed_out: true } => RequestOutcome::TimeUp,
+            FrontAnswer::Unknown { .. } | FrontAnswer::BadRequest(_) => RequestOutcome::Unknown,
         }
     }
 
     /// Counts how the request ended, and writes a line unless that is ordinary.
-    pub(super) fn report(&mut self, end: RequestEnd) {
+    pub(super) fn report_outcome(&mut self, end: RequestOutcome) {
         self.is_reported = true;
-        self.note_need();
+        self.record_signal();
         let shape = match self.route.rule.destination {
             RouteDestination::Shards { .. } => QueryShape::Gathered,
             _ => QueryShape::Single,
         };
         let now = self.context.clock.now();
-        let took = now.since(self.call.arrived);
+        let took = now.since(self.call.arrived_at);
         self.context.metrics.observe_request(shape, end, took);
-        if end == RequestEnd::Complete && !event_log::is_sampled() {
+        if end == RequestOutcome::Complete && !event_log::sample_success() {
             return;
         }
         let build = || self.ended_event(end, now);
-        event_log::write_built(Level::Info, end.kind(), build);
+        event_log::write_with(Level::Info, end.kind(), build);
     }
 
     /// Notes at its pass what the query says of the room at its shards.
-    fn note_need(&mut self) {
-        let need = self.need();
-        if let Some(pass) = &mut self.pass {
-            pass.note_need(need);
+    fn record_signal(&mut self) {
+        let need = self.query_signal();
+        if let Some(pass) = &mut self.permit {
+            pass.record_signal(need);
         }
     }
 
-    fn need(&self) -> QueryNeed {
+    fn query_signal(&self) -> QuerySignal {
         // What a caller has used up before says nothing of the room, and must not close the gate.
-        let time = self.usable.as_secs_f64();
-        if let Some(enough_at) = self.enough_at {
-            let passed = enough_at.since(self.started).as_secs_f64();
-            return QueryNeed::Met(passed / time.max(1e-3));
+        let time = self.usable_time.as_secs_f64();
+        if let Some(enough_at) = self.min_coverage_at {
+            let passed = enough_at.since(self.started_at).as_secs_f64();
+            return QuerySignal::EnoughShards(passed / time.max(1e-3));
         }
         // Shards whose targets are gone or fail say nothing of the room.
-        let count = self.count();
-        let missing = self.shards.iter().filter(|shard| shard.part.is_none());
+        let count = self.count_shards();
+        let missing = self.shards.iter().filter(|shard| shard.reply.is_none());
         let held_up = missing
-            .filter(|shard| shard.is_refused || shard.open > 0)
+            .filter(|shard| shard.is_refused || shard.open_attempts > 0)
             .count();
-        if count.present + held_up >= count.least {
-            QueryNeed::Missed
+        if count.answered + held_up >= count.required {
+            QuerySignal::TimedOut
         } else {
-            QueryNeed::Unknown
+            QuerySignal::Uninformative
         }
     }
 
-    fn ended_event(&self, end: RequestEnd, now: TimePoint) -> FrontEvent {
-        let mut lost = self.lost.clone();
+    fn ended_event(&self, end: RequestOutcome, now: TimePoint) -> FrontEvent {
+        let mut lost = self.unanswered_attempts.clone();
         let mut present = self.shards.len();
         // A whole answer has taken its parts along, and misses none.
-        if end != RequestEnd::Complete {
-            lost.extend(self.unanswered(now));
-            present = self.count().present;
+        if end != RequestOutcome::Complete {
+            lost.extend(self.unanswered_attempts(now));
+            present = self.count_shards().answered;
         }
         FrontEvent::RequestEnded {
             request: self.call.request_id.to_string(),
             route: self.route.rule.name.clone(),
             version: self.route.version,
             end,
-            took_ms: now.since(self.call.arrived).as_millis(),
+            took_ms: now.since(self.call.arrived_at).as_millis(),
             shards: self.shards.len(),
             present,
-            attempts: self.sent,
+            attempts: self.attempts_sent,
             is_idempotent: self.route.rule.is_idempotent,
             lost,
             without_target: self.services_without_target(),
@@ -221,17 +225,21 @@
     }
 
     /// Gets the attempts of missing shards that are still out: their targets are slow or silent.
-    fn unanswered(&self, now: TimePoint) -> Vec<LostAttempt> {
-        let missing = self.shards.iter().filter(|shard| shard.part.is_none());
-        let tried = missing.flat_map(|shard| shard.tried.iter().zip(&shard.sent));
-        let open = tried.map(|(target, sent)| LostAttempt {
+    fn unanswered_attempts(&self, now: TimePoint) -> Vec<UnansweredAttempt> {
+        let missing = self.shards.iter().filter(|shard| shard.reply.is_none());
+        let tried = missing.flat_map(|shard| shard.tried.iter().zip(&shard.sent_at));
+        let open = tried.map(|(target, sent)| UnansweredAttempt {
             target: target.entry().id.clone(),
-            fate: AttemptFate::Open,
+            reason: UnansweredReason::Open,
             status: None,
             age: now.since(*sent),
         });
-        open.filter(|open| self.lost.iter().all(|ended| ended.target != open.target))
-            .collect()
+        open.filter(|open| {
+            self.unanswered_attempts
+                .iter()
+                .all(|ended| ended.target != open.target)
+        })
+        .collect()
     }
 
     fn services_without_target(&self) -> Vec<String> {
@@ -266,7 +274,7 @@
         reason,
     }
     .emit(Level::Info);
-    let spread: f64 = rand::rng().random_range(ROOM_SPREAD);
+    let spread: f64 = rand::rng().random_range(REFUSAL_JITTER_FACTOR);
     FrontAnswer::NotRun {
         reason,
         retry_after: refusal.retry_after.mul_f64(spread),
@@ -276,5 +284,5 @@
 /// Gets when a caller whose targets refused should come back.
 fn retry_after() -> TimeSpan {
     let spread: f64 = rand::rng().random_range(0.0..1.0);
-    RETRY_AFTER_MIN + RETRY_AFTER_SPREAD.mul_f64(spread)
+    RETRY_AFTER_MIN + RETRY_AFTER_JITTER.mul_f64(spread)
 }
--- a/alderhaven-front/src/query_run/crashes.rs
+++ b/alderhaven-front/src/query_run/crash_detection.rs
@@ -26,10 +26,10 @@
 
 /// The lost attempts of a request that are looked into: two targets are enough for a judgement, and
 /// each look is a connection.
-const MOST_LOOKS: usize = 4;
+const MAX_CRASH_PROBES: usize = 4;
 
 /// How long a look waits: a host whose process is gone refuses within a millisecond or two.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(300);
+const CRASH_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A `CrashSuspect` is a target that lost an attempt.
 pub(super) struct CrashSuspect {
@@ -37,26 +37,26 @@
     target: Arc<TargetHandle>,
     /// The attempts of this process that were at the target.
     in_flight: usize,
-    at: TimePoint,
+    lost_at: TimePoint,
 }
 
 impl QueryRun<'_> {
     /// Notes that an attempt was sent and its connection ended without an answer.
     pub(super) fn suspect_crash(&mut self, shard: usize, target: &Arc<TargetHandle>) {
-        if self.suspects.len() < MOST_LOOKS {
-            self.suspects.push(CrashSuspect {
+        if self.crash_suspects.len() < MAX_CRASH_PROBES {
+            self.crash_suspects.push(CrashSuspect {
                 shard,
                 target: Arc::clone(target),
                 in_flight: target.gauge().in_flight() + 1,
-                at: self.context.clock.now(),
+                lost_at: self.context.clock.now(),
             });
         }
     }
 
     /// Looks into the lost attempts of shards that stay unanswered, beside the answer's way.
-    pub(super) fn look_for_crashes(&mut self) {
-        let mut suspects = std::mem::take(&mut self.suspects);
-        suspects.retain(|suspect| self.shards[suspect.shard].part.is_none());
+    pub(super) fn probe_crash_suspects(&mut self) {
+        let mut suspects = std::mem::take(&mut self.crash_suspects);
+        suspects.retain(|suspect| self.shards[suspect.shard].reply.is_none());
         if suspects.is_empty() {
             return;
         }
@@ -65,9 +65,9 @@
         let request = self.call.request_id.to_string();
         let clock = self.context.clock;
         tokio::spawn(async move {
-            let strikes = strikes_of(suspects, clock).await;
+            let strikes = probe_suspects(suspects, clock).await;
             if !strikes.is_empty() {
-                tell(&catalog, request, fingerprint, strikes);
+                publish_crashes(&catalog, request, fingerprint, strikes);
             }
         });
     }
@@ -80,50 +80,50 @@
         }
         let fingerprint = self.call.fingerprint();
         let shards = self.shards.iter().zip(0..);
-        for (_, place) in shards.filter(|(shard, _)| shard.part.is_some()) {
-            let wall_millis = wall_clock::millis();
+        for (_, place) in shards.filter(|(shard, _)| shard.reply.is_some()) {
+            let wall_millis = wall_clock::unix_millis();
             let board = catalog.crashes();
-            if let Some(body) = board.answered(&fingerprint, ShardId(place), wall_millis) {
+            if let Some(body) = board.record_answer(&fingerprint, ShardId(place), wall_millis) {
                 catalog.publish_strikes(&fingerprint, body, wall_millis);
             }
         }
     }
 }
 
-async fn strikes_of(suspects: Vec<CrashSuspect>, clock: ProcessClock) -> Vec<CrashStrike> {
+async fn probe_suspects(suspects: Vec<CrashSuspect>, clock: ProcessClock) -> Vec<CrashStrike> {
     let mut strikes = Vec::new();
     for suspect in suspects {
-        if is_gone(&suspect.target).await {
-            strikes.extend(strike_of(&suspect, clock.now()));
+        if refuses_connections(&suspect.target).await {
+            strikes.extend(build_strike(&suspect, clock.now()));
         }
     }
     strikes
 }
 
 /// Returns true where the target's host refuses connections: its process is gone.
-async fn is_gone(target: &TargetHandle) -> bool {
+async fn refuses_connections(target: &TargetHandle) -> bool {
     let connecting = TcpStream::connect(target.entry().address);
-    let looked = time::timeout(LOOK_TIMEOUT, connecting).await;
+    let looked = time::timeout(CRASH_PROBE_TIMEOUT, connecting).await;
     looked.is_ok_and(|opened| {
         opened.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused)
     })
 }
 
 /// Returns the strike; none where the target has a name or a domain that the product does not allow.
-fn strike_of(suspect: &CrashSuspect, now: TimePoint) -> Option<CrashStrike> {
+fn build_strike(suspect: &CrashSuspect, now: TimePoint) -> Option<CrashStrike> {
     let entry = suspect.target.entry();
     Some(CrashStrike {
-        crash: rand::rng().random(),
+        crash_id: rand::rng().random(),
         target: entry.id.parse().ok()?,
         domain: entry.domain.clone()?,
         shard: ShardId(u32::try_from(suspect.shard).unwrap_or(u32::MAX)),
         in_flight: u32::try_from(suspect.in_flight).unwrap_or(u32::MAX),
-        at: suspect.at.min(now),
+        at: suspect.lost_at.min(now),
         cleared: false,
     })
 }
 
-fn tell(
+fn publish_crashes(
     catalog: &Catalog,
     request: String,
     fingerprint: RequestFingerprint,
@@ -136,8 +136,11 @@
         targets: targets.collect(),
     }
     .emit(Level::Warn);
-    let wall_millis = wall_clock::millis();
-    if let Some(body) = catalog.crashes().note(fingerprint, strikes, wall_millis) {
+    let wall_millis = wall_clock::unix_millis();
+    if let Some(body) = catalog
+        .crashes()
+        .record_strikes(fingerprint, strikes, wall_millis)
+    {
         catalog.publish_strikes(&fingerprint, body, wall_millis);
     }
 }
--- a/alderhaven-front/src/query_run/groups.rs
+++ b/alderhaven-front/src/query_run/group_requests.rs
@@ -5,17 +5,17 @@
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_peer::group_messages::{GroupAsk, GroupEnd, GroupOutcome, GroupReply, HeaderField};
-use alderhaven_policy::replica_gauge::AttemptResult;
+use alderhaven_policy::replica_stats::AttemptResult;
 use bytes::Bytes;
 use http::HeaderValue;
 
-use crate::front_event::LostAttempt;
-use crate::front_metrics::{AttemptFate, SendKind};
-use crate::group_links::{GroupNews, GroupTicket};
-use crate::group_plan::{ChosenShard, ShardGroup};
-use crate::query_run::{QueryRun, silence};
+use crate::front_event::UnansweredAttempt;
+use crate::front_metrics::{AttemptKind, UnansweredReason};
+use crate::group_links::{GroupCall, GroupEvent};
+use crate::group_plan::{ShardAssignment, ShardGroup};
+use crate::query_run::{QueryRun, silent_domains};
 use crate::route_destination::RouteDestination;
-use crate::shard_part::ShardPart;
+use crate::shard_reply::ShardReply;
 use crate::target_handle::TargetHandle;
 
 /// How long before its hedges a query wants the replies of another front: the way between failure
@@ -23,61 +23,61 @@
 const FLUSH_LEAD: TimeSpan = TimeSpan::from_millis(3);
 
 /// How long after its hedges a query that has heard nothing sends no more on that connection.
-const FLUSH_LATE: TimeSpan = TimeSpan::from_millis(60);
+const FLUSH_GRACE: TimeSpan = TimeSpan::from_millis(60);
 
 /// How long after its hedges a query gives up an ask that has heard nothing: a front that is busy or
 /// paused has answered by then.
-const ASK_LOST: TimeSpan = TimeSpan::from_millis(240);
+const FIRST_REPLY_GRACE: TimeSpan = TimeSpan::from_millis(240);
 
 /// An `AskKind` is what another front is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AskKind {
+pub(super) enum GroupRequestKind {
     /// The first attempts of shards, whose records it merges.
-    Firsts,
+    FirstAttempts,
     /// Hedges, whose replies it sends one by one.
     Hedges,
 }
 
 /// An ask of a query that is open at another front.
-pub(super) struct GroupQuery {
-    pub(super) ticket: GroupTicket,
+pub(super) struct PendingGroupRequest {
+    pub(super) call: GroupCall,
     /// The shards with their targets; none where the attempt has ended.
     pub(super) shards: Vec<Option<(usize, Arc<TargetHandle>)>>,
-    pub(super) sent: TimePoint,
+    pub(super) sent_at: TimePoint,
     /// When its first reply is due.
     due_at: TimePoint,
     /// Whether any reply has come.
-    is_heard: bool,
+    has_reply: bool,
     /// Whether its connection was given up, because nothing was heard when it was due.
-    pub(super) is_missed: bool,
+    pub(super) is_overdue: bool,
 }
 
-impl GroupQuery {
+impl PendingGroupRequest {
     /// Returns true where nothing was heard yet.
-    fn is_silent(&self) -> bool {
-        !self.is_heard && !self.is_given_up()
+    fn awaits_first_reply(&self) -> bool {
+        !self.has_reply && !self.is_finished()
     }
 
     /// Returns true where all its shards have ended or were given up.
-    fn is_given_up(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.shards.iter().all(Option::is_none)
     }
 
     /// Notes at the targets that have not answered how long they have been out.
-    fn note_late(&self, usual: TimeSpan, now: TimePoint) {
+    fn record_unanswered(&self, usual: TimeSpan, now: TimePoint) {
         for (_, target) in self.shards.iter().flatten() {
             target
                 .gauge()
-                .end(self.sent, usual, AttemptResult::CalledOff, now);
+                .end_attempt(self.sent_at, usual, AttemptResult::Cancelled, now);
         }
     }
 }
 
 /// Waits for what is heard of any ask; for ever where there is none.
-pub(super) async fn next_news(asks: &mut [GroupQuery]) -> (usize, GroupNews) {
+pub(super) async fn next_event(asks: &mut [PendingGroupRequest]) -> (usize, GroupEvent) {
     std::future::poll_fn(|context| {
         for (place, ask) in asks.iter_mut().enumerate() {
-            if let Poll::Ready(Some(news)) = ask.ticket.news.poll_recv(context) {
+            if let Poll::Ready(Some(news)) = ask.call.events.poll_recv(context) {
                 return Poll::Ready((place, news));
             }
         }
@@ -89,38 +89,38 @@
 impl QueryRun<'_> {
     /// Asks a group of shards through a front of their targets' failure domain; where none is
     /// connected they come back to be asked directly.
-    pub(super) fn ask(
+    pub(super) fn send_group(
         &mut self,
         group: ShardGroup,
-        kind: AskKind,
+        kind: GroupRequestKind,
         now: TimePoint,
-    ) -> Vec<ChosenShard> {
+    ) -> Vec<ShardAssignment> {
         let hedge_at = self.hedge_time().hedge_at(now);
-        let ask = self.group_ask(&group, kind, hedge_at, now);
-        let Some(ticket) = self.context.links.ask(&group.domain, ask) else {
+        let ask = self.build_group_request(&group, kind, hedge_at, now);
+        let Some(ticket) = self.context.links.send(&group.domain, ask) else {
             return group.shards;
         };
         for (place, target) in &group.shards {
-            self.note_sent(*place, Arc::clone(target), hedge_at, now);
-            if kind == AskKind::Firsts {
-                self.context.metrics.observe_send(SendKind::Relayed);
+            self.record_sent(*place, Arc::clone(target), hedge_at, now);
+            if kind == GroupRequestKind::FirstAttempts {
+                self.context.metrics.observe_attempt(AttemptKind::Relayed);
             }
         }
-        self.asks.push(GroupQuery {
-            ticket,
+        self.group_requests.push(PendingGroupRequest {
+            call: ticket,
             shards: group.shards.into_iter().map(Some).collect(),
-            sent: now,
+            sent_at: now,
             due_at: hedge_at,
-            is_heard: false,
-            is_missed: false,
+            has_reply: false,
+            is_overdue: false,
         });
         Vec::new()
     }
 
-    pub(super) fn group_ask(
+    pub(super) fn build_group_request(
         &self,
         group: &ShardGroup,
-        kind: AskKind,
+        kind: GroupRequestKind,
         hedge_at: TimePoint,
         now: TimePoint,
     ) -> GroupAsk {
@@ -148,53 +148,57 @@
             targets: targets.collect(),
             records: u32::try_from(records).unwrap_or(u32::MAX),
             flush_us: hedge_at.since(now).saturating_sub(FLUSH_LEAD).as_micros(),
-            remaining_us: self.attempt_ends_at().since(now).as_micros(),
-            usual_us: self.usual.as_micros(),
-            is_separate: kind == AskKind::Hedges,
+            remaining_us: self.attempt_deadline().since(now).as_micros(),
+            usual_us: self.typical_latency.as_micros(),
+            is_separate: kind == GroupRequestKind::Hedges,
         }
     }
 
     /// Gives up the links whose fronts have said nothing although their flush is overdue, and the asks
     /// that are overdue for long.
-    pub(super) fn give_up_silent_asks(&mut self, now: TimePoint) {
-        for place in 0..self.asks.len() {
-            let ask = &self.asks[place];
-            if !ask.is_silent() {
+    pub(super) fn expire_silent_requests(&mut self, now: TimePoint) {
+        for place in 0..self.group_requests.len() {
+            let ask = &self.group_requests[place];
+            if !ask.awaits_first_reply() {
                 continue;
             }
-            if now >= ask.due_at + FLUSH_LATE && !ask.is_missed {
-                ask.ticket.missed();
-                self.miss_ask(place, now);
+            if now >= ask.due_at + FLUSH_GRACE && !ask.is_overdue {
+                ask.call.mark_overdue();
+                self.record_overdue_request(place, now);
             }
-            if now >= self.asks[place].due_at + ASK_LOST {
-                self.lose_ask(place);
+            if now >= self.group_requests[place].due_at + FIRST_REPLY_GRACE {
+                self.fail_group_request(place);
             }
         }
     }
 
     /// Gets when an ask that has heard nothing is to be looked at next.
-    pub(super) fn next_look(&self, now: TimePoint) -> Option<TimePoint> {
-        let silent = self.asks.iter().filter(|ask| ask.is_silent());
-        let looks = silent.flat_map(|ask| [ask.due_at + FLUSH_LATE, ask.due_at + ASK_LOST]);
+    pub(super) fn next_expiry_check(&self, now: TimePoint) -> Option<TimePoint> {
+        let silent = self
+            .group_requests
+            .iter()
+            .filter(|ask| ask.awaits_first_reply());
+        let looks =
+            silent.flat_map(|ask| [ask.due_at + FLUSH_GRACE, ask.due_at + FIRST_REPLY_GRACE]);
         looks.filter(|look| *look > now).min()
     }
 
-    pub(super) fn take_news(&mut self, place: usize, news: GroupNews) {
+    pub(super) fn handle_group_event(&mut self, place: usize, news: GroupEvent) {
         match news {
-            GroupNews::Reply(reply) => self.take_group_reply(place, reply),
-            GroupNews::Lost => self.lose_ask(place),
+            GroupEvent::Reply(reply) => self.handle_group_reply(place, reply),
+            GroupEvent::Lost => self.fail_group_request(place),
         }
     }
 
     /// Takes over the ends of attempts that another front made, and the records that it merged.
-    pub(super) fn take_group_reply(&mut self, place: usize, reply: GroupReply) {
+    pub(super) fn handle_group_reply(&mut self, place: usize, reply: GroupReply) {
         let now = self.context.clock.now();
-        let ask = &mut self.asks[place];
-        if ask.is_given_up() {
+        let ask = &mut self.group_requests[place];
+        if ask.is_finished() {
             // The block would hold records of shards that were asked again.
             return;
         }
-        ask.is_heard = true;
+        ask.has_reply = true;
         let mut ended = Vec::with_capacity(reply.ends.len());
         for end in reply.ends {
             let slot = usize::try_from(end.place).unwrap_or(usize::MAX);
@@ -202,31 +206,31 @@
                 ended.push((shard, end));
             }
         }
-        ask.note_late(self.usual, now);
+        ask.record_unanswered(self.typical_latency, now);
         let answered = |end: &GroupEnd| end.outcome() == GroupOutcome::Answered;
         // Records of a shard that is in another block already would count twice.
         let is_doubled = ended.iter().any(|((shard, _), end)| {
-            let part = &self.shards[*shard].part;
-            answered(end) && matches!(part, Some(ShardPart::Merged { .. }))
+            let part = &self.shards[*shard].reply;
+            answered(end) && matches!(part, Some(ShardReply::Merged { .. }))
         });
         let is_single = ended.iter().filter(|(_, end)| answered(end)).count() == 1;
-        let block = self.blocks.len();
+        let block = self.merged_blocks.len();
         if !is_doubled && !is_single {
-            self.blocks.push(reply.records.clone());
+            self.merged_blocks.push(reply.records.clone());
         }
         for ((shard, target), end) in ended {
-            self.shards[shard].open -= 1;
+            self.shards[shard].open_attempts -= 1;
             let took = TimeSpan::from_micros(end.took_us);
             if !answered(&end) {
-                self.lose_attempt(shard, &target, end.outcome(), took, now);
+                self.handle_failed_attempt(shard, &target, end.outcome(), took, now);
                 continue;
             }
             let sent = TimePoint::START + now.since(TimePoint::START).saturating_sub(took);
             target
                 .gauge()
-                .end(sent, self.usual, AttemptResult::Answered, now);
-            silence::note_answer(&target, now);
-            self.route.state.note_time(took);
+                .end_attempt(sent, self.typical_latency, AttemptResult::Answered, now);
+            silent_domains::record_answer(&target, now);
+            self.route.state.record_latency(took);
             let Ok(proof) = HeaderValue::from_maybe_shared(end.proof) else {
                 continue;
             };
@@ -234,18 +238,21 @@
             if is_single {
                 run.hedge_at = None;
                 // One shard's records can be left out again, unlike those of a block.
-                let own = ShardPart::of_records(reply.records.clone(), proof);
-                run.part.get_or_insert(own);
+                let own = ShardReply::from_records(reply.records.clone(), proof);
+                run.reply.get_or_insert(own);
             } else if !is_doubled {
                 run.hedge_at = None;
                 // The block holds the shard's records: a reply to a hedge gives way to it.
-                run.part = Some(ShardPart::Merged { block, proof });
+                run.reply = Some(ShardReply::Merged {
+                    block_index: block,
+                    proof,
+                });
             }
         }
     }
 
     /// Notes an attempt through another front that brought no answer.
-    pub(super) fn lose_attempt(
+    pub(super) fn handle_failed_attempt(
         &mut self,
         place: usize,
         target: &Arc<TargetHandle>,
@@ -256,54 +263,54 @@
         let sent = TimePoint::START + now.since(TimePoint::START).saturating_sub(took);
         target
             .gauge()
-            .end(sent, self.usual, AttemptResult::Failed, now);
+            .end_attempt(sent, self.typical_latency, AttemptResult::Failed, now);
         let shard = &mut self.shards[place];
         match outcome {
             GroupOutcome::NotRun => {
-                shard.note_refused();
+                shard.record_refused();
                 shard.is_refused = true;
             }
-            GroupOutcome::NotSent => shard.note_unsent(),
+            GroupOutcome::NotSent => shard.record_unsent(),
             _ => {}
         }
         if outcome == GroupOutcome::Lost {
             self.suspect_crash(place, target);
         }
-        self.note_lost(LostAttempt {
+        self.record_unanswered(UnansweredAttempt {
             target: target.entry().id.clone(),
-            fate: match outcome {
-                GroupOutcome::NotRun => AttemptFate::NotRun,
-                GroupOutcome::NotSent => AttemptFate::Unreachable,
-                GroupOutcome::Failed => AttemptFate::Failed,
-                GroupOutcome::Lost | GroupOutcome::Answered => AttemptFate::Lost,
+            reason: match outcome {
+                GroupOutcome::NotRun => UnansweredReason::NotRun,
+                GroupOutcome::NotSent => UnansweredReason::Unreachable,
+                GroupOutcome::Failed => UnansweredReason::Failed,
+                GroupOutcome::Lost | GroupOutcome::Answered => UnansweredReason::Lost,
             },
             status: None,
             age: took,
         });
         let shard = &self.shards[place];
-        if shard.part.is_none() && shard.open == 0 {
+        if shard.reply.is_none() && shard.open_attempts == 0 {
             self.retry(place, now);
         }
     }
 
     /// Ends the attempts of an ask whose connection is lost.
-    pub(super) fn lose_ask(&mut self, place: usize) {
+    pub(super) fn fail_group_request(&mut self, place: usize) {
         let now = self.context.clock.now();
-        let shards: Vec<_> = self.asks[place]
+        let shards: Vec<_> = self.group_requests[place]
             .shards
             .iter_mut()
             .filter_map(Option::take)
             .collect();
         for (shard, target) in shards {
-            self.shards[shard].open -= 1;
-            self.note_lost(LostAttempt {
+            self.shards[shard].open_attempts -= 1;
+            self.record_unanswered(UnansweredAttempt {
                 target: target.entry().id.clone(),
-                fate: AttemptFate::LinkLost,
+                reason: UnansweredReason::LinkLost,
                 status: None,
-                age: now.since(self.asks[place].sent),
+                age: now.since(self.group_requests[place].sent_at),
             });
             let run = &self.shards[shard];
-            if run.part.is_none() && run.open == 0 {
+            if run.reply.is_none() && run.open_attempts == 0 {
                 self.retry(shard, now);
             }
         }
--- /dev/null
+++ b/alderhaven-front/src/query_run/silent_domains.rs
@@ -0,0 +1,182 @@
+//! Attempts at failure domains that have fallen silent.
+
+use std::sync::Arc;
+
+use alderhaven_core::time::{TimePoint, TimeSpan};
+use alderhaven_policy::domain_silence;
+use log::Level;
+
+use crate::abandoned_status::AbandonedStatus;
+use crate::attempt::{AttemptOutcome, AttemptReport};
+use crate::front_event::{FrontEvent, UnansweredAttempt};
+use crate::front_metrics::UnansweredReason;
+use crate::query_run::QueryRun;
+use crate::target_handle::TargetHandle;
+
+/// How often attempts at silent failure domains are looked at.
+const SILENCE_CHECK_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
+
+/// A `LeftAttempt` is an attempt that is given up with its failure domain.
+struct AbandonedAttempt {
+    shard: usize,
+    target: Arc<TargetHandle>,
+    status: AbandonedStatus,
+}
+
+/// Notes an answer of a target as one of its failure domain.
+pub(super) fn record_answer(target: &TargetHandle, now: TimePoint) {
+    if target.silence().record_answer(now) {
+        FrontEvent::DomainHeard {
+            domain: domain_name(target),
+        }
+        .emit(Level::Info);
+    }
+}
+
+/// Notes what the end of an attempt says of its target's failure domain.
+pub(super) fn record_outcome(report: &AttemptReport, now: TimePoint) {
+    match report.outcome {
+        AttemptOutcome::Success(_)
+        | AttemptOutcome::Failure(_)
+        | AttemptOutcome::NotRun
+        | AttemptOutcome::WrongTarget => record_answer(&report.target, now),
+        // A connection that can't be made, or ends, may do so on this side.
+        AttemptOutcome::Unreachable | AttemptOutcome::Cancelled | AttemptOutcome::Lost => {}
+    }
+}
+
+fn record_overdue(target: &TargetHandle, sent: TimePoint, now: TimePoint) {
+    if target.silence().record_overdue(sent, now) {
+        FrontEvent::DomainSilent {
+            domain: domain_name(target),
+        }
+        .emit(Level::Warn);
+    }
+}
+
+/// Gets what becomes of an attempt that was sent.
+fn status_after_send(target: &TargetHandle, now: TimePoint) -> AbandonedStatus {
+    if target.silence().is_lost(now) {
+        AbandonedStatus::DomainLost
+    } else {
+        AbandonedStatus::MayRun
+    }
+}
+
+fn domain_name(target: &TargetHandle) -> String {
+    let domain = target.entry().domain.clone();
+    domain.map(String::from).unwrap_or_default()
+}
+
+impl QueryRun<'_> {
+    /// Tells the failure domains of attempts that were out for long that they say nothing.
+    pub(super) fn record_overdue_attempts(&mut self, now: TimePoint) {
+        let wait = domain_silence::source_timeout(self.typical_latency);
+        for open in &mut self.open_attempts {
+            if !open.is_overdue && now >= open.sent_at + wait {
+                open.is_overdue = true;
+                record_overdue(&open.target, open.sent_at, now);
+            }
+        }
+    }
+
+    /// Tells the failure domain of an ask that its front says nothing.
+    pub(super) fn record_overdue_request(&mut self, place: usize, now: TimePoint) {
+        let ask = &mut self.group_requests[place];
+        ask.is_overdue = true;
+        if let Some((_, target)) = ask.shards.iter().flatten().next() {
+            record_overdue(target, ask.sent_at, now);
+        }
+    }
+
+    /// Gets when the attempts that are out are to be looked at for the silence of their failure domains.
+    pub(super) fn next_silence_check(&self, now: TimePoint) -> Option<TimePoint> {
+        let wait = domain_silence::source_timeout(self.typical_latency);
+        let looks = self.open_attempts.iter().map(|open| {
+            if open.is_overdue {
+                now + SILENCE_CHECK_INTERVAL
+            } else {
+                open.sent_at + wait
+            }
+        });
+        looks.min()
+    }
+
+    /// Gives up the attempts at silent failure domains, and asks replicas elsewhere.
+    pub(super) fn abandon_silent(&mut self, now: TimePoint) {
+        if !self.route.rule.is_idempotent {
+            return;
+        }
+        let mut silent = self.take_silent_attempts(now);
+        silent.extend(self.take_silent_requests(now));
+        for left in silent {
+            self.shards[left.shard].abandon(Arc::clone(&left.target), left.status);
+            self.record_unanswered(UnansweredAttempt {
+                target: left.target.entry().id.clone(),
+                reason: UnansweredReason::Silent,
+                status: None,
+                age: domain_silence::source_timeout(self.typical_latency),
+            });
+            let run = &self.shards[left.shard];
+            if run.reply.is_none() && run.open_attempts == 0 {
+                self.retry(left.shard, now);
+            }
+        }
+    }
+
+    /// Returns true where an attempt at a silent failure domain may be given up: another replica may be
+    /// asked, or the domain is lost.
+    fn may_abandon(&self, shard: usize, target: &TargetHandle, now: TimePoint) -> bool {
+        let silence = *target.silence();
+        let has_more = self.shards[shard].counted_targets() < self.route.rule.max_targets;
+        silence.is_silent(now) && (has_more || silence.is_lost(now))
+    }
+
+    /// Takes out the attempts of its own that were out for long at silent failure domains.
+    fn take_silent_attempts(&mut self, now: TimePoint) -> Vec<AbandonedAttempt> {
+        let mut left = Vec::new();
+        let open = std::mem::take(&mut self.open_attempts);
+        for open in open {
+            let is_wanted = self.shards[open.shard].reply.is_none();
+            if !open.is_overdue || !is_wanted || !self.may_abandon(open.shard, &open.target, now) {
+                self.open_attempts.push(open);
+                continue;
+            }
+            let fate = if open.phase.cancel() {
+                AbandonedStatus::Unsent
+            } else {
+                status_after_send(&open.target, now)
+            };
+            left.push(AbandonedAttempt {
+                shard: open.shard,
+                target: open.target,
+                status: fate,
+            });
+        }
+        left
+    }
+
+    /// Takes out whole asks at silent failure domains: a block that came yet would hold records of
+    /// shards that were asked again.
+    fn take_silent_requests(&mut self, now: TimePoint) -> Vec<AbandonedAttempt> {
+        let mut left = Vec::new();
+        for place in 0..self.group_requests.len() {
+            let ask = &self.group_requests[place];
+            let mut targets = ask.shards.iter().flatten();
+            let may_leave = targets.all(|(shard, target)| self.may_abandon(*shard, target, now));
+            if !ask.is_overdue || !may_leave {
+                continue;
+            }
+            let taken = self.group_requests[place].shards.iter_mut();
+            left.extend(taken.filter_map(Option::take).map(|(shard, target)| {
+                let fate = status_after_send(&target, now);
+                AbandonedAttempt {
+                    shard,
+                    target,
+                    status: fate,
+                }
+            }));
+        }
+        left
+    }
+}
--- a/alderhaven-front/src/route_destination.rs
+++ b/alderhaven-front/src/route_destination.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::shard_set::ShardSet;
+use crate::shard_set_id::ShardSetId;
 
 /// A `RouteDestination` is the service, or the services, of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -36,9 +36,9 @@
 impl RouteDestination {
     /// Gets the set of shards; none where a request goes to one service.
     #[must_use]
-    pub fn shard_set(&self) -> Option<ShardSet> {
+    pub fn shard_set_id(&self) -> Option<ShardSetId> {
         match self {
-            Self::Shards { services, .. } => Some(ShardSet::of(services)),
+            Self::Shards { services, .. } => Some(ShardSetId::of_services(services)),
             Self::Service(_) | Self::Split(_) => None,
         }
     }
--- a/alderhaven-front/src/route_state.rs
+++ b/alderhaven-front/src/route_state.rs
@@ -3,75 +3,83 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::caller_wait::{CallerDelay, CallerWait};
+use alderhaven_policy::caller_delay::{CallerDelay, CallerDelayEstimator};
 use alderhaven_policy::latency_window::LatencyWindow;
-use alderhaven_policy::weighted_split::WeightedSplit;
+use alderhaven_policy::weighted_round_robin::WeightedRoundRobin;
 
 /// The samples between two readings of the quantiles, which cost more than a sample.
-const READING_PERIOD: u32 = 32;
+const QUANTILE_REFRESH_SAMPLES: u32 = 32;
 
 /// The quantile of parts' times after which one counts as late.
 const LATE_QUANTILE: f64 = 0.88;
 
 /// The share of the latency target that an attempt takes while nothing was measured.
-const FIRST_USUAL_SHARE: f64 = 0.2;
+const DEFAULT_LATENCY_SHARE: f64 = 0.2;
 
 /// A `RouteState` holds the times of a route's attempts and the dealing of a split.
 #[derive(Debug, Default)]
 pub struct RouteState {
-    times: Mutex<RouteTimes>,
-    split: Mutex<WeightedSplit>,
-    wait: Mutex<CallerWait>,
+    latencies: Mutex<RouteLatencies>,
+    weighted_split: Mutex<WeightedRoundRobin>,
+    caller_delay: Mutex<CallerDelayEstimator>,
 }
 
 #[derive(Debug, Default)]
-struct RouteTimes {
+struct RouteLatencies {
     window: LatencyWindow,
-    since_reading: u32,
-    usual: Option<TimeSpan>,
-    late: Option<TimeSpan>,
+    samples_since_refresh: u32,
+    median: Option<TimeSpan>,
+    late_threshold: Option<TimeSpan>,
 }
 
 impl RouteState {
     /// Notes the time of an attempt that was answered.
-    pub fn note_time(&self, time: TimeSpan) {
-        let mut times = self.times();
+    pub fn record_latency(&self, time: TimeSpan) {
+        let mut times = self.lock_latencies();
         times.window.add(time);
-        times.since_reading += 1;
-        if times.since_reading >= READING_PERIOD || times.usual.is_none() {
-            times.since_reading = 0;
-            times.usual = times.window.quantile(0.5);
-            times.late = times.window.quantile(LATE_QUANTILE);
+        times.samples_since_refresh += 1;
+        if times.samples_since_refresh >= QUANTILE_REFRESH_SAMPLES || times.median.is_none() {
+            times.samples_since_refresh = 0;
+            times.median = times.window.quantile(0.5);
+            times.late_threshold = times.window.quantile(LATE_QUANTILE);
         }
     }
 
     /// Gets the usual time of an attempt, where the latency target is `target`.
     #[must_use]
-    pub fn usual(&self, target: TimeSpan) -> TimeSpan {
-        let usual = self.times().usual;
-        usual.unwrap_or_else(|| target.mul_f64(FIRST_USUAL_SHARE))
+    pub fn typical_latency(&self, target: TimeSpan) -> TimeSpan {
+        let usual = self.lock_latencies().median;
+        usual.unwrap_or_else(|| target.mul_f64(DEFAULT_LATENCY_SHARE))
     }
 
     /// Gets the time after which an attempt is late, where the latency target is `target`.
     #[must_use]
-    pub fn late(&self, target: TimeSpan) -> TimeSpan {
-        let late = self.times().late;
-        late.unwrap_or_else(|| target.mul_f64(2.0 * FIRST_USUAL_SHARE))
+    pub fn late_threshold(&self, target: TimeSpan) -> TimeSpan {
+        let late = self.lock_latencies().late_threshold;
+        late.unwrap_or_else(|| target.mul_f64(2.0 * DEFAULT_LATENCY_SHARE))
     }
 
     /// Gets how long a caller has waited already that has `time_left`.
-    pub fn waited(&self, time_left: TimeSpan, now: TimePoint) -> CallerDelay {
-        let mut wait = self.wait.lock().unwrap_or_else(PoisonError::into_inner);
-        wait.note(time_left, now)
+    pub fn record_caller_delay(&self, time_left: TimeSpan, now: TimePoint) -> CallerDelay {
+        let mut wait = self
+            .caller_delay
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        wait.record_time_left(time_left, now)
     }
 
     /// Deals the next request of a split.
-    pub fn deal(&self, weights: &[f64]) -> Option<usize> {
-        let mut split = self.split.lock().unwrap_or_else(PoisonError::into_inner);
+    pub fn next_split_index(&self, weights: &[f64]) -> Option<usize> {
+        let mut split = self
+            .weighted_split
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         split.next(weights)
     }
 
-    fn times(&self) -> MutexGuard<'_, RouteTimes> {
-        self.times.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_latencies(&self) -> MutexGuard<'_, RouteLatencies> {
+        self.latencies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/alderhaven-front/src/service_targets.rs
+++ b/alderhaven-front/src/service_targets.rs
@@ -3,22 +3,22 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::far_cost;
+use alderhaven_policy::cross_domain_cost;
 use alderhaven_policy::repeat_budget::RepeatBudget;
 
 use smallvec::SmallVec;
 
-use crate::target_handle::{TargetHandle, TargetStanding};
+use crate::target_handle::{TargetHandle, TargetStatus};
 
 /// What a target whose registration has lapsed must be faster by: it is used only where all others
 /// are stuck.
-const LAPSED_PENALTY: TimeSpan = TimeSpan::from_millis(200);
+const EXPIRED_PENALTY: TimeSpan = TimeSpan::from_millis(200);
 
 /// What a target in a silent failure domain must be faster by: it is used only where there is no other.
 const SILENT_PENALTY: TimeSpan = TimeSpan::from_millis(400);
 
 /// What a target must be faster by that lies in the failure domain of one that was tried already.
-const BESIDE_PENALTY: TimeSpan = TimeSpan::from_millis(100);
+const SAME_DOMAIN_PENALTY: TimeSpan = TimeSpan::from_millis(100);
 
 /// A `ServiceTargets` is a service as one view of the catalog shows it.
 #[derive(Clone, Debug)]
@@ -46,9 +46,9 @@
             .iter()
             .filter(|target| !is_tried(target))
             .filter_map(|target| {
-                let beside = tried.iter().any(|tried| tried.is_beside(target));
+                let beside = tried.iter().any(|tried| tried.shares_domain_with(target));
                 let penalty = if beside {
-                    BESIDE_PENALTY
+                    SAME_DOMAIN_PENALTY
                 } else {
                     TimeSpan::ZERO
                 };
@@ -79,27 +79,27 @@
 
 /// Gets what an attempt at the target is expected to cost; none where it may not be used.
 fn cost(target: &TargetHandle, usual: TimeSpan, now: TimePoint) -> Option<TimeSpan> {
-    let lapsed = match target.standing() {
-        TargetStanding::Ready => TimeSpan::ZERO,
-        TargetStanding::Lapsed(until) if now < until => LAPSED_PENALTY,
-        TargetStanding::Lapsed(_) | TargetStanding::Leaving => return None,
+    let lapsed = match target.status() {
+        TargetStatus::Ready => TimeSpan::ZERO,
+        TargetStatus::Expired(until) if now < until => EXPIRED_PENALTY,
+        TargetStatus::Expired(_) | TargetStatus::Leaving => return None,
     };
-    if target.is_evacuated() || !target.warmup().has_room(now) {
+    if target.is_evacuated() || !target.warmup().allows_request(now) {
         return None;
     }
     let gauge = target.gauge();
-    if gauge.is_aside(now) {
+    if gauge.is_ejected(now) {
         return None;
     }
-    let far = if target.is_near {
+    let far = if target.is_in_own_domain {
         TimeSpan::ZERO
     } else {
-        far_cost::far_cost(usual)
+        cross_domain_cost::cross_domain_cost(usual)
     };
     let silent = if target.silence().is_silent(now) {
         SILENT_PENALTY
     } else {
         TimeSpan::ZERO
     };
-    Some(gauge.expected(usual, target.entry().slots, now) + far + lapsed + silent)
+    Some(gauge.expected_cost(usual, target.entry().slots, now) + far + lapsed + silent)
 }
--- a/alderhaven-front/src/shard_part.rs
+++ b/alderhaven-front/src/shard_reply.rs
@@ -4,28 +4,28 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 
 use crate::attempt::TargetReply;
-use crate::front_answer::PassedReply;
+use crate::front_answer::ForwardedReply;
 
 /// A `ShardPart` is what stands for a shard in an answer.
 #[derive(Debug)]
-pub enum ShardPart {
+pub enum ShardReply {
     /// A target's own reply, or its records alone.
-    Own(TargetReply),
+    Single(TargetReply),
     /// The shard's records are among those of a block, which another front has merged.
     Merged {
         /// The place of the block in the query.
-        block: usize,
+        block_index: usize,
         /// The proof of the target's reply.
         proof: HeaderValue,
     },
 }
 
-impl ShardPart {
+impl ShardReply {
     /// Returns the answer of one shard that came through another front.
     #[must_use]
-    pub fn of_records(records: Bytes, proof: HeaderValue) -> Self {
-        Self::Own(TargetReply {
-            reply: PassedReply {
+    pub fn from_records(records: Bytes, proof: HeaderValue) -> Self {
+        Self::Single(TargetReply {
+            reply: ForwardedReply {
                 status: StatusCode::OK,
                 headers: HeaderMap::new(),
                 body: records,
@@ -38,7 +38,7 @@
     #[must_use]
     pub const fn proof(&self) -> Option<&HeaderValue> {
         match self {
-            Self::Own(reply) => reply.proof.as_ref(),
+            Self::Single(reply) => reply.proof.as_ref(),
             Self::Merged { proof, .. } => Some(proof),
         }
     }
--- a/alderhaven-front/src/shard_set.rs
+++ b/alderhaven-front/src/shard_set_id.rs
@@ -5,18 +5,18 @@
 
 /// A `ShardSet` stands for the services of a gathered route: routes over the same ones share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct ShardSet(u64);
+pub struct ShardSetId(u64);
 
-impl ShardSet {
+impl ShardSetId {
     /// Gets the set of one service.
     #[must_use]
-    pub fn single(service: &str) -> Self {
-        Self::of(&[service])
+    pub fn of_service(service: &str) -> Self {
+        Self::of_services(&[service])
     }
 
     /// Gets the set of these services.
     #[must_use]
-    pub fn of<S: Hash>(services: &[S]) -> Self {
+    pub fn of_services<S: Hash>(services: &[S]) -> Self {
         let mut hasher = DefaultHasher::new();
         services.hash(&mut hasher);
         Self(hasher.finish())
--- a/alderhaven-front/src/store_reach.rs
+++ b/alderhaven-front/src/store_availability.rs
@@ -10,24 +10,25 @@
 use tokio::time;
 
 /// How long a follower waits for another one that asks again. A store may refuse one kind alone.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_500);
+const MAX_PROBE_WAIT: Duration = Duration::from_millis(1_500);
 
 /// A `StoreReach` is shared by the followers of one process.
 #[derive(Debug, Default)]
-pub struct StoreReach {
+pub struct StoreAvailability {
     /// The kind whose follower asks again; none where the last call was answered.
-    lost: watch::Sender<Option<ObjectKind>>,
+    probing_kind: watch::Sender<Option<ObjectKind>>,
 }
 
-impl StoreReach {
+impl StoreAvailability {
     /// Notes an answer.
-    pub fn note_answer(&self) {
-        self.lost.send_if_modified(|lost| lost.take().is_some());
+    pub fn record_success(&self) {
+        self.probing_kind
+            .send_if_modified(|lost| lost.take().is_some());
     }
 
     /// Notes a call of a kind's follower that was not answered.
-    pub fn note_failure(&self, kind: ObjectKind) {
-        self.lost.send_if_modified(|lost| {
+    pub fn record_failure(&self, kind: ObjectKind) {
+        self.probing_kind.send_if_modified(|lost| {
             let is_first = lost.is_none();
             lost.get_or_insert(kind);
             is_first
@@ -35,10 +36,10 @@
     }
 
     /// Waits while the follower of another kind asks again.
-    pub async fn wait_for_turn(&self, kind: ObjectKind) {
-        let mut lost = self.lost.subscribe();
+    pub async fn wait_while_probed(&self, kind: ObjectKind) {
+        let mut lost = self.probing_kind.subscribe();
         let is_free = lost.wait_for(|lost| lost.is_none_or(|asking| asking == kind));
         // Where the time is up, this kind may be answered though the other is not.
-        let _is_over = time::timeout(LONGEST_WAIT, is_free).await.is_err();
+        let _is_over = time::timeout(MAX_PROBE_WAIT, is_free).await.is_err();
     }
 }
