--- a/alderhaven-front/src/store_follower.rs
+++ b/alderhaven-front/src/store_follower.rs
@@ -21,37 +21,37 @@
 use crate::catalog::Catalog;
 use crate::front_event::FrontEvent;
 use crate::front_metrics::FrontMetrics;
-use crate::store_reach::StoreReach;
+use crate::store_availability::StoreAvailability;
 use crate::wall_clock;
 
 /// How long a watch waits for a change. A connection that went silent is noticed that much later,
 /// and a node that is in touch has some seconds to take a change over.
-const WATCH_WAIT: TimeSpan = TimeSpan::from_millis(3_000);
+const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(3_000);
 
 /// The same for evacuations, which are rare: the bound on them is longer than this.
-const EVACUATION_WAIT: TimeSpan = TimeSpan::from_millis(4_500);
+const EVACUATION_WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(4_500);
 
 /// The nodes that watch other kinds than the configuration: a target that leaves serves on for seconds,
 /// in which another node takes the place of those that were lost.
-const OTHER_WATCHERS: usize = 2;
+const NON_CONFIG_WATCHERS: usize = 2;
 
 /// The pause after a change of the configuration before the watch goes on, so that one call brings all
 /// that follows it closely: operators send changes in series, and each is due within seconds.
-const CONFIG_PAUSE: Duration = Duration::from_millis(250);
+const CONFIG_BATCH_DELAY: Duration = Duration::from_millis(250);
 
 /// The same after a change of targets, which register and leave in series within a second or two. One
 /// that leaves serves for three seconds more.
-const TARGET_PAUSE: Duration = Duration::from_millis(500);
+const TARGET_BATCH_DELAY: Duration = Duration::from_millis(500);
 
 /// How often a node that does not watch looks whether it should.
-const PLAN_PERIOD: Duration = Duration::from_millis(500);
+const WATCH_PLAN_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The time that the store has for the first list. A call that it does not answer is given up early, since
 /// it may be back meanwhile.
-const FIRST_TIMEOUT: Duration = Duration::from_millis(350);
+const INITIAL_LIST_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// How often a node that starts looks whether its peers have told it all.
-const PEER_LOOK: Duration = Duration::from_millis(10);
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The waits after failed calls: the second is long, since each call to a store that is down is paid
 /// for like any other.
@@ -68,13 +68,13 @@
     group: NodeGroup,
     node: NodeId,
     clock: ProcessClock,
-    options: WatchOptions,
+    watch_options: WatchOptions,
     kind: ObjectKind,
     revision: Option<StoreVersion>,
-    is_lost: bool,
+    is_store_lost: bool,
     metrics: FrontMetrics,
-    start: GroupStart,
-    reach: Arc<StoreReach>,
+    group_start: GroupStart,
+    availability: Arc<StoreAvailability>,
 }
 
 /// Gets how many nodes watch a kind. A change of the configuration is due everywhere soonest, and must
@@ -83,7 +83,7 @@
     let usual = WatchOptions::default();
     let watchers = match kind {
         ObjectKind::Routing => usual.watchers,
-        _ => OTHER_WATCHERS,
+        _ => NON_CONFIG_WATCHERS,
     };
     WatchOptions { watchers, ..usual }
 }
@@ -104,27 +104,27 @@
             group,
             node,
             clock: ProcessClock::default(),
-            options: watch_options(kind),
+            watch_options: watch_options(kind),
             kind,
             revision: None,
-            is_lost: false,
+            is_store_lost: false,
             metrics: FrontMetrics::default(),
-            start: GroupStart::default(),
-            reach: Arc::default(),
+            group_start: GroupStart::default(),
+            availability: Arc::default(),
         }
     }
 
     /// Takes over how the node starts.
     #[must_use]
-    pub const fn with_start(mut self, start: GroupStart) -> Self {
-        self.start = start;
+    pub const fn with_group_start(mut self, start: GroupStart) -> Self {
+        self.group_start = start;
         self
     }
 
     /// Shares with the other followers of the process whether the store answers.
     #[must_use]
-    pub fn with_reach(mut self, reach: Arc<StoreReach>) -> Self {
-        self.reach = reach;
+    pub fn with_availability(mut self, reach: Arc<StoreAvailability>) -> Self {
+        self.availability = reach;
         self
     }
 
@@ -138,27 +138,27 @@
     /// Follows the store for as long as the process runs.
     pub async fn run(mut self) {
         self.wait_for_peers().await;
-        self.learn_first().await;
+        self.load_initial_list().await;
         let mut backoff = RetryBackoff::new(BACKOFF);
         loop {
-            if !self.is_my_turn() {
+            if !self.should_watch() {
                 // What happened meanwhile is known only by list.
                 self.revision = None;
-                self.wait_for_turn().await;
+                self.wait_for_watch_plan_change().await;
                 continue;
             }
-            match self.step().await {
+            match self.list_or_watch().await {
                 Ok(is_changed) => {
                     backoff.reset();
-                    self.note_reached();
+                    self.record_success();
                     if is_changed {
-                        time::sleep(self.batch_pause()).await;
+                        time::sleep(self.batch_delay()).await;
                     }
                 }
                 Err(error) => {
-                    self.note_lost(&error);
-                    self.pause_lost(&mut backoff).await;
-                    self.reach.wait_for_turn(self.kind).await;
+                    self.record_failure(&error);
+                    self.wait_before_retry(&mut backoff).await;
+                    self.availability.wait_while_probed(self.kind).await;
                 }
             }
         }
@@ -170,111 +170,113 @@
         let started = self.clock.now();
         loop {
             if self.group.is_complete() {
-                self.catalog.set_told();
+                self.catalog.mark_listed_by_peer();
                 return;
             }
             let waited = self.clock.now().since(started);
-            if waited >= self.start.chance(self.start_view()) {
+            if waited >= self.group_start.peer_wait(self.start_view()) {
                 return;
             }
-            time::sleep(PEER_LOOK).await;
+            time::sleep(PEER_POLL_INTERVAL).await;
         }
     }
 
     /// Asks the store until something is known, at short intervals: until then each request is refused.
-    async fn learn_first(&mut self) {
-        while !self.catalog.is_listed_kind(self.kind) {
-            let asked = time::timeout(FIRST_TIMEOUT, self.list_first()).await;
+    async fn load_initial_list(&mut self) {
+        while !self.catalog.is_kind_listed(self.kind) {
+            let asked = time::timeout(INITIAL_LIST_TIMEOUT, self.list_initial()).await;
             match asked {
-                Ok(Ok(())) => self.note_reached(),
-                Ok(Err(error)) => self.note_lost(&error),
-                Err(_) => self.note_lost(&StoreError::unknown("no answer in time")),
+                Ok(Ok(())) => self.record_success(),
+                Ok(Err(error)) => self.record_failure(&error),
+                Err(_) => self.record_failure(&StoreError::unknown("no answer in time")),
             }
             if self.revision.is_none() {
-                self.pause_first().await;
+                self.wait_before_initial_retry().await;
             }
         }
     }
 
     /// Waits before the next try of the first list, or until a peer has told it.
-    async fn pause_first(&self) {
+    async fn wait_before_initial_retry(&self) {
         let random: f64 = rand::rng().random_range(0.0..1.0);
-        let is_ahead = self.start.is_ahead(self.start_view());
+        let is_ahead = self.group_start.lists_store_first(self.start_view());
         let pause = group_start::retry_pause(is_ahead, random);
         let mut changed = self.catalog.changed();
-        let told = changed.wait_for(|_| self.catalog.is_listed_kind(self.kind));
+        let told = changed.wait_for(|_| self.catalog.is_kind_listed(self.kind));
         // Where the time is up, the store is asked again.
         let _is_over = time::timeout(pause.as_duration(), told).await.is_err();
-        self.reach.wait_for_turn(self.kind).await;
+        self.availability.wait_while_probed(self.kind).await;
     }
 
     /// Waits before a call that follows one which was not answered.
-    async fn pause_lost(&self, backoff: &mut RetryBackoff) {
+    async fn wait_before_retry(&self, backoff: &mut RetryBackoff) {
         let random: f64 = rand::rng().random_range(0.0..1.0);
         let usual = backoff.next(random);
-        let others = self.others();
+        let others = self.other_live_nodes();
         let pause = if self.is_among_first(&others) {
             usual
         } else {
-            usual.max(store_watch_plan::group_pause(others.len(), random))
+            usual.max(store_watch_plan::group_retry_pause(others.len(), random))
         };
         time::sleep(pause.as_duration()).await;
     }
 
     fn start_view(&self) -> StartView {
-        let others = self.others();
-        let contacts = self.catalog.contacts();
+        let others = self.other_live_nodes();
+        let contacts = self.catalog.store_contacts();
         StartView {
-            knows_others: !others.is_empty(),
-            is_first: self.is_among_first(&others),
-            has_failed: contacts.iter().any(|contact| !contact.is_reached),
+            knows_peers: !others.is_empty(),
+            is_among_first: self.is_among_first(&others),
+            has_peer_lost_store: contacts.iter().any(|contact| !contact.is_reached),
         }
     }
 
     fn is_among_first(&self, others: &[NodeId]) -> bool {
-        store_watch_plan::is_among_first(&self.node, others, self.options.watchers)
+        store_watch_plan::is_among_first(&self.node, others, self.watch_options.watchers)
     }
 
     /// Waits until it may be this node's turn: another one may have said that the store does not answer it.
-    async fn wait_for_turn(&self) {
+    async fn wait_for_watch_plan_change(&self) {
         let mut changed = self.catalog.changed();
         // Where the time is up, members may have changed.
-        let _is_over = time::timeout(PLAN_PERIOD, changed.changed()).await.is_err();
+        let _is_over = time::timeout(WATCH_PLAN_INTERVAL, changed.changed())
+            .await
+            .is_err();
     }
 
-    fn is_my_turn(&self) -> bool {
-        let contacts = self.catalog.contacts();
+    fn should_watch(&self) -> bool {
+        let contacts = self.catalog.store_contacts();
         let now = self.clock.now();
-        let others = self.others();
+        let others = self.other_live_nodes();
         let answered = self.group.since_store_answer();
         let plan = WatchPlan {
             own: &self.node,
             others: &others,
             contacts: &contacts,
-            answered,
+            answered_age: answered,
         };
-        plan.should_watch(&self.options, now)
+        plan.should_watch(&self.watch_options, now)
     }
 
     /// Gets the other nodes that are alive.
-    fn others(&self) -> Vec<NodeId> {
+    fn other_live_nodes(&self) -> Vec<NodeId> {
         let members = self.group.members();
         let others = members.iter().skip(1);
         let live = others.filter(|member| member.state.takes_work());
         live.map(|member| member.record.node.clone()).collect()
     }
 
-    const fn watch_wait(&self) -> TimeSpan {
+    const fn watch_timeout(&self) -> TimeSpan {
         match self.kind {
-            ObjectKind::Evacuation => EVACUATION_WAIT,
-            _ => WATCH_WAIT,
+            ObjectKind::Evacuation => EVACUATION_WATCH_TIMEOUT,
+            _ => WATCH_TIMEOUT,
         }
     }
 
-    const fn batch_pause(&self) -> Duration {
+    const fn batch_delay(&self) -> Duration {
         match self.kind {
-            ObjectKind::Target => TARGET_PAUSE,
-            _ => CONFIG_PAUSE,
+            ObjectKind::Target => TARGET_BATCH_DELAY,
+            _ => CONFIG_BATCH_DELAY,
         }
     }
 
@@ -283,30 +285,30 @@
     /// Where a whole group starts at once each node may list all targets, so that a copy of the store that
     /// costs it less is as good: targets come and go within seconds in any case, and those who watch pass
     /// on what the copy lacks. The configuration is one object, and the newest.
-    async fn list_first(&mut self) -> Result<(), StoreError> {
+    async fn list_initial(&mut self) -> Result<(), StoreError> {
         let kinds = [self.kind];
         let list = match self.kind {
             ObjectKind::Target => self.store.list_stale(&kinds).await?,
             _ => self.store.list(&kinds).await?,
         };
-        self.take_list(list);
+        self.apply_list(list);
         Ok(())
     }
 
-    fn take_list(&mut self, list: ObjectList) {
+    fn apply_list(&mut self, list: ObjectList) {
         self.revision = Some(list.revision);
         self.catalog
             .accept_list(self.kind, list.revision, list.objects);
     }
 
     /// Makes one call; returns true where it brought a change.
-    async fn step(&mut self) -> Result<bool, StoreError> {
+    async fn list_or_watch(&mut self) -> Result<bool, StoreError> {
         let Some(revision) = self.revision else {
             let list = self.store.list(&[self.kind]).await?;
-            self.take_list(list);
+            self.apply_list(list);
             return Ok(true);
         };
-        let wait = self.watch_wait();
+        let wait = self.watch_timeout();
         let watched = self.store.watch(&[self.kind], revision, wait).await?;
         match watched {
             WatchOutcome::Changes(list) => {
@@ -322,33 +324,33 @@
         }
     }
 
-    fn note_reached(&mut self) {
+    fn record_success(&mut self) {
         self.metrics.observe_store_call(self.kind, true);
-        self.reach.note_answer();
+        self.availability.record_success();
         self.group.note_store_answer();
-        if self.is_lost {
-            self.is_lost = false;
-            FrontEvent::StoreBack.emit(Level::Info);
+        if self.is_store_lost {
+            self.is_store_lost = false;
+            FrontEvent::StoreRecovered.emit(Level::Info);
         }
-        let contacts = self.catalog.contacts();
+        let contacts = self.catalog.store_contacts();
         let own = contacts.iter().find(|contact| contact.node == self.node);
         if own.is_some_and(|contact| !contact.is_reached) {
             self.catalog
-                .publish_contact(&self.node, true, wall_clock::millis());
+                .publish_store_contact(&self.node, true, wall_clock::unix_millis());
         }
     }
 
-    fn note_lost(&mut self, error: &StoreError) {
+    fn record_failure(&mut self, error: &StoreError) {
         self.metrics.observe_store_call(self.kind, false);
-        self.reach.note_failure(self.kind);
-        if !self.is_lost {
-            self.is_lost = true;
+        self.availability.record_failure(self.kind);
+        if !self.is_store_lost {
+            self.is_store_lost = true;
             FrontEvent::StoreLost {
                 reason: error.to_string(),
             }
             .emit(Level::Warn);
             self.catalog
-                .publish_contact(&self.node, false, wall_clock::millis());
+                .publish_store_contact(&self.node, false, wall_clock::unix_millis());
         }
     }
 }
--- a/alderhaven-front/src/target_handle.rs
+++ b/alderhaven-front/src/target_handle.rs
@@ -5,7 +5,7 @@
 
 use alderhaven_core::time::TimePoint;
 use alderhaven_policy::domain_silence::DomainSilence;
-use alderhaven_policy::replica_gauge::ReplicaGauge;
+use alderhaven_policy::replica_stats::ReplicaStats;
 use alderhaven_policy::warmup_limit::WarmupLimit;
 use arc_swap::ArcSwap;
 
@@ -20,14 +20,14 @@
     /// The connections.
     pub pool: TargetPool,
     /// Whether it lies in this process's failure domain.
-    pub is_near: bool,
-    gauge: Mutex<ReplicaGauge>,
-    standing: Mutex<TargetStanding>,
+    pub is_in_own_domain: bool,
+    gauge: Mutex<ReplicaStats>,
+    status: Mutex<TargetStatus>,
     warmup: Mutex<WarmupLimit>,
     /// What was heard of its failure domain, shared by all targets there.
     silence: SharedSilence,
     is_evacuated: AtomicBool,
-    is_warmed: AtomicBool,
+    has_preconnected: AtomicBool,
 }
 
 /// What was heard of a failure domain, shared by its targets.
@@ -35,11 +35,11 @@
 
 /// A `TargetStanding` says whether a target may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetStanding {
+pub enum TargetStatus {
     /// It takes work.
     Ready,
     /// Its registration has lapsed, so that it is used where there is no other, until this moment.
-    Lapsed(TimePoint),
+    Expired(TimePoint),
     /// It gets no new work.
     Leaving,
 }
@@ -54,20 +54,20 @@
         silence: SharedSilence,
     ) -> Self {
         let standing = if entry.is_leaving {
-            TargetStanding::Leaving
+            TargetStatus::Leaving
         } else {
-            TargetStanding::Ready
+            TargetStatus::Ready
         };
         Self {
             entry: ArcSwap::from_pointee(entry),
             pool,
-            is_near,
+            is_in_own_domain: is_near,
             gauge: Mutex::default(),
-            standing: Mutex::new(standing),
+            status: Mutex::new(standing),
             warmup: Mutex::default(),
             silence,
             is_evacuated: AtomicBool::new(false),
-            is_warmed: AtomicBool::new(false),
+            has_preconnected: AtomicBool::new(false),
         }
     }
 
@@ -79,23 +79,23 @@
 
     /// Takes over a newer registration of the same process.
     pub fn update(&self, entry: TargetEntry) {
-        self.set_standing(if entry.is_leaving {
-            TargetStanding::Leaving
+        self.set_status(if entry.is_leaving {
+            TargetStatus::Leaving
         } else {
-            TargetStanding::Ready
+            TargetStatus::Ready
         });
         self.entry.store(Arc::new(entry));
     }
 
     /// Gets whether it may be used.
     #[must_use]
-    pub fn standing(&self) -> TargetStanding {
-        *self.lock_standing()
+    pub fn status(&self) -> TargetStatus {
+        *self.lock_status()
     }
 
     /// Changes whether it may be used.
-    pub fn set_standing(&self, standing: TargetStanding) {
-        *self.lock_standing() = standing;
+    pub fn set_status(&self, standing: TargetStatus) {
+        *self.lock_status() = standing;
     }
 
     /// Returns true where its failure domain is evacuated: it gets no new work.
@@ -112,7 +112,7 @@
     /// Returns true where it gets no new work, also from requests that have chosen it before.
     #[must_use]
     pub fn is_closed(&self) -> bool {
-        self.is_evacuated() || self.standing() == TargetStanding::Leaving
+        self.is_evacuated() || self.status() == TargetStatus::Leaving
     }
 
     /// Locks what was heard of its failure domain.
@@ -122,7 +122,7 @@
 
     /// Returns true where both lie in one failure domain.
     #[must_use]
-    pub fn is_beside(&self, other: &Self) -> bool {
+    pub fn shares_domain_with(&self, other: &Self) -> bool {
         let domain = self.entry().domain.clone();
         domain.is_some() && domain == other.entry().domain
     }
@@ -133,16 +133,16 @@
     }
 
     /// Returns true the first time: its connections should be opened ahead of requests.
-    pub fn start_warming(&self) -> bool {
-        !self.is_warmed.swap(true, Ordering::Relaxed)
+    pub fn start_preconnect(&self) -> bool {
+        !self.has_preconnected.swap(true, Ordering::Relaxed)
     }
 
     /// Locks what was seen of it.
-    pub fn gauge(&self) -> MutexGuard<'_, ReplicaGauge> {
+    pub fn gauge(&self) -> MutexGuard<'_, ReplicaStats> {
         self.gauge.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_standing(&self) -> MutexGuard<'_, TargetStanding> {
-        self.standing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_status(&self) -> MutexGuard<'_, TargetStatus> {
+        self.status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/alderhaven-front/src/target_pool.rs
+++ b/alderhaven-front/src/target_pool.rs
@@ -26,11 +26,11 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long a connection is kept where the target does not say how long it keeps it.
-const DEFAULT_KEEP: TimeSpan = TimeSpan::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: TimeSpan = TimeSpan::from_secs(4);
 
 /// The share of the target's own idle timeout after which a connection is no longer used: what is
 /// sent into the moment of its close is lost.
-const KEPT_SHARE: f64 = 0.7;
+const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 
 /// A `TargetPool` keeps the connections to one target.
 #[derive(Debug)]
@@ -44,18 +44,18 @@
 
 #[derive(Debug)]
 struct IdleConnection {
-    connection: KeptConnection,
-    since: TimePoint,
-    keep: TimeSpan,
+    connection: OpenConnection,
+    idle_since: TimePoint,
+    idle_timeout: TimeSpan,
 }
 
 #[derive(Debug)]
-struct KeptConnection {
+struct OpenConnection {
     sender: SendRequest<WholeBody>,
     driver: AbortHandle,
 }
 
-impl Drop for KeptConnection {
+impl Drop for OpenConnection {
     /// Closes the connection at once, with all that is under way on it: a target stops working on a
     /// request when its connection closes.
     fn drop(&mut self) {
@@ -66,7 +66,7 @@
 /// A `PooledConnection` is a connection that was taken for one request.
 #[derive(Debug)]
 pub struct PooledConnection {
-    connection: KeptConnection,
+    connection: OpenConnection,
     is_new: bool,
     _permit: OwnedSemaphorePermit,
 }
@@ -151,12 +151,14 @@
         }
         let idle = IdleConnection {
             connection: taken.connection,
-            since: self.clock.now(),
-            keep: keep.unwrap_or(DEFAULT_KEEP).mul_f64(KEPT_SHARE),
+            idle_since: self.clock.now(),
+            idle_timeout: keep
+                .unwrap_or(DEFAULT_IDLE_TIMEOUT)
+                .mul_f64(IDLE_TIMEOUT_SHARE),
         };
         let mut kept = self.idle();
         // Requests that want fresh connections leave theirs behind: all of them count at the target.
-        if kept.len() < self.most_idle() {
+        if kept.len() < self.max_idle() {
             kept.push(idle);
         }
     }
@@ -171,14 +173,14 @@
     }
 
     /// Gets the most connections that are kept beside those in use.
-    fn most_idle(&self) -> usize {
+    fn max_idle(&self) -> usize {
         let limit = *self.limit.lock().unwrap_or_else(PoisonError::into_inner);
         // The connection that is given back still counts as in use.
         self.permits.available_permits().min(limit) + 1
     }
 
     /// Opens a connection ahead of its first request, unless there is one.
-    pub async fn warm(&self) {
+    pub async fn preconnect(&self) {
         if !self.idle().is_empty() {
             return;
         }
@@ -186,8 +188,8 @@
         if let Ok(connection) = self.connect().await {
             let idle = IdleConnection {
                 connection,
-                since: self.clock.now(),
-                keep: DEFAULT_KEEP,
+                idle_since: self.clock.now(),
+                idle_timeout: DEFAULT_IDLE_TIMEOUT,
             };
             self.idle().push(idle);
         }
@@ -197,23 +199,23 @@
     ///
     /// The path may have lost track of all connections that were open: they stay silent while new
     /// ones work, and each of them would cost one more attempt.
-    pub fn clear(&self) {
+    pub fn close_idle(&self) {
         self.idle().clear();
     }
 
-    fn take_idle(&self) -> Option<KeptConnection> {
+    fn take_idle(&self) -> Option<OpenConnection> {
         let now = self.clock.now();
         let mut idle = self.idle();
         loop {
             let kept = idle.pop()?;
-            let is_fresh = now.since(kept.since) < kept.keep;
+            let is_fresh = now.since(kept.idle_since) < kept.idle_timeout;
             if is_fresh && kept.connection.sender.is_ready() {
                 return Some(kept.connection);
             }
         }
     }
 
-    async fn connect(&self) -> io::Result<KeptConnection> {
+    async fn connect(&self) -> io::Result<OpenConnection> {
         let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await??;
         stream.set_nodelay(true)?;
         let (sender, driver) = http1::handshake(TokioIo::new(stream))
@@ -223,7 +225,7 @@
             // An error of the connection reaches the request on it through its sender.
             let _ended = driver.await;
         });
-        Ok(KeptConnection {
+        Ok(OpenConnection {
             sender,
             driver: task.abort_handle(),
         })
--- a/alderhaven-front/src/wall_clock.rs
+++ b/alderhaven-front/src/wall_clock.rs
@@ -4,7 +4,7 @@
 
 /// Gets the milliseconds of Unix time; 0 on a clock that is set to before it began.
 #[must_use]
-pub fn millis() -> u64 {
+pub fn unix_millis() -> u64 {
     let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/alderhaven-front/src/wire_dialect.rs
+++ b/alderhaven-front/src/wire_dialect.rs
@@ -30,7 +30,7 @@
 
 /// A `DirectoryQuestion` is a caller's question for fronts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DirectoryQuestion {
+pub struct DirectoryQuery {
     /// The caller's failure domain, where it names a usable one.
     pub domain: Option<FailureDomain>,
 }
@@ -72,7 +72,7 @@
     /// Another target has the address, which did not run the request.
     WrongTarget,
     /// The reply belongs to another request.
-    Foreign,
+    RequestIdMismatch,
 }
 
 /// A `WireDialect` translates between the front's types and a deployment's protocol.
@@ -81,16 +81,16 @@
     fn caller_head(&self, head: &Parts) -> CallerHead;
 
     /// Reads a question for fronts; none where the request is no such question.
-    fn directory_question(&self, head: &Parts) -> Option<DirectoryQuestion>;
+    fn directory_query(&self, head: &Parts) -> Option<DirectoryQuery>;
 
     /// Returns true where a request asks whether the front is ready.
-    fn is_ready_question(&self, head: &Parts) -> bool;
+    fn is_readiness_probe(&self, head: &Parts) -> bool;
 
     /// Builds the answer to a question for fronts.
-    fn directory_answer(&self, fronts: &[SocketAddr], ttl: TimeSpan) -> Response<WholeBody>;
+    fn directory_response(&self, fronts: &[SocketAddr], ttl: TimeSpan) -> Response<WholeBody>;
 
     /// Builds an answer to a caller.
-    fn caller_answer(&self, answer: FrontAnswer) -> Response<WholeBody>;
+    fn caller_response(&self, answer: FrontAnswer) -> Response<WholeBody>;
 
     /// Builds what all attempts of a request have in common.
     ///
--- a/alderhaven-front/tests/attempt_phase.rs
+++ b/alderhaven-front/tests/attempt_phase.rs
@@ -19,7 +19,7 @@
             sender.begin_send()
         });
         start.wait();
-        let is_called_off = phase.call_off();
+        let is_called_off = phase.cancel();
         let is_sent = sending.join().expect("the thread ends");
         assert_ne!(is_sent, is_called_off);
     }
@@ -29,5 +29,5 @@
 fn call_off_after_begin_send_says_that_it_may_have_run() {
     let phase = AttemptPhase::default();
     assert!(phase.begin_send());
-    assert!(!phase.call_off());
+    assert!(!phase.cancel());
 }
--- a/alderhaven-front/tests/stop_spans.rs
+++ b/alderhaven-front/tests/drain_options.rs
@@ -9,18 +9,19 @@
 use alderhaven_policy::membership::member_record::CpuCapacity;
 use alderhaven_policy::repeat_budget::RepeatOptions;
 
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const LOOPBACK: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 fn options(directory_ttl: TimeSpan, stop_limit: TimeSpan) -> FrontOptions {
     FrontOptions::builder()
         .node("front-1".parse().expect("a name"))
         .host("host-1".parse().expect("a name"))
         .domain("a".parse().expect("a name"))
-        .caller_address(ANY)
-        .directory_address(ANY)
-        .ready_address(ANY)
-        .gossip_address(ANY)
-        .group_address(ANY)
+        .caller_address(LOOPBACK)
+        .directory_address(LOOPBACK)
+        .ready_address(LOOPBACK)
+        .gossip_address(LOOPBACK)
+        .group_address(LOOPBACK)
         .capacity(CpuCapacity(250))
         .seeds(Vec::new())
         .stop_limit(stop_limit)
@@ -51,5 +52,5 @@
 fn stop_with_short_lists_waits_for_them() {
     let limit = TimeSpan::from_millis(5_500);
     let spans = front_node::drain_options(&options(TimeSpan::from_secs(1), limit));
-    assert_eq!(spans.address_life, TimeSpan::from_secs(3));
+    assert_eq!(spans.directory_lifetime, TimeSpan::from_secs(3));
 }
--- a/alderhaven-front/tests/group_links.rs
+++ b/alderhaven-front/tests/group_links.rs
@@ -5,7 +5,7 @@
 
 use alderhaven_core::ids::FailureDomain;
 use alderhaven_core::process_clock::ProcessClock;
-use alderhaven_front::group_links::{GroupLinks, GroupNews, GroupTicket};
+use alderhaven_front::group_links::{GroupCall, GroupEvent, GroupLinks};
 use alderhaven_node::node_group::{GroupOptions, NodeGroup};
 use alderhaven_peer::connection::{self, FrameReader, FrameSender};
 use alderhaven_peer::frames::PeerMessage;
@@ -17,7 +17,7 @@
 
 /// How long a condition may take to become true before a test fails: far above what a busy machine
 /// needs.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
@@ -44,23 +44,23 @@
 }
 
 /// The other front's end of a link.
-struct OtherEnd {
+struct RemoteFront {
     sender: FrameSender,
     reader: FrameReader,
 }
 
-impl OtherEnd {
+impl RemoteFront {
     async fn accept(listener: &TcpListener) -> Self {
         let (stream, _) = listener.accept().await.expect("a connection");
         let (sender, reader) = connection::split(stream).expect("its halves");
         let mut end = Self { sender, reader };
         // The first ask is empty: by it the two find out how their clocks differ.
-        let first = end.next_ask().await;
+        let first = end.next_request().await;
         end.reply(&first);
         end
     }
 
-    async fn next_ask(&mut self) -> GroupAsk {
+    async fn next_request(&mut self) -> GroupAsk {
         loop {
             match connection::next_message(&mut self.reader).await {
                 Some(PeerMessage::GroupAsk(ask)) => return ask,
@@ -81,15 +81,15 @@
 }
 
 /// An `OpenLink` is a link to a front of another failure domain, with the first ask on it.
-struct OpenLink {
+struct LinkFixture {
     links: GroupLinks,
     domain: FailureDomain,
-    first: GroupTicket,
-    end: OtherEnd,
+    first_call: GroupCall,
+    remote: RemoteFront,
     _other: NodeGroup,
 }
 
-impl OpenLink {
+impl LinkFixture {
     async fn start() -> Self {
         let listener = TcpListener::bind(LOOPBACK).await.expect("a port");
         let address = listener.local_addr().expect("its address");
@@ -98,44 +98,44 @@
         let other = member("b", address, seeds).await;
         let links = GroupLinks::new(own, ProcessClock::default());
         let domain: FailureDomain = "b".parse().expect("a domain");
-        let (first, end) = open(&links, &domain, &listener).await;
+        let (first, end) = open_link(&links, &domain, &listener).await;
         Self {
             links,
             domain,
-            first,
-            end,
+            first_call: first,
+            remote: end,
             _other: other,
         }
     }
 }
 
 /// Asks until a connection stands; where the machine is busy it may be the second one.
-async fn open(
+async fn open_link(
     links: &GroupLinks,
     domain: &FailureDomain,
     listener: &TcpListener,
-) -> (GroupTicket, OtherEnd) {
+) -> (GroupCall, RemoteFront) {
     let mut end = None;
-    let mut asking = std::pin::pin!(first_ask(links, domain));
+    let mut asking = std::pin::pin!(send_until_connected(links, domain));
     loop {
         tokio::select! {
             first = asking.as_mut() => return (first, end.expect("an open connection")),
-            accepted = OtherEnd::accept(listener) => end = Some(accepted),
+            accepted = RemoteFront::accept(listener) => end = Some(accepted),
         }
     }
 }
 
 /// Asks until a connection stands.
-async fn first_ask(links: &GroupLinks, domain: &FailureDomain) -> GroupTicket {
+async fn send_until_connected(links: &GroupLinks, domain: &FailureDomain) -> GroupCall {
     let asking = async {
         loop {
-            if let Some(ticket) = links.ask(domain, GroupAsk::default()) {
+            if let Some(ticket) = links.send(domain, GroupAsk::default()) {
                 return ticket;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let asked = tokio::time::timeout(PATIENCE, asking).await;
+    let asked = tokio::time::timeout(CONDITION_TIMEOUT, asking).await;
     asked.expect("a connection in time")
 }
 
@@ -144,38 +144,42 @@
 /// link that is given up as a whole would have lost it with all its shards.
 #[tokio::test]
 async fn late_front_still_answers_what_is_open() {
-    let OpenLink {
+    let LinkFixture {
         links,
         domain,
-        first: late,
-        mut end,
+        first_call: late,
+        mut remote,
         _other,
-    } = OpenLink::start().await;
-    let mut recent = links.ask(&domain, GroupAsk::default()).expect("it is open");
-    let _late_ask = end.next_ask().await;
-    let recent_ask = end.next_ask().await;
-    late.missed();
-    assert!(links.ask(&domain, GroupAsk::default()).is_none());
-    end.reply(&recent_ask);
-    let news = tokio::time::timeout(PATIENCE, recent.news.recv()).await;
-    assert!(matches!(news, Ok(Some(GroupNews::Reply(_)))), "{news:?}");
+    } = LinkFixture::start().await;
+    let mut recent = links
+        .send(&domain, GroupAsk::default())
+        .expect("it is open");
+    let _late_ask = remote.next_request().await;
+    let recent_ask = remote.next_request().await;
+    late.mark_overdue();
+    assert!(links.send(&domain, GroupAsk::default()).is_none());
+    remote.reply(&recent_ask);
+    let news = tokio::time::timeout(CONDITION_TIMEOUT, recent.events.recv()).await;
+    assert!(matches!(news, Ok(Some(GroupEvent::Reply(_)))), "{news:?}");
 }
 
 /// The connection to another front ends. Every query that waits for it hears so.
 #[tokio::test]
 async fn lost_link_is_told_to_all_who_wait() {
-    let OpenLink {
+    let LinkFixture {
         links,
         domain,
-        mut first,
-        end,
+        mut first_call,
+        remote,
         _other,
-    } = OpenLink::start().await;
-    let mut second = links.ask(&domain, GroupAsk::default()).expect("it is open");
-    drop(end);
-    for ticket in [&mut first, &mut second] {
-        let news = tokio::time::timeout(PATIENCE, ticket.news.recv()).await;
-        assert!(matches!(news, Ok(Some(GroupNews::Lost))), "{news:?}");
+    } = LinkFixture::start().await;
+    let mut second = links
+        .send(&domain, GroupAsk::default())
+        .expect("it is open");
+    drop(remote);
+    for ticket in [&mut first_call, &mut second] {
+        let news = tokio::time::timeout(CONDITION_TIMEOUT, ticket.events.recv()).await;
+        assert!(matches!(news, Ok(Some(GroupEvent::Lost))), "{news:?}");
     }
 }
 
@@ -201,7 +205,7 @@
     };
     let asking = async {
         loop {
-            assert!(links.ask(&domain, GroupAsk::default()).is_none());
+            assert!(links.send(&domain, GroupAsk::default()).is_none());
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
--- a/alderhaven-node/src/node_group.rs
+++ b/alderhaven-node/src/node_group.rs
@@ -52,7 +52,7 @@
 pub struct NodeGroup {
     peers: Option<PeerHandle>,
     /// Stands in for the group's changes where there is no group.
-    silent: Arc<watch::Sender<u64>>,
+    no_changes: Arc<watch::Sender<u64>>,
 }
 
 impl NodeGroup {
@@ -70,7 +70,7 @@
     /// The gossip address can't be bound.
     pub async fn start_with(options: GroupOptions, access: ConfigAccess) -> io::Result<Self> {
         let Some(gossip_address) = options.gossip_listen else {
-            return Ok(Self::alone());
+            return Ok(Self::standalone());
         };
         let membership = MembershipOptions {
             seeds: options.seeds,
@@ -92,16 +92,16 @@
         let peers = PeerNode::start(peer_options, access).await?;
         Ok(Self {
             peers: Some(peers),
-            ..Self::alone()
+            ..Self::standalone()
         })
     }
 
     /// Returns the view of a process that takes no part in a group.
     #[must_use]
-    pub fn alone() -> Self {
+    pub fn standalone() -> Self {
         Self {
             peers: None,
-            silent: Arc::new(watch::Sender::new(0)),
+            no_changes: Arc::new(watch::Sender::new(0)),
         }
     }
 
@@ -141,7 +141,7 @@
 
     /// Gets the members of a role that take work.
     #[must_use]
-    pub fn working(&self, role: MemberRole) -> Vec<MemberView> {
+    pub fn working_members(&self, role: MemberRole) -> Vec<MemberView> {
         let members = self.members();
         let working = members
             .iter()
@@ -163,7 +163,7 @@
     pub fn changed(&self) -> watch::Receiver<u64> {
         match &self.peers {
             Some(peers) => peers.changed(),
-            None => self.silent.subscribe(),
+            None => self.no_changes.subscribe(),
         }
     }
 
--- a/alderhaven-node/src/process_main.rs
+++ b/alderhaven-node/src/process_main.rs
@@ -70,26 +70,26 @@
 /// Runs the binary `name` to its end.
 #[must_use]
 pub fn run<N: ProcessNode>(name: &str) -> ExitCode {
-    match load::<N>(name) {
-        Ok(settings) => report(serve_logging::<N>(settings)),
+    match load_settings::<N>(name) {
+        Ok(settings) => exit_code(serve_with_logging::<N>(settings)),
         Err(code) => code,
     }
 }
 
-fn serve_logging<N: ProcessNode>(settings: N::Settings) -> eyre::Result<()> {
+fn serve_with_logging<N: ProcessNode>(settings: N::Settings) -> eyre::Result<()> {
     let log = logging::start_queued(settings.log_level()).wrap_err("the log can't start")?;
     let ended = serve::<N>(settings);
     log.finish();
     ended
 }
 
-fn load<N: ProcessNode>(name: &str) -> Result<N::Settings, ExitCode> {
+fn load_settings<N: ProcessNode>(name: &str) -> Result<N::Settings, ExitCode> {
     let arguments: Arguments = program::arguments(name)?;
     let request = SettingsRequest::from_switches(arguments.check, arguments.print_settings);
     program::load(&arguments.settings, request)
 }
 
-fn report(ended: eyre::Result<()>) -> ExitCode {
+fn exit_code(ended: eyre::Result<()>) -> ExitCode {
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/alderhaven-node/src/stop_handle.rs
+++ b/alderhaven-node/src/stop_handle.rs
@@ -12,12 +12,12 @@
 use crate::node_group::NodeGroup;
 
 /// The time between two looks at the requests in flight.
-const TICK: Duration = Duration::from_millis(10);
+const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A `StopHandle` asks for the stop of a process and follows it; its clones share it.
 #[derive(Clone, Debug)]
 pub struct StopHandle {
-    requests: watch::Sender<u32>,
+    stop_requests: watch::Sender<u32>,
     state: watch::Sender<DrainState>,
     report: watch::Sender<Option<StopReport>>,
     in_flight: Arc<AtomicUsize>,
@@ -25,14 +25,14 @@
 
 /// A `FlightGuard` counts one request in flight until it is dropped.
 #[derive(Debug)]
-pub struct FlightGuard {
+pub struct InFlightGuard {
     in_flight: Arc<AtomicUsize>,
 }
 
 impl Default for StopHandle {
     fn default() -> Self {
         Self {
-            requests: watch::Sender::new(0),
+            stop_requests: watch::Sender::new(0),
             state: watch::Sender::new(DrainState::Serving),
             report: watch::Sender::new(None),
             in_flight: Arc::default(),
@@ -42,13 +42,13 @@
 
 impl StopHandle {
     /// Asks the process to stop; a second time, to end at once.
-    pub fn request(&self) {
-        self.requests.send_modify(|count| *count += 1);
+    pub fn request_stop(&self) {
+        self.stop_requests.send_modify(|count| *count += 1);
     }
 
     /// Asks the process to stop, unless that was asked before.
-    pub fn request_once(&self) {
-        self.requests.send_if_modified(|count| {
+    pub fn request_stop_once(&self) {
+        self.stop_requests.send_if_modified(|count| {
             let is_first = *count == 0;
             *count = (*count).max(1);
             is_first
@@ -63,9 +63,9 @@
 
     /// Counts a request as in flight until the guard is dropped.
     #[must_use]
-    pub fn begin_request(&self) -> FlightGuard {
+    pub fn begin_request(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
-        FlightGuard {
+        InFlightGuard {
             in_flight: Arc::clone(&self.in_flight),
         }
     }
@@ -78,12 +78,13 @@
 
     /// Waits until the process leaves, or has gone further.
     pub async fn leaving(&self) {
-        self.reached(|state| state != DrainState::Serving).await;
+        self.wait_for_state(|state| state != DrainState::Serving)
+            .await;
     }
 
     /// Waits until the process takes nothing new.
     pub async fn finishing(&self) {
-        self.reached(|state| matches!(state, DrainState::Finishing | DrainState::Stopped))
+        self.wait_for_state(|state| matches!(state, DrainState::Finishing | DrainState::Stopped))
             .await;
     }
 
@@ -111,7 +112,7 @@
     ) {
         let clock = ProcessClock::default();
         let mut sequence = DrainSequence::new(options);
-        let mut requests = self.requests.subscribe();
+        let mut requests = self.stop_requests.subscribe();
         let mut handled = 0;
         loop {
             let now = clock.now();
@@ -123,7 +124,7 @@
             } else {
                 sequence.handle(DrainEvent::Ticked { now, in_flight });
             }
-            self.enter(sequence.state(), &group).await;
+            self.enter_state(sequence.state(), &group).await;
             if let Some(report) = sequence.report() {
                 group.end().await;
                 self.report.send_replace(Some(report));
@@ -133,13 +134,13 @@
                 // Nothing is due before the first request.
                 let _handle_lives = requests.changed().await;
             } else {
-                let _either = time::timeout(TICK, requests.changed()).await;
+                let _either = time::timeout(IN_FLIGHT_POLL_INTERVAL, requests.changed()).await;
             }
         }
     }
 
     /// Announces a new state before anything acts on it.
-    async fn enter(&self, state: DrainState, group: &NodeGroup) {
+    async fn enter_state(&self, state: DrainState, group: &NodeGroup) {
         if self.state() == state {
             return;
         }
@@ -149,14 +150,14 @@
         self.state.send_replace(state);
     }
 
-    async fn reached(&self, is_reached: impl Fn(DrainState) -> bool) {
+    async fn wait_for_state(&self, is_reached: impl Fn(DrainState) -> bool) {
         let mut state = self.state.subscribe();
         // The sender lives in this handle, so the wait ends only with the state.
         let _reached = state.wait_for(|state| is_reached(*state)).await;
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
--- a/alderhaven-peer/examples/member-slopes/passed_time_group.rs
+++ b/alderhaven-peer/examples/member-slopes/passed_time_group.rs
@@ -10,7 +10,7 @@
 use alderhaven_peer::exchange_messages::ExchangeFrame;
 use alderhaven_peer::gossip_messages;
 use alderhaven_policy::config_registry::ConfigRegistry;
-use alderhaven_policy::exchange::exchange_message::{ExchangeMessage, ExchangeStep, ObjectStamp};
+use alderhaven_policy::exchange::exchange_message::{ExchangeMessage, ExchangeOutput, ObjectStamp};
 use alderhaven_policy::exchange::exchange_options::ExchangeOptions;
 use alderhaven_policy::exchange::object_exchange::ObjectExchange;
 use alderhaven_policy::exchange::peer_set::PeerSet;
@@ -133,7 +133,7 @@
             capacity: CpuCapacity::default(),
         };
         let version = MemberVersion {
-            start: IncarnationNumber(start),
+            incarnation: IncarnationNumber(start),
             refutation: 0,
         };
         let options = MembershipOptions {
@@ -322,12 +322,14 @@
         let objects: Vec<StoredObject> = indices.map(|index| self.new_version(index)).collect();
         for watcher in 0..WATCHERS.min(self.processes.len()) {
             let process = &mut self.processes[watcher];
-            process.exchange.complete();
+            process.exchange.mark_complete();
             for object in &objects {
                 process.registry.accept(object.clone());
             }
             let stamps = objects.iter().map(ObjectStamp::from).collect();
-            let step = process.exchange.hold(stamps, &process.peers, &mut self.rng);
+            let step = process
+                .exchange
+                .announce_held(stamps, &process.peers, &mut self.rng);
             self.carry_out(watcher, step);
         }
     }
@@ -449,7 +451,7 @@
                 self.traffic.bytes += bytes.len() + HEADER_BYTES;
                 let message = gossip_messages::decode(&bytes).expect("it was encoded here");
                 let sender = &message.sender;
-                process.exchange.hear_digest(
+                process.exchange.handle_digest(
                     &sender.node,
                     sender.config,
                     &process.peers,
@@ -505,7 +507,7 @@
         self.packets.push(Reverse((at, 0, packet)));
     }
 
-    fn carry_out(&mut self, index: usize, step: ExchangeStep) {
+    fn carry_out(&mut self, index: usize, step: ExchangeOutput) {
         for object in step.accept {
             self.processes[index].registry.accept(object);
         }
--- a/alderhaven-peer/src/exchange_messages.rs
+++ b/alderhaven-peer/src/exchange_messages.rs
@@ -107,7 +107,7 @@
             }),
             ExchangeMessage::Stamps {
                 stamps,
-                next,
+                continue_after: next,
                 is_complete,
             } => ExchangeWire::Stamps(StampsWire {
                 stamps: stamps.into_iter().map(stamp_to_wire).collect(),
@@ -143,7 +143,7 @@
             },
             ExchangeWire::Stamps(wire) => Self::Stamps {
                 stamps: all(wire.stamps, stamp_from_wire)?,
-                next: wire.next.map(key_from_wire).transpose()?,
+                continue_after: wire.next.map(key_from_wire).transpose()?,
                 is_complete: wire.is_complete,
             },
             ExchangeWire::Fetch(wire) => Self::Fetch {
--- a/alderhaven-peer/src/gossip_messages.rs
+++ b/alderhaven-peer/src/gossip_messages.rs
@@ -13,7 +13,7 @@
 use alderhaven_policy::membership::member_record::{
     ConfigDigest, CpuCapacity, LoadLevel, MemberRecord, MemberRole, MemberState, MemberVersion,
 };
-use alderhaven_policy::membership::store_sighting::StoreSighting;
+use alderhaven_policy::membership::store_answer::StoreAnswer;
 use prost::Message;
 
 use crate::frames::PROTOCOL_VERSION;
@@ -222,13 +222,13 @@
 fn sender_to_wire(sender: SenderHeader) -> SenderWire {
     SenderWire {
         node: sender.node.into(),
-        start: sender.version.start.0,
+        start: sender.version.incarnation.0,
         refutation: sender.version.refutation,
-        leaving: sender.leaving,
+        leaving: sender.is_leaving,
         load: sender.load.0,
         config: Some(digest_to_wire(sender.config)),
-        view: sender.view,
-        sighting: sender.sighting.map(sighting_to_wire),
+        view: sender.view_hash,
+        sighting: sender.store_answer.map(sighting_to_wire),
     }
 }
 
@@ -236,23 +236,23 @@
     Ok(SenderHeader {
         node: node_from_wire(wire.node)?,
         version: version_from_wire(wire.start, wire.refutation),
-        leaving: wire.leaving,
+        is_leaving: wire.leaving,
         load: LoadLevel(wire.load),
         config: digest_from_wire(wire.config),
-        view: wire.view,
-        sighting: wire.sighting.map(sighting_from_wire),
+        view_hash: wire.view,
+        store_answer: wire.sighting.map(sighting_from_wire),
     })
 }
 
-fn sighting_to_wire(sighting: StoreSighting) -> SightingWire {
+fn sighting_to_wire(sighting: StoreAnswer) -> SightingWire {
     SightingWire {
         origin: sighting.origin,
         age_ms: u32::try_from(sighting.age.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
-fn sighting_from_wire(wire: SightingWire) -> StoreSighting {
-    StoreSighting {
+fn sighting_from_wire(wire: SightingWire) -> StoreAnswer {
+    StoreAnswer {
         origin: wire.origin,
         age: TimeSpan::from_millis(u64::from(wire.age_ms)),
     }
@@ -260,7 +260,7 @@
 
 fn body_to_wire(body: GossipBody) -> BodyWire {
     match body {
-        GossipBody::News => BodyWire::News(NewsWire {}),
+        GossipBody::Updates => BodyWire::News(NewsWire {}),
         GossipBody::Ping { sequence, target } => BodyWire::Ping(PingWire {
             sequence,
             target: target.into(),
@@ -285,7 +285,10 @@
             after: after.map(String::from).unwrap_or_default(),
             buckets: buckets.to_vec(),
         }),
-        GossipBody::SyncReply { sequence, next } => BodyWire::SyncReply(SyncReplyWire {
+        GossipBody::SyncReply {
+            sequence,
+            continue_after: next,
+        } => BodyWire::SyncReply(SyncReplyWire {
             sequence,
             next: next.map(String::from).unwrap_or_default(),
         }),
@@ -294,7 +297,7 @@
 
 fn body_from_wire(wire: BodyWire) -> Result<GossipBody, MalformedMessage> {
     Ok(match wire {
-        BodyWire::News(_) => GossipBody::News,
+        BodyWire::News(_) => GossipBody::Updates,
         BodyWire::Ping(ping) => GossipBody::Ping {
             sequence: ping.sequence,
             target: node_from_wire(ping.target)?,
@@ -314,7 +317,7 @@
         },
         BodyWire::SyncReply(reply) => GossipBody::SyncReply {
             sequence: reply.sequence,
-            next: optional_node_from_wire(reply.next)?,
+            continue_after: optional_node_from_wire(reply.next)?,
         },
     })
 }
@@ -329,7 +332,7 @@
     UpdateWire {
         node: update.node.into(),
         state: state.into(),
-        start: update.version.start.0,
+        start: update.version.incarnation.0,
         refutation: update.version.refutation,
         record: update.record.map(record_to_wire),
     }
@@ -411,7 +414,7 @@
 const fn digest_to_wire(config: ConfigDigest) -> DigestWire {
     DigestWire {
         highest: config.highest.0,
-        progress: config.progress,
+        progress: config.version_sum,
         hash: config.hash,
     }
 }
@@ -420,14 +423,14 @@
     let wire = wire.unwrap_or_default();
     ConfigDigest {
         highest: StoreVersion(wire.highest),
-        progress: wire.progress,
+        version_sum: wire.progress,
         hash: wire.hash,
     }
 }
 
 const fn version_from_wire(start: u64, refutation: u32) -> MemberVersion {
     MemberVersion {
-        start: IncarnationNumber(start),
+        incarnation: IncarnationNumber(start),
         refutation,
     }
 }
--- a/alderhaven-peer/src/peer_driver.rs
+++ b/alderhaven-peer/src/peer_driver.rs
@@ -9,7 +9,7 @@
 use alderhaven_core::ids::NodeId;
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::exchange::exchange_message::{ExchangeMessage, ExchangeStep};
+use alderhaven_policy::exchange::exchange_message::{ExchangeMessage, ExchangeOutput};
 use alderhaven_policy::exchange::object_exchange::ObjectExchange;
 use alderhaven_policy::exchange::peer_set::PeerSet;
 use alderhaven_policy::membership::gossip_message::OutgoingMessage;
@@ -110,7 +110,7 @@
 
     /// Gets when the next tick is due: soon while anything is under way, and with the next probe at rest.
     fn next_tick(&self) -> Instant {
-        let is_quiet = self.membership.is_quiet() && self.exchange.is_quiet();
+        let is_quiet = self.membership.is_idle() && self.exchange.is_idle();
         let next = if is_quiet {
             let probe_at = self.membership.next_probe_at();
             probe_at.min(self.ticked_at + QUIET_PERIOD)
@@ -145,9 +145,9 @@
         let now = self.clock.now();
         let (node, config) = (&message.sender.node, message.sender.config);
         self.exchange
-            .hear_digest(node, config, &self.peers, now, &mut self.rng);
+            .handle_digest(node, config, &self.peers, now, &mut self.rng);
         let outgoing = self.membership.receive(from, message, now, &mut self.rng);
-        if let Some(answered_at) = self.membership.store_answered_other() {
+        if let Some(answered_at) = self.membership.other_store_answered_at() {
             let micros = answered_at.as_micros();
             self.shared.store_answer.store(micros, Ordering::Relaxed);
         }
@@ -184,15 +184,17 @@
         // Asked before the versions are read: a list that comes in between is not among them.
         let is_listed = (self.config.is_listed)();
         let stamps = (self.config.stamps)();
-        let step = self.exchange.hold(stamps, &self.peers, &mut self.rng);
+        let step = self
+            .exchange
+            .announce_held(stamps, &self.peers, &mut self.rng);
         self.carry_out(step);
         if is_listed {
-            self.exchange.complete();
+            self.exchange.mark_complete();
         }
         tokio::task::yield_now().await;
     }
 
-    fn carry_out(&mut self, step: ExchangeStep) {
+    fn carry_out(&mut self, step: ExchangeOutput) {
         if !step.accept.is_empty() {
             (self.config.accept)(step.accept);
         }
@@ -266,7 +268,7 @@
                 .collect();
             self.peers = PeerSet::of_members(&members);
             let near = self.addresses.iter();
-            let near = near.filter(|(node, _)| self.peers.is_near(node));
+            let near = near.filter(|(node, _)| self.peers.is_in_own_domain(node));
             self.near = near.map(|(_, address)| *address).collect();
         }
         self.shared.snapshot.store(Arc::new(PeerSnapshot {
@@ -275,7 +277,7 @@
             is_superseded: self.membership.is_superseded(),
             is_complete: self.exchange.is_complete(),
             config: self.exchange.digest(),
-            missing_objects: self.exchange.missing(),
+            missing_objects: self.exchange.missing_count(),
             traffic: self.traffic,
         }));
         self.shared.changed.send_modify(|count| *count += 1);
--- a/alderhaven-peer/src/peer_node.rs
+++ b/alderhaven-peer/src/peer_node.rs
@@ -50,7 +50,7 @@
         };
         let hello = hello_of(&record, options.incarnation);
         let version = MemberVersion {
-            start: options.incarnation,
+            incarnation: options.incarnation,
             refutation: 0,
         };
         let (command_sender, commands) = mpsc::unbounded_channel();
--- a/alderhaven-peer/src/peer_traffic.rs
+++ b/alderhaven-peer/src/peer_traffic.rs
@@ -42,7 +42,7 @@
     #[must_use]
     pub const fn of_gossip(body: &GossipBody) -> Self {
         match body {
-            GossipBody::News => Self::News,
+            GossipBody::Updates => Self::News,
             GossipBody::Ping { .. } | GossipBody::PingRequest { .. } | GossipBody::Ack { .. } => {
                 Self::Probe
             }
--- a/alderhaven-peer/src/strike_board.rs
+++ b/alderhaven-peer/src/strike_board.rs
@@ -13,7 +13,7 @@
 use alderhaven_core::ids::ShardId;
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_core::time::TimeSpan;
-use alderhaven_policy::crash_strike::{StrikeNews, TargetCrash};
+use alderhaven_policy::crash_strike::{StrikeUpdate, TargetCrash};
 use alderhaven_policy::policy_kind::PolicyKind;
 use alderhaven_policy::quarantine::{CrashQuarantine, QuarantineEntry, QuarantineOptions};
 
@@ -76,7 +76,7 @@
 
     /// Notes a crash that this process saw; returns true where it was not known before.
     pub fn note_crash(&self, crash: &TargetCrash) -> bool {
-        let fresh = self.lock().note_crash(crash, self.clock.now());
+        let fresh = self.lock().record_crash(crash, self.clock.now());
         self.pass_on(&fresh)
     }
 
@@ -90,7 +90,7 @@
     pub fn answered(&self, fingerprint: &RequestFingerprint, shard: ShardId) {
         if self.has_strikes() {
             let now = self.clock.now();
-            let cleared = self.lock().answered(fingerprint, shard, now);
+            let cleared = self.lock().record_answer(fingerprint, shard, now);
             self.pass_on(&cleared);
         }
     }
@@ -121,7 +121,7 @@
     }
 
     /// Passes strikes on; returns true where there were any.
-    fn pass_on(&self, fresh: &[StrikeNews]) -> bool {
+    fn pass_on(&self, fresh: &[StrikeUpdate]) -> bool {
         if fresh.is_empty() {
             return false;
         }
--- a/alderhaven-peer/src/strike_frames.rs
+++ b/alderhaven-peer/src/strike_frames.rs
@@ -2,7 +2,7 @@
 
 use alderhaven_core::ids::ShardId;
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::crash_strike::{CrashStrike, StrikeNews};
+use alderhaven_policy::crash_strike::{CrashStrike, StrikeUpdate};
 
 /// A `StrikeNotice` carries strikes to another process.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -44,17 +44,17 @@
 impl StrikeNotice {
     /// Gets the strikes; one that can't be read is left out.
     #[must_use]
-    pub fn news(&self) -> Vec<StrikeNews> {
+    pub fn news(&self) -> Vec<StrikeUpdate> {
         self.strikes.iter().filter_map(StrikeRecord::news).collect()
     }
 }
 
 impl StrikeRecord {
-    fn news(&self) -> Option<StrikeNews> {
-        Some(StrikeNews {
+    fn news(&self) -> Option<StrikeUpdate> {
+        Some(StrikeUpdate {
             fingerprint: self.fingerprint.parse().ok()?,
             strike: CrashStrike {
-                crash: self.crash,
+                crash_id: self.crash,
                 target: self.target.parse().ok()?,
                 domain: self.domain.parse().ok()?,
                 shard: ShardId(self.shard),
@@ -67,11 +67,11 @@
     }
 }
 
-impl From<&[StrikeNews]> for StrikeNotice {
-    fn from(news: &[StrikeNews]) -> Self {
-        let record = |news: &StrikeNews| StrikeRecord {
+impl From<&[StrikeUpdate]> for StrikeNotice {
+    fn from(news: &[StrikeUpdate]) -> Self {
+        let record = |news: &StrikeUpdate| StrikeRecord {
             fingerprint: news.fingerprint.to_string(),
-            crash: news.strike.crash,
+            crash: news.strike.crash_id,
             target: news.strike.target.to_string(),
             domain: news.strike.domain.to_string(),
             shard: news.strike.shard.0,
--- a/alderhaven-peer/tests/gossip_messages.rs
+++ b/alderhaven-peer/tests/gossip_messages.rs
@@ -13,7 +13,7 @@
 use alderhaven_policy::membership::member_record::{
     ConfigDigest, CpuCapacity, LoadLevel, MemberRecord, MemberRole, MemberState, MemberVersion,
 };
-use alderhaven_policy::membership::store_sighting::StoreSighting;
+use alderhaven_policy::membership::store_answer::StoreAnswer;
 use proptest::option;
 use proptest::prelude::{
     Just, ProptestConfig, Strategy, any, prop_assert, prop_assert_eq, prop_oneof, proptest,
@@ -33,7 +33,7 @@
 
 fn version() -> impl Strategy<Value = MemberVersion> {
     (any::<u64>(), any::<u32>()).prop_map(|(start, refutation)| MemberVersion {
-        start: IncarnationNumber(start),
+        incarnation: IncarnationNumber(start),
         refutation,
     })
 }
@@ -41,7 +41,7 @@
 fn digest() -> impl Strategy<Value = ConfigDigest> {
     any::<(u64, u64, u64)>().prop_map(|(highest, progress, hash)| ConfigDigest {
         highest: StoreVersion(highest),
-        progress,
+        version_sum: progress,
         hash,
     })
 }
@@ -52,11 +52,11 @@
         |(node, version, config, (leaving, load, view, sighting))| SenderHeader {
             node,
             version,
-            leaving,
+            is_leaving: leaving,
             load: LoadLevel(load),
             config,
-            view,
-            sighting: sighting.map(|(origin, age)| StoreSighting {
+            view_hash: view,
+            store_answer: sighting.map(|(origin, age)| StoreAnswer {
                 origin,
                 age: TimeSpan::from_millis(u64::from(age)),
             }),
@@ -67,7 +67,7 @@
 fn body() -> impl Strategy<Value = GossipBody> {
     let buckets = any::<[u64; VIEW_BUCKETS]>();
     prop_oneof![
-        Just(GossipBody::News),
+        Just(GossipBody::Updates),
         (any::<u32>(), node()).prop_map(|(sequence, target)| GossipBody::Ping { sequence, target }),
         (any::<u32>(), node(), address()).prop_map(|(sequence, target, address)| {
             GossipBody::PingRequest {
@@ -84,8 +84,10 @@
                 buckets: buckets.into(),
             }
         }),
-        (any::<u32>(), option::of(node()))
-            .prop_map(|(sequence, next)| GossipBody::SyncReply { sequence, next }),
+        (any::<u32>(), option::of(node())).prop_map(|(sequence, next)| GossipBody::SyncReply {
+            sequence,
+            continue_after: next,
+        }),
     ]
 }
 
--- a/alderhaven-policy/src/admission.rs
+++ b/alderhaven-policy/src/admission.rs
@@ -42,8 +42,8 @@
 };
 use crate::fair_queue::WaitingQuery;
 use crate::policy_kind::PolicyKind;
+use crate::service_admission::{ServiceAdmission, ServiceLoad, WaitEstimate};
 use crate::service_capacity::{QueryReport, ServiceCapacityOptions, ServiceSize};
-use crate::service_lane::{ServiceLane, ServiceLoad, WaitEstimate};
 use crate::team_quota::TeamQuota;
 
 /// An `AdmissionOptions` holds the settings of an entry's admission.
@@ -57,13 +57,13 @@
     /// The same for queries of lower classes, whose wait higher ones may prolong.
     pub lower_wait_share: f64,
     /// The share of its time after which a waiting query is given up on.
-    pub give_up_share: f64,
+    pub queue_timeout_share: f64,
     /// The longest wait for admission.
     pub max_wait: TimeSpan,
     /// The least time after which a refused caller is asked to come back.
     pub min_retry_after: TimeSpan,
     /// The greatest lag of the order of a team or key above its share.
-    pub max_order_lag: TimeSpan,
+    pub max_order_penalty: TimeSpan,
     /// The most queries that wait, a bound on memory only.
     pub max_waiting: usize,
 }
@@ -74,10 +74,10 @@
             capacity: ServiceCapacityOptions::default(),
             wait_share: 0.55,
             lower_wait_share: 0.12,
-            give_up_share: 0.65,
+            queue_timeout_share: 0.65,
             max_wait: TimeSpan::from_secs(2),
             min_retry_after: TimeSpan::from_millis(50),
-            max_order_lag: TimeSpan::from_millis(100),
+            max_order_penalty: TimeSpan::from_millis(100),
             max_waiting: 4096,
         }
     }
@@ -88,10 +88,10 @@
 pub struct AdmissionGate {
     options: AdmissionOptions,
     policy: PolicyKind,
-    draws: StdRng,
+    rng: StdRng,
     entries: u32,
     quotas: HashMap<TeamId, TeamQuota>,
-    lanes: HashMap<ServiceName, ServiceLane>,
+    services: HashMap<ServiceName, ServiceAdmission>,
     refused: Vec<ReadyQuery>,
 }
 
@@ -102,10 +102,10 @@
         Self {
             options,
             policy,
-            draws: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             entries: 1,
             quotas: HashMap::new(),
-            lanes: HashMap::new(),
+            services: HashMap::new(),
             refused: Vec::new(),
         }
     }
@@ -117,7 +117,7 @@
             quota.set_entries(self.entries, now);
         }
         let entries = self.entries;
-        for lane in self.lanes.values_mut() {
+        for lane in self.services.values_mut() {
             let size = lane.capacity.size();
             lane.capacity.set_size(ServiceSize { entries, ..size });
         }
@@ -130,9 +130,9 @@
             slots,
             entries: self.entries,
         };
-        self.lanes
+        self.services
             .entry(service.clone())
-            .or_insert_with(|| ServiceLane::new(self.options.capacity.clone(), size))
+            .or_insert_with(|| ServiceAdmission::new(self.options.capacity.clone(), size))
             .capacity
             .set_size(size);
     }
@@ -149,30 +149,30 @@
     /// Decides on a query that arrives.
     pub fn offer(&mut self, request: AdmitRequest, now: TimePoint) -> AdmitDecision {
         let quota = self.quotas.entry(request.team.clone()).or_default();
-        if let Err(refusal) = quota.take(now) {
+        if let Err(refusal) = quota.acquire(now) {
             return AdmitDecision::Refuse(self.with_jitter(refusal));
         }
         let weight = quota.weight();
         let service = request.service.clone();
-        let lane = self.lanes.entry(service.clone()).or_insert_with(|| {
+        let lane = self.services.entry(service.clone()).or_insert_with(|| {
             let size = ServiceSize {
                 shards: request.fan_out,
                 slots: request.fan_out,
                 entries: self.entries,
             };
-            ServiceLane::new(self.options.capacity.clone(), size)
+            ServiceAdmission::new(self.options.capacity.clone(), size)
         });
         if self.policy == PolicyKind::Baseline {
             return AdmitDecision::Admit(lane.admit(request, weight, TimeSpan::ZERO, now));
         }
-        lane.class_cost
+        lane.offered_cost
             .add(&request.class, 1, f64::from(request.fan_out), now);
         let estimate = lane.estimate(&request, weight, now);
-        let verdict = self.options.verdict(&request, estimate, now);
+        let verdict = self.options.check_estimate(&request, estimate, now);
         let may_start = lane.may_start(&request, weight, now);
         if may_start && (verdict.is_ok() || lane.capacity.in_flight() == 0) {
-            lane.note_admitted(&request, weight, now);
-            let longest_lag = self.options.max_order_lag;
+            lane.record_admitted(&request, weight, now);
+            let longest_lag = self.options.max_order_penalty;
             return AdmitDecision::Admit(lane.admit(request, weight, longest_lag, now));
         }
         let verdict = if lane.queue.len() >= self.options.max_waiting {
@@ -182,7 +182,7 @@
         };
         if let Err(reason) = verdict {
             if let Some(quota) = self.quotas.get_mut(&request.team) {
-                quota.refused();
+                quota.release_refused();
             }
             let retry_after = estimate.wait;
             return AdmitDecision::Refuse(self.with_jitter(Refusal {
@@ -192,7 +192,7 @@
         }
         let query = self.options.waiting_query(&request, weight, estimate, now);
         lane.queue.push(query);
-        lane.requests.insert(request.id, request);
+        lane.waiting_requests.insert(request.id, request);
         AdmitDecision::Queue
     }
 
@@ -203,10 +203,10 @@
         if let Some(refused) = self.refused.pop() {
             return Some(refused);
         }
-        for lane in self.lanes.values_mut() {
+        for lane in self.services.values_mut() {
             if let Some((request, class)) = lane.pop(now) {
                 let weight = self.quotas.get(&request.team).map_or(1, TeamQuota::weight);
-                let longest_lag = self.options.max_order_lag;
+                let longest_lag = self.options.max_order_penalty;
                 let ticket = AdmitTicket {
                     class,
                     ..lane.admit(request, weight, longest_lag, now)
@@ -219,55 +219,55 @@
 
     /// Gets the next time at which a waiting query is given up on.
     #[must_use]
-    pub fn next_give_up(&self) -> Option<TimePoint> {
-        self.lanes
+    pub fn next_expiry(&self) -> Option<TimePoint> {
+        self.services
             .values()
-            .filter_map(|lane| lane.queue.next_give_up())
+            .filter_map(|lane| lane.queue.next_expiry())
             .min()
     }
 
     /// Notes that one attempt of a query ended, whatever its outcome: the room that it took is free
     /// for another query, although this one still waits for its slowest shard.
-    pub fn replied(&mut self, ticket: &mut AdmitTicket) {
+    pub fn record_reply(&mut self, ticket: &mut AdmitTicket) {
         if ticket.replied >= ticket.request.fan_out {
             return;
         }
         ticket.replied += 1;
-        if let Some(lane) = self.lanes.get_mut(&ticket.request.service) {
-            lane.capacity.replied(1);
+        if let Some(lane) = self.services.get_mut(&ticket.request.service) {
+            lane.capacity.record_replies(1);
         }
     }
 
     /// Takes back the ticket of a query that ended, with what it says of the load.
-    pub fn finished(&mut self, ticket: &AdmitTicket, report: QueryReport, now: TimePoint) {
+    pub fn record_finished(&mut self, ticket: &AdmitTicket, report: QueryReport, now: TimePoint) {
         let request = &ticket.request;
         if let Some(quota) = self.quotas.get_mut(&request.team) {
-            quota.put_back();
+            quota.release();
         }
-        if let Some(lane) = self.lanes.get_mut(&request.service) {
-            lane.finished(ticket, report, now);
+        if let Some(lane) = self.services.get_mut(&request.service) {
+            lane.record_finished(ticket, report, now);
         }
     }
 
     /// Takes out a waiting query whose caller has gone; returns false where it does not wait.
     pub fn cancel(&mut self, service: &ServiceName, id: u64) -> bool {
-        let Some(lane) = self.lanes.get_mut(service) else {
+        let Some(lane) = self.services.get_mut(service) else {
             return false;
         };
         let Some(query) = lane.queue.cancel(id) else {
             return false;
         };
-        lane.requests.remove(&id);
+        lane.waiting_requests.remove(&id);
         if let Some(quota) = self.quotas.get_mut(&query.team) {
-            quota.put_back();
+            quota.release();
         }
         true
     }
 
     /// Gets the load of a service as the gate sees it.
     #[must_use]
-    pub fn load_of(&self, service: &ServiceName) -> Option<ServiceLoad> {
-        let lane = self.lanes.get(service)?;
+    pub fn service_load(&self, service: &ServiceName) -> Option<ServiceLoad> {
+        let lane = self.services.get(service)?;
         Some(ServiceLoad {
             limit: lane.capacity.limit(),
             in_flight: lane.capacity.in_flight(),
@@ -277,19 +277,19 @@
 
     fn refuse_expired(&mut self, now: TimePoint) {
         let mut expired = Vec::new();
-        for lane in self.lanes.values_mut() {
+        for lane in self.services.values_mut() {
             for query in lane.queue.take_expired(now) {
-                lane.requests.remove(&query.id);
+                lane.waiting_requests.remove(&query.id);
                 expired.push(query);
             }
         }
         for query in expired {
             if let Some(quota) = self.quotas.get_mut(&query.team) {
-                quota.put_back();
+                quota.release();
             }
             let refusal = self.with_jitter(Refusal {
                 reason: RefusalReason::Overloaded,
-                retry_after: now.since(query.since),
+                retry_after: now.since(query.arrived_at),
             });
             let id = query.id;
             self.refused.push(ReadyQuery::Refuse { id, refusal });
@@ -300,7 +300,7 @@
     /// don't return together.
     fn with_jitter(&mut self, refusal: Refusal) -> Refusal {
         let base = refusal.retry_after.max(self.options.min_retry_after);
-        let factor = 1.0 + self.draws.random_range(0.0..1.0);
+        let factor = 1.0 + self.rng.random_range(0.0..1.0);
         Refusal {
             retry_after: base.mul_f64(factor),
             ..refusal
@@ -320,7 +320,7 @@
         // estimated is told so while it can still go elsewhere.
         let longest = now
             .until(request.deadline)
-            .mul_f64(self.give_up_share)
+            .mul_f64(self.queue_timeout_share)
             .min(self.max_wait.mul_f64(2.0));
         let give_up_at = (now + longest).min(request.deadline - estimate.latency);
         WaitingQuery {
@@ -330,8 +330,8 @@
             weight,
             key: request.key,
             cost: request.fan_out,
-            since: now,
-            give_up_at: give_up_at.max(now),
+            arrived_at: now,
+            expires_at: give_up_at.max(now),
         }
     }
 
@@ -345,7 +345,7 @@
             .min(self.max_wait)
     }
 
-    fn verdict(
+    fn check_estimate(
         &self,
         request: &AdmitRequest,
         estimate: WaitEstimate,
--- a/alderhaven-policy/src/answer_time.rs
+++ b/alderhaven-policy/src/answer_time.rs
@@ -18,7 +18,7 @@
 /// The part of its latency target that a query may use at least, whatever the reserve: enough shards
 /// are hardly ever in before. A caller that has used up half of a tight target by its question and its
 /// connection is still answered in time with what is there by then.
-const LEAST_USED: f64 = 0.2;
+const MIN_USABLE_SHARE: f64 = 0.2;
 
 /// An `AnswerTime` holds the moments at which a query is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,20 +26,20 @@
     /// From here on an answer with enough shards is sent.
     pub partial_at: TimePoint,
     /// Here the query ends.
-    pub ends_at: TimePoint,
+    pub deadline: TimePoint,
 }
 
 /// A `ShardCount` says how far a query is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardCount {
     /// The shards of the query.
-    pub all: usize,
+    pub total: usize,
     /// The shards whose parts are in.
-    pub present: usize,
+    pub answered: usize,
     /// The shards whose parts may still come.
-    pub open: usize,
+    pub pending: usize,
     /// The least shards that make an answer.
-    pub least: usize,
+    pub required: usize,
 }
 
 /// An `AnswerStep` is what to do with a query.
@@ -57,10 +57,10 @@
 
 /// Gets the part of a latency target that a query may use where the answer needs `reserve` of it.
 #[must_use]
-pub fn usable(target: TimeSpan, reserve: TimeSpan) -> TimeSpan {
+pub fn usable_time(target: TimeSpan, reserve: TimeSpan) -> TimeSpan {
     target
         .saturating_sub(reserve)
-        .max(target.mul_f64(LEAST_USED))
+        .max(target.mul_f64(MIN_USABLE_SHARE))
 }
 
 impl AnswerTime {
@@ -71,18 +71,18 @@
     #[must_use]
     pub fn new(arrived: TimePoint, target: TimeSpan, reserve: TimeSpan, limit: TimeSpan) -> Self {
         let ends_at = arrived + limit;
-        let usable = usable(target, reserve);
+        let usable = usable_time(target, reserve);
         Self {
             partial_at: (arrived + usable).min(ends_at),
-            ends_at,
+            deadline: ends_at,
         }
     }
 
     /// Decides.
     #[must_use]
     pub fn decide(&self, count: ShardCount, now: TimePoint) -> AnswerStep {
-        let is_enough = count.present >= count.least.max(1);
-        if count.open == 0 {
+        let is_enough = count.answered >= count.required.max(1);
+        if count.pending == 0 {
             return if is_enough {
                 AnswerStep::Answer
             } else {
@@ -92,16 +92,16 @@
         if now >= self.partial_at && is_enough {
             return AnswerStep::Answer;
         }
-        if count.present + count.open < count.least.max(1) {
+        if count.answered + count.pending < count.required.max(1) {
             return AnswerStep::GiveUp;
         }
-        if now >= self.ends_at {
+        if now >= self.deadline {
             return AnswerStep::TimeUp;
         }
         AnswerStep::Wait(if now < self.partial_at {
             self.partial_at
         } else {
-            self.ends_at
+            self.deadline
         })
     }
 }
--- a/alderhaven-policy/src/caller_wait.rs
+++ b/alderhaven-policy/src/caller_delay.rs
@@ -11,10 +11,10 @@
 
 /// How long a patience is remembered: two turns of it, so that a route whose callers change their
 /// patience is read right after some seconds.
-const TURN: TimeSpan = TimeSpan::from_secs(10);
+const ESTIMATE_WINDOW: TimeSpan = TimeSpan::from_secs(10);
 
 /// The part of its latency target after which a caller is late in any case.
-const LATE_SHARE: f64 = 0.5;
+const LATE_DELAY_SHARE: f64 = 0.5;
 
 /// A `CallerDelay` is how long a caller had waited when its request arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     /// A wait of more than `target` is taken for another patience or for a late attempt: its answer
     /// can't be in time, so that it is not hurried.
     #[must_use]
-    pub fn used_up(self, target: TimeSpan) -> TimeSpan {
+    pub fn consumed_time(self, target: TimeSpan) -> TimeSpan {
         if self.0 > target {
             return TimeSpan::ZERO;
         }
@@ -36,33 +36,37 @@
     /// Returns true where the answer will be late under load, whatever is done.
     #[must_use]
     pub fn is_late(self, target: TimeSpan) -> bool {
-        self.0 > target.mul_f64(LATE_SHARE)
+        self.0 > target.mul_f64(LATE_DELAY_SHARE)
     }
 }
 
 /// A `CallerWait` follows the patience of a route's callers.
 #[derive(Clone, Debug, Default)]
-pub struct CallerWait {
-    turn: u64,
-    longest: TimeSpan,
-    before: TimeSpan,
+pub struct CallerDelayEstimator {
+    window_number: u64,
+    longest_in_window: TimeSpan,
+    longest_in_previous: TimeSpan,
 }
 
-impl CallerWait {
+impl CallerDelayEstimator {
     /// Notes the time that a caller has left, and gets how long it has waited already.
-    pub fn note(&mut self, time_left: TimeSpan, now: TimePoint) -> CallerDelay {
-        let turn = now.as_micros() / TURN.as_micros();
-        if turn != self.turn {
-            let is_next = turn == self.turn + 1;
-            self.before = if is_next {
-                self.longest
+    pub fn record_time_left(&mut self, time_left: TimeSpan, now: TimePoint) -> CallerDelay {
+        let turn = now.as_micros() / ESTIMATE_WINDOW.as_micros();
+        if turn != self.window_number {
+            let is_next = turn == self.window_number + 1;
+            self.longest_in_previous = if is_next {
+                self.longest_in_window
             } else {
                 TimeSpan::ZERO
             };
-            self.longest = TimeSpan::ZERO;
-            self.turn = turn;
+            self.longest_in_window = TimeSpan::ZERO;
+            self.window_number = turn;
         }
-        self.longest = self.longest.max(time_left);
-        CallerDelay(self.longest.max(self.before).saturating_sub(time_left))
+        self.longest_in_window = self.longest_in_window.max(time_left);
+        CallerDelay(
+            self.longest_in_window
+                .max(self.longest_in_previous)
+                .saturating_sub(time_left),
+        )
     }
 }
--- a/alderhaven-policy/src/claim_batcher.rs
+++ b/alderhaven-policy/src/claim_batcher.rs
@@ -33,35 +33,35 @@
 use crate::claim_fingerprint::ClaimFingerprint;
 use crate::claim_id::ClaimId;
 use crate::claim_key::ClaimKey;
-use crate::claim_lane::{ClaimLane, LaneEnd, LaneNeed, LaneVerdicts};
 use crate::claim_options::ClaimOptions;
+use crate::claim_queue::{CallOutcome, ClaimQueue, ClaimVerdicts, NeededCall};
 use crate::claim_slot::ClaimSlot;
 use crate::claim_verdict::{ClaimRefusal, ClaimTicket, ClaimVerdict};
-use crate::lane_claim::LaneClaim;
+use crate::pending_claim::PendingClaim;
 use crate::token_bucket::TokenBucket;
 
 /// The most lanes that are kept though they have nothing to do: their buckets are likely to be
 /// claimed in again, and a kept bucket saves a read.
-const MAX_IDLE_LANES: usize = 8;
+const MAX_IDLE_QUEUES: usize = 8;
 
 /// A `ClaimBatcher` turns tries to claim keys into calls to the store, and replies into verdicts.
 #[derive(Debug)]
 pub struct ClaimBatcher {
     writer: ClaimWriter,
     options: ClaimOptions,
-    lanes: BTreeMap<ClaimSlot, ClaimLane>,
-    pacer: TokenBucket,
+    queues: BTreeMap<ClaimSlot, ClaimQueue>,
+    write_limiter: TokenBucket,
     rng: StdRng,
     next_sequence: u64,
     /// The number of tries without a verdict.
-    waiting: usize,
-    write_at: TimePoint,
+    waiting_count: usize,
+    next_write_at: TimePoint,
     pause: Option<StorePause>,
     /// The highest version that the store has shown.
-    floor: StoreVersion,
+    highest_version: StoreVersion,
     /// Whether the store has gone backwards.
-    is_backwards: bool,
-    verdicts: LaneVerdicts,
+    has_store_regressed: bool,
+    verdicts: ClaimVerdicts,
     counts: ClaimCounts,
 }
 
@@ -71,7 +71,7 @@
     until: TimePoint,
     span: TimeSpan,
     /// Whether claims are refused meanwhile, or wait.
-    refuses: bool,
+    refuses_claims: bool,
 }
 
 /// A `ClaimCounts` counts what a batcher did.
@@ -106,16 +106,16 @@
     pub fn new(writer: ClaimWriter, options: ClaimOptions, seed: u64, now: TimePoint) -> Self {
         Self {
             writer,
-            lanes: BTreeMap::new(),
-            pacer: TokenBucket::new(options.writes, f64::from(options.burst), now),
+            queues: BTreeMap::new(),
+            write_limiter: TokenBucket::new(options.writes, f64::from(options.burst), now),
             rng: StdRng::seed_from_u64(seed),
             options,
             next_sequence: 1,
-            waiting: 0,
-            write_at: now,
+            waiting_count: 0,
+            next_write_at: now,
             pause: None,
-            floor: StoreVersion(0),
-            is_backwards: false,
+            highest_version: StoreVersion(0),
+            has_store_regressed: false,
             verdicts: Vec::new(),
             counts: ClaimCounts::default(),
         }
@@ -129,18 +129,18 @@
 
     /// Gets the number of tries without a verdict.
     #[must_use]
-    pub const fn waiting(&self) -> usize {
-        self.waiting
+    pub const fn waiting_count(&self) -> usize {
+        self.waiting_count
     }
 
     /// Gets the number of claims that are still to be taken back; none once the store has gone
     /// backwards, since nothing is written then.
     #[must_use]
-    pub fn releases(&self) -> usize {
-        if self.is_backwards {
+    pub fn release_count(&self) -> usize {
+        if self.has_store_regressed {
             return 0;
         }
-        self.lanes.values().map(ClaimLane::release_count).sum()
+        self.queues.values().map(ClaimQueue::release_count).sum()
     }
 
     /// Tries to claim a key until `deadline`; exactly one verdict follows.
@@ -158,108 +158,109 @@
         self.next_sequence += 1;
         self.counts.offered += 1;
         let ticket = ClaimTicket { key, id };
-        self.waiting += 1;
-        if let Some((reason, retry_after)) = self.refusal(now) {
-            let claim = LaneClaim::new(ticket, fingerprint, now);
-            let lane = self.lane(ClaimSlot::of(&key));
+        self.waiting_count += 1;
+        if let Some((reason, retry_after)) = self.current_refusal(now) {
+            let claim = PendingClaim::new(ticket, fingerprint, now);
+            let lane = self.queue(ClaimSlot::of(&key));
             let verdict = lane.refuse(&claim, reason, retry_after);
             self.verdicts.push(verdict);
             return ticket;
         }
         let claim_by = deadline.min(now + self.options.claim_timeout);
-        let claim = LaneClaim::new(ticket, fingerprint, claim_by);
-        self.lane(ClaimSlot::of(&key)).offer(claim, now);
+        let claim = PendingClaim::new(ticket, fingerprint, claim_by);
+        self.queue(ClaimSlot::of(&key)).offer(claim, now);
         ticket
     }
 
     /// Takes a granted claim back. To be called only with evidence that the request did not run.
     pub fn release(&mut self, ticket: ClaimTicket) {
-        self.lane(ClaimSlot::of(&ticket.key)).release(ticket);
+        self.queue(ClaimSlot::of(&ticket.key)).release(ticket);
     }
 
     /// Gets the next call to make now; to be repeated until there is none.
     pub fn poll(&mut self, now: TimePoint) -> Option<ClaimCall> {
         let retry = self.options.least_pause;
         // Nothing is written any more, so that an operator finds the store as it was restored.
-        let is_paused = self.is_backwards || self.pause.is_some_and(|pause| now < pause.until);
+        let is_paused =
+            self.has_store_regressed || self.pause.is_some_and(|pause| now < pause.until);
         let mut call = None;
-        for (slot, lane) in &mut self.lanes {
-            lane.give_up(now, retry, &mut self.verdicts);
-            let need = lane.need(now, retry, &mut self.verdicts);
-            let is_held = is_paused || lane.is_on_hold(now);
-            if need == LaneNeed::Nothing || is_held || call.is_some() {
+        for (slot, lane) in &mut self.queues {
+            lane.expire_claims(now, retry, &mut self.verdicts);
+            let need = lane.needed_call(now, retry, &mut self.verdicts);
+            let is_held = is_paused || lane.is_backing_off(now);
+            if need == NeededCall::Nothing || is_held || call.is_some() {
                 continue;
             }
-            if !lane.has_turn() {
-                if now < self.write_at {
+            if !lane.has_write_token() {
+                if now < self.next_write_at {
                     continue;
                 }
-                if let Err(wait) = self.pacer.take(now) {
+                if let Err(wait) = self.write_limiter.take(now) {
                     let share = 1.0 + self.rng.random::<f64>();
-                    self.write_at = now + wait.mul_f64(share);
+                    self.next_write_at = now + wait.mul_f64(share);
                     continue;
                 }
-                lane.give_turn();
+                lane.grant_write_token();
             }
             call = lane
-                .begin(need, &self.writer, self.floor, now)
+                .start_call(need, &self.writer, self.highest_version, now)
                 .map(|action| ClaimCall {
                     slot: *slot,
                     action,
                 });
         }
         self.count_call(call.as_ref());
-        self.drop_idle_lanes();
+        self.drop_idle_queues();
         call
     }
 
     /// Takes the reply to a call.
-    pub fn finish(&mut self, slot: ClaimSlot, reply: ClaimReply, now: TimePoint) {
+    pub fn handle_reply(&mut self, slot: ClaimSlot, reply: ClaimReply, now: TimePoint) {
         if matches!(reply, ClaimReply::Conflict(_)) {
             self.counts.conflicts += 1;
         }
-        let Some(lane) = self.lanes.get_mut(&slot) else {
+        let Some(lane) = self.queues.get_mut(&slot) else {
             return;
         };
-        let end = lane.finish(reply, now, &mut self.verdicts);
-        self.floor = self.floor.max(lane.seen_version());
+        let end = lane.handle_reply(reply, now, &mut self.verdicts);
+        self.highest_version = self.highest_version.max(lane.seen_version());
         match end {
-            LaneEnd::Answered => self.pause = None,
-            LaneEnd::Conflict => {
+            CallOutcome::Answered => self.pause = None,
+            CallOutcome::Conflict => {
                 self.pause = None;
-                lane.hold(self.rng.random(), now);
+                lane.back_off(self.rng.random(), now);
             }
-            LaneEnd::Written => {
+            CallOutcome::Written => {
                 self.pause = None;
                 self.counts.written += 1;
             }
-            LaneEnd::NotDone(Some(retry_after)) => {
+            CallOutcome::NotDone(Some(retry_after)) => {
                 self.counts.not_done += 1;
                 self.pause = Some(StorePause {
                     until: now + retry_after,
                     span: retry_after,
-                    refuses: false,
+                    refuses_claims: false,
                 });
             }
-            LaneEnd::NotDone(None) => {
+            CallOutcome::NotDone(None) => {
                 self.counts.not_done += 1;
                 let pause = self.begin_pause(true, now);
                 self.refuse_all(ClaimRefusal::StoreDown, pause);
             }
-            LaneEnd::Lost => {
+            CallOutcome::Lost => {
                 self.counts.lost_replies += 1;
                 self.begin_pause(false, now);
             }
-            LaneEnd::Backwards => {
+            CallOutcome::StoreRegressed => {
                 self.counts.broken += 1;
-                self.is_backwards = true;
+                self.has_store_regressed = true;
                 let retry = self.options.longest_pause;
                 self.refuse_all(ClaimRefusal::LedgerBroken, retry);
             }
-            LaneEnd::Broken => {
+            CallOutcome::Unreadable => {
                 self.counts.broken += 1;
                 let retry = self.begin_pause(false, now);
-                if let Some(lane) = self.lanes.get_mut(&slot) {
+                if let Some(lane) = self.queues.get_mut(&slot) {
                     lane.refuse_waiting(ClaimRefusal::LedgerBroken, retry, &mut self.verdicts);
                 }
             }
@@ -270,7 +271,7 @@
     #[must_use]
     pub fn take_verdicts(&mut self) -> Vec<(ClaimTicket, ClaimVerdict)> {
         let verdicts = std::mem::take(&mut self.verdicts);
-        self.waiting = self.waiting.saturating_sub(verdicts.len());
+        self.waiting_count = self.waiting_count.saturating_sub(verdicts.len());
         let granted = verdicts
             .iter()
             .filter(|(_, verdict)| matches!(verdict, ClaimVerdict::Granted(_)))
@@ -283,14 +284,14 @@
     #[must_use]
     pub fn next_wake(&self, now: TimePoint) -> Option<TimePoint> {
         let give_up = self
-            .lanes
+            .queues
             .values()
-            .filter_map(ClaimLane::next_give_up)
+            .filter_map(ClaimQueue::next_expiry)
             .min();
-        let has_work = self.lanes.values().any(|lane| !lane.is_idle());
+        let has_work = self.queues.values().any(|lane| !lane.is_idle());
         let paused = self.pause.map(|pause| pause.until);
-        let held = self.lanes.values().map(ClaimLane::hold_until);
-        let turn = [Some(self.write_at), paused]
+        let held = self.queues.values().map(ClaimQueue::backoff_until);
+        let turn = [Some(self.next_write_at), paused]
             .into_iter()
             .flatten()
             .chain(held)
@@ -310,19 +311,19 @@
         }
     }
 
-    fn lane(&mut self, slot: ClaimSlot) -> &mut ClaimLane {
-        self.lanes.entry(slot).or_default()
+    fn queue(&mut self, slot: ClaimSlot) -> &mut ClaimQueue {
+        self.queues.entry(slot).or_default()
     }
 
-    fn refusal(&self, now: TimePoint) -> Option<(ClaimRefusal, TimeSpan)> {
-        if self.is_backwards {
+    fn current_refusal(&self, now: TimePoint) -> Option<(ClaimRefusal, TimeSpan)> {
+        if self.has_store_regressed {
             return Some((ClaimRefusal::LedgerBroken, self.options.longest_pause));
         }
-        if self.waiting > self.options.max_waiting {
+        if self.waiting_count > self.options.max_waiting {
             return Some((ClaimRefusal::Busy, self.options.least_pause));
         }
         self.pause
-            .filter(|pause| pause.refuses && now < pause.until)
+            .filter(|pause| pause.refuses_claims && now < pause.until)
             .map(|pause| (ClaimRefusal::StoreDown, now.until(pause.until)))
     }
 
@@ -333,29 +334,29 @@
         self.pause = Some(StorePause {
             until: now + span,
             span,
-            refuses,
+            refuses_claims: refuses,
         });
         span
     }
 
     fn refuse_all(&mut self, reason: ClaimRefusal, retry: TimeSpan) {
-        for lane in self.lanes.values_mut() {
+        for lane in self.queues.values_mut() {
             lane.refuse_waiting(reason, retry, &mut self.verdicts);
         }
     }
 
     /// Drops the lanes that have nothing to do and were claimed in the longest time ago.
-    fn drop_idle_lanes(&mut self) {
+    fn drop_idle_queues(&mut self) {
         let mut idle: Vec<(TimePoint, ClaimSlot)> = self
-            .lanes
+            .queues
             .iter()
             .filter(|(_, lane)| lane.is_idle())
-            .map(|(slot, lane)| (lane.used(), *slot))
+            .map(|(slot, lane)| (lane.last_offer_at(), *slot))
             .collect();
         idle.sort_unstable();
-        let surplus = idle.len().saturating_sub(MAX_IDLE_LANES);
+        let surplus = idle.len().saturating_sub(MAX_IDLE_QUEUES);
         for (_, slot) in idle.into_iter().take(surplus) {
-            self.lanes.remove(&slot);
+            self.queues.remove(&slot);
         }
     }
 }
--- a/alderhaven-policy/src/claim_options.rs
+++ b/alderhaven-policy/src/claim_options.rs
@@ -7,7 +7,7 @@
 
 /// The default writes a second of one entry: 8 entries make 24 of the store's 300, and 500 claims/s
 /// over them make batches of about 20.
-const DEFAULT_WRITES: &str = "3/s";
+const DEFAULT_WRITE_RATE: &str = "3/s";
 
 /// `ClaimOptions` bound what the claim ledger costs and holds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
 impl Default for ClaimOptions {
     fn default() -> Self {
         Self {
-            writes: DEFAULT_WRITES.parse().unwrap_or_default(),
+            writes: DEFAULT_WRITE_RATE.parse().unwrap_or_default(),
             burst: 6,
             claim_timeout: TimeSpan::from_secs(2),
             least_pause: TimeSpan::from_millis(100),
--- a/alderhaven-policy/src/claim_lane.rs
+++ b/alderhaven-policy/src/claim_queue.rs
@@ -20,34 +20,34 @@
 use crate::claim_bucket::{BucketVerdict, ClaimBucket, ClaimWriter};
 use crate::claim_call::{ClaimAction, ClaimReply};
 use crate::claim_verdict::{ClaimRefusal, ClaimTicket, ClaimVerdict};
-use crate::lane_claim::{LaneClaim, LaneRelease};
+use crate::pending_claim::{PendingClaim, PendingRelease};
 
 #[derive(Debug)]
 struct SeenBucket {
     version: StoreVersion,
     bucket: ClaimBucket,
     /// The number of the call that showed it.
-    call: u64,
+    shown_by_call: u64,
     /// When it was shown.
-    at: TimePoint,
+    seen_at: TimePoint,
 }
 
 #[derive(Debug)]
-enum LaneFlight {
+enum InFlightCall {
     Read,
     Write {
         expected: StoreVersion,
         /// The highest version that the process had seen; the write's own must be above it.
         floor: StoreVersion,
         bucket: ClaimBucket,
-        claims: Vec<LaneClaim>,
-        releases: Vec<LaneRelease>,
+        claims: Vec<PendingClaim>,
+        releases: Vec<PendingRelease>,
     },
 }
 
 /// A `LaneNeed` says what call a lane wants to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LaneNeed {
+pub(crate) enum NeededCall {
     Nothing,
     Read,
     Write,
@@ -55,45 +55,48 @@
 
 /// A `ClaimLane` is the state of one process towards one bucket.
 #[derive(Debug, Default)]
-pub(crate) struct ClaimLane {
+pub(crate) struct ClaimQueue {
     seen: Option<SeenBucket>,
-    calls: u64,
-    waiting: Vec<LaneClaim>,
-    releases: Vec<LaneRelease>,
-    flight: Option<LaneFlight>,
+    call_count: u64,
+    waiting: Vec<PendingClaim>,
+    releases: Vec<PendingRelease>,
+    in_flight: Option<InFlightCall>,
     must_read: bool,
-    has_turn: bool,
-    used: TimePoint,
+    has_write_token: bool,
+    last_offer_at: TimePoint,
     /// When the call under way was begun.
-    began: TimePoint,
+    call_started_at: TimePoint,
     /// The conflicts since a write last took effect.
-    conflicts: u32,
+    consecutive_conflicts: u32,
     /// The time before which no call is made, after a conflict.
-    hold_until: TimePoint,
+    backoff_until: TimePoint,
 }
 
 /// The most doublings of the wait after a conflict: 32 writers take their turns within it.
-const MAX_DOUBLINGS: u32 = 5;
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 /// The longest wait after a conflict: a call that took seconds in an outage says nothing of how
 /// long the next ones take, and claims wait for two seconds at most.
-const MAX_HOLD: TimeSpan = TimeSpan::from_millis(500);
+const MAX_BACKOFF: TimeSpan = TimeSpan::from_millis(500);
 /// How long a bucket that was seen is taken as the newest. Other entries write the same bucket, and
 /// a read before the write costs less than a write that comes to nothing.
-const FRESH_FOR: TimeSpan = TimeSpan::from_millis(10);
+const MAX_SEEN_BUCKET_AGE: TimeSpan = TimeSpan::from_millis(10);
 
 /// The verdicts that a step of a lane gives.
-pub(crate) type LaneVerdicts = Vec<(ClaimTicket, ClaimVerdict)>;
+pub(crate) type ClaimVerdicts = Vec<(ClaimTicket, ClaimVerdict)>;
 
-impl ClaimLane {
-    pub(crate) fn offer(&mut self, mut claim: LaneClaim, now: TimePoint) {
-        self.used = now;
-        claim.offered = self.calls;
+impl ClaimQueue {
+    pub(crate) fn offer(&mut self, mut claim: PendingClaim, now: TimePoint) {
+        self.last_offer_at = now;
+        claim.offered_after_call = self.call_count;
         self.waiting.push(claim);
     }
 
     pub(crate) fn release(&mut self, ticket: ClaimTicket) {
         let lost_at = None;
-        self.releases.push(LaneRelease { ticket, lost_at });
+        self.releases.push(PendingRelease {
+            ticket,
+            lost_write_version: lost_at,
+        });
     }
 
     /// Gets the version of the bucket as last seen.
@@ -104,38 +107,40 @@
     }
 
     /// Gets when the lane was last claimed in.
-    pub(crate) const fn used(&self) -> TimePoint {
-        self.used
+    pub(crate) const fn last_offer_at(&self) -> TimePoint {
+        self.last_offer_at
     }
 
     /// Returns true where the lane's next write has its place in the rate already.
-    pub(crate) const fn has_turn(&self) -> bool {
-        self.has_turn
+    pub(crate) const fn has_write_token(&self) -> bool {
+        self.has_write_token
     }
 
     /// Returns true where the lane waits after a conflict.
-    pub(crate) fn is_on_hold(&self, now: TimePoint) -> bool {
-        now < self.hold_until
+    pub(crate) fn is_backing_off(&self, now: TimePoint) -> bool {
+        now < self.backoff_until
     }
 
     /// Gets the time until which the lane waits after a conflict.
-    pub(crate) const fn hold_until(&self) -> TimePoint {
-        self.hold_until
+    pub(crate) const fn backoff_until(&self) -> TimePoint {
+        self.backoff_until
     }
 
     /// Waits a part of the time that the writers in conflict need one after the other.
-    pub(crate) fn hold(&mut self, share: f64, now: TimePoint) {
-        let turns = 1_u32 << self.conflicts.min(MAX_DOUBLINGS);
-        let span = now.since(self.began).mul_f64(f64::from(turns) * share);
-        self.hold_until = now + span.min(MAX_HOLD);
+    pub(crate) fn back_off(&mut self, share: f64, now: TimePoint) {
+        let turns = 1_u32 << self.consecutive_conflicts.min(MAX_BACKOFF_DOUBLINGS);
+        let span = now
+            .since(self.call_started_at)
+            .mul_f64(f64::from(turns) * share);
+        self.backoff_until = now + span.min(MAX_BACKOFF);
     }
 
-    pub(crate) const fn give_turn(&mut self) {
-        self.has_turn = true;
+    pub(crate) const fn grant_write_token(&mut self) {
+        self.has_write_token = true;
     }
 
     pub(crate) const fn is_idle(&self) -> bool {
-        self.flight.is_none() && self.waiting.is_empty() && self.releases.is_empty()
+        self.in_flight.is_none() && self.waiting.is_empty() && self.releases.is_empty()
     }
 
     pub(crate) const fn release_count(&self) -> usize {
@@ -143,31 +148,36 @@
     }
 
     /// Gets the time at which the next try is given up on.
-    pub(crate) fn next_give_up(&self) -> Option<TimePoint> {
-        let flying = match &self.flight {
-            Some(LaneFlight::Write { claims, .. }) => claims.as_slice(),
-            Some(LaneFlight::Read) | None => &[],
+    pub(crate) fn next_expiry(&self) -> Option<TimePoint> {
+        let flying = match &self.in_flight {
+            Some(InFlightCall::Write { claims, .. }) => claims.as_slice(),
+            Some(InFlightCall::Read) | None => &[],
         };
         self.waiting
             .iter()
             .chain(flying.iter().filter(|claim| !claim.is_abandoned))
-            .map(|claim| claim.claim_by)
+            .map(|claim| claim.deadline)
             .min()
     }
 
     /// Gives up on the tries whose time has come.
-    pub(crate) fn give_up(&mut self, now: TimePoint, retry: TimeSpan, verdicts: &mut LaneVerdicts) {
+    pub(crate) fn expire_claims(
+        &mut self,
+        now: TimePoint,
+        retry: TimeSpan,
+        verdicts: &mut ClaimVerdicts,
+    ) {
         let (over, waiting): (Vec<_>, Vec<_>) = mem::take(&mut self.waiting)
             .into_iter()
-            .partition(|claim| claim.claim_by <= now);
+            .partition(|claim| claim.deadline <= now);
         self.waiting = waiting;
         for claim in over {
             verdicts.push(self.refuse(&claim, ClaimRefusal::StoreSlow, retry));
-            self.forget(&claim);
+            self.release_if_uncertain(&claim);
         }
-        if let Some(LaneFlight::Write { claims, .. }) = &mut self.flight {
+        if let Some(InFlightCall::Write { claims, .. }) = &mut self.in_flight {
             for claim in claims {
-                if claim.claim_by <= now && !claim.is_abandoned {
+                if claim.deadline <= now && !claim.is_abandoned {
                     claim.is_abandoned = true;
                     verdicts.push((
                         claim.ticket,
@@ -187,7 +197,7 @@
     /// it was last seen, says that an earlier send claimed the key and may have run.
     pub(crate) fn refuse(
         &self,
-        claim: &LaneClaim,
+        claim: &PendingClaim,
         reason: ClaimRefusal,
         retry_after: TimeSpan,
     ) -> (ClaimTicket, ClaimVerdict) {
@@ -211,55 +221,55 @@
         &mut self,
         reason: ClaimRefusal,
         retry: TimeSpan,
-        verdicts: &mut LaneVerdicts,
+        verdicts: &mut ClaimVerdicts,
     ) {
         for claim in mem::take(&mut self.waiting) {
             verdicts.push(self.refuse(&claim, reason, retry));
-            self.forget(&claim);
+            self.release_if_uncertain(&claim);
         }
     }
 
     /// Settles what the bucket as seen already tells, and gets the call that is wanted next.
-    pub(crate) fn need(
+    pub(crate) fn needed_call(
         &mut self,
         now: TimePoint,
         retry: TimeSpan,
-        verdicts: &mut LaneVerdicts,
-    ) -> LaneNeed {
-        if self.flight.is_some() {
-            return LaneNeed::Nothing;
+        verdicts: &mut ClaimVerdicts,
+    ) -> NeededCall {
+        if self.in_flight.is_some() {
+            return NeededCall::Nothing;
         }
-        self.judge(retry, verdicts);
+        self.evaluate_waiting(retry, verdicts);
         if self.waiting.is_empty() && self.releases.is_empty() {
-            LaneNeed::Nothing
+            NeededCall::Nothing
         } else if self.must_read || !self.is_seen_fresh(now) {
-            LaneNeed::Read
+            NeededCall::Read
         } else {
-            LaneNeed::Write
+            NeededCall::Write
         }
     }
 
     /// Begins the call that [`Self::need`] wanted.
-    pub(crate) fn begin(
+    pub(crate) fn start_call(
         &mut self,
-        need: LaneNeed,
+        need: NeededCall,
         writer: &ClaimWriter,
         floor: StoreVersion,
         now: TimePoint,
     ) -> Option<ClaimAction> {
-        self.calls += 1;
-        self.began = now;
+        self.call_count += 1;
+        self.call_started_at = now;
         let seen = match need {
-            LaneNeed::Nothing => return None,
-            LaneNeed::Read => None,
-            LaneNeed::Write => self.seen.as_ref(),
+            NeededCall::Nothing => return None,
+            NeededCall::Read => None,
+            NeededCall::Write => self.seen.as_ref(),
         };
         let Some(seen) = seen else {
             self.must_read = false;
-            self.flight = Some(LaneFlight::Read);
+            self.in_flight = Some(InFlightCall::Read);
             return Some(ClaimAction::Read);
         };
-        self.has_turn = false;
+        self.has_write_token = false;
         let expected = seen.version;
         let mut bucket = seen.bucket.clone();
         for release in &self.releases {
@@ -282,7 +292,7 @@
         left.extend(behind);
         self.waiting = left;
         let body = bucket.encode();
-        self.flight = Some(LaneFlight::Write {
+        self.in_flight = Some(InFlightCall::Write {
             expected,
             floor: floor.max(expected),
             bucket,
@@ -293,37 +303,37 @@
     }
 
     /// Takes the reply to the call under way.
-    pub(crate) fn finish(
+    pub(crate) fn handle_reply(
         &mut self,
         reply: ClaimReply,
         now: TimePoint,
-        verdicts: &mut LaneVerdicts,
-    ) -> LaneEnd {
-        match (self.flight.take(), reply) {
-            (None, _) => LaneEnd::Answered,
-            (Some(LaneFlight::Read), ClaimReply::Bucket(object)) => self.observe(object, now),
-            (Some(LaneFlight::Read), ClaimReply::NotDone { retry_after }) => {
+        verdicts: &mut ClaimVerdicts,
+    ) -> CallOutcome {
+        match (self.in_flight.take(), reply) {
+            (None, _) => CallOutcome::Answered,
+            (Some(InFlightCall::Read), ClaimReply::Bucket(object)) => self.observe(object, now),
+            (Some(InFlightCall::Read), ClaimReply::NotDone { retry_after }) => {
                 self.must_read = true;
-                LaneEnd::NotDone(retry_after)
+                CallOutcome::NotDone(retry_after)
             }
-            (Some(LaneFlight::Read), _) => {
+            (Some(InFlightCall::Read), _) => {
                 self.must_read = true;
-                LaneEnd::Lost
+                CallOutcome::Lost
             }
-            (Some(flight @ LaneFlight::Write { .. }), reply) => {
-                self.finish_write(flight, reply, now, verdicts)
+            (Some(flight @ InFlightCall::Write { .. }), reply) => {
+                self.handle_write_reply(flight, reply, now, verdicts)
             }
         }
     }
 
-    fn finish_write(
+    fn handle_write_reply(
         &mut self,
-        flight: LaneFlight,
+        flight: InFlightCall,
         reply: ClaimReply,
         now: TimePoint,
-        verdicts: &mut LaneVerdicts,
-    ) -> LaneEnd {
-        let LaneFlight::Write {
+        verdicts: &mut ClaimVerdicts,
+    ) -> CallOutcome {
+        let InFlightCall::Write {
             expected,
             floor,
             bucket,
@@ -331,65 +341,65 @@
             releases,
         } = flight
         else {
-            return LaneEnd::Answered;
+            return CallOutcome::Answered;
         };
         match reply {
             ClaimReply::Written(version) if version > floor => {
-                let call = self.calls;
+                let call = self.call_count;
                 self.seen = Some(SeenBucket {
                     version,
                     bucket,
-                    call,
-                    at: now,
+                    shown_by_call: call,
+                    seen_at: now,
                 });
                 for claim in claims {
                     if claim.is_abandoned {
-                        self.releases.push(claim.release());
+                        self.releases.push(claim.to_release());
                     } else {
                         verdicts.push((claim.ticket, ClaimVerdict::Granted(claim.ticket)));
                     }
                 }
-                self.conflicts = 0;
-                LaneEnd::Written
+                self.consecutive_conflicts = 0;
+                CallOutcome::Written
             }
             ClaimReply::Conflict(object) => {
-                self.has_turn = true;
-                self.conflicts += 1;
+                self.has_write_token = true;
+                self.consecutive_conflicts += 1;
                 self.releases.extend(releases);
                 for claim in claims {
-                    self.put_back(claim);
+                    self.requeue(claim);
                 }
                 match self.observe(object, now) {
-                    LaneEnd::Answered => LaneEnd::Conflict,
+                    CallOutcome::Answered => CallOutcome::Conflict,
                     end => end,
                 }
             }
             ClaimReply::NotDone { retry_after } => {
-                self.has_turn = true;
+                self.has_write_token = true;
                 self.releases.extend(releases);
                 for claim in claims {
-                    self.put_back(claim);
+                    self.requeue(claim);
                 }
-                LaneEnd::NotDone(retry_after)
+                CallOutcome::NotDone(retry_after)
             }
             ClaimReply::Written(_) | ClaimReply::Bucket(_) | ClaimReply::Lost => {
                 self.must_read = true;
                 self.releases.extend(releases);
                 for mut claim in claims {
-                    claim.lost_at = Some(expected);
-                    self.put_back(claim);
+                    claim.lost_write_version = Some(expected);
+                    self.requeue(claim);
                 }
                 match reply {
                     // The store's versions only grow, unless it was restored from an older copy.
-                    ClaimReply::Written(_) => LaneEnd::Backwards,
-                    _ => LaneEnd::Lost,
+                    ClaimReply::Written(_) => CallOutcome::StoreRegressed,
+                    _ => CallOutcome::Lost,
                 }
             }
         }
     }
 
     /// Takes over a bucket that the store showed.
-    fn observe(&mut self, object: Option<StoredObject>, now: TimePoint) -> LaneEnd {
+    fn observe(&mut self, object: Option<StoredObject>, now: TimePoint) -> CallOutcome {
         let version = object
             .as_ref()
             .map_or(StoreVersion(0), |object| object.version);
@@ -399,7 +409,7 @@
             .map_or(StoreVersion(0), |seen| seen.version);
         if version < known {
             self.must_read = true;
-            return LaneEnd::Backwards;
+            return CallOutcome::StoreRegressed;
         }
         let body = object.and_then(|object| object.body);
         let read: Result<ClaimBucket> = body.map_or_else(
@@ -408,30 +418,34 @@
         );
         let Ok(bucket) = read else {
             self.must_read = true;
-            return LaneEnd::Broken;
+            return CallOutcome::Unreadable;
         };
         self.must_read = false;
-        let call = self.calls;
+        let call = self.call_count;
         self.seen = Some(SeenBucket {
             version,
             bucket,
-            call,
-            at: now,
+            shown_by_call: call,
+            seen_at: now,
         });
-        self.settle();
-        LaneEnd::Answered
+        self.resolve_lost_writes();
+        CallOutcome::Answered
     }
 
     /// Drops the doubt about lost writes that the seen version has left behind.
-    fn settle(&mut self) {
+    fn resolve_lost_writes(&mut self) {
         let Some(seen) = &self.seen else { return };
         let is_past = |lost_at: StoreVersion| seen.version > lost_at;
         for claim in &mut self.waiting {
             let holds = seen.bucket.holds(&claim.ticket.key, claim.ticket.id);
-            claim.lost_at = claim.lost_at.filter(|lost_at| holds || !is_past(*lost_at));
+            claim.lost_write_version = claim
+                .lost_write_version
+                .filter(|lost_at| holds || !is_past(*lost_at));
         }
         self.releases.retain(|release| {
-            let may_come = release.lost_at.is_some_and(|lost_at| !is_past(lost_at));
+            let may_come = release
+                .lost_write_version
+                .is_some_and(|lost_at| !is_past(lost_at));
             may_come || seen.bucket.holds(&release.ticket.key, release.ticket.id)
         });
     }
@@ -439,11 +453,11 @@
     fn is_seen_fresh(&self, now: TimePoint) -> bool {
         self.seen
             .as_ref()
-            .is_some_and(|seen| now.since(seen.at) <= FRESH_FOR)
+            .is_some_and(|seen| now.since(seen.seen_at) <= MAX_SEEN_BUCKET_AGE)
     }
 
     /// Judges the tries that wait by the bucket as it was last seen.
-    fn judge(&mut self, retry: TimeSpan, verdicts: &mut LaneVerdicts) {
+    fn evaluate_waiting(&mut self, retry: TimeSpan, verdicts: &mut ClaimVerdicts) {
         let Some(seen) = &self.seen else { return };
         let mut waiting = Vec::new();
         for claim in mem::take(&mut self.waiting) {
@@ -451,7 +465,7 @@
             let verdict = seen.bucket.judge(&ticket.key, claim.fingerprint, ticket.id);
             // A claim may have been released since, so that only a bucket that was asked for after
             // the try came says that the key is taken.
-            let is_fresh = seen.call > claim.offered;
+            let is_fresh = seen.shown_by_call > claim.offered_after_call;
             match verdict {
                 BucketVerdict::Free => waiting.push(claim),
                 BucketVerdict::Own => verdicts.push((ticket, ClaimVerdict::Granted(ticket))),
@@ -476,25 +490,25 @@
         self.waiting = waiting;
     }
 
-    fn put_back(&mut self, claim: LaneClaim) {
+    fn requeue(&mut self, claim: PendingClaim) {
         if claim.is_abandoned {
-            self.forget(&claim);
+            self.release_if_uncertain(&claim);
         } else {
             self.waiting.push(claim);
         }
     }
 
     /// Forgets a try that was refused; one that a lost write may yet bring in is written out.
-    fn forget(&mut self, claim: &LaneClaim) {
-        if claim.lost_at.is_some() {
-            self.releases.push(claim.release());
+    fn release_if_uncertain(&mut self, claim: &PendingClaim) {
+        if claim.lost_write_version.is_some() {
+            self.releases.push(claim.to_release());
         }
     }
 }
 
 /// A `LaneEnd` says how a lane's call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LaneEnd {
+pub(crate) enum CallOutcome {
     /// The store answered.
     Answered,
     /// The store took the write.
@@ -506,7 +520,7 @@
     /// The answer is lost.
     Lost,
     /// The bucket can't be read.
-    Broken,
+    Unreadable,
     /// The store went backwards.
-    Backwards,
+    StoreRegressed,
 }
--- a/alderhaven-policy/src/room_limit.rs
+++ b/alderhaven-policy/src/concurrency_limit.rs
@@ -19,52 +19,54 @@
 
 /// The limit before anything is known: more than a calm load has in flight, and few enough that a
 /// front which starts in the midst of overload finds the right limit within some hundred milliseconds.
-const FIRST: f64 = 8.0;
+const INITIAL_LIMIT: f64 = 8.0;
 
 /// The least limit: with fewer in flight too little is learnt to notice that there is room again.
-const LEAST: f64 = 2.0;
+const MIN_LIMIT: f64 = 2.0;
 
 /// The greatest limit. Dozens of queries in flight at one front are more than its processor share
 /// works off within a latency target.
-const MOST: f64 = 64.0;
+const MAX_LIMIT: f64 = 64.0;
 
 /// The part of a query's time that should pass until enough shards are in. What is left covers the
 /// spread between queries and a short wait for admission.
-const AIM: f64 = 0.7;
+const DESIRED_TIME_SHARE: f64 = 0.7;
 
 /// The greatest fall in a round, as a share of the limit.
-const FALL: f64 = 0.25;
+const MAX_DECREASE_SHARE: f64 = 0.25;
 
 /// The greatest rise in a round, in queries.
-const RISE: f64 = 1.0;
+const MAX_INCREASE_QUERIES: f64 = 1.0;
 
 /// The part of the limit above which it counts as used.
-const USED: f64 = 0.7;
+const MIN_USED_SHARE: f64 = 0.7;
 
 /// A `QueryNeed` is what a query that ended says of the room.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum QueryNeed {
+pub enum QuerySignal {
     /// Enough shards were in after this part of its time.
-    Met(f64),
+    EnoughShards(f64),
     /// Its time passed while targets were full or had not answered.
-    Missed,
+    TimedOut,
     /// It ended for a reason that says nothing of the room, such as targets that are gone.
-    Unknown,
+    Uninformative,
 }
 
 /// A `RoomLimit` follows how many queries may be in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct RoomLimit {
+pub struct ConcurrencyLimit {
     limit: f64,
 }
 
-impl Default for RoomLimit {
+impl Default for ConcurrencyLimit {
     fn default() -> Self {
-        Self { limit: FIRST }
+        Self {
+            limit: INITIAL_LIMIT,
+        }
     }
 }
 
-impl RoomLimit {
+impl ConcurrencyLimit {
     /// Gets the limit.
     #[must_use]
     pub const fn get(&self) -> f64 {
@@ -79,21 +81,23 @@
     }
 
     /// Notes a query that ended while `in_flight` were in flight, itself included.
-    pub fn note(&mut self, need: QueryNeed, in_flight: usize) {
+    pub fn record_finished(&mut self, need: QuerySignal, in_flight: usize) {
         let spare = match need {
-            QueryNeed::Met(part) => ((AIM - part) / AIM).clamp(-1.0, 1.0),
-            QueryNeed::Missed => -1.0,
-            QueryNeed::Unknown => return,
+            QuerySignal::EnoughShards(part) => {
+                ((DESIRED_TIME_SHARE - part) / DESIRED_TIME_SHARE).clamp(-1.0, 1.0)
+            }
+            QuerySignal::TimedOut => -1.0,
+            QuerySignal::Uninformative => return,
         };
-        let is_used = in_flight as f64 >= USED * self.limit;
+        let is_used = in_flight as f64 >= MIN_USED_SHARE * self.limit;
         // Of a round of `limit` queries each moves it by its part.
         let step = if spare < 0.0 {
-            spare * FALL
+            spare * MAX_DECREASE_SHARE
         } else if is_used {
-            spare * RISE / self.limit
+            spare * MAX_INCREASE_QUERIES / self.limit
         } else {
             0.0
         };
-        self.limit = (self.limit + step).clamp(LEAST, MOST);
+        self.limit = (self.limit + step).clamp(MIN_LIMIT, MAX_LIMIT);
     }
 }
--- a/alderhaven-policy/src/connection_health.rs
+++ b/alderhaven-policy/src/connection_health.rs
@@ -37,7 +37,7 @@
     /// Whether silent connections are looked for at all.
     pub enabled: bool,
     /// How many times the expected service time an attempt may be silent.
-    pub factor: f64,
+    pub silence_factor: f64,
     /// The least silence that leads to a probe.
     pub min_silence: TimeSpan,
     /// The time within which a probe is answered.
@@ -50,7 +50,7 @@
     fn default() -> Self {
         Self {
             enabled: true,
-            factor: 8.0,
+            silence_factor: 8.0,
             min_silence: TimeSpan::from_millis(200),
             probe_timeout: TimeSpan::from_millis(150),
             idle_suspect: TimeSpan::from_millis(50),
@@ -93,7 +93,7 @@
     /// Send a probe on a new connection.
     Probe,
     /// Close the connections that were idle since before the probe.
-    ReplaceOld,
+    ReplaceIdle,
 }
 
 /// A `SilentAttempt` is an attempt that waits for its reply while a probe was answered.
@@ -104,7 +104,7 @@
     /// When it was sent.
     pub sent: TimePoint,
     /// When the latest attempt of those that were answered had been sent, if any was.
-    pub answered_sent: Option<TimePoint>,
+    pub last_answered_sent: Option<TimePoint>,
 }
 
 /// A `ConnectionHealth` tells silent connections from a target that is slow or down.
@@ -125,7 +125,7 @@
     /// Gets the silence after which an attempt leads to a probe, or none where it never does.
     #[must_use]
     pub fn silence_bound(&self, expected: TimeSpan) -> Option<TimeSpan> {
-        let bound = expected.mul_f64(self.options.factor);
+        let bound = expected.mul_f64(self.options.silence_factor);
         self.options
             .enabled
             .then(|| bound.max(self.options.min_silence))
@@ -158,7 +158,7 @@
     #[must_use]
     pub fn is_silent(&self, attempt: &SilentAttempt) -> bool {
         let overtaken = attempt
-            .answered_sent
+            .last_answered_sent
             .is_some_and(|answered| answered > attempt.sent);
         overtaken || attempt.idle_before >= self.options.idle_suspect
     }
--- a/alderhaven-policy/src/crash_strike.rs
+++ b/alderhaven-policy/src/crash_strike.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct TargetCrash {
     /// A random number that names the crash wherever it is heard of.
-    pub crash: u64,
+    pub id: u64,
     /// The target.
     pub target: TargetId,
     /// The target's failure domain.
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct CrashStrike {
     /// The number of the crash.
-    pub crash: u64,
+    pub crash_id: u64,
     /// The target.
     pub target: TargetId,
     /// The target's failure domain.
@@ -40,7 +40,7 @@
 
 /// A `StrikeNews` is a strike on its way to another process, where times are ages.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct StrikeNews {
+pub struct StrikeUpdate {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The strike; its time counts only in the process that made it.
@@ -58,7 +58,7 @@
 
     /// Takes over what another process knows of the same strike: the earlier time, and cleared
     /// where either knows it as cleared. Returns true where that changed anything.
-    pub(crate) fn join(&mut self, other: &Self) -> bool {
+    pub(crate) fn merge(&mut self, other: &Self) -> bool {
         let before = (self.at, self.cleared);
         self.at = self.at.min(other.at);
         self.cleared |= other.cleared;
--- a/alderhaven-policy/src/far_cost.rs
+++ b/alderhaven-policy/src/cross_domain_cost.rs
@@ -15,14 +15,16 @@
 use alderhaven_core::time::TimeSpan;
 
 /// The share of the usual time that a far replica must be faster by.
-const USUAL_SHARE: f64 = 2.0;
+const TYPICAL_LATENCY_FACTOR: f64 = 2.0;
 
 /// The most that it must be faster by, so that a paused near replica is passed.
-const MOST: TimeSpan = TimeSpan::from_millis(36);
+const MAX_CROSS_DOMAIN_COST: TimeSpan = TimeSpan::from_millis(36);
 
 /// Gets what a replica in another failure domain must be faster by, where an attempt usually takes
 /// `usual`.
 #[must_use]
-pub fn far_cost(usual: TimeSpan) -> TimeSpan {
-    usual.mul_f64(USUAL_SHARE).min(MOST)
+pub fn cross_domain_cost(usual: TimeSpan) -> TimeSpan {
+    usual
+        .mul_f64(TYPICAL_LATENCY_FACTOR)
+        .min(MAX_CROSS_DOMAIN_COST)
 }
--- a/alderhaven-policy/src/delivery_age.rs
+++ b/alderhaven-policy/src/delivery_age.rs
@@ -13,15 +13,17 @@
 /// A `DeliveryAge` follows the deliveries on one connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DeliveryAge {
-    least: Option<i128>,
+    min_clock_difference: Option<i128>,
 }
 
 impl DeliveryAge {
     /// Gets the age of a message that was sent at `sent` by the sender's clock.
-    pub fn note(&mut self, sent: TimePoint, received: TimePoint) -> TimeSpan {
+    pub fn record_delivery(&mut self, sent: TimePoint, received: TimePoint) -> TimeSpan {
         let difference = i128::from(received.as_micros()) - i128::from(sent.as_micros());
-        let least = self.least.map_or(difference, |least| least.min(difference));
-        self.least = Some(least);
+        let least = self
+            .min_clock_difference
+            .map_or(difference, |least| least.min(difference));
+        self.min_clock_difference = Some(least);
         TimeSpan::from_micros(u64::try_from(difference - least).unwrap_or_default())
     }
 }
--- a/alderhaven-policy/src/domain_reach.rs
+++ b/alderhaven-policy/src/domain_peers.rs
@@ -12,27 +12,27 @@
 
 /// A `DomainReach` is the number of a node's known peers, in its own failure domain and beyond.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct DomainReach {
+pub struct DomainPeers {
     /// The peers in the node's own domain.
-    pub near: usize,
+    pub own_domain: usize,
     /// The peers in other domains.
-    pub far: usize,
+    pub other_domains: usize,
 }
 
-impl DomainReach {
+impl DomainPeers {
     /// Gets the chance that a draw reaches beyond, where the nodes of the domain together are to
     /// reach beyond `copies` times for each draw that every one of them makes.
     #[must_use]
-    pub fn far_chance(self, copies: f64) -> f64 {
-        if self.near == 0 {
+    pub fn cross_domain_probability(self, copies: f64) -> f64 {
+        if self.own_domain == 0 {
             return 1.0;
         }
-        let even = self.far as f64 / (self.near + self.far) as f64;
-        even.min(copies / (self.near + 1) as f64)
+        let even = self.other_domains as f64 / (self.own_domain + self.other_domains) as f64;
+        even.min(copies / (self.own_domain + 1) as f64)
     }
 
     /// Draws whether to reach beyond.
-    pub fn is_far(self, copies: f64, rng: &mut impl Rng) -> bool {
-        self.far > 0 && rng.random_bool(self.far_chance(copies))
+    pub fn draw_cross_domain(self, copies: f64, rng: &mut impl Rng) -> bool {
+        self.other_domains > 0 && rng.random_bool(self.cross_domain_probability(copies))
     }
 }
--- a/alderhaven-policy/src/domain_silence.rs
+++ b/alderhaven-policy/src/domain_silence.rs
@@ -18,40 +18,40 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
 /// The sources that must be silent: targets, or connections to fronts.
-const SOURCES: u32 = 3;
+const MIN_SILENT_SOURCES: u32 = 3;
 
 /// How long a domain counts as silent after the latest sign of it.
-const HOLD: TimeSpan = TimeSpan::from_millis(1_000);
+const SILENCE_SPAN: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// How long nothing is heard of a domain that is lost.
 const LOST_AFTER: TimeSpan = TimeSpan::from_millis(500);
 
 /// The shortest wait for a source that says anything of its domain.
-const LEAST_WAIT: TimeSpan = TimeSpan::from_millis(60);
+const MIN_SOURCE_TIMEOUT: TimeSpan = TimeSpan::from_millis(60);
 
 /// How many times the usual time a source is waited for.
-const WAIT_FACTOR: f64 = 3.0;
+const SOURCE_TIMEOUT_FACTOR: f64 = 3.0;
 
 /// Gets how long a source that was asked is waited for, where answers usually take `usual`.
 #[must_use]
-pub fn wait_for_source(usual: TimeSpan) -> TimeSpan {
-    usual.mul_f64(WAIT_FACTOR).max(LEAST_WAIT)
+pub fn source_timeout(usual: TimeSpan) -> TimeSpan {
+    usual.mul_f64(SOURCE_TIMEOUT_FACTOR).max(MIN_SOURCE_TIMEOUT)
 }
 
 /// A `DomainSilence` is what one node has heard of one failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DomainSilence {
-    heard_at: Option<TimePoint>,
-    missed: u32,
+    last_answer_at: Option<TimePoint>,
+    overdue_count: u32,
     silent_until: TimePoint,
 }
 
 impl DomainSilence {
     /// Notes that a source in the domain has answered; returns true where that ends a silence.
-    pub fn note_heard(&mut self, now: TimePoint) -> bool {
+    pub fn record_answer(&mut self, now: TimePoint) -> bool {
         let was_silent = self.is_silent(now);
         *self = Self {
-            heard_at: Some(now),
+            last_answer_at: Some(now),
             ..Self::default()
         };
         was_silent
@@ -59,14 +59,14 @@
 
     /// Notes that a source which was asked at `sent` has said nothing for as long as one is waited for;
     /// returns true where that begins a silence.
-    pub fn note_missed(&mut self, sent: TimePoint, now: TimePoint) -> bool {
-        if self.heard_at.is_none_or(|heard_at| sent <= heard_at) {
+    pub fn record_overdue(&mut self, sent: TimePoint, now: TimePoint) -> bool {
+        if self.last_answer_at.is_none_or(|heard_at| sent <= heard_at) {
             return false;
         }
         let was_silent = self.is_silent(now);
-        self.missed = self.missed.saturating_add(1);
-        if self.missed >= SOURCES {
-            self.silent_until = now + HOLD;
+        self.overdue_count = self.overdue_count.saturating_add(1);
+        if self.overdue_count >= MIN_SILENT_SOURCES {
+            self.silent_until = now + SILENCE_SPAN;
         }
         !was_silent && self.is_silent(now)
     }
@@ -74,7 +74,7 @@
     /// Returns true while the domain counts as lost.
     #[must_use]
     pub fn is_lost(&self, now: TimePoint) -> bool {
-        let heard_at = self.heard_at.unwrap_or(now);
+        let heard_at = self.last_answer_at.unwrap_or(now);
         self.is_silent(now) && now.since(heard_at) >= LOST_AFTER
     }
 
--- a/alderhaven-policy/src/drain.rs
+++ b/alderhaven-policy/src/drain.rs
@@ -17,9 +17,9 @@
 #[serde(default, deny_unknown_fields)]
 pub struct DrainOptions {
     /// The time until every node has heard that the process leaves.
-    pub heard_within: TimeSpan,
+    pub leave_propagation_time: TimeSpan,
     /// The time for which answers that name the process are kept; zero for a relay.
-    pub address_life: TimeSpan,
+    pub directory_lifetime: TimeSpan,
     /// The longest time from the signal to the end.
     pub limit: TimeSpan,
 }
@@ -27,8 +27,8 @@
 impl Default for DrainOptions {
     fn default() -> Self {
         Self {
-            heard_within: TimeSpan::from_secs(3),
-            address_life: TimeSpan::from_secs(10),
+            leave_propagation_time: TimeSpan::from_secs(3),
+            directory_lifetime: TimeSpan::from_secs(10),
             limit: TimeSpan::from_secs(60),
         }
     }
@@ -85,9 +85,9 @@
     /// Why the process ended.
     pub reason: StopReason,
     /// How many requests in flight were cut.
-    pub cut: usize,
+    pub aborted_requests: usize,
     /// The time from the signal to the end.
-    pub took: TimeSpan,
+    pub elapsed: TimeSpan,
 }
 
 /// A `DrainSequence` runs the stop of one process.
--- a/alderhaven-policy/src/drain_lifecycle.rs
+++ b/alderhaven-policy/src/drain_lifecycle.rs
@@ -89,7 +89,7 @@
     /// Others name the process until they hear that it leaves, and what they named is kept for the
     /// address life after that.
     fn served_for(&self) -> TimeSpan {
-        self.options.heard_within + self.options.address_life
+        self.options.leave_propagation_time + self.options.directory_lifetime
     }
 
     fn is_over_limit(&self, now: TimePoint) -> bool {
@@ -99,8 +99,8 @@
     fn stop(&mut self, reason: StopReason, cut: usize, now: TimePoint) -> Outcome<DrainPhase> {
         self.report = Some(StopReport {
             reason,
-            cut,
-            took: now.since(self.asked_at),
+            aborted_requests: cut,
+            elapsed: now.since(self.asked_at),
         });
         Transition(DrainPhase::stopped())
     }
--- a/alderhaven-policy/src/entry_answer.rs
+++ b/alderhaven-policy/src/entry_answer.rs
@@ -18,7 +18,7 @@
 use crate::membership::member_record::{LoadLevel, MemberRole, MemberState};
 
 /// The weight of an idle entry.
-const FULL_WEIGHT: u32 = 1_000;
+const IDLE_WEIGHT: u32 = 1_000;
 
 /// The smallest weight: a busy entry is still named, or its callers would all move at once.
 const MIN_WEIGHT: u32 = 50;
@@ -30,17 +30,17 @@
     /// How long a caller may keep an answer; an entry that leaves serves on for that long.
     pub ttl: TimeSpan,
     /// The most entries of the nearest failure domain in an answer.
-    pub near: usize,
+    pub max_in_own_domain: usize,
     /// The most entries of other failure domains in an answer.
-    pub far: usize,
+    pub max_in_other_domains: usize,
 }
 
 impl Default for AnswerOptions {
     fn default() -> Self {
         Self {
             ttl: TimeSpan::from_secs(10),
-            near: 4,
-            far: 2,
+            max_in_own_domain: 4,
+            max_in_other_domains: 2,
         }
     }
 }
@@ -77,9 +77,9 @@
         options: &AnswerOptions,
         rng: &mut impl Rng,
     ) -> Self {
-        let mut entries = entries_in(members, MemberState::Alive);
+        let mut entries = entries_in_state(members, MemberState::Alive);
         if entries.is_empty() {
-            entries = entries_in(members, MemberState::Suspect);
+            entries = entries_in_state(members, MemberState::Suspect);
         }
         let distance = |entry: &EntryAddress| {
             let place = order.iter().position(|domain| *domain == entry.domain);
@@ -89,8 +89,8 @@
         let (near, far): (Vec<_>, Vec<_>) = entries
             .into_iter()
             .partition(|entry| Some(distance(entry)) == nearest);
-        let mut chosen = draw(near, options.near, rng);
-        let mut fallbacks = draw(far, options.far, rng);
+        let mut chosen = draw(near, options.max_in_own_domain, rng);
+        let mut fallbacks = draw(far, options.max_in_other_domains, rng);
         fallbacks.sort_by_key(distance);
         chosen.extend(fallbacks);
         Self {
@@ -100,7 +100,7 @@
     }
 }
 
-fn entries_in(members: &[MemberView], state: MemberState) -> Vec<EntryAddress> {
+fn entries_in_state(members: &[MemberView], state: MemberState) -> Vec<EntryAddress> {
     let is_meant =
         |member: &&MemberView| member.record.role == MemberRole::Entry && member.state == state;
     members
@@ -110,14 +110,14 @@
             Some(EntryAddress {
                 address: member.record.caller_address?,
                 domain: member.record.domain.clone(),
-                weight: weight_of(member.load),
+                weight: load_weight(member.load),
             })
         })
         .collect()
 }
 
-fn weight_of(load: LoadLevel) -> u32 {
-    FULL_WEIGHT.saturating_sub(load.0).max(MIN_WEIGHT)
+fn load_weight(load: LoadLevel) -> u32 {
+    IDLE_WEIGHT.saturating_sub(load.0).max(MIN_WEIGHT)
 }
 
 /// Draws up to `count` entries, each with a chance by its weight, so that callers spread out.
--- a/alderhaven-policy/src/exchange/exchange_message.rs
+++ b/alderhaven-policy/src/exchange/exchange_message.rs
@@ -43,7 +43,7 @@
         /// The versions.
         stamps: Vec<ObjectStamp>,
         /// The last key of the chunk where there are more; none for the last chunk.
-        next: Option<ObjectKey>,
+        continue_after: Option<ObjectKey>,
         /// Whether the sender holds all that it could hear of, rather than having just started.
         is_complete: bool,
     },
@@ -61,7 +61,7 @@
 
 /// An `ExchangeStep` is what is to be done after a message or a tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ExchangeStep {
+pub struct ExchangeOutput {
     /// The messages to send.
     pub send: Vec<(NodeId, ExchangeMessage)>,
     /// The objects to put in force.
--- a/alderhaven-policy/src/exchange/exchange_options.rs
+++ b/alderhaven-policy/src/exchange/exchange_options.rs
@@ -12,9 +12,9 @@
     /// nodes; the others notice by the digests on gossip.
     pub fanout: usize,
     /// How many peers of other failure domains a node announces to what it has from the store.
-    pub far_fanout: usize,
+    pub cross_domain_fanout: usize,
     /// How long a node that hears of news waits for it to come from its own failure domain.
-    pub near_patience: TimeSpan,
+    pub own_domain_wait: TimeSpan,
     /// How many times news is announced on; above the logarithm of any fleet's size.
     pub max_hops: u32,
     /// The time after which something that was asked for is asked for elsewhere.
@@ -31,8 +31,8 @@
     fn default() -> Self {
         Self {
             fanout: 3,
-            far_fanout: 2,
-            near_patience: TimeSpan::from_millis(500),
+            cross_domain_fanout: 2,
+            own_domain_wait: TimeSpan::from_millis(500),
             max_hops: 12,
             answer_timeout: TimeSpan::from_secs(1),
             compare_period: TimeSpan::from_millis(250),
--- a/alderhaven-policy/src/exchange/fetching.rs
+++ b/alderhaven-policy/src/exchange/fetching.rs
@@ -7,22 +7,22 @@
 use alderhaven_core::time::TimePoint;
 use rand::Rng;
 
-use crate::exchange::exchange_message::{ExchangeMessage, ExchangeStep, ObjectStamp};
+use crate::exchange::exchange_message::{ExchangeMessage, ExchangeOutput, ObjectStamp};
 use crate::exchange::object_exchange::{self, MissingObject, ObjectExchange};
 use crate::exchange::peer_set::PeerSet;
 
 /// How often an object is asked for before it is left to the next comparison.
-const MAX_TRIES: u32 = 3;
+const MAX_FETCH_TRIES: u32 = 3;
 
 impl ObjectExchange {
     /// Asks for what is newer than what the node holds.
-    pub(super) fn want(
+    pub(super) fn request_newer(
         &mut self,
         from: &NodeId,
         stamps: &[ObjectStamp],
         hops: u32,
         now: TimePoint,
-        step: &mut ExchangeStep,
+        step: &mut ExchangeOutput,
     ) {
         for stamp in stamps {
             let held = self.index.version(&stamp.key);
@@ -44,8 +44,8 @@
     }
 
     /// Asks a peer for the next of what it is to give, one message at a time.
-    fn fetch(&mut self, from: &NodeId, now: TimePoint, step: &mut ExchangeStep) {
-        if self.fetching.contains_key(from) {
+    fn fetch(&mut self, from: &NodeId, now: TimePoint, step: &mut ExchangeOutput) {
+        if self.open_fetches.contains_key(from) {
             return;
         }
         let wanted = self
@@ -60,20 +60,20 @@
             })
             .collect();
         if !keys.is_empty() {
-            self.fetching.insert(from.clone(), now);
+            self.open_fetches.insert(from.clone(), now);
             step.send
                 .push((from.clone(), ExchangeMessage::Fetch { keys }));
         }
     }
 
-    pub(super) fn hear_objects(
+    pub(super) fn handle_objects(
         &mut self,
         from: &NodeId,
         objects: Vec<StoredObject>,
         peers: &PeerSet,
         now: TimePoint,
         rng: &mut impl Rng,
-        step: &mut ExchangeStep,
+        step: &mut ExchangeOutput,
     ) {
         let mut by_hops: BTreeMap<u32, Vec<ObjectStamp>> = BTreeMap::new();
         let missing_before = self.missing.len();
@@ -82,7 +82,7 @@
                 .missing
                 .get(&object.key)
                 .map_or(0, |missing| missing.hops);
-            if let Some(stamp) = self.take(object, step) {
+            if let Some(stamp) = self.accept_object(object, step) {
                 by_hops.entry(hops).or_default().push(stamp);
             }
         }
@@ -91,22 +91,22 @@
         }
         // A full message leaves some out; they are asked for again at once. Where none came, the
         // peer does not hold them, and they are asked for elsewhere in time.
-        self.fetching.remove(from);
+        self.open_fetches.remove(from);
         if self.missing.len() < missing_before {
             self.fetch(from, now, step);
         }
     }
 
     /// Asks elsewhere for what was not answered.
-    pub(super) fn retry(
+    pub(super) fn retry_fetches(
         &mut self,
         peers: &PeerSet,
         now: TimePoint,
         rng: &mut impl Rng,
-        step: &mut ExchangeStep,
+        step: &mut ExchangeOutput,
     ) {
         let timeout = self.options.answer_timeout;
-        self.fetching
+        self.open_fetches
             .retain(|_, asked_at| now.since(*asked_at) < timeout);
         let mut sources: BTreeSet<NodeId> = BTreeSet::new();
         let missing_before = self.missing.len();
@@ -116,7 +116,7 @@
             }
             missing.tries += 1;
             missing.asked_at = now;
-            let peer = peers.pick(rng).filter(|_| missing.tries <= MAX_TRIES);
+            let peer = peers.pick(rng).filter(|_| missing.tries <= MAX_FETCH_TRIES);
             let Some(peer) = peer.cloned() else {
                 return false;
             };
@@ -133,7 +133,10 @@
         }
     }
 
-    pub(super) fn bounded(&self, objects: impl Iterator<Item = StoredObject>) -> Vec<StoredObject> {
+    pub(super) fn take_within_limits(
+        &self,
+        objects: impl Iterator<Item = StoredObject>,
+    ) -> Vec<StoredObject> {
         let mut bytes = 0;
         let mut taken = Vec::new();
         for object in objects.take(self.options.max_stamps) {
--- a/alderhaven-policy/src/exchange/object_exchange.rs
+++ b/alderhaven-policy/src/exchange/object_exchange.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use smallvec::SmallVec;
 
-use crate::exchange::exchange_message::{ExchangeMessage, ExchangeStep, ObjectStamp};
+use crate::exchange::exchange_message::{ExchangeMessage, ExchangeOutput, ObjectStamp};
 use crate::exchange::exchange_options::ExchangeOptions;
 use crate::exchange::object_index::{INDEX_BUCKETS, ObjectIndex};
 use crate::exchange::peer_set::PeerSet;
@@ -24,12 +24,12 @@
     pub(super) index: ObjectIndex,
     pub(super) missing: BTreeMap<ObjectKey, MissingObject>,
     /// The peers with a fetch under way, and since when.
-    pub(super) fetching: BTreeMap<NodeId, TimePoint>,
+    pub(super) open_fetches: BTreeMap<NodeId, TimePoint>,
     pub(super) comparison: Option<OpenComparison>,
-    differing: Option<NodeId>,
+    differing_peer: Option<NodeId>,
     /// Since when peers have been heard that hold more than this node.
     behind_since: Option<TimePoint>,
-    compare_at: TimePoint,
+    next_compare_at: TimePoint,
     is_complete: bool,
 }
 
@@ -47,7 +47,7 @@
     peer: NodeId,
     asked_at: TimePoint,
     /// Whether the peer's answer ended with all that a complete node holds.
-    is_listed: bool,
+    is_fully_listed: bool,
 }
 
 impl ObjectExchange {
@@ -58,11 +58,11 @@
             options,
             index: ObjectIndex::default(),
             missing: BTreeMap::new(),
-            fetching: BTreeMap::new(),
+            open_fetches: BTreeMap::new(),
             comparison: None,
-            differing: None,
+            differing_peer: None,
             behind_since: None,
-            compare_at: TimePoint::START,
+            next_compare_at: TimePoint::START,
             is_complete: false,
         }
     }
@@ -81,32 +81,32 @@
     }
 
     /// Notes that the store was listed, so that all it holds was given to [`hold`](Self::hold).
-    pub const fn complete(&mut self) {
+    pub const fn mark_complete(&mut self) {
         self.is_complete = true;
     }
 
     /// Returns true where nothing is missing, compared or to be compared.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
-        let is_comparing = self.comparison.is_some() || self.differing.is_some();
+    pub fn is_idle(&self) -> bool {
+        let is_comparing = self.comparison.is_some() || self.differing_peer.is_some();
         self.is_complete && self.missing.is_empty() && !is_comparing
     }
 
     /// Gets the number of objects that are known of and not held yet.
     #[must_use]
-    pub fn missing(&self) -> usize {
+    pub fn missing_count(&self) -> usize {
         self.missing.len()
     }
 
     /// Takes the versions of the objects that the node holds by itself, which are in force already;
     /// returns the announcements of those that are new.
-    pub fn hold(
+    pub fn announce_held(
         &mut self,
         stamps: Vec<ObjectStamp>,
         peers: &PeerSet,
         rng: &mut impl Rng,
-    ) -> ExchangeStep {
-        let mut step = ExchangeStep::default();
+    ) -> ExchangeOutput {
+        let mut step = ExchangeOutput::default();
         let is_new = |stamp: &ObjectStamp| self.note_held(stamp);
         let stamps: Vec<ObjectStamp> = stamps.into_iter().filter(is_new).collect();
         self.announce(&stamps, self.options.max_hops, None, peers, rng, &mut step);
@@ -118,7 +118,7 @@
     /// Only the one that is not ahead asks: it then is ahead in turn, and the other asks it. News comes
     /// into a domain in a few copies and goes around there; a node that it has not reached after that
     /// asks whoever has it.
-    pub fn hear_digest(
+    pub fn handle_digest(
         &mut self,
         peer: &NodeId,
         digest: ConfigDigest,
@@ -129,34 +129,34 @@
         let own = self.digest();
         if digest.hash == own.hash {
             self.behind_since = None;
-        } else if digest.progress >= own.progress {
+        } else if digest.version_sum >= own.version_sum {
             let since = *self.behind_since.get_or_insert(now);
-            let is_patient = now.since(since) < self.options.near_patience;
-            if !is_patient || peers.is_asked(peer, rng) {
-                self.differing = Some(peer.clone());
+            let is_patient = now.since(since) < self.options.own_domain_wait;
+            if !is_patient || peers.should_compare_with(peer, rng) {
+                self.differing_peer = Some(peer.clone());
             }
         }
     }
 
     /// Does what is due; to be called several times a second.
-    pub fn tick(&mut self, peers: &PeerSet, now: TimePoint, rng: &mut impl Rng) -> ExchangeStep {
-        let mut step = ExchangeStep::default();
-        self.retry(peers, now, rng, &mut step);
+    pub fn tick(&mut self, peers: &PeerSet, now: TimePoint, rng: &mut impl Rng) -> ExchangeOutput {
+        let mut step = ExchangeOutput::default();
+        self.retry_fetches(peers, now, rng, &mut step);
         let timeout = self.options.answer_timeout;
         // Once all is listed, the objects have time-outs of their own.
         self.comparison.take_if(|comparison| {
-            !comparison.is_listed && now.since(comparison.asked_at) >= timeout
+            !comparison.is_fully_listed && now.since(comparison.asked_at) >= timeout
         });
-        if self.comparison.is_some() || now < self.compare_at {
+        if self.comparison.is_some() || now < self.next_compare_at {
             return step;
         }
-        let peer = match self.differing.take() {
+        let peer = match self.differing_peer.take() {
             Some(peer) if peers.contains(&peer) => Some(peer),
             _ if !self.is_complete => peers.pick(rng).cloned(),
             _ => None,
         };
         if let Some(peer) = peer {
-            self.compare_at = now + self.options.compare_period;
+            self.next_compare_at = now + self.options.compare_period;
             self.compare(peer, None, now, &mut step);
         }
         step
@@ -171,36 +171,36 @@
         peers: &PeerSet,
         now: TimePoint,
         rng: &mut impl Rng,
-    ) -> ExchangeStep {
-        let mut step = ExchangeStep::default();
+    ) -> ExchangeOutput {
+        let mut step = ExchangeOutput::default();
         match message {
             ExchangeMessage::Announce { stamps, hops } => {
-                self.want(from, &stamps, hops, now, &mut step);
+                self.request_newer(from, &stamps, hops, now, &mut step);
             }
             ExchangeMessage::Compare { buckets, after } => {
-                self.answer_compare(from, &buckets, after.as_ref(), &mut step);
+                self.handle_compare(from, &buckets, after.as_ref(), &mut step);
             }
             ExchangeMessage::Stamps {
                 stamps,
-                next,
+                continue_after: next,
                 is_complete,
             } => {
                 // What comes from beyond is news to the own domain.
-                let hops = if peers.is_near(from) {
+                let hops = if peers.is_in_own_domain(from) {
                     0
                 } else {
                     self.options.max_hops
                 };
-                self.want(from, &stamps, hops, now, &mut step);
-                self.hear_stamps(from, next, is_complete, now, &mut step);
+                self.request_newer(from, &stamps, hops, now, &mut step);
+                self.handle_stamps(from, next, is_complete, now, &mut step);
             }
             ExchangeMessage::Fetch { keys } => {
-                let objects = self.bounded(keys.iter().filter_map(look_up));
+                let objects = self.take_within_limits(keys.iter().filter_map(look_up));
                 step.send
                     .push((from.clone(), ExchangeMessage::Objects { objects }));
             }
             ExchangeMessage::Objects { objects } => {
-                self.hear_objects(from, objects, peers, now, rng, &mut step);
+                self.handle_objects(from, objects, peers, now, rng, &mut step);
             }
         }
         self.finish_comparison();
@@ -208,10 +208,10 @@
     }
 
     /// Takes one object where it is newer than what is held.
-    pub(super) fn take(
+    pub(super) fn accept_object(
         &mut self,
         object: StoredObject,
-        step: &mut ExchangeStep,
+        step: &mut ExchangeOutput,
     ) -> Option<ObjectStamp> {
         let stamp = ObjectStamp::from(&object);
         if !self.note_held(&stamp) {
@@ -241,7 +241,7 @@
         without: Option<&NodeId>,
         peers: &PeerSet,
         rng: &mut impl Rng,
-        step: &mut ExchangeStep,
+        step: &mut ExchangeOutput,
     ) {
         if hops == 0 {
             return;
@@ -260,12 +260,12 @@
         }
         // What comes from the store is new to all domains.
         let far = if without.is_none() {
-            self.options.far_fanout
+            self.options.cross_domain_fanout
         } else {
             0
         };
         for _ in 0..far {
-            tell(peers.pick_far(rng));
+            tell(peers.pick_cross_domain(rng));
         }
         for (peer, stamps) in told.iter().flat_map(|peer| {
             stamps
@@ -285,7 +285,7 @@
         peer: NodeId,
         after: Option<ObjectKey>,
         now: TimePoint,
-        step: &mut ExchangeStep,
+        step: &mut ExchangeOutput,
     ) {
         let buckets = self.index.buckets().to_vec();
         step.send
@@ -293,38 +293,38 @@
         self.comparison = Some(OpenComparison {
             peer,
             asked_at: now,
-            is_listed: false,
+            is_fully_listed: false,
         });
     }
 
-    fn answer_compare(
+    fn handle_compare(
         &self,
         from: &NodeId,
         buckets: &[u64],
         after: Option<&ObjectKey>,
-        step: &mut ExchangeStep,
+        step: &mut ExchangeOutput,
     ) {
         if buckets.len() != INDEX_BUCKETS {
             return;
         }
         let (stamps, next) = self
             .index
-            .differing(buckets, after, self.options.max_stamps);
+            .differing_stamps(buckets, after, self.options.max_stamps);
         let message = ExchangeMessage::Stamps {
             stamps,
-            next,
+            continue_after: next,
             is_complete: self.is_complete,
         };
         step.send.push((from.clone(), message));
     }
 
-    fn hear_stamps(
+    fn handle_stamps(
         &mut self,
         from: &NodeId,
         next: Option<ObjectKey>,
         is_complete: bool,
         now: TimePoint,
-        step: &mut ExchangeStep,
+        step: &mut ExchangeOutput,
     ) {
         let Some(mut comparison) = self
             .comparison
@@ -335,7 +335,7 @@
         if next.is_some() {
             self.compare(comparison.peer, next, now, step);
         } else if is_complete {
-            comparison.is_listed = true;
+            comparison.is_fully_listed = true;
             comparison.asked_at = now;
             self.comparison = Some(comparison);
         }
@@ -350,7 +350,7 @@
         let is_done = self
             .comparison
             .as_ref()
-            .is_some_and(|comparison| comparison.is_listed);
+            .is_some_and(|comparison| comparison.is_fully_listed);
         if is_done && self.missing.is_empty() {
             self.comparison = None;
             self.is_complete = true;
--- a/alderhaven-policy/src/exchange/object_index.rs
+++ b/alderhaven-policy/src/exchange/object_index.rs
@@ -39,13 +39,13 @@
             return false;
         }
         let key_hash = hash_key(key);
-        let before = known.map_or(0, |known| hashing::mix(key_hash, known.0));
-        let change = before ^ hashing::mix(key_hash, version.0);
+        let before = known.map_or(0, |known| hashing::mix_hashes(key_hash, known.0));
+        let change = before ^ hashing::mix_hashes(key_hash, version.0);
         self.buckets[bucket_of(key_hash)] ^= change;
         self.digest.hash ^= change;
         self.digest.highest = self.digest.highest.max(version);
         let rise = version.0 - known.unwrap_or_default().0;
-        self.digest.progress = self.digest.progress.wrapping_add(rise);
+        self.digest.version_sum = self.digest.version_sum.wrapping_add(rise);
         self.versions.insert(key.clone(), version);
         true
     }
@@ -71,7 +71,7 @@
     /// Gets at most `count` versions after a key in the parts that differ from another index's,
     /// and the last key where there are more.
     #[must_use]
-    pub fn differing(
+    pub fn differing_stamps(
         &self,
         buckets: &[u64],
         after: Option<&ObjectKey>,
@@ -101,7 +101,7 @@
 }
 
 fn hash_key(key: &ObjectKey) -> u64 {
-    hashing::mix(
+    hashing::mix_hashes(
         hashing::hash_name(key.kind.as_str()),
         hashing::hash_name(&key.name),
     )
--- a/alderhaven-policy/src/exchange/peer_set.rs
+++ b/alderhaven-policy/src/exchange/peer_set.rs
@@ -3,18 +3,18 @@
 use alderhaven_core::ids::NodeId;
 use rand::{Rng, RngExt};
 
-use crate::domain_reach::DomainReach;
+use crate::domain_peers::DomainPeers;
 use crate::membership::member_entry::MemberView;
 use crate::membership::member_record::MemberState;
 
 /// How many announcements a domain as a whole sends beyond for each that every node of it makes.
-const FAR_COPIES: f64 = 1.5;
+const CROSS_DOMAIN_COPIES: f64 = 1.5;
 
 /// A `PeerSet` holds the peers that a node exchanges objects with.
 #[derive(Clone, Debug, Default)]
 pub struct PeerSet {
-    near: Vec<NodeId>,
-    far: Vec<NodeId>,
+    own_domain: Vec<NodeId>,
+    other_domains: Vec<NodeId>,
 }
 
 impl PeerSet {
@@ -23,7 +23,10 @@
     pub fn new(mut near: Vec<NodeId>, mut far: Vec<NodeId>) -> Self {
         near.sort_unstable();
         far.sort_unstable();
-        Self { near, far }
+        Self {
+            own_domain: near,
+            other_domains: far,
+        }
     }
 
     /// Returns the peers among a group's members, of which the first is the process itself.
@@ -47,40 +50,46 @@
     /// Returns true where the node is one of the peers.
     #[must_use]
     pub fn contains(&self, node: &NodeId) -> bool {
-        self.is_near(node) || self.far.binary_search(node).is_ok()
+        self.is_in_own_domain(node) || self.other_domains.binary_search(node).is_ok()
     }
 
     /// Draws a peer, mostly of the own domain.
     pub fn pick(&self, rng: &mut impl Rng) -> Option<&NodeId> {
-        let peers = if self.reach().is_far(FAR_COPIES, rng) {
-            &self.far
+        let peers = if self
+            .domain_peers()
+            .draw_cross_domain(CROSS_DOMAIN_COPIES, rng)
+        {
+            &self.other_domains
         } else {
-            &self.near
+            &self.own_domain
         };
         pick_of(peers, rng)
     }
 
     /// Draws a peer of another domain.
-    pub fn pick_far(&self, rng: &mut impl Rng) -> Option<&NodeId> {
-        pick_of(&self.far, rng)
+    pub fn pick_cross_domain(&self, rng: &mut impl Rng) -> Option<&NodeId> {
+        pick_of(&self.other_domains, rng)
     }
 
     /// Draws whether to ask a peer that holds more: one of the own domain always, and one beyond as
     /// often as announcements go there, so that news comes into a domain in a few copies.
-    pub fn is_asked(&self, node: &NodeId, rng: &mut impl Rng) -> bool {
-        self.is_near(node) || self.reach().is_far(FAR_COPIES, rng)
+    pub fn should_compare_with(&self, node: &NodeId, rng: &mut impl Rng) -> bool {
+        self.is_in_own_domain(node)
+            || self
+                .domain_peers()
+                .draw_cross_domain(CROSS_DOMAIN_COPIES, rng)
     }
 
     /// Returns true where the node is a peer in the own domain.
     #[must_use]
-    pub fn is_near(&self, node: &NodeId) -> bool {
-        self.near.binary_search(node).is_ok()
+    pub fn is_in_own_domain(&self, node: &NodeId) -> bool {
+        self.own_domain.binary_search(node).is_ok()
     }
 
-    const fn reach(&self) -> DomainReach {
-        DomainReach {
-            near: self.near.len(),
-            far: self.far.len(),
+    const fn domain_peers(&self) -> DomainPeers {
+        DomainPeers {
+            own_domain: self.own_domain.len(),
+            other_domains: self.other_domains.len(),
         }
     }
 }
--- a/alderhaven-policy/src/exchange/watch_plan.rs
+++ b/alderhaven-policy/src/exchange/watch_plan.rs
@@ -24,13 +24,13 @@
 #[must_use]
 pub fn is_watcher(node: &NodeId, kind: ObjectKind, nodes: &[NodeId]) -> bool {
     let kind_hash = hashing::hash_name(kind.as_str());
-    let score = |node: &NodeId| hashing::mix(kind_hash, hashing::hash_name(node.as_str()));
+    let score = |node: &NodeId| hashing::mix_hashes(kind_hash, hashing::hash_name(node.as_str()));
     let own = score(node);
     let ahead = nodes.iter().filter(|other| score(other) > own);
     ahead.count() < WATCHERS_PER_KIND
 }
 
 /// Gets the time until the next listing, spread so that nodes do not list together.
-pub fn next_poll(rng: &mut impl Rng) -> TimeSpan {
+pub fn next_poll_delay(rng: &mut impl Rng) -> TimeSpan {
     POLL_PERIOD.mul_f64(rng.random_range(0.5..1.5))
 }
--- a/alderhaven-policy/src/fair_queue.rs
+++ b/alderhaven-policy/src/fair_queue.rs
@@ -5,12 +5,12 @@
 //! Without it (first in first out): the others wait behind the flood, and get a share of the
 //! service that falls as the flood grows.
 //!
-//! Classes go in order, with one admission in [`AGED_EVERY`] for an aged query of a lower class.
+//! Classes go in order, with one admission in [`AGED_ADMISSION_INTERVAL`] for an aged query of a lower class.
 //! Within a class, the team goes next that has used least of late for its weight. Start-time fair
 //! queueing (Goyal, Vin and Cheng, 1996) was tried first: it forgets that a flood has lived on what
 //! others left over, and gives it its turn whenever another team has a few queries at once; in the
 //! hot-team test this doubled the others' p99. Within a team, queries go in the order of their
-//! arrival, but for keys that use more than [`HOT_SHARE`] of the team's part: those go later, the
+//! arrival, but for keys that use more than [`HOT_KEY_SHARE`] of the team's part: those go later, the
 //! hotter the later.
 //!
 //! Grounds for the figures: as for the relay's queue, an eighth of the admissions and 200 ms.
@@ -21,19 +21,19 @@
 use alderhaven_core::ids::TeamId;
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-use crate::load_meter::LoadMeter;
+use crate::rate_meter::RateMeter;
 
 /// One admission in this many may go to an aged query of a lower class.
-pub const AGED_EVERY: u32 = 64;
+pub const AGED_ADMISSION_INTERVAL: u32 = 64;
 /// The wait after which a query of a lower class counts as aged.
-pub const AGING_STEP: TimeSpan = TimeSpan::from_millis(200);
+pub const AGING_THRESHOLD: TimeSpan = TimeSpan::from_millis(200);
 
 /// Over how long use is counted: long enough to tell a flood from two queries in a row.
-const USE_FADE: TimeSpan = TimeSpan::from_millis(500);
+const USAGE_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(500);
 /// The share of its team's use above which a key is hot.
-pub const HOT_SHARE: f64 = 0.1;
+pub const HOT_KEY_SHARE: f64 = 0.1;
 /// The number of flows above which idle ones are forgotten.
-const MAX_IDLE_FLOWS: usize = 512;
+const IDLE_FLOW_EVICTION_THRESHOLD: usize = 512;
 
 /// A `WaitingQuery` is a query that waits for its admission.
 #[derive(Clone, Debug)]
@@ -51,32 +51,32 @@
     /// The number of shards it asks.
     pub cost: u32,
     /// When it arrived.
-    pub since: TimePoint,
+    pub arrived_at: TimePoint,
     /// When it is given up on.
-    pub give_up_at: TimePoint,
+    pub expires_at: TimePoint,
 }
 
 #[derive(Debug)]
 struct KeyFlow {
-    used: LoadMeter,
+    usage: RateMeter,
     queries: VecDeque<WaitingQuery>,
-    cost: u64,
+    queued_cost: u64,
 }
 
 #[derive(Debug)]
 struct TeamFlow {
-    used: LoadMeter,
+    usage: RateMeter,
     weight: u32,
     keys: HashMap<u64, KeyFlow>,
-    cost: u64,
+    queued_cost: u64,
 }
 
 impl Default for KeyFlow {
     fn default() -> Self {
         Self {
-            used: LoadMeter::new(USE_FADE),
+            usage: RateMeter::new(USAGE_TIME_CONSTANT),
             queries: VecDeque::new(),
-            cost: 0,
+            queued_cost: 0,
         }
     }
 }
@@ -84,10 +84,10 @@
 impl Default for TeamFlow {
     fn default() -> Self {
         Self {
-            used: LoadMeter::new(USE_FADE),
+            usage: RateMeter::new(USAGE_TIME_CONSTANT),
             weight: 1,
             keys: HashMap::new(),
-            cost: 0,
+            queued_cost: 0,
         }
     }
 }
@@ -95,7 +95,7 @@
 #[derive(Debug, Default)]
 struct ClassFlow {
     teams: BTreeMap<TeamId, TeamFlow>,
-    cost: u64,
+    queued_cost: u64,
 }
 
 /// A `QueryPick` says which query goes next.
@@ -104,7 +104,7 @@
     team: TeamId,
     key: u64,
     rank: usize,
-    highest: usize,
+    highest_rank: usize,
 }
 
 /// A `FairQueue` orders waiting queries by class, then fairly by team, then fairly by key.
@@ -123,9 +123,9 @@
         let team = class.teams.entry(query.team.clone()).or_default();
         team.weight = query.weight.max(1);
         let key = team.keys.entry(query.key).or_default();
-        key.cost += cost;
-        team.cost += cost;
-        class.cost += cost;
+        key.queued_cost += cost;
+        team.queued_cost += cost;
+        class.queued_cost += cost;
         self.len += 1;
         key.queries.push_back(query);
     }
@@ -141,9 +141,9 @@
         let highest = firsts.iter().position(Option::is_some)?;
         let aged = (highest + 1..firsts.len())
             .filter_map(|rank| Some((firsts[rank].as_ref()?.2, rank)))
-            .filter(|(since, _)| now.since(*since) >= AGING_STEP)
+            .filter(|(since, _)| now.since(*since) >= AGING_THRESHOLD)
             .min();
-        let is_due = self.picks_since_aged + 1 >= AGED_EVERY;
+        let is_due = self.picks_since_aged + 1 >= AGED_ADMISSION_INTERVAL;
         let rank = match aged {
             Some((_, rank)) if is_due => rank,
             _ => highest,
@@ -153,21 +153,21 @@
             team,
             key,
             rank,
-            highest,
+            highest_rank: highest,
         })
     }
 
     /// Takes the picked query, with the class that it now has: an aged one takes the class that it
     /// goes before, or it would be held back again further on.
     pub fn take(&mut self, pick: &QueryPick, now: TimePoint) -> Option<(WaitingQuery, QueryClass)> {
-        self.picks_since_aged = if pick.rank == pick.highest {
+        self.picks_since_aged = if pick.rank == pick.highest_rank {
             self.picks_since_aged.saturating_add(1)
         } else {
             0
         };
         let query = self.classes[pick.rank].take(&pick.team, pick.key, now)?;
         self.len -= 1;
-        Some((query, QueryClass::ALL[pick.highest]))
+        Some((query, QueryClass::ALL[pick.highest_rank]))
     }
 
     /// Takes out all queries that are given up on by now.
@@ -177,7 +177,7 @@
             return expired;
         }
         for class in &mut self.classes {
-            class.take_where(&mut expired, |query| query.give_up_at <= now);
+            class.take_where(&mut expired, |query| query.expires_at <= now);
         }
         self.len -= expired.len();
         expired
@@ -195,12 +195,12 @@
 
     /// Gets the next time at which a query is given up on.
     #[must_use]
-    pub fn next_give_up(&self) -> Option<TimePoint> {
-        self.queries().map(|query| query.give_up_at).min()
+    pub fn next_expiry(&self) -> Option<TimePoint> {
+        self.queries().map(|query| query.expires_at).min()
     }
 
     /// Notes a query that was admitted without waiting, so that its flow has had its turn.
-    pub fn note_admitted(
+    pub fn record_admitted(
         &mut self,
         class: QueryClass,
         team: &TeamId,
@@ -217,13 +217,16 @@
     #[must_use]
     pub fn cost_above(&self, class: QueryClass) -> u64 {
         let rank = usize::from(class.rank());
-        self.classes[..rank].iter().map(|class| class.cost).sum()
+        self.classes[..rank]
+            .iter()
+            .map(|class| class.queued_cost)
+            .sum()
     }
 
     /// Gets the cost that waits in `class`.
     #[must_use]
     pub fn cost_in(&self, class: QueryClass) -> u64 {
-        self.classes[usize::from(class.rank())].cost
+        self.classes[usize::from(class.rank())].queued_cost
     }
 
     /// Gets the cost within the team that goes before a new query of this key and cost.
@@ -232,7 +235,7 @@
         let Some(team) = self.classes[usize::from(class.rank())].teams.get(team) else {
             return 0;
         };
-        let own = team.keys.get(&key).map_or(0, |flow| flow.cost);
+        let own = team.keys.get(&key).map_or(0, |flow| flow.queued_cost);
         // The keys take turns: of each other key, as much goes first as waits of this one with the
         // new query.
         let turns = own + u64::from(cost);
@@ -240,7 +243,7 @@
             .keys
             .iter()
             .filter(|(other, _)| **other != key)
-            .map(|(_, flow)| flow.cost.min(turns))
+            .map(|(_, flow)| flow.queued_cost.min(turns))
             .sum::<u64>();
         own + others
     }
@@ -257,17 +260,17 @@
 
     /// Gets the attempts per second that were admitted of a team in `class` of late.
     #[must_use]
-    pub fn used(&self, class: QueryClass, team: &TeamId, now: TimePoint) -> f64 {
+    pub fn usage_per_second(&self, class: QueryClass, team: &TeamId, now: TimePoint) -> f64 {
         self.classes[usize::from(class.rank())]
             .teams
             .get(team)
-            .map_or(0.0, |flow| flow.used.per_second(now))
+            .map_or(0.0, |flow| flow.usage.per_second(now))
     }
 
     /// Gets the sum of the weights of `team` and of the teams that wait in `class` and have used no
     /// more than twice as much for their weight, so that they may go before it.
     #[must_use]
-    pub fn rival_weight(
+    pub fn competing_weight(
         &self,
         class: QueryClass,
         team: &TeamId,
@@ -275,12 +278,12 @@
         now: TimePoint,
     ) -> f64 {
         let own_weight = f64::from(weight.max(1));
-        let own = self.used(class, team, now) / own_weight;
+        let own = self.usage_per_second(class, team, now) / own_weight;
         let rivals = self.classes[usize::from(class.rank())]
             .teams
             .iter()
-            .filter(|(name, flow)| *name != team && flow.cost > 0)
-            .filter(|(_, flow)| flow.used_for_weight(now) <= 2.0 * own)
+            .filter(|(name, flow)| *name != team && flow.queued_cost > 0)
+            .filter(|(_, flow)| flow.weighted_usage(now) <= 2.0 * own)
             .map(|(_, flow)| f64::from(flow.weight))
             .sum::<f64>();
         rivals + own_weight
@@ -316,9 +319,9 @@
     ) -> Option<(TeamId, u64, TimePoint)> {
         self.teams
             .iter()
-            .filter(|(_, team)| team.cost > 0)
+            .filter(|(_, team)| team.queued_cost > 0)
             .filter_map(|(name, team)| Some((name, team, team.first(now, may_run)?)))
-            .map(|(name, team, first)| (team.used_for_weight(now), name, first))
+            .map(|(name, team, first)| (team.weighted_usage(now), name, first))
             .min_by(|one, other| one.0.total_cmp(&other.0))
             .map(|(_, name, (key, since))| (name.clone(), key, since))
     }
@@ -328,9 +331,9 @@
         let flow = team.keys.get_mut(&key)?;
         let query = flow.queries.pop_front()?;
         let cost = u64::from(query.cost);
-        flow.cost -= cost;
-        team.cost -= cost;
-        self.cost -= cost;
+        flow.queued_cost -= cost;
+        team.queued_cost -= cost;
+        self.queued_cost -= cost;
         self.charge(name, query.weight, key, f64::from(query.cost), now);
         Some(query)
     }
@@ -341,24 +344,24 @@
         }
         if let Some(team) = self.teams.get_mut(name) {
             team.weight = weight.max(1);
-            team.used.add(cost, now);
-            team.keys.entry(key).or_default().used.add(cost, now);
+            team.usage.add(cost, now);
+            team.keys.entry(key).or_default().usage.add(cost, now);
         }
-        self.forget_idle(now);
+        self.evict_idle(now);
     }
 
     /// Forgets flows that neither wait nor have used anything of late, when there are many.
-    fn forget_idle(&mut self, now: TimePoint) {
+    fn evict_idle(&mut self, now: TimePoint) {
         for team in self.teams.values_mut() {
-            if team.keys.len() > MAX_IDLE_FLOWS {
-                let least = team.used.per_second(now) * HOT_SHARE / 2.0;
+            if team.keys.len() > IDLE_FLOW_EVICTION_THRESHOLD {
+                let least = team.usage.per_second(now) * HOT_KEY_SHARE / 2.0;
                 team.keys
-                    .retain(|_, flow| flow.cost > 0 || flow.used.per_second(now) > least);
+                    .retain(|_, flow| flow.queued_cost > 0 || flow.usage.per_second(now) > least);
             }
         }
-        if self.teams.len() > MAX_IDLE_FLOWS {
+        if self.teams.len() > IDLE_FLOW_EVICTION_THRESHOLD {
             self.teams
-                .retain(|_, team| team.cost > 0 || team.used.per_second(now) > 1.0);
+                .retain(|_, team| team.queued_cost > 0 || team.usage.per_second(now) > 1.0);
         }
     }
 
@@ -374,9 +377,9 @@
                         return true;
                     }
                     let cost = u64::from(query.cost);
-                    flow.cost -= cost;
-                    team.cost -= cost;
-                    self.cost -= cost;
+                    flow.queued_cost -= cost;
+                    team.queued_cost -= cost;
+                    self.queued_cost -= cost;
                     taken.push(query.clone());
                     false
                 });
@@ -386,8 +389,8 @@
 }
 
 impl TeamFlow {
-    fn used_for_weight(&self, now: TimePoint) -> f64 {
-        self.used.per_second(now) / f64::from(self.weight)
+    fn weighted_usage(&self, now: TimePoint) -> f64 {
+        self.usage.per_second(now) / f64::from(self.weight)
     }
 
     fn first(
@@ -395,14 +398,14 @@
         now: TimePoint,
         may_run: &impl Fn(&WaitingQuery) -> bool,
     ) -> Option<(u64, TimePoint)> {
-        let hot = self.used.per_second(now) * HOT_SHARE;
+        let hot = self.usage.per_second(now) * HOT_KEY_SHARE;
         self.keys
             .iter()
             .filter_map(|(key, flow)| Some((*key, flow, flow.queries.front()?)))
             .filter(|(_, _, query)| may_run(query))
             .map(|(key, flow, query)| {
-                let excess = (flow.used.per_second(now) - hot).max(0.0);
-                (excess, query.since, key)
+                let excess = (flow.usage.per_second(now) - hot).max(0.0);
+                (excess, query.arrived_at, key)
             })
             .min_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)))
             .map(|(_, since, key)| (key, since))
--- a/alderhaven-policy/src/group_start.rs
+++ b/alderhaven-policy/src/group_start.rs
@@ -22,34 +22,34 @@
 use crate::start_view::StartView;
 
 /// The time in which peers in the same failure domain answer.
-const PEER_CHANCE: TimeSpan = TimeSpan::from_millis(20);
+const NEAR_PEER_WAIT: TimeSpan = TimeSpan::from_millis(20);
 
 /// The time that the first nodes of a group that starts again need: their tries of the store, and the
 /// way of what they learn.
-const GROUP_CHANCE: TimeSpan = TimeSpan::from_millis(1_500);
+const GROUP_RESTART_WAIT: TimeSpan = TimeSpan::from_millis(1_500);
 
 /// The time that the nodes which all know by address have to tell one that knows of no other. Callers of
 /// a group that starts again as a whole wait as long.
-const ALONE_CHANCE: TimeSpan = TimeSpan::from_millis(200);
+const SEED_WAIT: TimeSpan = TimeSpan::from_millis(200);
 
 /// The same where the group starts for the first time: there are no callers yet.
-const FIRST_CHANCE: TimeSpan = TimeSpan::from_millis(3_000);
+const FIRST_START_WAIT: TimeSpan = TimeSpan::from_millis(3_000);
 
 /// The pause between two tries of the first nodes in the order: until one is answered, each request is
 /// refused.
-const FIRST_PAUSE: TimeSpan = TimeSpan::from_millis(100);
+const LEADING_RETRY_PAUSE: TimeSpan = TimeSpan::from_millis(100);
 
 /// The same of the other nodes, on average.
-const LATER_PAUSE: TimeSpan = TimeSpan::from_millis(800);
+const MEAN_RETRY_PAUSE: TimeSpan = TimeSpan::from_millis(800);
 
 /// Gets the pause after a try that the store did not answer. `is_ahead` says that the node is among the
 /// first, and `random`, 0 to 1, spreads the others.
 #[must_use]
 pub fn retry_pause(is_ahead: bool, random: f64) -> TimeSpan {
     if is_ahead {
-        FIRST_PAUSE
+        LEADING_RETRY_PAUSE
     } else {
-        LATER_PAUSE.mul_f64(0.5 + random)
+        MEAN_RETRY_PAUSE.mul_f64(0.5 + random)
     }
 }
 
@@ -59,36 +59,36 @@
 pub enum GroupStart {
     /// Its group may be running, with callers.
     #[default]
-    Again,
+    Restart,
     /// The same of a node that all know by address.
-    AgainKnown,
+    SeedRestart,
     /// Its group starts for the first time, and this is one of the nodes that all know by address.
-    FirstKnown,
+    SeedFirstStart,
     /// Its group starts for the first time.
-    First,
+    FirstStart,
 }
 
 impl GroupStart {
     /// Returns true where the node is among those that ask the store for all.
     #[must_use]
-    pub const fn is_ahead(self, view: StartView) -> bool {
+    pub const fn lists_store_first(self, view: StartView) -> bool {
         match self {
-            Self::FirstKnown | Self::AgainKnown if !view.knows_others => true,
-            Self::First | Self::Again if !view.knows_others => false,
-            _ => view.is_first,
+            Self::SeedFirstStart | Self::SeedRestart if !view.knows_peers => true,
+            Self::FirstStart | Self::Restart if !view.knows_peers => false,
+            _ => view.is_among_first,
         }
     }
 
     /// Gets how long peers have to tell all.
     #[must_use]
-    pub const fn chance(self, view: StartView) -> TimeSpan {
+    pub const fn peer_wait(self, view: StartView) -> TimeSpan {
         match self {
-            Self::FirstKnown => PEER_CHANCE,
-            Self::AgainKnown | Self::Again if self.is_ahead(view) => PEER_CHANCE,
-            _ if view.has_failed => PEER_CHANCE,
-            Self::First => FIRST_CHANCE,
-            Self::AgainKnown | Self::Again if !view.knows_others => ALONE_CHANCE,
-            Self::AgainKnown | Self::Again => GROUP_CHANCE,
+            Self::SeedFirstStart => NEAR_PEER_WAIT,
+            Self::SeedRestart | Self::Restart if self.lists_store_first(view) => NEAR_PEER_WAIT,
+            _ if view.has_peer_lost_store => NEAR_PEER_WAIT,
+            Self::FirstStart => FIRST_START_WAIT,
+            Self::SeedRestart | Self::Restart if !view.knows_peers => SEED_WAIT,
+            Self::SeedRestart | Self::Restart => GROUP_RESTART_WAIT,
         }
     }
 }
--- a/alderhaven-policy/src/health_machine.rs
+++ b/alderhaven-policy/src/health_machine.rs
@@ -37,7 +37,7 @@
             HealthEvent::Silent => self.stay(),
             HealthEvent::Replied => self.act(HealthAction::Nothing, HealthPhase::trusted()),
             HealthEvent::ProbeAnswered => {
-                self.act(HealthAction::ReplaceOld, HealthPhase::trusted())
+                self.act(HealthAction::ReplaceIdle, HealthPhase::trusted())
             }
             HealthEvent::ProbeRefused | HealthEvent::ProbeSilent => {
                 self.act(HealthAction::Nothing, HealthPhase::down())
@@ -51,7 +51,7 @@
             HealthEvent::Silent => self.act(HealthAction::Probe, HealthPhase::probing()),
             HealthEvent::Replied => self.act(HealthAction::Nothing, HealthPhase::trusted()),
             HealthEvent::ProbeAnswered => {
-                self.act(HealthAction::ReplaceOld, HealthPhase::trusted())
+                self.act(HealthAction::ReplaceIdle, HealthPhase::trusted())
             }
             HealthEvent::ProbeRefused | HealthEvent::ProbeSilent => self.stay(),
         }
--- a/alderhaven-policy/src/hedge_time.rs
+++ b/alderhaven-policy/src/hedge_timing.rs
@@ -16,46 +16,47 @@
 use crate::answer_time::AnswerTime;
 
 /// The time that is left to a hedge, against the time that few attempts exceed.
-const HEDGE_MARGIN: f64 = 2.0;
+const LATE_THRESHOLD_FACTOR: f64 = 2.0;
 
 /// The time that a hedge must have left to be worth sending, against the usual time.
-const HEDGE_ROOM: f64 = 1.5;
+const TYPICAL_LATENCY_FACTOR: f64 = 1.5;
 
 /// What is added to it: the work of sending it and of reading the reply.
-const HEDGE_WORK: TimeSpan = TimeSpan::from_millis(2);
+const HEDGE_OVERHEAD: TimeSpan = TimeSpan::from_millis(2);
 
 /// The least time before a hedge, against the usual time.
-const HEDGE_LEAST: f64 = 1.2;
+const MIN_DELAY_FACTOR: f64 = 1.2;
 
 /// The part of the latency target beyond the moment of the answer for which attempts at shards go on.
-const PART_SPARE: f64 = 0.05;
+const ATTEMPT_GRACE_SHARE: f64 = 0.05;
 
 /// A `HedgeTime` is what decides on the hedges of one query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HedgeTime {
+pub struct HedgeTiming {
     /// When the query is answered with what is there.
     pub answer_at: TimePoint,
     /// The time that half of the attempts take.
-    pub usual: TimeSpan,
+    pub typical_latency: TimeSpan,
     /// The time that few attempts exceed.
-    pub late: TimeSpan,
+    pub late_threshold: TimeSpan,
 }
 
-impl HedgeTime {
+impl HedgeTiming {
     /// Gets when an attempt that is sent now should be hedged.
     #[must_use]
     pub fn hedge_at(&self, now: TimePoint) -> TimePoint {
         let left = self.answer_at.since(now);
-        let latest = left.saturating_sub(self.late.mul_f64(HEDGE_MARGIN));
-        let last = left.saturating_sub(self.usual.mul_f64(HEDGE_ROOM) + HEDGE_WORK);
-        let soonest = self.usual.mul_f64(HEDGE_LEAST);
-        now + self.late.max(latest).min(last).max(soonest)
+        let latest = left.saturating_sub(self.late_threshold.mul_f64(LATE_THRESHOLD_FACTOR));
+        let last = left
+            .saturating_sub(self.typical_latency.mul_f64(TYPICAL_LATENCY_FACTOR) + HEDGE_OVERHEAD);
+        let soonest = self.typical_latency.mul_f64(MIN_DELAY_FACTOR);
+        now + self.late_threshold.max(latest).min(last).max(soonest)
     }
 
     /// Returns true where a hedge that is sent now to a replica that is expected to take so long can be
     /// answered while it is worth something: the budget is for those.
     #[must_use]
-    pub fn is_worth(&self, expected: TimeSpan, now: TimePoint) -> bool {
+    pub fn is_worthwhile(&self, expected: TimeSpan, now: TimePoint) -> bool {
         now > self.answer_at || now + expected < self.answer_at
     }
 }
@@ -65,9 +66,9 @@
 /// Past the moment of the answer an attempt is one that the query still lacks: it may take all the time
 /// that is left.
 #[must_use]
-pub fn attempt_ends(time: &AnswerTime, target: TimeSpan, now: TimePoint) -> TimePoint {
+pub fn attempt_deadline(time: &AnswerTime, target: TimeSpan, now: TimePoint) -> TimePoint {
     if now >= time.partial_at {
-        return time.ends_at;
+        return time.deadline;
     }
-    (time.partial_at + target.mul_f64(PART_SPARE)).min(time.ends_at)
+    (time.partial_at + target.mul_f64(ATTEMPT_GRACE_SHARE)).min(time.deadline)
 }
--- a/alderhaven-policy/src/hedging.rs
+++ b/alderhaven-policy/src/hedging.rs
@@ -30,9 +30,9 @@
 /// The most groups that are remembered, each in about 20 KB; beyond it all are learnt anew.
 const MAX_GROUPS: usize = 256;
 /// The weight of one hedge's fate in the share of refused ones.
-const REFUSED_WEIGHT: f64 = 1.0 / 16.0;
+const REFUSAL_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
 /// How fast the share of refused hedges fades per first attempt, so that hedging is tried again.
-const REFUSED_FADE: f64 = 0.999;
+const REFUSAL_DECAY_PER_ATTEMPT: f64 = 0.999;
 /// The number of samples that the mean service time of a group covers.
 const MEAN_WINDOW: u32 = 256;
 
@@ -51,7 +51,7 @@
     /// The least delay.
     pub min_delay: TimeSpan,
     /// The share of refused hedges above which none are sent.
-    pub max_refused: f64,
+    pub max_refused_share: f64,
 }
 
 impl Default for HedgeOptions {
@@ -62,7 +62,7 @@
             budget: 0.05,
             burst: 32.0,
             min_delay: TimeSpan::from_millis(1),
-            max_refused: 0.5,
+            max_refused_share: 0.5,
         }
     }
 }
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, Default)]
 struct GroupLatency {
     window: LatencyWindow,
-    service: RunningMean,
+    service_time: RunningMean,
 }
 
 /// A `HedgePolicy` says when an attempt is hedged.
@@ -106,14 +106,15 @@
     }
 
     /// Notes first attempts that were sent: each adds its share to the budget.
-    pub fn sent(&mut self, attempts: u32) {
+    pub fn record_sent(&mut self, attempts: u32) {
         let gained = f64::from(attempts) * self.options.budget;
         self.tokens = (self.tokens + gained).min(self.options.burst);
-        self.refused_share *= REFUSED_FADE.powi(i32::try_from(attempts).unwrap_or(i32::MAX));
+        self.refused_share *=
+            REFUSAL_DECAY_PER_ATTEMPT.powi(i32::try_from(attempts).unwrap_or(i32::MAX));
     }
 
     /// Adds the latency of an attempt from its sending to its reply, and its time at the target.
-    pub fn answered(&mut self, group: &HedgeGroup, latency: TimeSpan, service: TimeSpan) {
+    pub fn record_answer(&mut self, group: &HedgeGroup, latency: TimeSpan, service: TimeSpan) {
         if !self.groups.contains_key(group) {
             if self.groups.len() >= MAX_GROUPS {
                 self.groups.clear();
@@ -122,14 +123,14 @@
         }
         if let Some(known) = self.groups.get_mut(group) {
             known.window.add(latency);
-            known.service.add(service, MEAN_WINDOW);
+            known.service_time.add(service, MEAN_WINDOW);
         }
     }
 
     /// Gets the time after its sending at which an attempt of the group should be hedged, or none
     /// where it should not be.
     #[must_use]
-    pub fn delay(&self, group: &HedgeGroup, is_idempotent: bool) -> Option<TimeSpan> {
+    pub fn hedge_delay(&self, group: &HedgeGroup, is_idempotent: bool) -> Option<TimeSpan> {
         let is_on = self.options.enabled && self.policy == PolicyKind::Current;
         if !is_on || !is_idempotent {
             return None;
@@ -146,7 +147,7 @@
     ///
     /// `is_overloaded` says that admission has queries waiting for the service.
     pub fn take(&mut self, is_overloaded: bool) -> bool {
-        let is_refused = self.refused_share > self.options.max_refused;
+        let is_refused = self.refused_share > self.options.max_refused_share;
         if is_overloaded || is_refused || self.tokens < 1.0 {
             return false;
         }
@@ -155,9 +156,9 @@
     }
 
     /// Notes the fate of a hedge: whether a relay refused it for want of a free slot.
-    pub fn hedge_ended(&mut self, is_refused: bool) {
+    pub fn record_hedge_end(&mut self, is_refused: bool) {
         let sample = f64::from(u8::from(is_refused));
-        self.refused_share += (sample - self.refused_share) * REFUSED_WEIGHT;
+        self.refused_share += (sample - self.refused_share) * REFUSAL_SAMPLE_WEIGHT;
         if is_refused {
             // It has cost no target anything.
             self.tokens = (self.tokens + 1.0).min(self.options.burst);
@@ -166,8 +167,8 @@
 
     /// Gets the mean service time of a group over all targets, or none before its first sample.
     #[must_use]
-    pub fn expected_service(&self, group: &HedgeGroup) -> Option<TimeSpan> {
-        self.groups.get(group)?.service.get()
+    pub fn expected_service_time(&self, group: &HedgeGroup) -> Option<TimeSpan> {
+        self.groups.get(group)?.service_time.get()
     }
 
     /// Gets the share of late hedges that relays refused.
--- a/alderhaven-policy/src/latency_window.rs
+++ b/alderhaven-policy/src/latency_window.rs
@@ -4,13 +4,13 @@
 use hdrhistogram::Histogram;
 
 /// The number of samples after which a new half of the window begins.
-const HALF_WINDOW: u64 = 1000;
+const HALF_WINDOW_SAMPLES: u64 = 1000;
 /// The number of samples below which a quantile is not known.
-const LEAST_SAMPLES: u64 = 20;
+const MIN_SAMPLES: u64 = 20;
 /// The greatest latency that is told apart, in microseconds: the longest deadline.
-const MAX_MICROS: u64 = 60_000_000;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// The significant digits of the histogram: 1% is as exact as a delay needs to be.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// A `LatencyWindow` follows quantiles of the last one to two thousand samples.
 ///
@@ -25,7 +25,7 @@
 impl Default for LatencyWindow {
     fn default() -> Self {
         let empty = || {
-            Histogram::new_with_bounds(1, MAX_MICROS, DIGITS)
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
                 .expect("the bounds are within those of the library")
         };
         Self {
@@ -39,7 +39,7 @@
     /// Adds a sample.
     pub fn add(&mut self, latency: TimeSpan) {
         self.newer.saturating_record(latency.as_micros().max(1));
-        if self.newer.len() >= HALF_WINDOW {
+        if self.newer.len() >= HALF_WINDOW_SAMPLES {
             std::mem::swap(&mut self.older, &mut self.newer);
             self.newer.reset();
         }
@@ -49,7 +49,7 @@
     #[must_use]
     pub fn quantile(&self, share: f64) -> Option<TimeSpan> {
         let (older, newer) = (self.older.len(), self.newer.len());
-        if older + newer < LEAST_SAMPLES {
+        if older + newer < MIN_SAMPLES {
             return None;
         }
         // The fuller half decides: a mean of two quantiles is none.
--- a/alderhaven-policy/src/leaving_targets.rs
+++ b/alderhaven-policy/src/leaving_targets.rs
@@ -41,9 +41,9 @@
 pub struct LeavingTargets {
     options: LeavingOptions,
     drained: BTreeSet<String>,
-    listed: BTreeSet<String>,
+    listed_leaving: BTreeSet<String>,
     list_revision: u64,
-    replied: HashMap<String, TimePoint>,
+    replied_at: HashMap<String, TimePoint>,
 }
 
 impl LeavingTargets {
@@ -70,20 +70,20 @@
             return;
         }
         self.list_revision = revision;
-        self.listed = leaving;
+        self.listed_leaving = leaving;
         let hold = self.options.reply_hold;
-        self.replied.retain(|_, since| now.since(*since) < hold);
+        self.replied_at.retain(|_, since| now.since(*since) < hold);
     }
 
     /// Notes that a reply of a target says that it drains.
-    pub fn note_reply(&mut self, target: &TargetId, now: TimePoint) {
-        self.replied.insert(target.to_string(), now);
+    pub fn record_reply(&mut self, target: &TargetId, now: TimePoint) {
+        self.replied_at.insert(target.to_string(), now);
     }
 
     /// Returns true where the target itself has said that it drains.
     #[must_use]
-    pub fn has_said(&self, target: &TargetId) -> bool {
-        self.replied.contains_key(target.as_str())
+    pub fn has_reported_drain(&self, target: &TargetId) -> bool {
+        self.replied_at.contains_key(target.as_str())
     }
 
     /// Gets the names of all targets that get no new work.
@@ -91,8 +91,8 @@
     pub fn names(&self) -> BTreeSet<String> {
         self.drained
             .iter()
-            .chain(&self.listed)
-            .chain(self.replied.keys())
+            .chain(&self.listed_leaving)
+            .chain(self.replied_at.keys())
             .cloned()
             .collect()
     }
--- a/alderhaven-policy/src/log_limit.rs
+++ b/alderhaven-policy/src/log_limit.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct KindLimit {
     bucket: TokenBucket,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl LogLimit {
@@ -47,12 +47,12 @@
         let (rate, burst) = (self.rate, self.burst);
         let limit = self.kinds.entry(kind).or_insert_with(|| KindLimit {
             bucket: TokenBucket::new(rate, burst, now),
-            left_out: 0,
+            suppressed: 0,
         });
         if limit.bucket.take(now).is_err() {
-            limit.left_out += 1;
+            limit.suppressed += 1;
             return None;
         }
-        Some(std::mem::take(&mut limit.left_out))
+        Some(std::mem::take(&mut limit.suppressed))
     }
 }
--- a/alderhaven-policy/src/membership.rs
+++ b/alderhaven-policy/src/membership.rs
@@ -9,19 +9,19 @@
 //!
 //! Membership only decides where work is sent. Nothing that must be agreed rests on it.
 
+pub mod config_report_tracker;
 mod contact_list;
+mod dissemination;
 pub mod gossip_message;
 pub mod group_membership;
+mod maintenance;
 pub mod member_entry;
 mod member_lifecycle;
 pub mod member_machine;
 pub mod member_record;
 pub mod membership_options;
-mod news;
 mod probing;
-pub mod report_board;
-mod spreading;
 mod state_sync;
-pub mod store_sighting;
+pub mod store_answer;
+mod update_handling;
 pub mod update_queue;
-mod upkeep;
--- a/alderhaven-policy/src/membership/report_board.rs
+++ b/alderhaven-policy/src/membership/config_report_tracker.rs
@@ -16,9 +16,9 @@
 
 /// A `ReportBoard` holds the newest report of each process and passes new ones on.
 #[derive(Clone, Debug, Default)]
-pub struct ReportBoard {
+pub struct ConfigReportTracker {
     reports: BTreeMap<u32, ConfigDigest>,
-    waiting: BTreeMap<u32, u32>,
+    pending: BTreeMap<u32, u32>,
 }
 
 /// Gets the number by which reports name a process; a restarted process has another one, so that a
@@ -27,7 +27,7 @@
 /// Two of 580 processes share a number with a chance of 4 in 100,000; one of them then appears to
 /// lag until either restarts.
 #[must_use]
-pub fn fingerprint(node: &NodeId, start: IncarnationNumber) -> u32 {
+pub fn process_fingerprint(node: &NodeId, start: IncarnationNumber) -> u32 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&start.0.to_be_bytes());
     hasher.update(node.as_str().as_bytes());
@@ -36,16 +36,16 @@
     u32::from_be_bytes(bytes)
 }
 
-impl ReportBoard {
+impl ConfigReportTracker {
     /// Takes a report; returns true where it is newer than what was known.
-    pub fn hear(&mut self, member: u32, config: ConfigDigest) -> bool {
-        let known = self.reports.get(&member).map(|known| known.progress);
+    pub fn record_report(&mut self, member: u32, config: ConfigDigest) -> bool {
+        let known = self.reports.get(&member).map(|known| known.version_sum);
         let is_full = known.is_none() && self.reports.len() >= MAX_REPORTS;
-        if is_full || known >= Some(config.progress) {
+        if is_full || known >= Some(config.version_sum) {
             return false;
         }
         self.reports.insert(member, config);
-        self.waiting.insert(member, 0);
+        self.pending.insert(member, 0);
         true
     }
 
@@ -58,27 +58,27 @@
     /// Drops the reports of processes that are not known.
     pub fn retain(&mut self, is_known: impl Fn(u32) -> bool) {
         self.reports.retain(|member, _| is_known(*member));
-        self.waiting.retain(|member, _| is_known(*member));
+        self.pending.retain(|member, _| is_known(*member));
     }
 
     /// Returns true where no report is to be sent.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
     /// Takes reports for one message of at most `bytes` bytes.
-    pub fn take(&mut self, bytes: usize, retransmissions: u32) -> Vec<ReportGroup> {
-        if self.waiting.is_empty() {
+    pub fn take_groups(&mut self, bytes: usize, retransmissions: u32) -> Vec<ReportGroup> {
+        if self.pending.is_empty() {
             return Vec::new();
         }
         let mut order: Vec<(u32, u32)> = self
-            .waiting
+            .pending
             .iter()
             .map(|(member, sent)| (*sent, *member))
             .collect();
         order.sort_unstable();
-        let mut groups = GroupBuilder::new(bytes);
+        let mut groups = ReportGroupBuilder::new(bytes);
         for (sent, member) in order {
             let Some(config) = self.get(member) else {
                 continue;
@@ -86,16 +86,16 @@
             if !groups.add(member, config) {
                 break;
             }
-            self.waiting.insert(member, sent + 1);
+            self.pending.insert(member, sent + 1);
         }
-        self.waiting.retain(|_, sent| *sent < retransmissions);
+        self.pending.retain(|_, sent| *sent < retransmissions);
         groups.groups
     }
 
     /// Gets the reports of the given processes as groups of at most `bytes` bytes together.
     #[must_use]
     pub fn groups_of(&self, members: &[u32], bytes: usize) -> Vec<ReportGroup> {
-        let mut groups = GroupBuilder::new(bytes);
+        let mut groups = ReportGroupBuilder::new(bytes);
         for member in members {
             if let Some(config) = self.get(*member)
                 && !groups.add(*member, config)
@@ -108,16 +108,16 @@
 }
 
 /// A `GroupBuilder` collects reports into groups within a number of bytes.
-struct GroupBuilder {
+struct ReportGroupBuilder {
     groups: Vec<ReportGroup>,
-    left: usize,
+    bytes_left: usize,
 }
 
-impl GroupBuilder {
+impl ReportGroupBuilder {
     const fn new(bytes: usize) -> Self {
         Self {
             groups: Vec::new(),
-            left: bytes,
+            bytes_left: bytes,
         }
     }
 
@@ -128,10 +128,10 @@
             Some(_) => ReportGroup::size_bound(1) - ReportGroup::size_bound(0),
             None => ReportGroup::size_bound(1),
         };
-        if size > self.left {
+        if size > self.bytes_left {
             return false;
         }
-        self.left -= size;
+        self.bytes_left -= size;
         match group {
             Some(index) => self.groups[index].members.push(member),
             None => self.groups.push(ReportGroup {
