--- a/alderhaven-policy/src/membership/contact_list.rs
+++ b/alderhaven-policy/src/membership/contact_list.rs
@@ -6,13 +6,13 @@
 use rand::{Rng, RngExt};
 use smallvec::SmallVec;
 
-use crate::domain_reach::DomainReach;
+use crate::domain_peers::DomainPeers;
 
 /// How many draws are made for each contact that is wanted.
-const DRAWS_PER_CONTACT: usize = 4;
+const SAMPLES_PER_CONTACT: usize = 4;
 
 /// How many messages of news a domain as a whole sends beyond for each that every member of it sends.
-const FAR_COPIES: f64 = 2.0;
+const CROSS_DOMAIN_COPIES: f64 = 2.0;
 
 /// A `MemberContact` is a member that messages go to: any but the dead.
 #[derive(Clone, Debug)]
@@ -24,17 +24,17 @@
 /// A `ContactList` holds the contacts of a process.
 #[derive(Debug, Default)]
 pub(super) struct ContactList {
-    near: Vec<MemberContact>,
-    far: Vec<MemberContact>,
+    own_domain: Vec<MemberContact>,
+    other_domains: Vec<MemberContact>,
 }
 
 impl ContactList {
     pub(super) fn len(&self) -> usize {
-        self.near.len() + self.far.len()
+        self.own_domain.len() + self.other_domains.len()
     }
 
     pub(super) fn nodes(&self) -> impl Iterator<Item = &NodeId> {
-        let contacts = self.near.iter().chain(&self.far);
+        let contacts = self.own_domain.iter().chain(&self.other_domains);
         contacts.map(|contact| &contact.node)
     }
 
@@ -42,15 +42,15 @@
     pub(super) fn add(&mut self, contact: MemberContact, is_near: bool) {
         self.remove(&contact.node);
         let contacts = if is_near {
-            &mut self.near
+            &mut self.own_domain
         } else {
-            &mut self.far
+            &mut self.other_domains
         };
         contacts.push(contact);
     }
 
     pub(super) fn remove(&mut self, node: &NodeId) {
-        for contacts in [&mut self.near, &mut self.far] {
+        for contacts in [&mut self.own_domain, &mut self.other_domains] {
             let place = contacts.iter().position(|contact| contact.node == *node);
             if let Some(place) = place {
                 contacts.swap_remove(place);
@@ -59,53 +59,66 @@
     }
 
     /// Returns true where the address is that of a contact in another domain.
-    pub(super) fn is_far(&self, address: SocketAddr) -> bool {
+    pub(super) fn is_in_other_domain(&self, address: SocketAddr) -> bool {
         let is_here = |contact: &MemberContact| contact.address == address;
-        self.far.iter().any(is_here)
+        self.other_domains.iter().any(is_here)
     }
 
     /// Draws contacts for news, mostly of the own domain.
-    pub(super) fn draw_near(&self, count: usize, rng: &mut impl Rng) -> SmallVec<[SocketAddr; 4]> {
-        self.draw(count, rng, |contacts, rng| {
-            let is_far = contacts.reach().is_far(FAR_COPIES, rng);
+    pub(super) fn sample_mostly_own_domain(
+        &self,
+        count: usize,
+        rng: &mut impl Rng,
+    ) -> SmallVec<[SocketAddr; 4]> {
+        self.sample(count, rng, |contacts, rng| {
+            let is_far = contacts
+                .domain_peers()
+                .draw_cross_domain(CROSS_DOMAIN_COPIES, rng);
             let places = if is_far {
-                &contacts.far
+                &contacts.other_domains
             } else {
-                &contacts.near
+                &contacts.own_domain
             };
             places.get(rng.random_range(0..places.len().max(1)))
         })
     }
 
     /// Draws contacts from all domains alike, but for one member.
-    pub(super) fn draw_any(
+    pub(super) fn sample_uniform(
         &self,
         count: usize,
         without: Option<&NodeId>,
         rng: &mut impl Rng,
     ) -> SmallVec<[SocketAddr; 4]> {
-        self.draw(count, rng, |contacts, rng| {
+        self.sample(count, rng, |contacts, rng| {
             let place = rng.random_range(0..contacts.len().max(1));
-            let near = contacts.near.get(place);
-            let contact = near.or_else(|| contacts.far.get(place - contacts.near.len()))?;
+            let near = contacts.own_domain.get(place);
+            let contact = near.or_else(|| {
+                contacts
+                    .other_domains
+                    .get(place - contacts.own_domain.len())
+            })?;
             (without != Some(&contact.node)).then_some(contact)
         })
     }
 
     /// Draws whether a member whose view differs is asked for its own: one of the own domain always.
-    pub(super) fn is_asked(&self, node: &NodeId, rng: &mut impl Rng) -> bool {
-        let is_near = self.near.iter().any(|contact| contact.node == *node);
-        is_near || self.reach().is_far(FAR_COPIES, rng)
+    pub(super) fn should_sync_with(&self, node: &NodeId, rng: &mut impl Rng) -> bool {
+        let is_near = self.own_domain.iter().any(|contact| contact.node == *node);
+        is_near
+            || self
+                .domain_peers()
+                .draw_cross_domain(CROSS_DOMAIN_COPIES, rng)
     }
 
-    fn draw<R: Rng>(
+    fn sample<R: Rng>(
         &self,
         count: usize,
         rng: &mut R,
         draw_one: impl for<'a> Fn(&'a Self, &mut R) -> Option<&'a MemberContact>,
     ) -> SmallVec<[SocketAddr; 4]> {
         let mut drawn = SmallVec::new();
-        for _ in 0..count * DRAWS_PER_CONTACT {
+        for _ in 0..count * SAMPLES_PER_CONTACT {
             if drawn.len() == count {
                 break;
             }
@@ -119,10 +132,10 @@
         drawn
     }
 
-    fn reach(&self) -> DomainReach {
-        DomainReach {
-            near: self.near.len(),
-            far: self.far.len(),
+    fn domain_peers(&self) -> DomainPeers {
+        DomainPeers {
+            own_domain: self.own_domain.len(),
+            other_domains: self.other_domains.len(),
         }
     }
 }
--- a/alderhaven-policy/src/membership/spreading.rs
+++ b/alderhaven-policy/src/membership/dissemination.rs
@@ -15,7 +15,7 @@
 /// How many times as often as an update a report is told. An update that misses a member is noticed by
 /// the view's hash and asked for; a report that misses one is not. With the tellings of an update one
 /// change in three leaves a member of 32 uninformed until a direct message, with twice as many none in 30.
-const REPORT_FACTOR: u32 = 2;
+const REPORT_RETRANSMIT_FACTOR: u32 = 2;
 
 impl GroupMembership {
     /// Sends news to a few random members, where there is news and it is time.
@@ -25,19 +25,21 @@
         rng: &mut impl Rng,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        let period = if self.is_urgent {
+        let period = if self.has_urgent_updates {
             self.options.urgent_period
         } else {
             self.options.gossip_period
         };
-        if !self.has_news() || now.since(self.gossiped_at) < period {
+        if !self.has_pending_gossip() || now.since(self.gossiped_at) < period {
             return;
         }
         self.gossiped_at = now;
-        self.is_urgent = false;
-        let addresses = self.contacts.draw_near(self.options.gossip_fanout, rng);
+        self.has_urgent_updates = false;
+        let addresses = self
+            .contacts
+            .sample_mostly_own_domain(self.options.gossip_fanout, rng);
         for address in addresses {
-            outgoing.push(self.outgoing(address, GossipBody::News));
+            outgoing.push(self.message_to(address, GossipBody::Updates));
         }
     }
 
@@ -48,7 +50,7 @@
         rng: &mut impl Rng,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        if self.is_urgent {
+        if self.has_urgent_updates {
             self.gossip(now, rng, outgoing);
         }
     }
@@ -56,42 +58,44 @@
     /// Sends news to many members at once.
     pub(super) fn broadcast(&mut self, now: TimePoint, rng: &mut impl Rng) -> Vec<OutgoingMessage> {
         self.gossiped_at = now;
-        let fanout = MembershipOptions::leaving_fanout(self.size());
-        let addresses = self.contacts.draw_any(fanout, None, rng);
+        let fanout = MembershipOptions::leaving_fanout(self.live_member_count());
+        let addresses = self.contacts.sample_uniform(fanout, None, rng);
         addresses
             .into_iter()
-            .map(|address| self.outgoing(address, GossipBody::News))
+            .map(|address| self.message_to(address, GossipBody::Updates))
             .collect()
     }
 
-    pub(super) fn outgoing(&mut self, to: SocketAddr, body: GossipBody) -> OutgoingMessage {
-        self.outgoing_with(to, body, None)
+    pub(super) fn message_to(&mut self, to: SocketAddr, body: GossipBody) -> OutgoingMessage {
+        self.message_with_update(to, body, None)
     }
 
     /// Puts a message together: what the receiver must hear, then as much news as has room.
-    pub(super) fn outgoing_with(
+    pub(super) fn message_with_update(
         &mut self,
         to: SocketAddr,
         body: GossipBody,
         told: Option<MemberUpdate>,
     ) -> OutgoingMessage {
-        let retransmissions = MembershipOptions::retransmissions(self.size());
+        let retransmissions = MembershipOptions::retransmissions(self.live_member_count());
         let mut left = self
             .options
             .max_message_bytes
             .saturating_sub(ENVELOPE_BYTES);
         left = left.saturating_sub(told.as_ref().map_or(0, MemberUpdate::size_bound));
         let mut updates: Vec<MemberUpdate> = told.into_iter().collect();
-        let news = if self.is_bare_probe(to, &body) {
+        let news = if self.is_cross_domain_probe(to, &body) {
             Vec::new()
         } else {
             self.queue.take(left, retransmissions)
         };
         left -= news.iter().map(MemberUpdate::size_bound).sum::<usize>();
         updates.extend(news);
-        let reports = self.board.take(left, retransmissions * REPORT_FACTOR);
+        let reports = self
+            .config_reports
+            .take_groups(left, retransmissions * REPORT_RETRANSMIT_FACTOR);
         let message = GossipMessage {
-            sender: self.header(),
+            sender: self.sender_header(),
             body,
             updates,
             reports,
@@ -101,27 +105,29 @@
 
     /// Returns true for a probe or its answer to another domain, which carries no news along: probes go
     /// to all domains alike, and news would cross between them as often.
-    fn is_bare_probe(&self, to: SocketAddr, body: &GossipBody) -> bool {
+    fn is_cross_domain_probe(&self, to: SocketAddr, body: &GossipBody) -> bool {
         let is_probe = match body {
             GossipBody::Ping { .. } | GossipBody::PingRequest { .. } | GossipBody::Ack { .. } => {
                 true
             }
-            GossipBody::News | GossipBody::SyncRequest { .. } | GossipBody::SyncReply { .. } => {
+            GossipBody::Updates | GossipBody::SyncRequest { .. } | GossipBody::SyncReply { .. } => {
                 false
             }
         };
-        is_probe && !self.queue.is_empty() && self.contacts.is_far(to)
+        is_probe && !self.queue.is_empty() && self.contacts.is_in_other_domain(to)
     }
 
-    pub(super) fn header(&self) -> SenderHeader {
+    pub(super) fn sender_header(&self) -> SenderHeader {
         SenderHeader {
             node: self.record.node.clone(),
             version: self.version,
-            leaving: self.own_state == MemberState::Leaving,
+            is_leaving: self.own_state == MemberState::Leaving,
             load: self.load,
             config: self.config,
-            view: self.view_hash(),
-            sighting: self.sightings.latest(self.own_fingerprint(), self.clock_at),
+            view_hash: self.view_hash(),
+            store_answer: self
+                .store_answers
+                .latest_answer(self.own_fingerprint(), self.latest_time),
         }
     }
 }
--- a/alderhaven-policy/src/membership/gossip_message.rs
+++ b/alderhaven-policy/src/membership/gossip_message.rs
@@ -8,7 +8,7 @@
 use crate::membership::member_record::{
     ConfigDigest, LoadLevel, MemberRecord, MemberState, MemberVersion,
 };
-use crate::membership::store_sighting::StoreSighting;
+use crate::membership::store_answer::StoreAnswer;
 
 /// The number of hashes that a view is split into for comparison.
 pub const VIEW_BUCKETS: usize = 16;
@@ -20,17 +20,17 @@
 
 /// The upper bound of an update's encoded form beside its name and record: its own length, the
 /// name's length, a state and a version.
-const UPDATE_BYTES: usize = 26;
+const UPDATE_OVERHEAD_BYTES: usize = 26;
 
 /// The upper bound of a record's encoded form beside its names and addresses: their lengths, a role and a
 /// capacity.
-const RECORD_BYTES: usize = 18;
+const RECORD_OVERHEAD_BYTES: usize = 18;
 
 /// The bytes of an encoded address beside its IP number: tag, length and port.
-const ADDRESS_BYTES: usize = 4;
+const ADDRESS_OVERHEAD_BYTES: usize = 4;
 
 /// The upper bound of a report group's encoded form beside its members.
-const GROUP_BYTES: usize = 40;
+const GROUP_OVERHEAD_BYTES: usize = 40;
 
 /// The bytes of one member in a report group.
 const GROUP_MEMBER_BYTES: usize = 4;
@@ -56,22 +56,22 @@
     /// The sender's version.
     pub version: MemberVersion,
     /// Whether the sender leaves.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// How busy the sender is.
     pub load: LoadLevel,
     /// The sender's configuration in force.
     pub config: ConfigDigest,
     /// The hash of the sender's view of the members.
-    pub view: u64,
+    pub view_hash: u64,
     /// When the store last answered anyone, as far as the sender knows.
-    pub sighting: Option<StoreSighting>,
+    pub store_answer: Option<StoreAnswer>,
 }
 
 /// A `GossipBody` is the closed set of what a message asks or answers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum GossipBody {
     /// The message only carries news.
-    News,
+    Updates,
     /// The sender asks the target to answer.
     Ping {
         /// The number that the answer repeats.
@@ -107,7 +107,7 @@
         /// The number of the question.
         sequence: u32,
         /// The last member of the chunk where there are more; none for the last chunk.
-        next: Option<NodeId>,
+        continue_after: Option<NodeId>,
     },
 }
 
@@ -137,18 +137,18 @@
             let addresses = std::iter::once(record.gossip_address)
                 .chain(record.peer_address)
                 .chain(record.caller_address);
-            RECORD_BYTES
+            RECORD_OVERHEAD_BYTES
                 + names.iter().map(|name| name.len()).sum::<usize>()
                 + addresses.map(address_bytes).sum::<usize>()
         });
-        UPDATE_BYTES + self.node.as_str().len() + record
+        UPDATE_OVERHEAD_BYTES + self.node.as_str().len() + record
     }
 }
 
 const fn address_bytes(address: SocketAddr) -> usize {
     match address {
-        SocketAddr::V4(_) => ADDRESS_BYTES + 4,
-        SocketAddr::V6(_) => ADDRESS_BYTES + 16,
+        SocketAddr::V4(_) => ADDRESS_OVERHEAD_BYTES + 4,
+        SocketAddr::V6(_) => ADDRESS_OVERHEAD_BYTES + 16,
     }
 }
 
@@ -165,7 +165,7 @@
     /// Gets an upper bound of the encoded size in bytes of a group of `members` members.
     #[must_use]
     pub const fn size_bound(members: usize) -> usize {
-        GROUP_BYTES + members * GROUP_MEMBER_BYTES
+        GROUP_OVERHEAD_BYTES + members * GROUP_MEMBER_BYTES
     }
 }
 
--- a/alderhaven-policy/src/membership/group_membership.rs
+++ b/alderhaven-policy/src/membership/group_membership.rs
@@ -8,6 +8,7 @@
 use rand::Rng;
 
 use crate::hashing;
+use crate::membership::config_report_tracker::{self, ConfigReportTracker};
 use crate::membership::contact_list::{ContactList, MemberContact};
 use crate::membership::gossip_message::{MemberUpdate, OutgoingMessage, VIEW_BUCKETS};
 use crate::membership::member_entry::{self, MemberEntry, MemberView};
@@ -17,9 +18,8 @@
 };
 use crate::membership::membership_options::MembershipOptions;
 use crate::membership::probing::ProbeSchedule;
-use crate::membership::report_board::{self, ReportBoard};
 use crate::membership::state_sync::SyncSchedule;
-use crate::membership::store_sighting::SightingBoard;
+use crate::membership::store_answer::StoreAnswerTracker;
 use crate::membership::update_queue::UpdateQueue;
 
 /// A `GroupMembership` is one process's view of all others, and the rules by which it changes.
@@ -37,25 +37,25 @@
     pub(super) members: BTreeMap<NodeId, MemberEntry>,
     /// The suspected members, with how often each was asked by this process itself.
     pub(super) suspects: BTreeMap<NodeId, u32>,
-    pub(super) graves: BTreeMap<NodeId, MemberVersion>,
+    pub(super) tombstones: BTreeMap<NodeId, MemberVersion>,
     pub(super) contacts: ContactList,
     pub(super) queue: UpdateQueue,
-    pub(super) board: ReportBoard,
-    pub(super) sightings: SightingBoard,
+    pub(super) config_reports: ConfigReportTracker,
+    pub(super) store_answers: StoreAnswerTracker,
     pub(super) buckets: [u64; VIEW_BUCKETS],
     pub(super) probing: ProbeSchedule,
     pub(super) syncing: SyncSchedule,
-    pub(super) is_urgent: bool,
+    pub(super) has_urgent_updates: bool,
     pub(super) gossiped_at: TimePoint,
     pub(super) changed_at: TimePoint,
     pub(super) revision: u64,
     pub(super) report_revision: u64,
     name_hash: u64,
     pub(super) reported_at: TimePoint,
-    pub(super) reconnect_at: TimePoint,
+    pub(super) next_reconnect_at: TimePoint,
     pub(super) ticked_at: Option<TimePoint>,
     /// The latest time that was passed in.
-    pub(super) clock_at: TimePoint,
+    pub(super) latest_time: TimePoint,
     pub(super) resumed_at: TimePoint,
     pub(super) forgot_at: TimePoint,
 }
@@ -78,27 +78,27 @@
             config: ConfigDigest::default(),
             members: BTreeMap::new(),
             suspects: BTreeMap::new(),
-            graves: BTreeMap::new(),
+            tombstones: BTreeMap::new(),
             contacts: ContactList::default(),
             queue: UpdateQueue::default(),
-            board: ReportBoard::default(),
-            sightings: SightingBoard::default(),
+            config_reports: ConfigReportTracker::default(),
+            store_answers: StoreAnswerTracker::default(),
             buckets: [0; VIEW_BUCKETS],
             probing: ProbeSchedule::default(),
             syncing: SyncSchedule::default(),
-            is_urgent: false,
+            has_urgent_updates: false,
             gossiped_at: TimePoint::START,
             changed_at: TimePoint::START,
             revision: 1,
             report_revision: 1,
             reported_at: TimePoint::START,
-            reconnect_at: TimePoint::START,
+            next_reconnect_at: TimePoint::START,
             ticked_at: None,
-            clock_at: TimePoint::START,
+            latest_time: TimePoint::START,
             resumed_at: TimePoint::START,
             forgot_at: TimePoint::START,
         };
-        membership.toggle_own_part();
+        membership.toggle_own_contribution();
         membership.queue.push(membership.own_update(true));
         membership
     }
@@ -109,14 +109,14 @@
         if self.own_state == MemberState::Dead {
             return outgoing;
         }
-        self.clock_at = now;
-        self.notice_pause(now);
-        self.end_suspicions(now, &mut outgoing);
+        self.latest_time = now;
+        self.detect_pause(now);
+        self.expire_suspicions(now, &mut outgoing);
         self.report_config(now);
         self.probe(now, rng, &mut outgoing);
         self.sync(now, rng, &mut outgoing);
         self.reconnect(now, rng, &mut outgoing);
-        self.forget(now);
+        self.forget_dead_members(now);
         self.gossip(now, rng, &mut outgoing);
         outgoing
     }
@@ -126,9 +126,9 @@
         if self.own_state != MemberState::Alive {
             return Vec::new();
         }
-        self.toggle_own_part();
+        self.toggle_own_contribution();
         self.own_state = MemberState::Leaving;
-        self.toggle_own_part();
+        self.toggle_own_contribution();
         self.queue.push(self.own_update(false));
         self.note_change(now);
         self.broadcast(now, rng)
@@ -156,31 +156,31 @@
 
     /// Notes that the store answered this process.
     pub fn note_store_answer(&mut self, now: TimePoint) {
-        self.sightings.note_own(now);
+        self.store_answers.record_own(now);
     }
 
     /// Gets when the store last answered another member.
     #[must_use]
-    pub fn store_answered_other(&self) -> Option<TimePoint> {
-        self.sightings.other()
+    pub fn other_store_answered_at(&self) -> Option<TimePoint> {
+        self.store_answers.other_answered_at()
     }
 
     /// Returns true where nothing but the next probe is due.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let is_awaiting = !self.probing.is_idle() || !self.syncing.is_idle();
-        !self.has_news() && self.suspects.is_empty() && !is_awaiting
+        !self.has_pending_gossip() && self.suspects.is_empty() && !is_awaiting
     }
 
     /// Returns true where there is something to pass on.
-    pub(super) fn has_news(&self) -> bool {
-        !self.queue.is_empty() || !self.board.is_empty()
+    pub(super) fn has_pending_gossip(&self) -> bool {
+        !self.queue.is_empty() || !self.config_reports.is_empty()
     }
 
     /// Gets when the next member is probed.
     #[must_use]
     pub const fn next_probe_at(&self) -> TimePoint {
-        self.probing.next_at()
+        self.probing.next_probe_at()
     }
 
     /// Gets this process's own record.
@@ -243,18 +243,21 @@
             state: self.own_state,
             version: self.version,
             load: self.load,
-            heard_at: None,
+            last_contact_at: None,
             config: Some(self.config),
-            met_at: TimePoint::START,
+            discovered_at: TimePoint::START,
         };
         let others = self.members.values().map(|member| MemberView {
             record: Arc::clone(&member.record),
             state: member.machine.state(),
             version: member.machine.version(),
             load: member.load,
-            heard_at: member.heard_at,
-            config: self.board.get(member.fingerprint).or(member.config),
-            met_at: member.met_at,
+            last_contact_at: member.last_contact_at,
+            config: self
+                .config_reports
+                .get(member.fingerprint)
+                .or(member.config),
+            discovered_at: member.discovered_at,
         });
         std::iter::once(own).chain(others).collect()
     }
@@ -266,7 +269,7 @@
     }
 
     /// Gets the number of members that are not dead, this process included.
-    pub(super) fn size(&self) -> usize {
+    pub(super) fn live_member_count(&self) -> usize {
         self.contacts.len() + 1
     }
 
@@ -280,12 +283,12 @@
     }
 
     pub(super) fn own_fingerprint(&self) -> u32 {
-        report_board::fingerprint(&self.record.node, self.version.start)
+        config_report_tracker::process_fingerprint(&self.record.node, self.version.incarnation)
     }
 
     /// Adds this process's part to the hashes of the view, or takes it out where it was in.
-    pub(super) fn toggle_own_part(&mut self) {
-        let (bucket, hash) = member_entry::view_part(
+    pub(super) fn toggle_own_contribution(&mut self) {
+        let (bucket, hash) = member_entry::hash_contribution(
             self.name_hash,
             self.version,
             self.own_state == MemberState::Leaving,
@@ -299,17 +302,22 @@
     }
 
     /// Applies an event to a known member; where it changed something, passes the new state on.
-    pub(super) fn apply(&mut self, node: &NodeId, event: MemberEvent, now: TimePoint) -> bool {
+    pub(super) fn apply_event(
+        &mut self,
+        node: &NodeId,
+        event: MemberEvent,
+        now: TimePoint,
+    ) -> bool {
         let Some(member) = self.members.get_mut(node) else {
             return false;
         };
-        let (bucket, before) = member.view_part();
+        let (bucket, before) = member.hash_contribution();
         let was_dead = member.machine.state() == MemberState::Dead;
         if !member.machine.handle(event) {
             return false;
         }
         self.buckets[bucket] ^= before;
-        let (bucket, after) = member.view_part();
+        let (bucket, after) = member.hash_contribution();
         self.buckets[bucket] ^= after;
         let update = member.update(false);
         if update.state == MemberState::Suspect {
@@ -319,7 +327,7 @@
         }
         let is_dead = update.state == MemberState::Dead;
         let record = Arc::clone(&member.record);
-        self.is_urgent = true;
+        self.has_urgent_updates = true;
         self.queue.push(update);
         if is_dead {
             self.contacts.remove(node);
--- a/alderhaven-policy/src/membership/upkeep.rs
+++ b/alderhaven-policy/src/membership/maintenance.rs
@@ -13,23 +13,23 @@
 use crate::membership::member_record::MemberState;
 
 /// The most members whose death is remembered after their record was dropped.
-const MAX_GRAVES: usize = 1 << 12;
+const MAX_TOMBSTONES: usize = 1 << 12;
 
 /// How often a process asks a suspected member itself before it gives it up.
-const ASKS: u32 = 2;
+const PINGS_PER_SUSPICION: u32 = 2;
 
 impl GroupMembership {
     /// Guards against judging others after this process itself was paused: answers that came
     /// meanwhile are still unread, so a probe in flight would count as failed and suspicions as
     /// lapsed, and a host that froze for seconds would declare everyone dead when it wakes. A late
     /// tick shows the pause; the probe is then dropped and suspicions begin anew.
-    pub(super) fn notice_pause(&mut self, now: TimePoint) {
+    pub(super) fn detect_pause(&mut self, now: TimePoint) {
         let is_paused = self
             .ticked_at
             .is_some_and(|ticked_at| now.since(ticked_at) > self.options.probe_period);
         if is_paused {
             self.resumed_at = now;
-            self.probing.drop_current(now);
+            self.probing.cancel_current(now);
         }
         self.ticked_at = Some(now);
     }
@@ -39,8 +39,12 @@
     /// Guards against lossy paths: the refutation may miss this process, which would then give up
     /// a member that all others know to be well. Each process therefore asks the member itself,
     /// once after a third and once after two thirds of the time.
-    pub(super) fn end_suspicions(&mut self, now: TimePoint, outgoing: &mut Vec<OutgoingMessage>) {
-        let suspicion = self.options.suspicion(self.size());
+    pub(super) fn expire_suspicions(
+        &mut self,
+        now: TimePoint,
+        outgoing: &mut Vec<OutgoingMessage>,
+    ) {
+        let suspicion = self.options.suspicion_timeout(self.live_member_count());
         let mut lapsed = Vec::new();
         let mut asked = Vec::new();
         for (node, asks) in &mut self.suspects {
@@ -50,7 +54,9 @@
             let lasted = now.since(member.machine.since().max(self.resumed_at));
             if lasted >= suspicion {
                 lapsed.push(node.clone());
-            } else if lasted >= suspicion.mul_f64(f64::from(*asks + 1) / f64::from(ASKS + 1)) {
+            } else if lasted
+                >= suspicion.mul_f64(f64::from(*asks + 1) / f64::from(PINGS_PER_SUSPICION + 1))
+            {
                 *asks += 1;
                 asked.push((node.clone(), member.record.gossip_address));
             }
@@ -59,7 +65,7 @@
             outgoing.push(self.ping(address, &node));
         }
         for node in lapsed {
-            self.apply(&node, MemberEvent::SuspicionLapsed { now }, now);
+            self.apply_event(&node, MemberEvent::SuspicionExpired { now }, now);
         }
     }
 
@@ -68,7 +74,10 @@
         if !self.options.is_reporting || !is_due {
             return;
         }
-        if self.board.hear(self.own_fingerprint(), self.config) {
+        if self
+            .config_reports
+            .record_report(self.own_fingerprint(), self.config)
+        {
             self.reported_at = now;
             self.report_revision += 1;
         }
@@ -83,13 +92,14 @@
         rng: &mut impl Rng,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        if now < self.reconnect_at {
+        if now < self.next_reconnect_at {
             return;
         }
-        self.reconnect_at = now + jittered(self.options.reconnect_period, rng);
-        let lost: Vec<(SocketAddr, Option<NodeId>)> = self.lost_contacts();
+        self.next_reconnect_at = now + jittered(self.options.reconnect_period, rng);
+        let lost: Vec<(SocketAddr, Option<NodeId>)> = self.reconnect_candidates();
         if lost.is_empty()
-            || !rng.random_bool((10.0 * lost.len() as f64 / self.size() as f64).min(1.0))
+            || !rng
+                .random_bool((10.0 * lost.len() as f64 / self.live_member_count() as f64).min(1.0))
         {
             return;
         }
@@ -99,7 +109,7 @@
         }
     }
 
-    fn lost_contacts(&self) -> Vec<(SocketAddr, Option<NodeId>)> {
+    fn reconnect_candidates(&self) -> Vec<(SocketAddr, Option<NodeId>)> {
         let dead = self
             .members
             .values()
@@ -125,7 +135,7 @@
     ///
     /// Their versions are kept: a process that was frozen all the while still believes them alive
     /// and says so when it wakes, which would bring them back into answers until a probe fails.
-    pub(super) fn forget(&mut self, now: TimePoint) {
+    pub(super) fn forget_dead_members(&mut self, now: TimePoint) {
         if now.since(self.forgot_at) < self.options.reconnect_period {
             return;
         }
@@ -140,20 +150,20 @@
             .collect();
         for node in old {
             if let Some(member) = self.members.remove(&node) {
-                self.graves.insert(node, member.machine.version());
+                self.tombstones.insert(node, member.machine.version());
             }
             self.revision += 1;
         }
-        while self.graves.len() > MAX_GRAVES {
-            let oldest = self.graves.iter().min_by_key(|(_, version)| **version);
+        while self.tombstones.len() > MAX_TOMBSTONES {
+            let oldest = self.tombstones.iter().min_by_key(|(_, version)| **version);
             let Some(node) = oldest.map(|(node, _)| node.clone()) else {
                 break;
             };
-            self.graves.remove(&node);
+            self.tombstones.remove(&node);
         }
         let mut known: BTreeSet<u32> = self.members.values().map(|m| m.fingerprint).collect();
         known.insert(self.own_fingerprint());
-        self.board.retain(|member| known.contains(&member));
+        self.config_reports.retain(|member| known.contains(&member));
     }
 }
 
--- a/alderhaven-policy/src/membership/member_entry.rs
+++ b/alderhaven-policy/src/membership/member_entry.rs
@@ -7,12 +7,12 @@
 use serde::{Serialize, Serializer};
 
 use crate::hashing;
+use crate::membership::config_report_tracker;
 use crate::membership::gossip_message::{MemberUpdate, VIEW_BUCKETS};
 use crate::membership::member_machine::MemberMachine;
 use crate::membership::member_record::{
     ConfigDigest, LoadLevel, MemberRecord, MemberState, MemberVersion,
 };
-use crate::membership::report_board;
 
 /// A `MemberEntry` is one other member with its lifecycle.
 pub(crate) struct MemberEntry {
@@ -20,41 +20,42 @@
     pub(crate) machine: MemberMachine,
     pub(crate) fingerprint: u32,
     /// The start of the process that the record is of.
-    pub(crate) record_start: IncarnationNumber,
+    pub(crate) record_incarnation: IncarnationNumber,
     pub(crate) load: LoadLevel,
     /// When the member last spoke to this process itself.
-    pub(crate) heard_at: Option<TimePoint>,
+    pub(crate) last_contact_at: Option<TimePoint>,
     /// What the member has in force, as it said itself.
     pub(crate) config: Option<ConfigDigest>,
     /// When this process first heard of the member's process.
-    pub(crate) met_at: TimePoint,
+    pub(crate) discovered_at: TimePoint,
     name_hash: u64,
 }
 
 impl MemberEntry {
     pub(crate) fn new(record: MemberRecord, machine: MemberMachine, now: TimePoint) -> Self {
-        let record_start = machine.version().start;
+        let record_start = machine.version().incarnation;
         Self {
-            fingerprint: report_board::fingerprint(&record.node, record_start),
-            record_start,
+            fingerprint: config_report_tracker::process_fingerprint(&record.node, record_start),
+            record_incarnation: record_start,
             name_hash: hashing::hash_name(record.node.as_str()),
             record: Arc::new(record),
             machine,
             load: LoadLevel::default(),
-            heard_at: None,
+            last_contact_at: None,
             config: None,
-            met_at: now,
+            discovered_at: now,
         }
     }
 
     /// Takes over the record of a restarted process.
     pub(crate) fn replace_record(&mut self, record: MemberRecord, now: TimePoint) {
-        self.record_start = self.machine.version().start;
-        self.fingerprint = report_board::fingerprint(&record.node, self.record_start);
+        self.record_incarnation = self.machine.version().incarnation;
+        self.fingerprint =
+            config_report_tracker::process_fingerprint(&record.node, self.record_incarnation);
         self.record = Arc::new(record);
-        self.heard_at = None;
+        self.last_contact_at = None;
         self.config = None;
-        self.met_at = now;
+        self.discovered_at = now;
     }
 
     /// Gets the bucket of a view's hashes that the member belongs to.
@@ -64,13 +65,13 @@
 
     /// Gets the bucket and the hash that the member adds to a view's hashes; the dead add nothing,
     /// since they are forgotten at different times.
-    pub(crate) fn view_part(&self) -> (usize, u64) {
+    pub(crate) fn hash_contribution(&self) -> (usize, u64) {
         let state = self.machine.state();
         if state == MemberState::Dead {
             return (self.bucket(), 0);
         }
         let is_leaving = state == MemberState::Leaving;
-        view_part(self.name_hash, self.machine.version(), is_leaving)
+        hash_contribution(self.name_hash, self.machine.version(), is_leaving)
     }
 
     /// Gets the member's state as news; with its record where receivers may not know it.
@@ -85,10 +86,17 @@
 }
 
 /// Gets the bucket and the hash that a member adds to a view's hashes.
-pub(crate) fn view_part(name_hash: u64, version: MemberVersion, is_leaving: bool) -> (usize, u64) {
+pub(crate) fn hash_contribution(
+    name_hash: u64,
+    version: MemberVersion,
+    is_leaving: bool,
+) -> (usize, u64) {
     let bucket = bucket_of(name_hash);
-    let numbers = hashing::mix(version.start.0, u64::from(version.refutation));
-    let hash = hashing::mix(hashing::mix(name_hash, numbers), u64::from(is_leaving));
+    let numbers = hashing::mix_hashes(version.incarnation.0, u64::from(version.refutation));
+    let hash = hashing::mix_hashes(
+        hashing::mix_hashes(name_hash, numbers),
+        u64::from(is_leaving),
+    );
     (bucket, hash)
 }
 
@@ -109,11 +117,11 @@
     /// The load that the member last said itself.
     pub load: LoadLevel,
     /// When the member last spoke to this process; none where it never did.
-    pub heard_at: Option<TimePoint>,
+    pub last_contact_at: Option<TimePoint>,
     /// The configuration that the member has in force; none where it has not reported.
     pub config: Option<ConfigDigest>,
     /// When the member's process was first heard of; for this process, its own start.
-    pub met_at: TimePoint,
+    pub discovered_at: TimePoint,
 }
 
 fn serialize_record<S: Serializer>(
--- a/alderhaven-policy/src/membership/member_lifecycle.rs
+++ b/alderhaven-policy/src/membership/member_lifecycle.rs
@@ -32,34 +32,34 @@
         match *event {
             MemberEvent::ProbeFailed { now } => self.enter(MemberPhase::suspect(), now),
             // See the module's rule: a death by hearsay is a suspicion.
-            MemberEvent::Heard {
+            MemberEvent::UpdateReceived {
                 state: MemberState::Dead,
                 version,
                 now,
-            } => self.hear(MemberState::Alive, MemberState::Suspect, version, now),
-            MemberEvent::Heard {
+            } => self.apply_update(MemberState::Alive, MemberState::Suspect, version, now),
+            MemberEvent::UpdateReceived {
                 state,
                 version,
                 now,
-            } => self.hear(MemberState::Alive, state, version, now),
-            MemberEvent::SuspicionLapsed { .. } => Handled,
+            } => self.apply_update(MemberState::Alive, state, version, now),
+            MemberEvent::SuspicionExpired { .. } => Handled,
         }
     }
 
     #[state]
     fn suspect(&mut self, event: &MemberEvent) -> Outcome<MemberPhase> {
         match *event {
-            MemberEvent::SuspicionLapsed { now } => self.enter(MemberPhase::dead(), now),
-            MemberEvent::Heard {
+            MemberEvent::SuspicionExpired { now } => self.enter(MemberPhase::dead(), now),
+            MemberEvent::UpdateReceived {
                 state: MemberState::Dead,
                 version,
                 now,
-            } => self.hear(MemberState::Suspect, MemberState::Suspect, version, now),
-            MemberEvent::Heard {
+            } => self.apply_update(MemberState::Suspect, MemberState::Suspect, version, now),
+            MemberEvent::UpdateReceived {
                 state,
                 version,
                 now,
-            } => self.hear(MemberState::Suspect, state, version, now),
+            } => self.apply_update(MemberState::Suspect, state, version, now),
             MemberEvent::ProbeFailed { .. } => Handled,
         }
     }
@@ -69,24 +69,24 @@
         match *event {
             // It gets no work already, so a wrong judgement would cut nothing.
             MemberEvent::ProbeFailed { now } => self.enter(MemberPhase::dead(), now),
-            MemberEvent::Heard {
+            MemberEvent::UpdateReceived {
                 state,
                 version,
                 now,
-            } => self.hear(MemberState::Leaving, state, version, now),
-            MemberEvent::SuspicionLapsed { .. } => Handled,
+            } => self.apply_update(MemberState::Leaving, state, version, now),
+            MemberEvent::SuspicionExpired { .. } => Handled,
         }
     }
 
     #[state]
     fn dead(&mut self, event: &MemberEvent) -> Outcome<MemberPhase> {
         match *event {
-            MemberEvent::Heard {
+            MemberEvent::UpdateReceived {
                 state,
                 version,
                 now,
-            } => self.hear(MemberState::Dead, state, version, now),
-            MemberEvent::ProbeFailed { .. } | MemberEvent::SuspicionLapsed { .. } => Handled,
+            } => self.apply_update(MemberState::Dead, state, version, now),
+            MemberEvent::ProbeFailed { .. } | MemberEvent::SuspicionExpired { .. } => Handled,
         }
     }
 }
@@ -97,7 +97,7 @@
         Transition(phase)
     }
 
-    fn hear(
+    fn apply_update(
         &mut self,
         known: MemberState,
         heard: MemberState,
@@ -108,12 +108,12 @@
             return Handled;
         }
         self.version = version;
-        self.enter(MemberPhase::of(heard), now)
+        self.enter(MemberPhase::from_state(heard), now)
     }
 }
 
 impl MemberPhase {
-    fn of(state: MemberState) -> Self {
+    fn from_state(state: MemberState) -> Self {
         match state {
             MemberState::Alive => Self::alive(),
             MemberState::Suspect => Self::suspect(),
--- a/alderhaven-policy/src/membership/member_machine.rs
+++ b/alderhaven-policy/src/membership/member_machine.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberEvent {
     /// Somebody said that the member is in a state.
-    Heard {
+    UpdateReceived {
         /// The state that was said.
         state: MemberState,
         /// The version that it was said of.
@@ -24,7 +24,7 @@
         now: TimePoint,
     },
     /// The time within which the member could refute a suspicion has passed.
-    SuspicionLapsed {
+    SuspicionExpired {
         /// When it passed.
         now: TimePoint,
     },
@@ -46,7 +46,7 @@
         };
         let mut machine = lifecycle.state_machine();
         machine.init();
-        machine.handle(&MemberEvent::Heard {
+        machine.handle(&MemberEvent::UpdateReceived {
             state,
             version,
             now,
--- a/alderhaven-policy/src/membership/membership_options.rs
+++ b/alderhaven-policy/src/membership/membership_options.rs
@@ -77,7 +77,7 @@
 impl MembershipOptions {
     /// Gets how long a suspicion lasts among `members` members.
     #[must_use]
-    pub fn suspicion(&self, members: usize) -> TimeSpan {
+    pub fn suspicion_timeout(&self, members: usize) -> TimeSpan {
         let decades = (members.max(1) as f64).log10();
         self.min_suspicion
             .max(self.suspicion_per_decade.mul_f64(decades))
@@ -88,13 +88,13 @@
     /// same is found by comparing hashes of the state.
     #[must_use]
     pub fn retransmissions(members: usize) -> u32 {
-        logarithm(members, 2.0)
+        scaled_logarithm(members, 2.0)
     }
 
     /// Gets how many members a process that leaves tells directly.
     #[must_use]
     pub fn leaving_fanout(members: usize) -> usize {
-        logarithm(members, 2.0) as usize
+        scaled_logarithm(members, 2.0) as usize
     }
 }
 
@@ -103,6 +103,6 @@
     clippy::cast_sign_loss,
     reason = "the logarithm of a count is a small positive number"
 )]
-fn logarithm(members: usize, factor: f64) -> u32 {
+fn scaled_logarithm(members: usize, factor: f64) -> u32 {
     ((members as f64 + 1.0).ln() * factor).ceil().max(3.0) as u32
 }
--- a/alderhaven-policy/src/membership/probing.rs
+++ b/alderhaven-policy/src/membership/probing.rs
@@ -14,7 +14,7 @@
 use crate::membership::member_record::MemberState;
 
 /// The most probes that are run for others at a time.
-const MAX_RELAYED: usize = 1 << 10;
+const MAX_FORWARDED_PROBES: usize = 1 << 10;
 
 /// A `ProbeSchedule` says who is probed next and what is awaited.
 ///
@@ -22,11 +22,11 @@
 /// probed once a round and no two processes probe in the same order.
 #[derive(Debug, Default)]
 pub(super) struct ProbeSchedule {
-    ring: Vec<NodeId>,
-    next: usize,
-    period_ends: TimePoint,
+    probe_order: Vec<NodeId>,
+    next_index: usize,
+    period_ends_at: TimePoint,
     current: Option<CurrentProbe>,
-    relayed: BTreeMap<u32, RelayedProbe>,
+    forwarded_probes: BTreeMap<u32, ForwardedProbe>,
     sequence: u32,
 }
 
@@ -39,10 +39,10 @@
 }
 
 #[derive(Debug)]
-struct RelayedProbe {
+struct ForwardedProbe {
     requester: SocketAddr,
     sequence: u32,
-    expires: TimePoint,
+    expires_at: TimePoint,
 }
 
 impl ProbeSchedule {
@@ -57,19 +57,20 @@
     }
 
     /// Gets when the next member is probed.
-    pub(super) const fn next_at(&self) -> TimePoint {
-        self.period_ends
+    pub(super) const fn next_probe_at(&self) -> TimePoint {
+        self.period_ends_at
     }
 
     /// Adds a member at a random place of the running round.
     pub(super) fn add(&mut self, node: NodeId, rng: &mut impl Rng) {
-        let place = rng.random_range(self.next.min(self.ring.len())..=self.ring.len());
-        self.ring.insert(place, node);
+        let place =
+            rng.random_range(self.next_index.min(self.probe_order.len())..=self.probe_order.len());
+        self.probe_order.insert(place, node);
     }
 
-    pub(super) fn drop_current(&mut self, now: TimePoint) {
+    pub(super) fn cancel_current(&mut self, now: TimePoint) {
         self.current = None;
-        self.period_ends = now;
+        self.period_ends_at = now;
     }
 }
 
@@ -80,25 +81,25 @@
         rng: &mut impl Rng,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        self.probe_indirectly(now, rng, outgoing);
-        if now < self.probing.period_ends {
+        self.request_indirect_probes(now, rng, outgoing);
+        if now < self.probing.period_ends_at {
             return;
         }
         if let Some(probe) = self.probing.current.take() {
             self.fail_probe(&probe.node, now, outgoing);
         }
         self.probing
-            .relayed
-            .retain(|_, relayed| relayed.expires > now);
+            .forwarded_probes
+            .retain(|_, relayed| relayed.expires_at > now);
         // A first period of random length keeps processes that started together apart.
-        let first = self.probing.period_ends == TimePoint::START;
+        let first = self.probing.period_ends_at == TimePoint::START;
         let period = if first {
             self.options.probe_period.mul_f64(rng.random())
         } else {
             self.options.probe_period
         };
-        self.probing.period_ends = now + period;
-        if !first && let Some(node) = self.next_probed(rng) {
+        self.probing.period_ends_at = now + period;
+        if !first && let Some(node) = self.next_probe_target(rng) {
             self.begin_probe(node, now, outgoing);
         }
     }
@@ -108,7 +109,7 @@
         self.ping_with(sequence, address, node)
     }
 
-    pub(super) fn answer_ping(
+    pub(super) fn handle_ping(
         &mut self,
         from: SocketAddr,
         sequence: u32,
@@ -116,11 +117,11 @@
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
         if *target == self.record.node && !self.is_superseded {
-            outgoing.push(self.outgoing(from, GossipBody::Ack { sequence }));
+            outgoing.push(self.message_to(from, GossipBody::Ack { sequence }));
         }
     }
 
-    pub(super) fn probe_for(
+    pub(super) fn handle_ping_request(
         &mut self,
         requester: SocketAddr,
         sequence: u32,
@@ -128,20 +129,20 @@
         now: TimePoint,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        if self.probing.relayed.len() >= MAX_RELAYED {
+        if self.probing.forwarded_probes.len() >= MAX_FORWARDED_PROBES {
             return;
         }
         let own_sequence = self.probing.next_sequence();
-        let relayed = RelayedProbe {
+        let relayed = ForwardedProbe {
             requester,
             sequence,
-            expires: now + self.options.probe_period,
+            expires_at: now + self.options.probe_period,
         };
-        self.probing.relayed.insert(own_sequence, relayed);
+        self.probing.forwarded_probes.insert(own_sequence, relayed);
         outgoing.push(self.ping_with(own_sequence, address, target));
     }
 
-    pub(super) fn hear_ack(&mut self, sequence: u32, outgoing: &mut Vec<OutgoingMessage>) {
+    pub(super) fn handle_ack(&mut self, sequence: u32, outgoing: &mut Vec<OutgoingMessage>) {
         let is_current = self
             .probing
             .current
@@ -149,9 +150,9 @@
             .is_some_and(|probe| probe.sequence == sequence);
         if is_current {
             self.probing.current = None;
-        } else if let Some(relayed) = self.probing.relayed.remove(&sequence) {
+        } else if let Some(relayed) = self.probing.forwarded_probes.remove(&sequence) {
             let sequence = relayed.sequence;
-            outgoing.push(self.outgoing(relayed.requester, GossipBody::Ack { sequence }));
+            outgoing.push(self.message_to(relayed.requester, GossipBody::Ack { sequence }));
         }
     }
 
@@ -168,14 +169,14 @@
             )
         });
         let told = told.map(|member| member.update(false));
-        self.outgoing_with(address, body, told)
+        self.message_with_update(address, body, told)
     }
 
-    fn next_probed(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
+    fn next_probe_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
         // At most one new round: where nobody is left to probe, nobody is.
         for _ in 0..2 {
-            while let Some(node) = self.probing.ring.get(self.probing.next) {
-                self.probing.next += 1;
+            while let Some(node) = self.probing.probe_order.get(self.probing.next_index) {
+                self.probing.next_index += 1;
                 let is_probed = self
                     .members
                     .get(node)
@@ -184,9 +185,9 @@
                     return Some(node.clone());
                 }
             }
-            self.probing.ring = self.contacts.nodes().cloned().collect();
-            self.probing.ring.shuffle(rng);
-            self.probing.next = 0;
+            self.probing.probe_order = self.contacts.nodes().cloned().collect();
+            self.probing.probe_order.shuffle(rng);
+            self.probing.next_index = 0;
         }
         None
     }
@@ -206,7 +207,7 @@
         });
     }
 
-    fn probe_indirectly(
+    fn request_indirect_probes(
         &mut self,
         now: TimePoint,
         rng: &mut impl Rng,
@@ -225,27 +226,27 @@
             return;
         };
         let address = member.record.gossip_address;
-        let helpers = self
-            .contacts
-            .draw_any(self.options.indirect_probes, Some(&target), rng);
+        let helpers =
+            self.contacts
+                .sample_uniform(self.options.indirect_probes, Some(&target), rng);
         for helper in helpers {
             let body = GossipBody::PingRequest {
                 sequence,
                 target: target.clone(),
                 address,
             };
-            outgoing.push(self.outgoing(helper, body));
+            outgoing.push(self.message_to(helper, body));
         }
     }
 
     fn fail_probe(&mut self, node: &NodeId, now: TimePoint, outgoing: &mut Vec<OutgoingMessage>) {
-        if !self.apply(node, MemberEvent::ProbeFailed { now }, now) {
+        if !self.apply_event(node, MemberEvent::ProbeFailed { now }, now) {
             return;
         }
         // The suspected member hears of it at once, so that it can refute it in time.
         if let Some(member) = self.members.get(node) {
             let (address, told) = (member.record.gossip_address, member.update(false));
-            outgoing.push(self.outgoing_with(address, GossipBody::News, Some(told)));
+            outgoing.push(self.message_with_update(address, GossipBody::Updates, Some(told)));
         }
     }
 }
--- a/alderhaven-policy/src/membership/state_sync.rs
+++ b/alderhaven-policy/src/membership/state_sync.rs
@@ -17,29 +17,29 @@
     VIEW_BUCKETS,
 };
 use crate::membership::group_membership::GroupMembership;
-use crate::membership::upkeep;
+use crate::membership::maintenance;
 
 /// How often a chunk is asked for before the sync is given up.
-const MAX_TRIES: u32 = 3;
+const MAX_SYNC_TRIES: u32 = 3;
 
 /// The time without changes after which a difference of views is not just news under way.
-const SETTLED_AFTER: TimeSpan = TimeSpan::from_secs(1);
+const VIEW_SETTLE_TIME: TimeSpan = TimeSpan::from_secs(1);
 
 /// The time that a joining process waits for one member's answer before it asks another that speaks
 /// to it; above a round trip between two regions.
-const JOIN_PATIENCE: TimeSpan = TimeSpan::from_millis(150);
+const JOIN_REPLY_TIMEOUT: TimeSpan = TimeSpan::from_millis(150);
 
 /// The bytes of a chunk that are kept free for reports.
-const REPORT_BYTES: usize = 100;
+const RESERVED_REPORT_BYTES: usize = 100;
 
 /// A `SyncSchedule` says when to compare next and what is awaited.
 #[derive(Debug, Default)]
 pub(super) struct SyncSchedule {
     pub(super) is_joined: bool,
     current: Option<CurrentSync>,
-    differing: Option<SocketAddr>,
-    next_join: TimePoint,
-    next_sync: TimePoint,
+    differing_peer: Option<SocketAddr>,
+    next_join_at: TimePoint,
+    next_sync_at: TimePoint,
 }
 
 impl SyncSchedule {
@@ -70,11 +70,11 @@
         }
         if !self.syncing.is_joined {
             self.join(now, rng, outgoing);
-        } else if now >= self.syncing.next_sync
+        } else if now >= self.syncing.next_sync_at
             && self.queue.is_empty()
-            && let Some(peer) = self.syncing.differing.take()
+            && let Some(peer) = self.syncing.differing_peer.take()
         {
-            self.syncing.next_sync = now + upkeep::jittered(self.options.sync_period, rng);
+            self.syncing.next_sync_at = now + maintenance::jittered(self.options.sync_period, rng);
             self.begin_sync(peer, now, outgoing);
         }
     }
@@ -86,7 +86,7 @@
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
         if self.syncing.current.is_none() {
-            self.ask(peer, None, 0, now, outgoing);
+            self.send_sync_request(peer, None, 0, now, outgoing);
         }
     }
 
@@ -103,21 +103,20 @@
         rng: &mut impl Rng,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        let is_settled = now.since(self.changed_at) >= SETTLED_AFTER;
-        let is_differing = is_settled && sender.view != self.view_hash();
-        if is_differing && self.contacts.is_asked(&sender.node, rng) {
-            self.syncing.differing = Some(from);
+        let is_settled = now.since(self.changed_at) >= VIEW_SETTLE_TIME;
+        let is_differing = is_settled && sender.view_hash != self.view_hash();
+        if is_differing && self.contacts.should_sync_with(&sender.node, rng) {
+            self.syncing.differing_peer = Some(from);
         }
-        let is_joining =
-            self.syncing.current.as_ref().is_some_and(|sync| {
-                sync.after.is_some() || now.since(sync.asked_at) < JOIN_PATIENCE
-            });
+        let is_joining = self.syncing.current.as_ref().is_some_and(|sync| {
+            sync.after.is_some() || now.since(sync.asked_at) < JOIN_REPLY_TIMEOUT
+        });
         if !self.syncing.is_joined && !is_joining {
-            self.ask(from, None, 0, now, outgoing);
+            self.send_sync_request(from, None, 0, now, outgoing);
         }
     }
 
-    pub(super) fn answer_sync(
+    pub(super) fn handle_sync_request(
         &mut self,
         from: SocketAddr,
         sequence: u32,
@@ -131,7 +130,7 @@
         let mut left = self
             .options
             .max_message_bytes
-            .saturating_sub(ENVELOPE_BYTES + REPORT_BYTES);
+            .saturating_sub(ENVELOPE_BYTES + RESERVED_REPORT_BYTES);
         let mut updates: Vec<MemberUpdate> = Vec::new();
         let mut fingerprints = Vec::new();
         let mut next = None;
@@ -159,17 +158,22 @@
             fingerprints.push(member.fingerprint);
             last = Some(node.clone());
         }
-        let reports = self.board.groups_of(&fingerprints, left + REPORT_BYTES);
+        let reports = self
+            .config_reports
+            .groups_of(&fingerprints, left + RESERVED_REPORT_BYTES);
         let message = GossipMessage {
-            sender: self.header(),
-            body: GossipBody::SyncReply { sequence, next },
+            sender: self.sender_header(),
+            body: GossipBody::SyncReply {
+                sequence,
+                continue_after: next,
+            },
             updates,
             reports,
         };
         outgoing.push(OutgoingMessage { to: from, message });
     }
 
-    pub(super) fn hear_sync(
+    pub(super) fn handle_sync_reply(
         &mut self,
         sequence: u32,
         next: Option<NodeId>,
@@ -184,10 +188,10 @@
             return;
         };
         if next.is_some() {
-            self.ask(sync.peer, next, 0, now, outgoing);
+            self.send_sync_request(sync.peer, next, 0, now, outgoing);
         } else {
             self.syncing.is_joined = true;
-            self.syncing.differing = None;
+            self.syncing.differing_peer = None;
         }
     }
 
@@ -204,8 +208,8 @@
             self.syncing.is_joined = true;
             return;
         }
-        if now >= self.syncing.next_join {
-            self.syncing.next_join = now + upkeep::jittered(self.options.join_period, rng);
+        if now >= self.syncing.next_join_at {
+            self.syncing.next_join_at = now + maintenance::jittered(self.options.join_period, rng);
             let seed = seeds[rng.random_range(0..seeds.len())];
             self.begin_sync(seed, now, outgoing);
         }
@@ -219,15 +223,15 @@
             .current
             .take_if(|sync| now.since(sync.asked_at) >= join_period);
         if let Some(sync) = late
-            && sync.tries + 1 < MAX_TRIES
+            && sync.tries + 1 < MAX_SYNC_TRIES
             && (self.syncing.is_joined || sync.after.is_some())
         {
-            self.ask(sync.peer, sync.after, sync.tries + 1, now, outgoing);
+            self.send_sync_request(sync.peer, sync.after, sync.tries + 1, now, outgoing);
         }
         self.syncing.current.is_some()
     }
 
-    fn ask(
+    fn send_sync_request(
         &mut self,
         peer: SocketAddr,
         after: Option<NodeId>,
@@ -243,7 +247,7 @@
         };
         // The first question introduces this process.
         let introduction = after.is_none().then(|| self.own_update(true));
-        outgoing.push(self.outgoing_with(peer, body, introduction));
+        outgoing.push(self.message_with_update(peer, body, introduction));
         self.syncing.current = Some(CurrentSync {
             peer,
             sequence,
--- a/alderhaven-policy/src/membership/store_sighting.rs
+++ b/alderhaven-policy/src/membership/store_answer.rs
@@ -10,11 +10,11 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
 /// The age that one way between two members adds: a header may have waited for a tick.
-const HOP_AGE: TimeSpan = TimeSpan::from_millis(50);
+const MAX_HOP_DELAY: TimeSpan = TimeSpan::from_millis(50);
 
 /// A `StoreSighting` says how long ago the store answered a member.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct StoreSighting {
+pub struct StoreAnswer {
     /// The number of the member's process.
     pub origin: u32,
     /// The time since the answer.
@@ -23,43 +23,44 @@
 
 /// A `SightingBoard` holds the latest answer of the store to this process and to any other one.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SightingBoard {
-    own: Option<TimePoint>,
-    other: Option<(TimePoint, u32)>,
+pub struct StoreAnswerTracker {
+    own_answered_at: Option<TimePoint>,
+    other_answer: Option<(TimePoint, u32)>,
 }
 
-impl SightingBoard {
+impl StoreAnswerTracker {
     /// Notes that the store answered this process.
-    pub fn note_own(&mut self, now: TimePoint) {
-        self.own = self.own.max(Some(now));
+    pub fn record_own(&mut self, now: TimePoint) {
+        self.own_answered_at = self.own_answered_at.max(Some(now));
     }
 
     /// Takes another member's word. One that came back to its origin says nothing new: a process that
     /// alone reaches the store must not take the echo of its own word for another watcher.
-    pub fn hear(&mut self, sighting: StoreSighting, own: u32, now: TimePoint) {
+    pub fn record_other(&mut self, sighting: StoreAnswer, own: u32, now: TimePoint) {
         if sighting.origin == own {
             return;
         }
-        let age = sighting.age + HOP_AGE;
+        let age = sighting.age + MAX_HOP_DELAY;
         if age <= now.since(TimePoint::START) {
             let seen = (now - age, sighting.origin);
-            self.other = self.other.max(Some(seen));
+            self.other_answer = self.other_answer.max(Some(seen));
         }
     }
 
     /// Gets when the store last answered another member.
     #[must_use]
-    pub fn other(&self) -> Option<TimePoint> {
-        self.other.map(|(seen_at, _)| seen_at)
+    pub fn other_answered_at(&self) -> Option<TimePoint> {
+        self.other_answer.map(|(seen_at, _)| seen_at)
     }
 
     /// Gets the latest word for a message's header; `own` is the number of this process.
     #[must_use]
-    pub fn latest(&self, own: u32, now: TimePoint) -> Option<StoreSighting> {
-        let own = self.own.map(|seen_at| (seen_at, own));
-        own.max(self.other).map(|(seen_at, origin)| StoreSighting {
-            origin,
-            age: now.since(seen_at),
-        })
+    pub fn latest_answer(&self, own: u32, now: TimePoint) -> Option<StoreAnswer> {
+        let own = self.own_answered_at.map(|seen_at| (seen_at, own));
+        own.max(self.other_answer)
+            .map(|(seen_at, origin)| StoreAnswer {
+                origin,
+                age: now.since(seen_at),
+            })
     }
 }
--- a/alderhaven-policy/src/membership/news.rs
+++ b/alderhaven-policy/src/membership/update_handling.rs
@@ -6,6 +6,7 @@
 use alderhaven_core::time::TimePoint;
 use rand::Rng;
 
+use crate::membership::config_report_tracker;
 use crate::membership::gossip_message::{
     GossipBody, GossipMessage, MemberUpdate, OutgoingMessage, ReportGroup, SenderHeader,
 };
@@ -13,11 +14,10 @@
 use crate::membership::member_entry::MemberEntry;
 use crate::membership::member_machine::{MemberEvent, MemberMachine};
 use crate::membership::member_record::{MemberState, MemberVersion};
-use crate::membership::report_board;
 
 /// A `NewsSource` says how an update came.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum NewsSource {
+enum UpdateSource {
     /// With a message, soon after it happened.
     Gossip,
     /// From a comparison of states, which may be old.
@@ -37,32 +37,33 @@
         if self.own_state == MemberState::Dead {
             return outgoing;
         }
-        self.clock_at = now;
+        self.latest_time = now;
         let source = match message.body {
-            GossipBody::SyncReply { .. } => NewsSource::StateSync,
-            _ => NewsSource::Gossip,
+            GossipBody::SyncReply { .. } => UpdateSource::StateSync,
+            _ => UpdateSource::Gossip,
         };
         for update in message.updates {
-            self.hear_update(update, source, now, rng, &mut outgoing);
+            self.handle_update(update, source, now, rng, &mut outgoing);
         }
-        self.hear_header(from, &message.sender, now, rng, &mut outgoing);
+        self.handle_header(from, &message.sender, now, rng, &mut outgoing);
         if self.options.is_reporting {
-            self.hear_reports(message.reports);
+            self.handle_reports(message.reports);
         }
-        self.hear_body(from, &message.body, now, &mut outgoing);
+        self.handle_body(from, &message.body, now, &mut outgoing);
         self.gossip_urgently(now, rng, &mut outgoing);
         outgoing
     }
 
-    fn hear_reports(&mut self, reports: Vec<ReportGroup>) {
+    fn handle_reports(&mut self, reports: Vec<ReportGroup>) {
         for group in reports {
             for member in group.members {
-                self.report_revision += u64::from(self.board.hear(member, group.config));
+                self.report_revision +=
+                    u64::from(self.config_reports.record_report(member, group.config));
             }
         }
     }
 
-    fn hear_body(
+    fn handle_body(
         &mut self,
         from: SocketAddr,
         body: &GossipBody,
@@ -70,29 +71,32 @@
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
         match body {
-            GossipBody::News => {}
+            GossipBody::Updates => {}
             GossipBody::Ping { sequence, target } => {
-                self.answer_ping(from, *sequence, target, outgoing);
+                self.handle_ping(from, *sequence, target, outgoing);
             }
             GossipBody::PingRequest {
                 sequence,
                 target,
                 address,
-            } => self.probe_for(from, *sequence, (target, *address), now, outgoing),
-            GossipBody::Ack { sequence } => self.hear_ack(*sequence, outgoing),
+            } => self.handle_ping_request(from, *sequence, (target, *address), now, outgoing),
+            GossipBody::Ack { sequence } => self.handle_ack(*sequence, outgoing),
             GossipBody::SyncRequest {
                 sequence,
                 after,
                 buckets,
-            } => self.answer_sync(from, *sequence, after.as_ref(), buckets, outgoing),
-            GossipBody::SyncReply { sequence, next } => {
-                self.hear_sync(*sequence, next.clone(), now, outgoing);
+            } => self.handle_sync_request(from, *sequence, after.as_ref(), buckets, outgoing),
+            GossipBody::SyncReply {
+                sequence,
+                continue_after: next,
+            } => {
+                self.handle_sync_reply(*sequence, next.clone(), now, outgoing);
             }
         }
     }
 
     /// Takes what a sender says of itself, and tells it where it is believed suspect or dead.
-    fn hear_header(
+    fn handle_header(
         &mut self,
         from: SocketAddr,
         sender: &SenderHeader,
@@ -104,34 +108,38 @@
             return;
         }
         self.compare_views(from, sender, now, rng, outgoing);
-        if let Some(sighting) = sender.sighting {
-            self.sightings.hear(sighting, self.own_fingerprint(), now);
+        if let Some(sighting) = sender.store_answer {
+            self.store_answers
+                .record_other(sighting, self.own_fingerprint(), now);
         }
         let Some(member) = self.members.get_mut(&sender.node) else {
             return;
         };
-        if member.record_start != sender.version.start {
+        if member.record_incarnation != sender.version.incarnation {
             return;
         }
         member.load = sender.load;
-        member.heard_at = Some(now);
+        member.last_contact_at = Some(now);
         member.config = Some(sender.config);
         let fingerprint = member.fingerprint;
         if self.options.is_reporting {
-            self.report_revision += u64::from(self.board.hear(fingerprint, sender.config));
+            self.report_revision += u64::from(
+                self.config_reports
+                    .record_report(fingerprint, sender.config),
+            );
         }
-        let state = if sender.leaving {
+        let state = if sender.is_leaving {
             MemberState::Leaving
         } else {
             MemberState::Alive
         };
         let version = sender.version;
-        let event = MemberEvent::Heard {
+        let event = MemberEvent::UpdateReceived {
             state,
             version,
             now,
         };
-        self.apply(&sender.node, event, now);
+        self.apply_event(&sender.node, event, now);
         // Guards against a frozen process that wakes and does not know that it was declared dead:
         // it would go on serving while nobody sends it work. Whoever it speaks to tells it.
         let told = self.members.get(&sender.node).filter(|member| {
@@ -141,28 +149,28 @@
             )
         });
         if let Some(update) = told.map(|member| member.update(false)) {
-            outgoing.push(self.outgoing_with(from, GossipBody::News, Some(update)));
+            outgoing.push(self.message_with_update(from, GossipBody::Updates, Some(update)));
         }
     }
 
-    fn hear_update(
+    fn handle_update(
         &mut self,
         update: MemberUpdate,
-        source: NewsSource,
+        source: UpdateSource,
         now: TimePoint,
         rng: &mut impl Rng,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
         if update.node == self.record.node {
-            self.hear_of_self(&update, now);
+            self.handle_update_about_self(&update, now);
             return;
         }
         let Some(member) = self.members.get(&update.node) else {
-            self.meet(update, source, now, rng);
+            self.add_member(update, source, now, rng);
             return;
         };
         let known = member.machine.version();
-        let is_restart = update.version.start > member.record_start;
+        let is_restart = update.version.incarnation > member.record_incarnation;
         if is_restart && update.record.is_none() && update.state != MemberState::Dead {
             // The old record may name old addresses; the new one comes with its own news or with
             // the next comparison of views.
@@ -170,7 +178,7 @@
         }
         let is_ill = matches!(update.state, MemberState::Suspect | MemberState::Dead);
         let is_newer = (update.version, update.state) > (known, member.machine.state());
-        if source == NewsSource::StateSync && is_ill && is_newer {
+        if source == UpdateSource::StateSync && is_ill && is_newer {
             // Guards against a split that heals: each side holds the other's members dead, and
             // taking that over in bulk would make each side doubt itself. Only the member meant is
             // told; it refutes, or probes will find it dead.
@@ -179,21 +187,21 @@
                 record: None,
                 ..update
             };
-            outgoing.push(self.outgoing_with(address, GossipBody::News, Some(update)));
+            outgoing.push(self.message_with_update(address, GossipBody::Updates, Some(update)));
             return;
         }
-        let event = MemberEvent::Heard {
+        let event = MemberEvent::UpdateReceived {
             state: update.state,
             version: update.version,
             now,
         };
-        if self.apply(&update.node, event, now) && is_restart {
-            self.take_restart(update, now, rng);
+        if self.apply_event(&update.node, event, now) && is_restart {
+            self.apply_restart(update, now, rng);
         }
     }
 
     /// Takes the record of a member that restarted.
-    fn take_restart(&mut self, update: MemberUpdate, now: TimePoint, rng: &mut impl Rng) {
+    fn apply_restart(&mut self, update: MemberUpdate, now: TimePoint, rng: &mut impl Rng) {
         let Some(member) = self.members.get_mut(&update.node) else {
             return;
         };
@@ -210,14 +218,14 @@
     }
 
     /// Takes in a member that was not known.
-    fn meet(
+    fn add_member(
         &mut self,
         update: MemberUpdate,
-        source: NewsSource,
+        source: UpdateSource,
         now: TimePoint,
         rng: &mut impl Rng,
     ) {
-        let grave = self.graves.get(&update.node);
+        let grave = self.tombstones.get(&update.node);
         let is_buried = grave.is_some_and(|version| *version >= update.version);
         let Some(record) = update.record.filter(|_| !is_buried) else {
             return;
@@ -230,13 +238,13 @@
             self.suspects.insert(update.node.clone(), 0);
         }
         let member = MemberEntry::new(record, machine, now);
-        let (bucket, hash) = member.view_part();
+        let (bucket, hash) = member.hash_contribution();
         self.buckets[bucket] ^= hash;
         // What a joining process takes over is known to the others already.
-        if source == NewsSource::Gossip || self.syncing.is_joined {
+        if source == UpdateSource::Gossip || self.syncing.is_joined {
             self.queue.push(member.update(true));
         }
-        self.graves.remove(&update.node);
+        self.tombstones.remove(&update.node);
         self.add_contact(&member.record);
         self.members.insert(update.node.clone(), member);
         self.probing.add(update.node, rng);
@@ -244,7 +252,7 @@
     }
 
     /// Refutes news of this process that is newer than what it says itself.
-    fn hear_of_self(&mut self, update: &MemberUpdate, now: TimePoint) {
+    fn handle_update_about_self(&mut self, update: &MemberUpdate, now: TimePoint) {
         let own = (self.version, self.own_state);
         if self.is_superseded || (update.version, update.state) <= own {
             return;
@@ -253,26 +261,29 @@
             .record
             .as_ref()
             .is_some_and(|record| *record != self.record);
-        if is_moved && update.version.start > self.version.start {
+        if is_moved && update.version.incarnation > self.version.incarnation {
             self.is_superseded = true;
             self.note_change(now);
             return;
         }
-        let is_restart = update.version.start > self.version.start;
-        self.toggle_own_part();
+        let is_restart = update.version.incarnation > self.version.incarnation;
+        self.toggle_own_contribution();
         self.version = MemberVersion {
-            start: self.version.start.max(update.version.start),
+            incarnation: self.version.incarnation.max(update.version.incarnation),
             refutation: update.version.refutation + 1,
         };
-        self.toggle_own_part();
+        self.toggle_own_contribution();
         if is_restart && self.options.is_reporting {
-            self.board.hear(
-                report_board::fingerprint(&self.record.node, self.version.start),
+            self.config_reports.record_report(
+                config_report_tracker::process_fingerprint(
+                    &self.record.node,
+                    self.version.incarnation,
+                ),
                 self.config,
             );
         }
         self.queue.push(self.own_update(is_restart));
-        self.is_urgent = true;
+        self.has_urgent_updates = true;
         self.note_change(now);
     }
 }
--- a/alderhaven-policy/src/membership/update_queue.rs
+++ b/alderhaven-policy/src/membership/update_queue.rs
@@ -17,14 +17,20 @@
 #[derive(Clone, Debug)]
 struct QueuedUpdate {
     update: MemberUpdate,
-    sent: u32,
+    send_count: u32,
 }
 
 impl UpdateQueue {
     /// Adds news, which replaces older news of the same member.
     pub fn push(&mut self, update: MemberUpdate) {
         let node = update.node.clone();
-        self.updates.insert(node, QueuedUpdate { update, sent: 0 });
+        self.updates.insert(
+            node,
+            QueuedUpdate {
+                update,
+                send_count: 0,
+            },
+        );
     }
 
     /// Returns true where nothing is to be sent.
@@ -46,19 +52,19 @@
             return Vec::new();
         }
         let mut waiting: Vec<&mut QueuedUpdate> = self.updates.values_mut().collect();
-        waiting.sort_by_key(|queued| queued.sent);
+        waiting.sort_by_key(|queued| queued.send_count);
         let mut left = bytes;
         let mut taken = Vec::new();
         for queued in waiting {
             let size = queued.update.size_bound();
             if size <= left {
                 left -= size;
-                queued.sent += 1;
+                queued.send_count += 1;
                 taken.push(queued.update.clone());
             }
         }
         self.updates
-            .retain(|_, queued| queued.sent < retransmissions);
+            .retain(|_, queued| queued.send_count < retransmissions);
         taken
     }
 }
--- a/alderhaven-policy/src/lane_claim.rs
+++ b/alderhaven-policy/src/pending_claim.rs
@@ -8,29 +8,29 @@
 
 /// A `LaneClaim` is one try to claim a key.
 #[derive(Clone, Debug)]
-pub(crate) struct LaneClaim {
+pub(crate) struct PendingClaim {
     pub ticket: ClaimTicket,
     pub fingerprint: ClaimFingerprint,
     /// The time at which the try is given up on.
-    pub claim_by: TimePoint,
+    pub deadline: TimePoint,
     /// The number of the lane's last call before the try came.
-    pub offered: u64,
+    pub offered_after_call: u64,
     /// The version that a lost write of this claim expected; that write may still take effect as
     /// long as the bucket has this version.
-    pub lost_at: Option<StoreVersion>,
+    pub lost_write_version: Option<StoreVersion>,
     /// Whether the try was refused while a write with it was under way.
     pub is_abandoned: bool,
 }
 
 /// A `LaneRelease` is a claim that is to be taken out of the bucket.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LaneRelease {
+pub(crate) struct PendingRelease {
     pub ticket: ClaimTicket,
     /// The version past which no lost write can bring the claim in any more.
-    pub lost_at: Option<StoreVersion>,
+    pub lost_write_version: Option<StoreVersion>,
 }
 
-impl LaneClaim {
+impl PendingClaim {
     /// Returns a try that no call has carried yet.
     pub(crate) const fn new(
         ticket: ClaimTicket,
@@ -40,18 +40,18 @@
         Self {
             ticket,
             fingerprint,
-            claim_by,
-            offered: 0,
-            lost_at: None,
+            deadline: claim_by,
+            offered_after_call: 0,
+            lost_write_version: None,
             is_abandoned: false,
         }
     }
 
     /// Gets what takes the claim out of the bucket again.
-    pub(crate) const fn release(&self) -> LaneRelease {
-        LaneRelease {
+    pub(crate) const fn to_release(&self) -> PendingRelease {
+        PendingRelease {
             ticket: self.ticket,
-            lost_at: self.lost_at,
+            lost_write_version: self.lost_write_version,
         }
     }
 }
--- a/alderhaven-policy/src/quarantine.rs
+++ b/alderhaven-policy/src/quarantine.rs
@@ -45,18 +45,18 @@
 use alderhaven_core::value_check::ValueCheck;
 use serde::{Deserialize, Serialize};
 
-use crate::crash_strike::{CrashStrike, StrikeNews, TargetCrash};
+use crate::crash_strike::{CrashStrike, StrikeUpdate, TargetCrash};
 use crate::policy_kind::PolicyKind;
 
 /// The most strikes that are kept of one request; the newest stay.
 ///
 /// It holds the first wave of a query over 130 shards, about 20 KB.
-const MAX_STRIKES: usize = 160;
+const MAX_STRIKES_PER_REQUEST: usize = 160;
 /// The most crashes that are remembered for the judgement of whole domains.
-const MAX_LOSSES: usize = 512;
+const MAX_RECENT_CRASHES: usize = 512;
 
 /// The most requests that may be allowed; each holds up to 20 KB of strikes.
-const MAX_REQUESTS: usize = 1024;
+const MAX_TRACKED_REQUESTS: usize = 1024;
 
 /// A `QuarantineOptions` holds the settings of the quarantine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -101,11 +101,15 @@
 impl QuarantineOptions {
     /// Checks the values; fields are named below `quarantine`.
     pub fn check(&self, check: &mut ValueCheck) {
-        check.within("quarantine.targets", &self.targets, &(2..=MAX_STRIKES));
+        check.within(
+            "quarantine.targets",
+            &self.targets,
+            &(2..=MAX_STRIKES_PER_REQUEST),
+        );
         check.within(
             "quarantine.max_requests",
             &self.max_requests,
-            &(1..=MAX_REQUESTS),
+            &(1..=MAX_TRACKED_REQUESTS),
         );
     }
 }
@@ -127,11 +131,11 @@
 struct RequestRecord {
     strikes: BTreeMap<u64, CrashStrike>,
     refusals: u32,
-    until: TimePoint,
+    refused_until: TimePoint,
 }
 
 #[derive(Clone, Debug)]
-struct TargetLoss {
+struct RecentCrash {
     target: TargetId,
     domain: FailureDomain,
     at: TimePoint,
@@ -142,7 +146,7 @@
 pub struct CrashQuarantine {
     options: QuarantineOptions,
     requests: HashMap<RequestFingerprint, RequestRecord>,
-    losses: BTreeMap<u64, TargetLoss>,
+    recent_crashes: BTreeMap<u64, RecentCrash>,
 }
 
 impl CrashQuarantine {
@@ -153,21 +157,21 @@
         Self {
             options,
             requests: HashMap::new(),
-            losses: BTreeMap::new(),
+            recent_crashes: BTreeMap::new(),
         }
     }
 
     /// Notes a crash: one strike for each request that was in flight. Returns the new strikes.
-    pub fn note_crash(&mut self, crash: &TargetCrash, now: TimePoint) -> Vec<StrikeNews> {
+    pub fn record_crash(&mut self, crash: &TargetCrash, now: TimePoint) -> Vec<StrikeUpdate> {
         let different: BTreeSet<_> = crash.in_flight.iter().map(|(request, _)| request).collect();
         let in_flight = u32::try_from(different.len()).unwrap_or(u32::MAX);
-        let news: Vec<StrikeNews> = crash
+        let news: Vec<StrikeUpdate> = crash
             .in_flight
             .iter()
-            .map(|(fingerprint, shard)| StrikeNews {
+            .map(|(fingerprint, shard)| StrikeUpdate {
                 fingerprint: *fingerprint,
                 strike: CrashStrike {
-                    crash: crash.crash,
+                    crash_id: crash.id,
                     target: crash.target.clone(),
                     domain: crash.domain.clone(),
                     shard: *shard,
@@ -178,15 +182,15 @@
                 age: TimeSpan::ZERO,
             })
             .collect();
-        self.note_loss(crash.crash, &crash.target, &crash.domain, now);
+        self.record_recent_crash(crash.id, &crash.target, &crash.domain, now);
         let fresh = self.merge(&news, now);
         // A target that was lost idle tells of its domain.
-        self.judge_all();
+        self.reevaluate_requests();
         fresh
     }
 
     /// Takes over strikes of another process; returns those that told something new.
-    pub fn merge(&mut self, news: &[StrikeNews], now: TimePoint) -> Vec<StrikeNews> {
+    pub fn merge(&mut self, news: &[StrikeUpdate], now: TimePoint) -> Vec<StrikeUpdate> {
         if !self.options.enabled {
             return Vec::new();
         }
@@ -197,25 +201,25 @@
                 at: now - item.age,
                 ..item.strike.clone()
             };
-            self.note_loss(strike.crash, &strike.target, &strike.domain, strike.at);
-            if self.add(item.fingerprint, strike) {
+            self.record_recent_crash(strike.crash_id, &strike.target, &strike.domain, strike.at);
+            if self.add_strike(item.fingerprint, strike) {
                 fresh.push(item.clone());
             }
         }
         if !fresh.is_empty() {
             self.prune(now);
-            self.judge_all();
+            self.reevaluate_requests();
         }
         fresh
     }
 
     /// Notes an answer to a request by a replica of a shard; returns the strikes that it cleared.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         fingerprint: &RequestFingerprint,
         shard: ShardId,
         now: TimePoint,
-    ) -> Vec<StrikeNews> {
+    ) -> Vec<StrikeUpdate> {
         let Some(record) = self.requests.get_mut(fingerprint) else {
             return Vec::new();
         };
@@ -223,11 +227,11 @@
         for strike in record.strikes.values_mut() {
             if strike.shard == shard && !strike.cleared {
                 strike.cleared = true;
-                cleared.push(news_of(*fingerprint, strike, now));
+                cleared.push(update_of(*fingerprint, strike, now));
             }
         }
         if !cleared.is_empty() {
-            self.judge_all();
+            self.reevaluate_requests();
         }
         cleared
     }
@@ -240,7 +244,7 @@
         now: TimePoint,
     ) -> Option<TimeSpan> {
         let record = self.requests.get(fingerprint)?;
-        (record.until > now).then(|| now.until(record.until))
+        (record.refused_until > now).then(|| now.until(record.refused_until))
     }
 
     /// Returns true where a request has a strike that counts still, so that it is run alone.
@@ -259,13 +263,13 @@
 
     /// Gets all strikes, for another process.
     #[must_use]
-    pub fn strikes(&self, now: TimePoint) -> Vec<StrikeNews> {
+    pub fn strikes(&self, now: TimePoint) -> Vec<StrikeUpdate> {
         let of_record = |(fingerprint, record): (&RequestFingerprint, &RequestRecord)| {
             let fingerprint = *fingerprint;
             record
                 .strikes
                 .values()
-                .map(move |strike| news_of(fingerprint, strike, now))
+                .map(move |strike| update_of(fingerprint, strike, now))
                 .collect::<Vec<_>>()
         };
         self.requests.iter().flat_map(of_record).collect()
@@ -291,42 +295,51 @@
             .map(|(fingerprint, record)| QuarantineEntry {
                 fingerprint: *fingerprint,
                 refusals: record.refusals,
-                refused_ms: now.until(record.until).as_millis(),
+                refused_ms: now.until(record.refused_until).as_millis(),
                 strikes: record.strikes.values().cloned().collect(),
             })
             .collect()
     }
 
-    fn note_loss(&mut self, crash: u64, target: &TargetId, domain: &FailureDomain, at: TimePoint) {
-        let loss = self.losses.entry(crash).or_insert_with(|| TargetLoss {
-            target: target.clone(),
-            domain: domain.clone(),
-            at,
-        });
+    fn record_recent_crash(
+        &mut self,
+        crash: u64,
+        target: &TargetId,
+        domain: &FailureDomain,
+        at: TimePoint,
+    ) {
+        let loss = self
+            .recent_crashes
+            .entry(crash)
+            .or_insert_with(|| RecentCrash {
+                target: target.clone(),
+                domain: domain.clone(),
+                at,
+            });
         loss.at = loss.at.min(at);
-        if self.losses.len() > MAX_LOSSES {
-            let oldest = self.losses.iter().min_by_key(|(_, loss)| loss.at);
+        if self.recent_crashes.len() > MAX_RECENT_CRASHES {
+            let oldest = self.recent_crashes.iter().min_by_key(|(_, loss)| loss.at);
             if let Some(oldest) = oldest.map(|(crash, _)| *crash) {
-                self.losses.remove(&oldest);
+                self.recent_crashes.remove(&oldest);
             }
         }
     }
 
     /// Adds a strike; returns true where that told something new.
-    fn add(&mut self, fingerprint: RequestFingerprint, strike: CrashStrike) -> bool {
+    fn add_strike(&mut self, fingerprint: RequestFingerprint, strike: CrashStrike) -> bool {
         let strikes = &mut self.requests.entry(fingerprint).or_default().strikes;
-        if let Some(known) = strikes.get_mut(&strike.crash) {
+        if let Some(known) = strikes.get_mut(&strike.crash_id) {
             let was_cleared = known.cleared;
-            known.join(&strike);
+            known.merge(&strike);
             // A time that is earlier by the delay of a message is not worth passing on.
             return known.cleared != was_cleared;
         }
-        strikes.insert(strike.crash, strike);
-        if strikes.len() > MAX_STRIKES {
+        strikes.insert(strike.crash_id, strike);
+        if strikes.len() > MAX_STRIKES_PER_REQUEST {
             let oldest = strikes
                 .values()
-                .min_by_key(|strike| (strike.at, strike.crash));
-            if let Some(oldest) = oldest.map(|strike| strike.crash) {
+                .min_by_key(|strike| (strike.at, strike.crash_id));
+            if let Some(oldest) = oldest.map(|strike| strike.crash_id) {
                 strikes.remove(&oldest);
             }
         }
@@ -336,7 +349,8 @@
     /// Forgets old strikes and, beyond the bound, the requests that were struck longest ago.
     fn prune(&mut self, now: TimePoint) {
         let memory = self.options.memory;
-        self.losses.retain(|_, loss| now.since(loss.at) < memory);
+        self.recent_crashes
+            .retain(|_, loss| now.since(loss.at) < memory);
         self.requests.retain(|_, record| {
             record
                 .strikes
@@ -358,22 +372,22 @@
     }
 
     /// Judges all requests anew: a domain that turns out to be lost changes what older strikes say.
-    fn judge_all(&mut self) {
+    fn reevaluate_requests(&mut self) {
         let mut requests = std::mem::take(&mut self.requests);
         for record in requests.values_mut() {
-            (record.refusals, record.until) = self.judge(record);
+            (record.refusals, record.refused_until) = self.evaluate(record);
         }
         self.requests = requests;
     }
 
     /// Walks through a request's strikes in their order, and counts the refusals they led to.
-    fn judge(&self, record: &RequestRecord) -> (u32, TimePoint) {
+    fn evaluate(&self, record: &RequestRecord) -> (u32, TimePoint) {
         let mut strikes: Vec<&CrashStrike> = record
             .strikes
             .values()
-            .filter(|strike| !strike.cleared && !self.is_of_lost_domain(strike, record))
+            .filter(|strike| !strike.cleared && !self.is_domain_failure(strike, record))
             .collect();
-        strikes.sort_by_key(|strike| (strike.at, strike.crash));
+        strikes.sort_by_key(|strike| (strike.at, strike.crash_id));
         let (mut refusals, mut until) = (0, TimePoint::START);
         let mut counted: Vec<&CrashStrike> = Vec::new();
         for strike in strikes {
@@ -383,9 +397,9 @@
             }
             counted.retain(|earlier| strike.at.since(earlier.at) < self.options.window);
             counted.push(strike);
-            if self.is_guilty(&counted, refusals) {
+            if self.has_enough_strikes(&counted, refusals) {
                 refusals += 1;
-                until = strike.at + self.hold(refusals);
+                until = strike.at + self.refusal_span(refusals);
                 counted.clear();
             }
         }
@@ -393,20 +407,20 @@
     }
 
     /// Judges the newest of the strikes together with those before it.
-    fn is_guilty(&self, strikes: &[&CrashStrike], refusals: u32) -> bool {
+    fn has_enough_strikes(&self, strikes: &[&CrashStrike], refusals: u32) -> bool {
         let needed = if refusals == 0 {
             self.options.targets
         } else {
             1
         };
-        self.independent(strikes) >= needed && strikes.iter().any(|strike| strike.is_alone())
+        self.count_independent(strikes) >= needed && strikes.iter().any(|strike| strike.is_alone())
     }
 
     /// Counts the strikes that have no cause in common but the request.
     ///
     /// Targets that are lost at once may have shared a host, whatever is known of their domains. A
     /// host holds a shard once, though, and a shard's replicas are tried one after the other.
-    fn independent(&self, strikes: &[&CrashStrike]) -> usize {
+    fn count_independent(&self, strikes: &[&CrashStrike]) -> usize {
         let window = self.options.domain_window;
         let is_apart = |one: &CrashStrike, other: &CrashStrike| {
             let is_later = one.at.since(other.at) >= window || other.at.since(one.at) >= window;
@@ -424,10 +438,10 @@
 
     /// Returns true where many targets of the strike's domain were lost around that time, also such
     /// at which the request was not in flight: then it is not what they had in common.
-    fn is_of_lost_domain(&self, strike: &CrashStrike, record: &RequestRecord) -> bool {
+    fn is_domain_failure(&self, strike: &CrashStrike, record: &RequestRecord) -> bool {
         let window = self.options.domain_window;
-        let around: Vec<(&u64, &TargetLoss)> = self
-            .losses
+        let around: Vec<(&u64, &RecentCrash)> = self
+            .recent_crashes
             .iter()
             .filter(|(_, loss)| loss.domain == strike.domain)
             .filter(|(_, loss)| loss.at.since(strike.at) < window)
@@ -439,7 +453,7 @@
             && around.iter().any(|(crash, _)| is_elsewhere(crash))
     }
 
-    fn hold(&self, refusals: u32) -> TimeSpan {
+    fn refusal_span(&self, refusals: u32) -> TimeSpan {
         let doubled = 2_f64.powi(
             i32::try_from(refusals.saturating_sub(1))
                 .unwrap_or(30)
@@ -452,8 +466,12 @@
     }
 }
 
-fn news_of(fingerprint: RequestFingerprint, strike: &CrashStrike, now: TimePoint) -> StrikeNews {
-    StrikeNews {
+fn update_of(
+    fingerprint: RequestFingerprint,
+    strike: &CrashStrike,
+    now: TimePoint,
+) -> StrikeUpdate {
+    StrikeUpdate {
         fingerprint,
         strike: strike.clone(),
         age: now.since(strike.at),
--- a/alderhaven-policy/src/query_gate.rs
+++ b/alderhaven-policy/src/query_gate.rs
@@ -9,7 +9,7 @@
 //!
 //! The rules:
 //! - whole queries are decided on, before any part is sent, so that "not run" is true;
-//! - as many are in flight as [`RoomLimit`] allows; some more wait for a moment, in the order of their
+//! - as many are in flight as [`ConcurrencyLimit`] allows; some more wait for a moment, in the order of their
 //!   ranks, and go as soon as there is room;
 //! - who would wait for longer than a part of the latency target is refused on arrival, and who has to
 //!   make way for a better rank is refused at that moment: a caller that hears at once can go elsewhere
@@ -21,30 +21,30 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use smallvec::SmallVec;
 
-use crate::load_meter::LoadMeter;
-use crate::room_limit::{QueryNeed, RoomLimit};
+use crate::concurrency_limit::{ConcurrencyLimit, QuerySignal};
+use crate::rate_meter::RateMeter;
 use crate::running_mean::RunningMean;
 
 /// The part of the latency target that a query may wait for room.
-const WAIT_SHARE: f64 = 0.2;
+const MAX_WAIT_SHARE: f64 = 0.2;
 
 /// The ended queries that the mean stay covers.
-const STAY_WINDOW: u32 = 24;
+const RUN_TIME_WINDOW: u32 = 24;
 
 /// Over how long the shares of ranks are counted.
-const SHARE_FADE: TimeSpan = TimeSpan::from_millis(1_500);
+const RANK_RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(1_500);
 
 /// The least part of the best rank's served share that a lower rank is served.
-const LEAST_SHARE: f64 = 0.5;
+const MIN_SERVED_SHARE_RATIO: f64 = 0.5;
 
 /// The part of the room that late queries may use, so that they do not keep out those in time.
-const LATE_ROOM: f64 = 0.75;
+const LATE_LIMIT_SHARE: f64 = 0.75;
 
 /// The time to come back where little is refused.
-const RETRY_BASE: TimeSpan = TimeSpan::from_millis(30);
+const MIN_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(30);
 
 /// The longest time to come back.
-const RETRY_MOST: TimeSpan = TimeSpan::from_secs(2);
+const MAX_RETRY_AFTER: TimeSpan = TimeSpan::from_secs(2);
 
 /// A `GateQuery` is a query that asks for its turn.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -54,7 +54,7 @@
     /// Its rank among routes; 0 goes first.
     pub rank: u32,
     /// The latency target of its route.
-    pub target: TimeSpan,
+    pub latency_target: TimeSpan,
     /// Whether its answer will be late whatever is done, because its caller has waited before.
     pub is_late: bool,
 }
@@ -98,56 +98,59 @@
 /// A `QueryGate` decides on the queries of one front over one set of shards.
 #[derive(Clone, Debug, Default)]
 pub struct QueryGate {
-    room: RoomLimit,
+    limit: ConcurrencyLimit,
     in_flight: usize,
-    stay: RunningMean,
+    run_time: RunningMean,
     waiting: Vec<WaitingQuery>,
-    ranks: SmallVec<[RankUse; 4]>,
+    ranks: SmallVec<[RankRates; 4]>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct WaitingQuery {
     query: GateQuery,
-    since: TimePoint,
+    arrived_at: TimePoint,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct RankUse {
+struct RankRates {
     rank: u32,
-    offered: LoadMeter,
-    admitted: LoadMeter,
+    offered: RateMeter,
+    admitted: RateMeter,
 }
 
 impl QueryGate {
     /// Decides on a query that arrives.
     pub fn offer(&mut self, query: GateQuery, now: TimePoint) -> GateDecision {
-        self.rank_use(query.rank).offered.add(1.0, now);
+        self.rank_rates(query.rank).offered.add(1.0, now);
         if self.waiting.is_empty() && self.fits(&query) {
-            self.begin(query.rank, now);
+            self.admit(query.rank, now);
             return GateDecision::Admit;
         }
-        let longest = query.target.mul_f64(WAIT_SHARE);
-        let newcomer = WaitingQuery { query, since: now };
-        let place = self.place_of(&newcomer, now);
+        let longest = query.latency_target.mul_f64(MAX_WAIT_SHARE);
+        let newcomer = WaitingQuery {
+            query,
+            arrived_at: now,
+        };
+        let place = self.queue_position(&newcomer, now);
         if self.expected_wait(&query, place) > longest {
             return GateDecision::Refuse(self.refusal(GateReason::NoRoom, now));
         }
         self.waiting.insert(place, newcomer);
         GateDecision::Wait {
             until: now + longest,
-            outranked: self.drop_last(now),
+            outranked: self.displace_last(now),
         }
     }
 
     /// Gets the next waiting query that goes now; call it until there is none, after each end.
     pub fn next_ready(&mut self, now: TimePoint) -> Option<u64> {
-        let first =
-            (0..self.waiting.len()).min_by_key(|place| self.order(&self.waiting[*place], now))?;
+        let first = (0..self.waiting.len())
+            .min_by_key(|place| self.order_key(&self.waiting[*place], now))?;
         if !self.fits(&self.waiting[first].query) {
             return None;
         }
         let WaitingQuery { query, .. } = self.waiting.remove(first);
-        self.begin(query.rank, now);
+        self.admit(query.rank, now);
         Some(query.id)
     }
 
@@ -159,19 +162,19 @@
 
     /// Gets the answer to a query that had to make way.
     #[must_use]
-    pub fn outranked(&self, now: TimePoint) -> GateRefusal {
+    pub fn outranked_refusal(&self, now: TimePoint) -> GateRefusal {
         self.refusal(GateReason::Outranked, now)
     }
 
     /// Notes the end of a query that stayed for `stay`.
-    pub fn finished(&mut self, stay: TimeSpan, need: QueryNeed) {
-        self.room.note(need, self.in_flight);
-        self.stay.add(stay, STAY_WINDOW);
+    pub fn record_finished(&mut self, stay: TimeSpan, need: QuerySignal) {
+        self.limit.record_finished(need, self.in_flight);
+        self.run_time.add(stay, RUN_TIME_WINDOW);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Takes back the turn of a query that was not sent, because its caller left at that moment.
-    pub const fn take_back(&mut self) {
+    pub const fn release_unused(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
@@ -182,33 +185,33 @@
     }
 
     fn fits(&self, query: &GateQuery) -> bool {
-        let share = if query.is_late { LATE_ROOM } else { 1.0 };
-        self.room.fits(self.in_flight, share)
+        let share = if query.is_late { LATE_LIMIT_SHARE } else { 1.0 };
+        self.limit.fits(self.in_flight, share)
     }
 
-    fn begin(&mut self, rank: u32, now: TimePoint) {
+    fn admit(&mut self, rank: u32, now: TimePoint) {
         self.in_flight += 1;
-        self.rank_use(rank).admitted.add(1.0, now);
+        self.rank_rates(rank).admitted.add(1.0, now);
     }
 
     /// Gets the place of a newcomer among those that wait.
-    fn place_of(&self, newcomer: &WaitingQuery, now: TimePoint) -> usize {
-        let order = self.order(newcomer, now);
+    fn queue_position(&self, newcomer: &WaitingQuery, now: TimePoint) -> usize {
+        let order = self.order_key(newcomer, now);
         let before = self.waiting.iter();
         before
-            .filter(|waiting| self.order(waiting, now) <= order)
+            .filter(|waiting| self.order_key(waiting, now) <= order)
             .count()
     }
 
     /// Takes out the last in line where its wait has become too long by a newcomer before it.
-    fn drop_last(&mut self, now: TimePoint) -> Option<u64> {
+    fn displace_last(&mut self, now: TimePoint) -> Option<u64> {
         let last_place = self.waiting.len() - 1;
         let last = self.waiting[last_place];
         let left = last
             .query
-            .target
-            .mul_f64(WAIT_SHARE)
-            .saturating_sub(now.since(last.since));
+            .latency_target
+            .mul_f64(MAX_WAIT_SHARE)
+            .saturating_sub(now.since(last.arrived_at));
         if last_place == 0 || self.expected_wait(&last.query, last_place) <= left {
             return None;
         }
@@ -218,18 +221,23 @@
 
     /// Gets the order in which queries go: those that can be in time first, then ranks that are behind
     /// their part, then by rank, then by arrival.
-    fn order(&self, waiting: &WaitingQuery, now: TimePoint) -> (bool, bool, u32, TimePoint) {
+    fn order_key(&self, waiting: &WaitingQuery, now: TimePoint) -> (bool, bool, u32, TimePoint) {
         let GateQuery { rank, is_late, .. } = waiting.query;
-        (is_late, !self.is_behind(rank, now), rank, waiting.since)
+        (
+            is_late,
+            !self.is_underserved(rank, now),
+            rank,
+            waiting.arrived_at,
+        )
     }
 
     /// Returns true where a rank is served less than its part of what the best rank is.
-    fn is_behind(&self, rank: u32, now: TimePoint) -> bool {
+    fn is_underserved(&self, rank: u32, now: TimePoint) -> bool {
         let best = self.ranks.iter().min_by_key(|known| known.rank);
         let own = self.ranks.iter().find(|known| known.rank == rank);
         match (best, own) {
             (Some(best), Some(own)) if best.rank != rank => {
-                own.served_share(now) < best.served_share(now) * LEAST_SHARE
+                own.served_share(now) < best.served_share(now) * MIN_SERVED_SHARE_RATIO
             }
             _ => false,
         }
@@ -238,12 +246,12 @@
     /// Estimates the wait of a query with `before` others before it, by Little's law.
     fn expected_wait(&self, query: &GateQuery, before: usize) -> TimeSpan {
         // Before the first query has ended it may take all its time.
-        let stay = self.stay.get().unwrap_or(query.target);
-        stay.mul_f64((before + 1) as f64 / self.room.get())
+        let stay = self.run_time.get().unwrap_or(query.latency_target);
+        stay.mul_f64((before + 1) as f64 / self.limit.get())
     }
 
     fn refusal(&self, reason: GateReason, now: TimePoint) -> GateRefusal {
-        let rate = |meter: fn(&RankUse) -> &LoadMeter| -> f64 {
+        let rate = |meter: fn(&RankRates) -> &RateMeter| -> f64 {
             self.ranks
                 .iter()
                 .map(|known| meter(known).per_second(now))
@@ -254,17 +262,17 @@
         let excess = (offered / admitted).max(1.0);
         GateRefusal {
             reason,
-            retry_after: RETRY_BASE.mul_f64(excess).min(RETRY_MOST),
+            retry_after: MIN_RETRY_AFTER.mul_f64(excess).min(MAX_RETRY_AFTER),
         }
     }
 
-    fn rank_use(&mut self, rank: u32) -> &mut RankUse {
+    fn rank_rates(&mut self, rank: u32) -> &mut RankRates {
         let place = self.ranks.iter().position(|known| known.rank == rank);
         let place = place.unwrap_or_else(|| {
-            self.ranks.push(RankUse {
+            self.ranks.push(RankRates {
                 rank,
-                offered: LoadMeter::new(SHARE_FADE),
-                admitted: LoadMeter::new(SHARE_FADE),
+                offered: RateMeter::new(RANK_RATE_TIME_CONSTANT),
+                admitted: RateMeter::new(RANK_RATE_TIME_CONSTANT),
             });
             self.ranks.len() - 1
         });
@@ -272,7 +280,7 @@
     }
 }
 
-impl RankUse {
+impl RankRates {
     /// Gets the part of its queries that were admitted of late, 1 where none came.
     fn served_share(&self, now: TimePoint) -> f64 {
         let offered = self.offered.per_second(now);
--- a/alderhaven-policy/src/query_gather.rs
+++ b/alderhaven-policy/src/query_gather.rs
@@ -24,7 +24,7 @@
     manifest: Arc<SnapshotManifest>,
     idempotent: bool,
     shards: Vec<GatherShard>,
-    attempts: HashMap<u64, AttemptPlace>,
+    attempts: HashMap<u64, AttemptPosition>,
     open_shards: usize,
     may_have_run: bool,
 }
@@ -56,7 +56,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct AttemptPlace {
+struct AttemptPosition {
     slot: usize,
     index: usize,
 }
@@ -96,16 +96,16 @@
         slot: usize,
     },
     /// The attempt is over without an answer, and the shard is still open.
-    AttemptOver {
+    AttemptEnded {
         /// The shard's slot.
         slot: usize,
         /// What became of the attempt, after verification.
         outcome: AttemptOutcome,
         /// Whether another attempt at the shard is under way.
-        others_under_way: bool,
+        others_in_flight: bool,
     },
     /// The result belongs to no attempt under way, or came after the shard was settled.
-    Stray,
+    Ignored,
 }
 
 impl QueryGather {
@@ -150,7 +150,7 @@
 
     /// Gets the manifest's entry of a slot's shard.
     #[must_use]
-    pub fn entry(&self, slot: usize) -> &ShardEntry {
+    pub fn shard_entry(&self, slot: usize) -> &ShardEntry {
         &self.manifest.shards[self.shards[slot].position]
     }
 
@@ -186,7 +186,7 @@
     /// Notes that an attempt at a replica begins.
     pub fn begin_attempt(&mut self, slot: usize, replica: usize, sequence: u64) {
         let attempts = &mut self.shards[slot].attempts;
-        let place = AttemptPlace {
+        let place = AttemptPosition {
             slot,
             index: attempts.len(),
         };
@@ -201,30 +201,30 @@
     /// Takes what was heard of an attempt.
     pub fn accept(&mut self, sequence: u64, result: AttemptResult) -> GatherEvent {
         let Some(place) = self.attempts.get(&sequence).copied() else {
-            return GatherEvent::Stray;
+            return GatherEvent::Ignored;
         };
         if self.shards[place.slot].attempts[place.index]
             .outcome
             .is_some()
         {
-            return GatherEvent::Stray;
+            return GatherEvent::Ignored;
         }
         let outcome = self.verify(place.slot, &result);
         self.may_have_run |= !is_not_run(outcome);
         let shard = &mut self.shards[place.slot];
         shard.attempts[place.index].outcome = Some(outcome);
         if !matches!(shard.state, ShardState::Open) {
-            return GatherEvent::Stray;
+            return GatherEvent::Ignored;
         }
         if outcome == AttemptOutcome::Answered {
             shard.state = ShardState::Answered(result.rows);
             self.open_shards -= 1;
             return GatherEvent::ShardAnswered { slot: place.slot };
         }
-        GatherEvent::AttemptOver {
+        GatherEvent::AttemptEnded {
             slot: place.slot,
             outcome,
-            others_under_way: shard.attempts.iter().any(|other| other.outcome.is_none()),
+            others_in_flight: shard.attempts.iter().any(|other| other.outcome.is_none()),
         }
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// Gets the attempts under way with their slots.
-    pub fn under_way(&self) -> impl Iterator<Item = (usize, ShardAttempt)> + '_ {
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = (usize, ShardAttempt)> + '_ {
         self.shards.iter().enumerate().flat_map(|(slot, shard)| {
             shard
                 .attempts
@@ -313,7 +313,7 @@
                 ShardState::Missing(reason) => reason,
             };
             report.missing.push(MissingShard {
-                shard: self.entry(slot).shard,
+                shard: self.shard_entry(slot).shard,
                 reason,
             });
         }
@@ -331,7 +331,7 @@
             .iter()
             .filter(|shard| matches!(shard.state, ShardState::Answered(_)))
             .count();
-        let may_have_run = self.may_have_run || self.under_way().next().is_some();
+        let may_have_run = self.may_have_run || self.attempts_in_flight().next().is_some();
         if answered == self.shards.len() {
             QueryOutcome::Complete
         } else if answered > 0 {
@@ -360,8 +360,8 @@
         if result.outcome != AttemptOutcome::Answered {
             return result.outcome;
         }
-        let is_pinned =
-            result.snapshot == self.manifest.snapshot && result.version == self.entry(slot).version;
+        let is_pinned = result.snapshot == self.manifest.snapshot
+            && result.version == self.shard_entry(slot).version;
         if is_pinned && row_merge::is_row_array(&result.rows) {
             AttemptOutcome::Answered
         } else {
--- a/alderhaven-policy/src/relay_queue.rs
+++ b/alderhaven-policy/src/relay_queue.rs
@@ -35,18 +35,18 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-use crate::load_meter::LoadMeter;
 use crate::policy_kind::PolicyKind;
-use crate::service_means::ServiceMeans;
+use crate::rate_meter::RateMeter;
+use crate::service_times::ServiceTimes;
 
 /// Over how long the work that arrives per class is averaged: some dozens of attempts, and a
 /// burst shows within half a deadline.
-const LOAD_FADE: TimeSpan = TimeSpan::from_millis(200);
+const ARRIVING_WORK_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(200);
 
 /// Over how long the arriving short work is averaged, to tell how many slots it needs.
-const SHORT_FADE: TimeSpan = TimeSpan::from_secs(1);
+const SHORT_WORK_TIME_CONSTANT: TimeSpan = TimeSpan::from_secs(1);
 /// How much more than its mean load short work is left, so that its own queue stays short.
-const SHORT_HEADROOM: f64 = 1.5;
+const SHORT_WORK_HEADROOM: f64 = 1.5;
 
 /// A `RelayQueueOptions` holds the settings of a relay's queues.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -57,11 +57,11 @@
     /// The most waiting attempts, a bound on memory only.
     pub max_jobs: usize,
     /// The wait after which a lower class's first job may be started before a higher class.
-    pub aging_step: TimeSpan,
+    pub aging_threshold: TimeSpan,
     /// One start in this many may go to an aged job of a lower class.
-    pub aged_every: u32,
+    pub aged_start_interval: u32,
     /// How many times the shortest template's mean makes a template long.
-    pub long_factor: f64,
+    pub long_job_factor: f64,
 }
 
 impl Default for RelayQueueOptions {
@@ -69,9 +69,9 @@
         Self {
             max_wait: TimeSpan::from_secs(2),
             max_jobs: 4096,
-            aging_step: TimeSpan::from_millis(200),
-            aged_every: 16,
-            long_factor: 4.0,
+            aging_threshold: TimeSpan::from_millis(200),
+            aged_start_interval: 16,
+            long_job_factor: 4.0,
         }
     }
 }
@@ -90,7 +90,7 @@
     /// When its answer is of no more use.
     pub deadline: TimePoint,
     /// Whether it is a hedge, which runs only where a slot is free.
-    pub hedge: bool,
+    pub is_hedge: bool,
 }
 
 /// An `OfferOutcome` says whether a job was taken.
@@ -120,14 +120,14 @@
     pub waited: TimeSpan,
 }
 
-type PlaceKey = (u64, AttemptId);
+type QueueKey = (u64, AttemptId);
 
 #[derive(Clone, Debug)]
 struct WaitingJob {
     job: QueueJob,
-    since: TimePoint,
-    expected: TimeSpan,
-    give_up_at: TimePoint,
+    queued_at: TimePoint,
+    expected_service_time: TimeSpan,
+    expires_at: TimePoint,
 }
 
 /// A `RelayQueue` holds the attempts that wait for one target and those that run there.
@@ -135,16 +135,16 @@
 pub struct RelayQueue {
     options: RelayQueueOptions,
     policy: PolicyKind,
-    waiting: [BTreeMap<PlaceKey, WaitingJob>; 3],
-    places: HashMap<AttemptId, (usize, PlaceKey)>,
-    give_ups: BTreeSet<(TimePoint, AttemptId)>,
+    waiting: [BTreeMap<QueueKey, WaitingJob>; 3],
+    positions: HashMap<AttemptId, (usize, QueueKey)>,
+    expiries: BTreeSet<(TimePoint, AttemptId)>,
     queued_work: [TimeSpan; 3],
-    arriving_work: [LoadMeter; 3],
-    short_work: LoadMeter,
+    arriving_work: [RateMeter; 3],
+    short_work: RateMeter,
     running: HashMap<AttemptId, TemplateName>,
     dropped: Vec<DroppedJob>,
-    means: ServiceMeans,
-    arrivals: u64,
+    means: ServiceTimes,
+    arrival_count: u64,
     starts_since_aged: u32,
 }
 
@@ -156,15 +156,15 @@
             options,
             policy,
             waiting: Default::default(),
-            places: HashMap::new(),
-            give_ups: BTreeSet::new(),
+            positions: HashMap::new(),
+            expiries: BTreeSet::new(),
             queued_work: [TimeSpan::ZERO; 3],
-            arriving_work: [LoadMeter::new(LOAD_FADE); 3],
-            short_work: LoadMeter::new(SHORT_FADE),
+            arriving_work: [RateMeter::new(ARRIVING_WORK_TIME_CONSTANT); 3],
+            short_work: RateMeter::new(SHORT_WORK_TIME_CONSTANT),
             running: HashMap::new(),
             dropped: Vec::new(),
-            means: ServiceMeans::default(),
-            arrivals: 0,
+            means: ServiceTimes::default(),
+            arrival_count: 0,
             starts_since_aged: 0,
         }
     }
@@ -173,8 +173,8 @@
     ///
     /// Jobs that the new one displaces are among [`Self::take_dropped`].
     pub fn offer(&mut self, job: QueueJob, now: TimePoint, slots: u32) -> OfferOutcome {
-        let expected = self.means.expected(&job.template);
-        if let Some(reason) = self.refusal(&job, expected, now, slots) {
+        let expected = self.means.expected_service_time(&job.template);
+        if let Some(reason) = self.refusal_reason(&job, expected, now, slots) {
             return OfferOutcome::Refused(reason);
         }
         self.insert(job, expected, now);
@@ -198,13 +198,13 @@
         let template = waiting.job.template.clone();
         self.running.insert(waiting.job.id, template);
         Some(StartedJob {
-            waited: now.since(waiting.since),
+            waited: now.since(waiting.queued_at),
             job: waiting.job,
         })
     }
 
     /// Frees the slot of a job; `service` is its time at the target where that was measured.
-    pub fn finished(&mut self, id: AttemptId, service: Option<TimeSpan>, now: TimePoint) {
+    pub fn record_finished(&mut self, id: AttemptId, service: Option<TimeSpan>, now: TimePoint) {
         let Some(template) = self.running.remove(&id) else {
             return;
         };
@@ -215,7 +215,7 @@
 
     /// Takes a waiting job out; returns false where it runs already or is not known.
     pub fn cancel(&mut self, id: AttemptId) -> bool {
-        let Some((rank, key)) = self.places.get(&id).copied() else {
+        let Some((rank, key)) = self.positions.get(&id).copied() else {
             return false;
         };
         self.remove(rank, key).is_some()
@@ -223,12 +223,12 @@
 
     /// Drops the jobs that can no longer finish in time; they are among [`Self::take_dropped`].
     pub fn drop_expired(&mut self, now: TimePoint) {
-        while let Some((give_up_at, id)) = self.give_ups.first().copied() {
+        while let Some((give_up_at, id)) = self.expiries.first().copied() {
             if give_up_at > now {
                 return;
             }
-            let Some((rank, key)) = self.places.get(&id).copied() else {
-                self.give_ups.pop_first();
+            let Some((rank, key)) = self.positions.get(&id).copied() else {
+                self.expiries.pop_first();
                 continue;
             };
             let deadline = self.waiting[rank]
@@ -236,10 +236,10 @@
                 .map_or(give_up_at, |job| job.job.deadline);
             // The mean may be out of date: while the target is idle, only the deadline itself counts.
             if self.running.is_empty() && now < deadline {
-                self.give_ups.remove(&(give_up_at, id));
-                self.give_ups.insert((deadline, id));
+                self.expiries.remove(&(give_up_at, id));
+                self.expiries.insert((deadline, id));
                 if let Some(job) = self.waiting[rank].get_mut(&key) {
-                    job.give_up_at = deadline;
+                    job.expires_at = deadline;
                 }
                 continue;
             }
@@ -250,7 +250,7 @@
     /// Gets the next time at which [`Self::drop_expired`] may have something to drop.
     #[must_use]
     pub fn next_expiry(&self) -> Option<TimePoint> {
-        self.give_ups.first().map(|(at, _)| *at)
+        self.expiries.first().map(|(at, _)| *at)
     }
 
     /// Takes the jobs that were dropped since the last call, each to be answered at once.
@@ -270,8 +270,8 @@
 
     /// Estimates the wait that a new attempt of a class would have.
     #[must_use]
-    pub fn wait_of(&self, class: QueryClass, now: TimePoint, slots: u32) -> TimeSpan {
-        let rank = self.rank_of(class);
+    pub fn estimated_wait(&self, class: QueryClass, now: TimePoint, slots: u32) -> TimeSpan {
+        let rank = self.class_rank(class);
         let nothing_ahead = self.waiting[..=rank].iter().all(BTreeMap::is_empty);
         if nothing_ahead && self.running.len() < slots as usize {
             return TimeSpan::ZERO;
@@ -281,34 +281,34 @@
 
     /// Gets the number of waiting jobs.
     #[must_use]
-    pub fn waiting(&self) -> usize {
-        self.places.len()
+    pub fn waiting_count(&self) -> usize {
+        self.positions.len()
     }
 
     /// Gets the number of running jobs.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
     /// Gets the expected service time of a template at this target.
     #[must_use]
-    pub fn expected(&self, template: &TemplateName) -> TimeSpan {
-        self.means.expected(template)
+    pub fn expected_service_time(&self, template: &TemplateName) -> TimeSpan {
+        self.means.expected_service_time(template)
     }
 
-    fn refusal(
+    fn refusal_reason(
         &self,
         job: &QueueJob,
         expected: TimeSpan,
         now: TimePoint,
         slots: u32,
     ) -> Option<NotRunReason> {
-        if self.places.len() >= self.options.max_jobs {
+        if self.positions.len() >= self.options.max_jobs {
             return Some(NotRunReason::QueueFull);
         }
-        let is_free = self.places.is_empty() && self.running.len() < slots as usize;
-        if job.hedge && !is_free {
+        let is_free = self.positions.is_empty() && self.running.len() < slots as usize;
+        if job.is_hedge && !is_free {
             return Some(NotRunReason::QueueFull);
         }
         if self.policy == PolicyKind::Baseline {
@@ -319,10 +319,12 @@
         if remaining == TimeSpan::ZERO || (expected > remaining && !is_tried_anyway) {
             return Some(NotRunReason::Expired);
         }
-        let rank = self.rank_of(job.class);
+        let rank = self.class_rank(job.class);
         let own_ahead = self.waiting[rank]
             .range(..(job.order, job.id))
-            .fold(TimeSpan::ZERO, |sum, (_, ahead)| sum + ahead.expected);
+            .fold(TimeSpan::ZERO, |sum, (_, ahead)| {
+                sum + ahead.expected_service_time
+            });
         let wait = if is_free {
             TimeSpan::ZERO
         } else {
@@ -347,10 +349,10 @@
             .map(|meter| meter.per_second(now))
             .sum();
         // What higher classes leave over, and by aging no less than its share of the starts.
-        let least_share = 1.0 / f64::from(self.options.aged_every.max(1));
+        let least_share = 1.0 / f64::from(self.options.aged_start_interval.max(1));
         let left_share = (1.0 - arriving / slots).max(least_share);
         // Until the first of the running jobs ends takes about one mean over the slots.
-        let first_end = self.means.overall().unwrap_or_default();
+        let first_end = self.means.overall_mean().unwrap_or_default();
         let higher = self.queued_work[..rank]
             .iter()
             .fold(first_end, |sum, work| sum + *work);
@@ -358,25 +360,26 @@
         if rank == 0 {
             return by_class;
         }
-        let by_aging = self.options.aging_step + own_ahead.mul_f64(1.0 / (slots * least_share));
+        let by_aging =
+            self.options.aging_threshold + own_ahead.mul_f64(1.0 / (slots * least_share));
         by_class.min(by_aging)
     }
 
     fn insert(&mut self, job: QueueJob, expected: TimeSpan, now: TimePoint) {
-        let rank = self.rank_of(job.class);
+        let rank = self.class_rank(job.class);
         let is_short = !self.is_long(&job.template, now);
-        self.arrivals += 1;
+        self.arrival_count += 1;
         let (order, give_up_at) = match self.policy {
             PolicyKind::Current => (job.order, (job.deadline - expected).max(now)),
-            PolicyKind::Baseline => (self.arrivals, job.deadline),
+            PolicyKind::Baseline => (self.arrival_count, job.deadline),
         };
         let key = (order, job.id);
         let id = job.id;
         let waiting = WaitingJob {
             job,
-            since: now,
-            expected,
-            give_up_at,
+            queued_at: now,
+            expected_service_time: expected,
+            expires_at: give_up_at,
         };
         self.queued_work[rank] = self.queued_work[rank] + expected;
         self.arriving_work[rank].add(expected.as_secs_f64(), now);
@@ -384,19 +387,19 @@
             self.short_work.add(expected.as_secs_f64(), now);
         }
         self.waiting[rank].insert(key, waiting);
-        self.places.insert(id, (rank, key));
-        self.give_ups.insert((give_up_at, id));
+        self.positions.insert(id, (rank, key));
+        self.expiries.insert((give_up_at, id));
     }
 
-    fn remove(&mut self, rank: usize, key: PlaceKey) -> Option<WaitingJob> {
+    fn remove(&mut self, rank: usize, key: QueueKey) -> Option<WaitingJob> {
         let job = self.waiting[rank].remove(&key)?;
-        self.places.remove(&key.1);
-        self.give_ups.remove(&(job.give_up_at, key.1));
-        self.queued_work[rank] = self.queued_work[rank].saturating_sub(job.expected);
+        self.positions.remove(&key.1);
+        self.expiries.remove(&(job.expires_at, key.1));
+        self.queued_work[rank] = self.queued_work[rank].saturating_sub(job.expected_service_time);
         Some(job)
     }
 
-    fn drop_job(&mut self, rank: usize, key: PlaceKey, reason: NotRunReason) {
+    fn drop_job(&mut self, rank: usize, key: QueueKey, reason: NotRunReason) {
         if let Some(job) = self.remove(rank, key) {
             let id = job.job.id;
             self.dropped.push(DroppedJob { id, reason });
@@ -407,10 +410,10 @@
     /// until that time is up.
     fn shed_displaced(&mut self, now: TimePoint, slots: u32) {
         while let Some((rank, key, job)) = self.last_job() {
-            let own_ahead = self.queued_work[rank].saturating_sub(job.expected);
+            let own_ahead = self.queued_work[rank].saturating_sub(job.expected_service_time);
             let wait = self.wait_behind(rank, own_ahead, now, slots);
-            let is_late = now + wait + job.expected > job.job.deadline;
-            let starts_now = self.places.len() == 1 && self.running.len() < slots as usize;
+            let is_late = now + wait + job.expected_service_time > job.job.deadline;
+            let starts_now = self.positions.len() == 1 && self.running.len() < slots as usize;
             if !is_late || starts_now {
                 return;
             }
@@ -418,7 +421,7 @@
         }
     }
 
-    fn last_job(&self) -> Option<(usize, PlaceKey, &WaitingJob)> {
+    fn last_job(&self) -> Option<(usize, QueueKey, &WaitingJob)> {
         (0..self.waiting.len()).rev().find_map(|rank| {
             let (key, job) = self.waiting[rank].last_key_value()?;
             Some((rank, *key, job))
@@ -427,16 +430,16 @@
 
     /// Picks the job to start: an aged one of a lower class when it is due, else the first of the
     /// highest class that may run.
-    fn pick(&mut self, now: TimePoint, slots: u32) -> Option<(usize, PlaceKey)> {
-        let firsts: [Option<PlaceKey>; 3] =
+    fn pick(&mut self, now: TimePoint, slots: u32) -> Option<(usize, QueueKey)> {
+        let firsts: [Option<QueueKey>; 3] =
             std::array::from_fn(|rank| self.first_startable(rank, now, slots));
         let highest = firsts.iter().position(Option::is_some)?;
         let aged = (highest + 1..firsts.len())
             .filter_map(|rank| Some((rank, firsts[rank]?)))
-            .map(|(rank, key)| (self.waited(rank, &key, now), rank, key))
-            .filter(|(waited, _, _)| *waited >= self.options.aging_step)
+            .map(|(rank, key)| (self.time_waited(rank, &key, now), rank, key))
+            .filter(|(waited, _, _)| *waited >= self.options.aging_threshold)
             .max_by_key(|(waited, _, _)| *waited);
-        let is_due = self.starts_since_aged + 1 >= self.options.aged_every;
+        let is_due = self.starts_since_aged + 1 >= self.options.aged_start_interval;
         if let (Some((_, rank, key)), true) = (aged, is_due) {
             self.starts_since_aged = 0;
             return Some((rank, key));
@@ -445,14 +448,14 @@
         firsts[highest].map(|key| (highest, key))
     }
 
-    fn first_startable(&self, rank: usize, now: TimePoint, slots: u32) -> Option<PlaceKey> {
+    fn first_startable(&self, rank: usize, now: TimePoint, slots: u32) -> Option<QueueKey> {
         let is_long = |template| self.is_long(template, now);
         let running_long = self
             .running
             .values()
             .filter(|template| is_long(template))
             .count();
-        let may_start_long = running_long < self.long_slots(now, slots);
+        let may_start_long = running_long < self.long_job_slots(now, slots);
         self.waiting[rank]
             .iter()
             .find(|(_, job)| may_start_long || !is_long(&job.job.template))
@@ -461,8 +464,8 @@
 
     /// Gets how many slots long jobs may hold: what the load of short ones leaves, at least one,
     /// and never all.
-    fn long_slots(&self, now: TimePoint, slots: u32) -> usize {
-        let needed = (self.short_work.per_second(now) * SHORT_HEADROOM).ceil();
+    fn long_job_slots(&self, now: TimePoint, slots: u32) -> usize {
+        let needed = (self.short_work.per_second(now) * SHORT_WORK_HEADROOM).ceil();
         let left = f64::from(slots) - needed.max(1.0);
         (1..slots)
             .rev()
@@ -470,17 +473,18 @@
             .unwrap_or(1) as usize
     }
 
-    fn waited(&self, rank: usize, key: &PlaceKey, now: TimePoint) -> TimeSpan {
+    fn time_waited(&self, rank: usize, key: &QueueKey, now: TimePoint) -> TimeSpan {
         self.waiting[rank]
             .get(key)
-            .map_or(TimeSpan::ZERO, |job| now.since(job.since))
+            .map_or(TimeSpan::ZERO, |job| now.since(job.queued_at))
     }
 
     fn is_long(&self, template: &TemplateName, now: TimePoint) -> bool {
-        self.means.is_long(template, self.options.long_factor, now)
+        self.means
+            .is_long(template, self.options.long_job_factor, now)
     }
 
-    fn rank_of(&self, class: QueryClass) -> usize {
+    fn class_rank(&self, class: QueryClass) -> usize {
         match self.policy {
             PolicyKind::Current => usize::from(class.rank()),
             PolicyKind::Baseline => 0,
--- a/alderhaven-policy/src/repeat_budget.rs
+++ b/alderhaven-policy/src/repeat_budget.rs
@@ -19,14 +19,14 @@
 use serde::{Deserialize, Serialize};
 
 /// The pieces into which the window is cut; a repeat is forgotten up to one piece late.
-const WINDOW_PIECES: u64 = 20;
+const WINDOW_BUCKETS: u64 = 20;
 
 /// The share of the allowance that is used. Requests that are counted here may reach the service in the
 /// next window, and nodes join and leave meanwhile.
-const USED_SHARE: f64 = 0.9;
+const USED_ALLOWANCE_SHARE: f64 = 0.9;
 
 /// The share of the allowance that hedges leave to retries after failures.
-const RETRY_RESERVE: f64 = 0.1;
+const RETRY_RESERVE_SHARE: f64 = 0.1;
 
 /// A `RepeatOptions` holds the rule that all nodes keep together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
     /// The repeats that each request adds.
     pub ratio: f64,
     /// The repeats that come free in each window, for all nodes together.
-    pub extra: f64,
+    pub free_per_window: f64,
     /// The length of the window.
     pub window: TimeSpan,
 }
@@ -44,7 +44,7 @@
     fn default() -> Self {
         Self {
             ratio: 0.1,
-            extra: 32.0,
+            free_per_window: 32.0,
             window: TimeSpan::from_secs(10),
         }
     }
@@ -64,13 +64,13 @@
 #[derive(Clone, Debug)]
 pub struct RepeatBudget {
     options: RepeatOptions,
-    pieces: VecDeque<WindowPiece>,
+    buckets: VecDeque<WindowBucket>,
     requests: u32,
     repeats: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct WindowPiece {
+struct WindowBucket {
     number: u64,
     requests: u32,
     repeats: u32,
@@ -82,7 +82,7 @@
     pub const fn new(options: RepeatOptions) -> Self {
         Self {
             options,
-            pieces: VecDeque::new(),
+            buckets: VecDeque::new(),
             requests: 0,
             repeats: 0,
         }
@@ -94,8 +94,8 @@
     }
 
     /// Notes a request for the service.
-    pub fn note_request(&mut self, now: TimePoint) {
-        self.piece(now).requests += 1;
+    pub fn record_request(&mut self, now: TimePoint) {
+        self.current_bucket(now).requests += 1;
         self.requests += 1;
     }
 
@@ -103,53 +103,57 @@
     ///
     /// `part` is the node's part of the fixed number of repeats.
     pub fn take(&mut self, reason: RepeatReason, part: f64, now: TimePoint) -> bool {
-        self.forget(now);
-        let allowed = self.allowed(part);
+        self.evict_expired(now);
+        let allowed = self.allowance(part);
         let kept_back = match reason {
-            RepeatReason::Hedge => allowed * RETRY_RESERVE,
+            RepeatReason::Hedge => allowed * RETRY_RESERVE_SHARE,
             RepeatReason::Retry => 0.0,
         };
         if f64::from(self.repeats) + 1.0 > allowed - kept_back {
             return false;
         }
-        self.piece(now).repeats += 1;
+        self.current_bucket(now).repeats += 1;
         self.repeats += 1;
         true
     }
 
-    fn allowed(&self, part: f64) -> f64 {
-        let shared = self.options.extra * part;
-        (f64::from(self.requests) * self.options.ratio + shared) * USED_SHARE
+    fn allowance(&self, part: f64) -> f64 {
+        let shared = self.options.free_per_window * part;
+        (f64::from(self.requests) * self.options.ratio + shared) * USED_ALLOWANCE_SHARE
     }
 
-    fn piece(&mut self, now: TimePoint) -> &mut WindowPiece {
-        self.forget(now);
-        let number = self.number(now);
-        if self.pieces.back().is_none_or(|piece| piece.number < number) {
-            self.pieces.push_back(WindowPiece {
+    fn current_bucket(&mut self, now: TimePoint) -> &mut WindowBucket {
+        self.evict_expired(now);
+        let number = self.bucket_number(now);
+        if self
+            .buckets
+            .back()
+            .is_none_or(|piece| piece.number < number)
+        {
+            self.buckets.push_back(WindowBucket {
                 number,
                 requests: 0,
                 repeats: 0,
             });
         }
-        let last = self.pieces.len() - 1;
-        &mut self.pieces[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 
-    fn forget(&mut self, now: TimePoint) {
-        let number = self.number(now);
-        while let Some(piece) = self.pieces.front().copied() {
-            if piece.number + WINDOW_PIECES >= number {
+    fn evict_expired(&mut self, now: TimePoint) {
+        let number = self.bucket_number(now);
+        while let Some(piece) = self.buckets.front().copied() {
+            if piece.number + WINDOW_BUCKETS >= number {
                 return;
             }
             self.requests -= piece.requests;
             self.repeats -= piece.repeats;
-            self.pieces.pop_front();
+            self.buckets.pop_front();
         }
     }
 
-    fn number(&self, now: TimePoint) -> u64 {
-        let piece = (self.options.window.as_micros() / WINDOW_PIECES).max(1);
+    fn bucket_number(&self, now: TimePoint) -> u64 {
+        let piece = (self.options.window.as_micros() / WINDOW_BUCKETS).max(1);
         now.as_micros() / piece
     }
 }
--- a/alderhaven-policy/src/replica_choice.rs
+++ b/alderhaven-policy/src/replica_choice.rs
@@ -32,14 +32,14 @@
 use crate::replica_table::{ReplicaTable, TargetEntry, TargetIndex};
 
 /// The service time that is assumed while none is known.
-const UNKNOWN_SERVICE: TimeSpan = TimeSpan::from_millis(10);
+const DEFAULT_SERVICE_TIME: TimeSpan = TimeSpan::from_millis(10);
 
 /// A `ReplicaOptions` holds the settings of the choice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReplicaOptions {
     /// What a target in another failure domain costs.
-    pub far_penalty: TimeSpan,
+    pub cross_domain_penalty: TimeSpan,
     /// The failures in a row after which a target is ejected.
     pub eject_after: u32,
     /// How long the first ejection lasts.
@@ -51,7 +51,7 @@
 impl Default for ReplicaOptions {
     fn default() -> Self {
         Self {
-            far_penalty: TimeSpan::from_millis(2),
+            cross_domain_penalty: TimeSpan::from_millis(2),
             eject_after: 5,
             first_ejection: TimeSpan::from_secs(5),
             longest_ejection: TimeSpan::from_secs(60),
@@ -119,7 +119,7 @@
             return Some(first);
         }
         let expected = if expected == TimeSpan::ZERO {
-            UNKNOWN_SERVICE
+            DEFAULT_SERVICE_TIME
         } else {
             expected
         };
@@ -136,9 +136,9 @@
     }
 
     /// Counts an attempt as sent to a target.
-    pub fn sent(&self, table: &ReplicaTable, index: TargetIndex) {
+    pub fn record_sent(&self, table: &ReplicaTable, index: TargetIndex) {
         if let Some(entry) = table.get(index) {
-            entry.gauge.sent();
+            entry.stats.record_sent();
         }
     }
 
@@ -146,33 +146,33 @@
     ///
     /// Returns true where the target was ejected by it.
     #[must_use]
-    pub fn finished(
+    pub fn record_finished(
         &self,
         entry: &TargetEntry,
         sample: AttemptSample,
         wait: Option<TimeSpan>,
         now: TimePoint,
     ) -> bool {
-        let gauge = &entry.gauge;
-        gauge.ended();
+        let gauge = &entry.stats;
+        gauge.record_ended();
         if let Some(wait) = wait {
-            gauge.note_wait(wait, now);
+            gauge.record_wait(wait, now);
         }
         match sample {
             AttemptSample::Answered { service, expected } => {
-                gauge.note_success();
-                gauge.note_service(service, expected, now);
+                gauge.record_success();
+                gauge.record_service_time(service, expected, now);
                 false
             }
             AttemptSample::Unfinished { elapsed, expected } => {
                 // Only what is slower than what is known tells something.
                 let known = expected.mul_f64(gauge.slowness(now));
                 if elapsed > known {
-                    gauge.note_service(elapsed, expected, now);
+                    gauge.record_service_time(elapsed, expected, now);
                 }
                 false
             }
-            AttemptSample::Failed => gauge.note_failure(
+            AttemptSample::Failed => gauge.record_failure(
                 self.options.eject_after,
                 self.options.first_ejection,
                 self.options.longest_ejection,
@@ -194,7 +194,7 @@
             .filter_map(|index| Some((*index, table.get(*index)?)))
             .filter(|(_, entry)| !entry.is_draining)
             .map(|(index, entry)| {
-                let gauge = &entry.gauge;
+                let gauge = &entry.stats;
                 (index, gauge.is_ejected(now) || gauge.is_suspect())
             })
             .collect();
@@ -220,13 +220,13 @@
 
     /// Estimates the time in microseconds that an attempt at the target would take.
     fn cost(&self, entry: &TargetEntry, expected: TimeSpan, now: TimePoint) -> f64 {
-        let gauge = &entry.gauge;
+        let gauge = &entry.stats;
         let service = expected.as_micros() as f64 * gauge.slowness(now);
         let ahead = f64::from(gauge.outstanding()) / f64::from(entry.slots);
-        let far = if entry.is_near {
+        let far = if entry.is_in_own_domain {
             0
         } else {
-            self.options.far_penalty.as_micros()
+            self.options.cross_domain_penalty.as_micros()
         };
         let wait = gauge.wait(now).as_micros();
         (wait + far) as f64 + service * (1.0 + ahead)
--- a/alderhaven-policy/src/replica_table.rs
+++ b/alderhaven-policy/src/replica_table.rs
@@ -8,7 +8,7 @@
 
 use alderhaven_core::ids::{FailureDomain, TargetId};
 
-use crate::target_gauge::TargetGauge;
+use crate::target_stats::TargetStats;
 
 /// A `TargetIndex` is the place of a target in its table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash)]
@@ -22,11 +22,11 @@
     /// Its declared slots.
     pub slots: u32,
     /// Whether it runs in the failure domain of this process.
-    pub is_near: bool,
+    pub is_in_own_domain: bool,
     /// Whether it drains, and gets no new work.
     pub is_draining: bool,
     /// Its load as it is seen from here.
-    pub gauge: Arc<TargetGauge>,
+    pub stats: Arc<TargetStats>,
 }
 
 /// A `TargetListing` is what is declared of one target.
@@ -65,15 +65,15 @@
             let known = before
                 .index_of(&listing.target)
                 .and_then(|index| before.get(index));
-            let gauge = known.map(|entry| Arc::clone(&entry.gauge));
+            let gauge = known.map(|entry| Arc::clone(&entry.stats));
             let index = TargetIndex(u32::try_from(table.entries.len()).unwrap_or(u32::MAX));
             table.indexes.insert(listing.target.clone(), index);
             table.entries.push(TargetEntry {
-                is_near: listing.domain == *own_domain,
+                is_in_own_domain: listing.domain == *own_domain,
                 target: listing.target,
                 slots: listing.slots.max(1),
                 is_draining: listing.is_draining,
-                gauge: gauge.unwrap_or_default(),
+                stats: gauge.unwrap_or_default(),
             });
         }
         table
--- a/alderhaven-policy/src/retry.rs
+++ b/alderhaven-policy/src/retry.rs
@@ -54,26 +54,26 @@
     /// How often the shard was retried so far.
     pub retries: u32,
     /// How many replicas are left that were not tried.
-    pub untried: usize,
+    pub untried_replicas: usize,
     /// The service time that is expected.
-    pub expected: TimeSpan,
+    pub expected_service_time: TimeSpan,
     /// The query's deadline.
     pub deadline: TimePoint,
 }
 
 /// Decides on an attempt that ended, and takes from the budget where it is sent again.
 pub fn decide(attempt: EndedAttempt, budget: &mut RetryBudget, now: TimePoint) -> RetryDecision {
-    if let Some(reason) = forbids(attempt) {
+    if let Some(reason) = give_up_reason(attempt) {
         return RetryDecision::GiveUp(reason);
     }
     let remaining = now.until(attempt.deadline);
-    if remaining == TimeSpan::ZERO || remaining < attempt.expected {
+    if remaining == TimeSpan::ZERO || remaining < attempt.expected_service_time {
         return RetryDecision::GiveUp(GiveUpReason::NoTime);
     }
-    if attempt.untried == 0 || attempt.retries >= budget.options().max_per_shard {
+    if attempt.untried_replicas == 0 || attempt.retries >= budget.options().max_per_shard {
         return RetryDecision::GiveUp(GiveUpReason::NoReplica);
     }
-    if costs_a_target(attempt.outcome) && !budget.take(now) {
+    if consumes_budget(attempt.outcome) && !budget.take(now) {
         return RetryDecision::GiveUp(GiveUpReason::NoBudget);
     }
     RetryDecision::Retry
@@ -84,7 +84,7 @@
 /// An attempt that never reached a target has cost none: sent elsewhere, it is the first one there.
 /// When a failure domain is lost, a quarter of all attempts end so until the targets are ejected,
 /// and a budget for them would leave shards uncovered that the other replicas can answer.
-const fn costs_a_target(outcome: AttemptOutcome) -> bool {
+const fn consumes_budget(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
         AttemptOutcome::NotRun(
@@ -94,7 +94,7 @@
 }
 
 /// Gets why the outcome itself rules out a retry, if it does.
-fn forbids(attempt: EndedAttempt) -> Option<GiveUpReason> {
+fn give_up_reason(attempt: EndedAttempt) -> Option<GiveUpReason> {
     match attempt.outcome {
         AttemptOutcome::Answered => Some(GiveUpReason::Answered),
         AttemptOutcome::Failed | AttemptOutcome::Unknown | AttemptOutcome::VersionGone => {
--- a/alderhaven-policy/src/retry_budget.rs
+++ b/alderhaven-policy/src/retry_budget.rs
@@ -23,7 +23,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct RetryOptions {
     /// The retries that each first attempt adds.
-    pub budget: f64,
+    pub retries_per_attempt: f64,
     /// The most retries that can be saved up.
     pub burst: f64,
     /// The retries a second that come free.
@@ -35,7 +35,7 @@
 impl Default for RetryOptions {
     fn default() -> Self {
         Self {
-            budget: 0.1,
+            retries_per_attempt: 0.1,
             burst: 64.0,
             free_per_second: 2.0,
             max_per_shard: 2,
@@ -49,7 +49,7 @@
     options: RetryOptions,
     policy: PolicyKind,
     tokens: f64,
-    updated: TimePoint,
+    updated_at: TimePoint,
 }
 
 impl RetryBudget {
@@ -60,13 +60,13 @@
             tokens: options.burst,
             options,
             policy,
-            updated: TimePoint::START,
+            updated_at: TimePoint::START,
         }
     }
 
     /// Notes first attempts that were sent.
-    pub fn sent(&mut self, attempts: u32) {
-        self.add(f64::from(attempts) * self.options.budget);
+    pub fn record_sent(&mut self, attempts: u32) {
+        self.add(f64::from(attempts) * self.options.retries_per_attempt);
     }
 
     /// Takes one retry; returns false where the budget is used up.
@@ -74,8 +74,8 @@
         if self.policy == PolicyKind::Baseline {
             return true;
         }
-        let free = now.since(self.updated).as_secs_f64() * self.options.free_per_second;
-        self.updated = self.updated.max(now);
+        let free = now.since(self.updated_at).as_secs_f64() * self.options.free_per_second;
+        self.updated_at = self.updated_at.max(now);
         self.add(free);
         if self.tokens < 1.0 {
             return false;
--- a/alderhaven-policy/src/row_merge.rs
+++ b/alderhaven-policy/src/row_merge.rs
@@ -25,7 +25,7 @@
             limit,
             ascending,
         } => top_rows(field, *limit, *ascending, shards),
-        MergeRule::Sum { field } => sum(field, shards),
+        MergeRule::Sum { field } => sum_rows(field, shards),
         MergeRule::DistinctBy { field } => distinct_rows(field, shards),
     }
 }
@@ -55,7 +55,7 @@
     shards.flat_map(|rows| serde_json::from_slice::<Vec<Value>>(rows).unwrap_or_default())
 }
 
-fn number_of(row: &Value, field: &str) -> f64 {
+fn numeric_field(row: &Value, field: &str) -> f64 {
     row.get(field).and_then(Value::as_f64).unwrap_or(0.0)
 }
 
@@ -68,20 +68,20 @@
     let mut rows: Vec<Value> = parse_rows(shards).collect();
     // The sort is stable: rows with equal numbers stay in the order of shards.
     rows.sort_by(|left, right| {
-        let order = number_of(left, field).total_cmp(&number_of(right, field));
+        let order = numeric_field(left, field).total_cmp(&numeric_field(right, field));
         if ascending { order } else { order.reverse() }
     });
     rows.truncate(limit);
     Value::Array(rows).to_string()
 }
 
-fn sum<'a>(field: &str, shards: impl Iterator<Item = &'a Bytes>) -> String {
+fn sum_rows<'a>(field: &str, shards: impl Iterator<Item = &'a Bytes>) -> String {
     let mut whole: i128 = 0;
     let mut fraction = 0.0;
     for row in parse_rows(shards) {
         match row.get(field).and_then(Value::as_i64) {
             Some(number) => whole += i128::from(number),
-            None => fraction += number_of(&row, field),
+            None => fraction += numeric_field(&row, field),
         }
     }
     // Whole numbers are added exactly; only fractions go through floating point.
--- a/alderhaven-policy/src/service_lane.rs
+++ b/alderhaven-policy/src/service_admission.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::admit_decision::{AdmitRequest, AdmitTicket};
-use crate::fair_queue::{AGED_EVERY, AGING_STEP, FairQueue, WaitingQuery};
+use crate::fair_queue::{AGED_ADMISSION_INTERVAL, AGING_THRESHOLD, FairQueue, WaitingQuery};
 use crate::running_mean::RunningMean;
 use crate::service_capacity::{QueryReport, ServiceCapacity, ServiceCapacityOptions, ServiceSize};
 use crate::share_meter::ShareMeter;
@@ -16,25 +16,25 @@
 /// The number of ended queries over which a template's latency is followed.
 const LATENCY_WINDOW: u32 = 64;
 /// The least share of the service that is reckoned for a class below others that fill it.
-const LEAST_SHARE: f64 = 1.0 / AGED_EVERY as f64;
+const MIN_CLASS_SHARE: f64 = 1.0 / AGED_ADMISSION_INTERVAL as f64;
 
 /// The least part of the estimated rate that is reckoned where less was admitted: when a burst
 /// begins, little was admitted because little was asked for.
-const LEAST_CERTAIN: f64 = 0.3;
+const MIN_RATE_SHARE: f64 = 0.3;
 
 /// The share of the service below which the classes above don't matter.
-const NO_MATTER: f64 = 0.02;
+const NEGLIGIBLE_SHARE: f64 = 0.02;
 
 /// A `ServiceLane` is the part of the gate that belongs to one service.
 #[derive(Debug)]
-pub(crate) struct ServiceLane {
+pub(crate) struct ServiceAdmission {
     pub(crate) capacity: ServiceCapacity,
     pub(crate) queue: FairQueue,
-    pub(crate) requests: HashMap<u64, AdmitRequest>,
+    pub(crate) waiting_requests: HashMap<u64, AdmitRequest>,
     keys_in_flight: HashMap<u64, u32>,
     team_share: ShareMeter<TeamId>,
     key_share: ShareMeter<u64>,
-    pub(crate) class_cost: ShareMeter<QueryClass>,
+    pub(crate) offered_cost: ShareMeter<QueryClass>,
     admitted_cost: ShareMeter<QueryClass>,
     latencies: HashMap<TemplateName, TemplateLatency>,
 }
@@ -64,16 +64,16 @@
     pub waiting: usize,
 }
 
-impl ServiceLane {
+impl ServiceAdmission {
     pub(crate) fn new(options: ServiceCapacityOptions, size: ServiceSize) -> Self {
         Self {
             capacity: ServiceCapacity::new(options, size),
             queue: FairQueue::default(),
-            requests: HashMap::new(),
+            waiting_requests: HashMap::new(),
             keys_in_flight: HashMap::new(),
             team_share: ShareMeter::default(),
             key_share: ShareMeter::default(),
-            class_cost: ShareMeter::default(),
+            offered_cost: ShareMeter::default(),
             admitted_cost: ShareMeter::default(),
             latencies: HashMap::new(),
         }
@@ -89,7 +89,7 @@
         let latency = self
             .latencies
             .get(&request.template)
-            .map_or(TimeSpan::ZERO, TemplateLatency::likely);
+            .map_or(TimeSpan::ZERO, TemplateLatency::likely_latency);
         let (class, team, key) = (request.class, &request.team, request.key);
         let (left, aging) = self.class_rate(class, now);
         // A class that gets turns by aging alone would wait for them in the relays' queues.
@@ -118,72 +118,72 @@
         left: f64,
         now: TimePoint,
     ) -> f64 {
-        let due = left * self.team_share.due(team, weight, now);
-        let taken = self.queue.used(class, team, now);
+        let due = left * self.team_share.fair_share(team, weight, now);
+        let taken = self.queue.usage_per_second(class, team, now);
         if taken > due {
             // It lives on what others leave over, and that shows in what was admitted.
             return taken.min(left);
         }
         // Below its due, it shares with the waiting teams that have used about as little.
-        let rivals = self.queue.rival_weight(class, team, weight, now);
+        let rivals = self.queue.competing_weight(class, team, weight, now);
         (left * f64::from(weight) / rivals).max(due)
     }
 
     /// Estimates the attempts per second that the service ends for a class, and the wait in seconds
     /// before its first turn.
     fn class_rate(&self, class: QueryClass, now: TimePoint) -> (f64, f64) {
-        let drain = self.capacity.drain_rate();
+        let drain = self.capacity.completion_rate();
         let arriving: f64 = QueryClass::ALL[..usize::from(class.rank())]
             .iter()
-            .map(|higher| self.class_cost.per_second(higher, now))
+            .map(|higher| self.offered_cost.per_second(higher, now))
             .sum();
         let left_share = 1.0 - arriving / drain;
         // A class that higher ones leave nothing gets turns by aging alone.
-        if left_share < LEAST_SHARE {
-            return (drain * LEAST_SHARE, AGING_STEP.as_secs_f64());
+        if left_share < MIN_CLASS_SHARE {
+            return (drain * MIN_CLASS_SHARE, AGING_THRESHOLD.as_secs_f64());
         }
         let left = drain * left_share;
-        if self.queue.cost_in(class) == 0 || arriving < drain * NO_MATTER {
+        if self.queue.cost_in(class) == 0 || arriving < drain * NEGLIGIBLE_SHARE {
             return (left, 0.0);
         }
         // A difference of two estimates is uncertain: while the class has a backlog, what was admitted
         // of it says what it really gets.
         let admitted = self.admitted_cost.per_second(&class, now);
-        (admitted.clamp(left * LEAST_CERTAIN, left), 0.0)
+        (admitted.clamp(left * MIN_RATE_SHARE, left), 0.0)
     }
 
     /// Estimates the wait that the bound of the key causes, in seconds.
     fn key_wait(&self, request: &AdmitRequest) -> f64 {
-        if self.key_has_room(request.key) {
+        if self.key_has_capacity(request.key) {
             return 0.0;
         }
         let waiting = self
             .queue
             .waiting_of_key(request.class, &request.team, request.key);
         let turns = (waiting + 1) as f64 / self.capacity.limit();
-        turns * self.capacity.latency().as_secs_f64()
+        turns * self.capacity.mean_latency().as_secs_f64()
     }
 
     pub(crate) fn may_start(&self, request: &AdmitRequest, weight: u32, now: TimePoint) -> bool {
         let is_preferred = self.is_preferred(request.class, &request.team, weight, now);
-        self.capacity.fits(request.fan_out, is_preferred) && self.key_has_room(request.key)
+        self.capacity.fits(request.fan_out, is_preferred) && self.key_has_capacity(request.key)
     }
 
     /// Returns true for the queries that the relays let go first.
     fn is_preferred(&self, class: QueryClass, team: &TeamId, weight: u32, now: TimePoint) -> bool {
-        class == QueryClass::Urgent || self.team_share.is_below_due(team, weight, now)
+        class == QueryClass::Urgent || self.team_share.is_below_fair_share(team, weight, now)
     }
 
-    fn key_has_room(&self, key: u64) -> bool {
+    fn key_has_capacity(&self, key: u64) -> bool {
         let in_flight = self.keys_in_flight.get(&key).copied().unwrap_or(0);
         f64::from(in_flight) + 0.5 <= self.capacity.limit()
     }
 
     /// Notes a query that is admitted without waiting.
-    pub(crate) fn note_admitted(&mut self, request: &AdmitRequest, weight: u32, now: TimePoint) {
+    pub(crate) fn record_admitted(&mut self, request: &AdmitRequest, weight: u32, now: TimePoint) {
         let (class, team) = (request.class, &request.team);
         self.queue
-            .note_admitted(class, team, weight, request.key, request.fan_out, now);
+            .record_admitted(class, team, weight, request.key, request.fan_out, now);
     }
 
     /// Takes the next waiting query that may start.
@@ -193,11 +193,11 @@
         }
         let may_run = |query: &WaitingQuery| {
             let is_preferred = self.is_preferred(query.class, &query.team, query.weight, now);
-            self.capacity.fits(query.cost, is_preferred) && self.key_has_room(query.key)
+            self.capacity.fits(query.cost, is_preferred) && self.key_has_capacity(query.key)
         };
         let picked = self.queue.pick(now, may_run)?;
         let (query, class) = self.queue.take(&picked, now)?;
-        let request = self.requests.remove(&query.id)?;
+        let request = self.waiting_requests.remove(&query.id)?;
         Some((request, class))
     }
 
@@ -209,7 +209,7 @@
         now: TimePoint,
     ) -> AdmitTicket {
         let cost = f64::from(request.fan_out);
-        self.capacity.started(request.fan_out);
+        self.capacity.record_started(request.fan_out);
         *self.keys_in_flight.entry(request.key).or_default() += 1;
         self.team_share.add(&request.team, weight, cost, now);
         self.admitted_cost.add(&request.class, 1, cost, now);
@@ -223,13 +223,18 @@
         }
     }
 
-    pub(crate) fn finished(&mut self, ticket: &AdmitTicket, report: QueryReport, now: TimePoint) {
+    pub(crate) fn record_finished(
+        &mut self,
+        ticket: &AdmitTicket,
+        report: QueryReport,
+        now: TimePoint,
+    ) {
         let request = &ticket.request;
         let latency = now.since(ticket.admitted_at);
         let left = request.fan_out.saturating_sub(ticket.replied);
         let has_backlog = !self.queue.is_empty();
         self.capacity
-            .finished(request.fan_out, left, latency, report, has_backlog);
+            .record_finished(request.fan_out, left, latency, report, has_backlog);
         if let Some(count) = self.keys_in_flight.get_mut(&request.key) {
             *count -= 1;
             if *count == 0 {
@@ -266,7 +271,7 @@
     }
 
     /// Gets the latency that most queries stay below.
-    fn likely(&self) -> TimeSpan {
+    fn likely_latency(&self) -> TimeSpan {
         self.mean.get().unwrap_or_default() + self.deviation.get().unwrap_or_default()
     }
 }
--- a/alderhaven-policy/src/service_capacity.rs
+++ b/alderhaven-policy/src/service_capacity.rs
@@ -34,9 +34,9 @@
 const MEAN_WINDOW: u32 = 32;
 
 /// How many attempts per slot an entry's even part is reckoned as: one that runs, one that waits.
-const EVEN_FACTOR: f64 = 2.0;
+const ATTEMPTS_PER_SLOT: f64 = 2.0;
 /// The part of the limit above which it counts as used up.
-const USED_UP: f64 = 0.8;
+const USED_UP_SHARE: f64 = 0.8;
 
 /// A `ServiceCapacityOptions` holds the settings of the limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -53,11 +53,11 @@
     /// The greatest limit, times all slots of a shard.
     pub max_factor: f64,
     /// The greatest rise a round, as a share of an even part.
-    pub rise: f64,
+    pub additive_increase: f64,
     /// The greatest fall a round, as a share of the limit.
-    pub fall: f64,
+    pub multiplicative_decrease: f64,
     /// The latency that is assumed before the first query has ended.
-    pub first_latency: TimeSpan,
+    pub initial_latency: TimeSpan,
 }
 
 impl Default for ServiceCapacityOptions {
@@ -67,9 +67,9 @@
             start_factor: 2.0,
             headroom: 1.5,
             max_factor: 8.0,
-            rise: 0.15,
-            fall: 0.25,
-            first_latency: TimeSpan::from_millis(20),
+            additive_increase: 0.15,
+            multiplicative_decrease: 0.25,
+            initial_latency: TimeSpan::from_millis(20),
         }
     }
 }
@@ -91,7 +91,7 @@
     /// The mean time that its attempts waited in the relays' queues.
     pub queue_wait: TimeSpan,
     /// The mean time that its attempts took at the targets; zero where none ran.
-    pub service: TimeSpan,
+    pub service_time: TimeSpan,
     /// The number of attempts.
     pub attempts: u32,
     /// The number of attempts that were shed, expired or found a full queue.
@@ -105,9 +105,9 @@
     size: ServiceSize,
     limit: f64,
     in_flight: u64,
-    open_cost: u64,
-    wait: RunningMean,
-    service: RunningMean,
+    open_attempts: u64,
+    queue_wait: RunningMean,
+    service_time: RunningMean,
     latency: RunningMean,
 }
 
@@ -120,12 +120,12 @@
             size,
             limit: 1.0,
             in_flight: 0,
-            open_cost: 0,
-            wait: RunningMean::default(),
-            service: RunningMean::default(),
+            open_attempts: 0,
+            queue_wait: RunningMean::default(),
+            service_time: RunningMean::default(),
             latency: RunningMean::default(),
         };
-        capacity.limit = capacity.first_limit();
+        capacity.limit = capacity.initial_limit();
         capacity
     }
 
@@ -134,9 +134,9 @@
         if size == self.size {
             return;
         }
-        let before = self.first_limit();
+        let before = self.initial_limit();
         self.size = size;
-        self.limit = (self.limit * self.first_limit() / before).clamp(1.0, self.max_limit());
+        self.limit = (self.limit * self.initial_limit() / before).clamp(1.0, self.max_limit());
     }
 
     /// Gets the size.
@@ -146,19 +146,19 @@
     }
 
     /// Counts a query as in flight.
-    pub fn started(&mut self, fan_out: u32) {
+    pub fn record_started(&mut self, fan_out: u32) {
         self.in_flight += u64::from(fan_out);
-        self.open_cost += u64::from(fan_out);
+        self.open_attempts += u64::from(fan_out);
     }
 
     /// Takes back attempts that ended before the rest of their query.
-    pub fn replied(&mut self, attempts: u32) {
+    pub fn record_replies(&mut self, attempts: u32) {
         self.in_flight = self.in_flight.saturating_sub(u64::from(attempts));
     }
 
     /// Takes a query back, of whose attempts `left` have not replied, and adapts the limit;
     /// `has_backlog` says that other queries wait.
-    pub fn finished(
+    pub fn record_finished(
         &mut self,
         fan_out: u32,
         left: u32,
@@ -166,19 +166,20 @@
         report: QueryReport,
         has_backlog: bool,
     ) {
-        let is_used_up = has_backlog || self.in_flight as f64 >= USED_UP * self.limit_cost();
+        let is_used_up =
+            has_backlog || self.in_flight as f64 >= USED_UP_SHARE * self.limit_in_attempts();
         self.in_flight = self.in_flight.saturating_sub(u64::from(left));
         self.latency.add(latency, MEAN_WINDOW);
         // A round is as many queries as are open, those that only wait for their slowest shard
         // included: what the limit is now shows in reports only after that many.
-        let part_of_round = f64::from(fan_out) / self.open_cost.max(1) as f64;
-        self.open_cost = self.open_cost.saturating_sub(u64::from(fan_out));
+        let part_of_round = f64::from(fan_out) / self.open_attempts.max(1) as f64;
+        self.open_attempts = self.open_attempts.saturating_sub(u64::from(fan_out));
         if report.attempts == 0 {
             return;
         }
-        if report.service > TimeSpan::ZERO {
-            self.wait.add(report.queue_wait, MEAN_WINDOW);
-            self.service.add(report.service, MEAN_WINDOW);
+        if report.service_time > TimeSpan::ZERO {
+            self.queue_wait.add(report.queue_wait, MEAN_WINDOW);
+            self.service_time.add(report.service_time, MEAN_WINDOW);
         }
         self.adapt(part_of_round.min(1.0), report, is_used_up);
     }
@@ -191,7 +192,7 @@
 
     /// Gets the limit in attempts.
     #[must_use]
-    pub fn limit_cost(&self) -> f64 {
+    pub fn limit_in_attempts(&self) -> f64 {
         self.limit * f64::from(self.size.shards.max(1))
     }
 
@@ -211,41 +212,46 @@
             1.0
         };
         let reached = self.in_flight as f64 + f64::from(fan_out) / 2.0;
-        self.in_flight == 0 || reached <= self.limit_cost() * factor
+        self.in_flight == 0 || reached <= self.limit_in_attempts() * factor
     }
 
     /// Gets the mean latency of a query from its admission to its end.
     #[must_use]
-    pub fn latency(&self) -> TimeSpan {
-        self.latency.get().unwrap_or(self.options.first_latency)
+    pub fn mean_latency(&self) -> TimeSpan {
+        self.latency.get().unwrap_or(self.options.initial_latency)
     }
 
     /// Estimates how many attempts the service ends per second for this entry: by Little's law, what
     /// may be in flight over the mean time of an attempt from its sending to its reply.
     #[must_use]
-    pub fn drain_rate(&self) -> f64 {
-        let attempt = match (self.wait.get(), self.service.get()) {
+    pub fn completion_rate(&self) -> f64 {
+        let attempt = match (self.queue_wait.get(), self.service_time.get()) {
             (Some(wait), Some(service)) => wait + service,
-            _ => self.options.first_latency,
+            _ => self.options.initial_latency,
         };
-        self.limit_cost() / attempt.as_secs_f64().max(1e-4)
+        self.limit_in_attempts() / attempt.as_secs_f64().max(1e-4)
     }
 
     /// Moves the limit by a query's part of one round.
     fn adapt(&mut self, part_of_round: f64, report: QueryReport, is_used_up: bool) {
-        let wait = self.wait.get().unwrap_or_default().as_micros() as f64;
-        let service = self.service.get().unwrap_or_default().as_micros().max(1) as f64;
+        let wait = self.queue_wait.get().unwrap_or_default().as_micros() as f64;
+        let service = self
+            .service_time
+            .get()
+            .unwrap_or_default()
+            .as_micros()
+            .max(1) as f64;
         // The more an entry has above its even part, the more it gives way, so that entries that
         // see the same waits end up with like limits.
-        let above_part = (self.limit / self.even_limit()).clamp(0.5, 2.0);
+        let above_part = (self.limit / self.fair_limit()).clamp(0.5, 2.0);
         let by_wait = 1.0 - wait / service / self.options.target_wait * above_part;
         let not_run = f64::from(report.not_run) / f64::from(report.attempts);
         let pressure = (by_wait - 4.0 * not_run).clamp(-1.0, 1.0);
         // Up by an amount, down by a share, by which the limits of several entries draw level.
         let step = if pressure < 0.0 {
-            pressure * self.options.fall * self.limit
+            pressure * self.options.multiplicative_decrease * self.limit
         } else if is_used_up {
-            pressure * self.options.rise * self.even_limit()
+            pressure * self.options.additive_increase * self.fair_limit()
         } else {
             0.0
         };
@@ -254,12 +260,12 @@
 
     /// Gets the limit that keeps this entry's part of the slots busy, one attempt a slot running and
     /// one waiting.
-    fn even_limit(&self) -> f64 {
+    fn fair_limit(&self) -> f64 {
         let own_part = self.slots_per_shard() / f64::from(self.size.entries.max(1));
-        (own_part * EVEN_FACTOR).max(1.0)
+        (own_part * ATTEMPTS_PER_SLOT).max(1.0)
     }
 
-    fn first_limit(&self) -> f64 {
+    fn initial_limit(&self) -> f64 {
         let own_part = self.slots_per_shard() / f64::from(self.size.entries.max(1));
         (own_part * self.options.start_factor).max(1.0)
     }
--- a/alderhaven-policy/src/service_means.rs
+++ b/alderhaven-policy/src/service_times.rs
@@ -17,7 +17,7 @@
 
 /// A `ServiceMeans` holds the mean service time of each template at one place.
 #[derive(Clone, Debug, Default)]
-pub struct ServiceMeans {
+pub struct ServiceTimes {
     templates: HashMap<TemplateName, TemplateMean>,
     overall: RunningMean,
 }
@@ -26,31 +26,36 @@
 #[derive(Clone, Debug)]
 struct TemplateMean {
     mean: RunningMean,
-    last_sample: TimePoint,
+    last_sample_at: TimePoint,
 }
 
-impl ServiceMeans {
+impl ServiceTimes {
     /// Adds the service time of one attempt.
     pub fn add(&mut self, template: &TemplateName, service: TimeSpan, now: TimePoint) {
         self.overall.add(service, MEAN_WINDOW);
         if let Some(entry) = self.templates.get_mut(template) {
             entry.mean.add(service, MEAN_WINDOW);
-            entry.last_sample = now;
+            entry.last_sample_at = now;
             return;
         }
         if self.templates.len() >= MAX_TEMPLATES {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         let mut mean = RunningMean::default();
         mean.add(service, MEAN_WINDOW);
         let last_sample = now;
-        self.templates
-            .insert(template.clone(), TemplateMean { mean, last_sample });
+        self.templates.insert(
+            template.clone(),
+            TemplateMean {
+                mean,
+                last_sample_at: last_sample,
+            },
+        );
     }
 
     /// Gets the expected service time: the template's mean, else the overall one, else zero.
     #[must_use]
-    pub fn expected(&self, template: &TemplateName) -> TimeSpan {
+    pub fn expected_service_time(&self, template: &TemplateName) -> TimeSpan {
         self.templates
             .get(template)
             .and_then(|entry| entry.mean.get())
@@ -60,7 +65,7 @@
 
     /// Gets the mean over all templates, or none before the first sample.
     #[must_use]
-    pub fn overall(&self) -> Option<TimeSpan> {
+    pub fn overall_mean(&self) -> Option<TimeSpan> {
         self.overall.get()
     }
 
@@ -71,7 +76,7 @@
         let shortest = self
             .templates
             .values()
-            .filter(|entry| now.since(entry.last_sample) <= RECENT_SPAN)
+            .filter(|entry| now.since(entry.last_sample_at) <= RECENT_SPAN)
             .filter_map(|entry| entry.mean.get())
             .min();
         let own = self
@@ -84,11 +89,11 @@
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let oldest = self
             .templates
             .iter()
-            .min_by_key(|(_, entry)| entry.last_sample)
+            .min_by_key(|(_, entry)| entry.last_sample_at)
             .map(|(name, _)| name.clone());
         if let Some(oldest) = oldest {
             self.templates.remove(&oldest);
--- a/alderhaven-policy/src/share_meter.rs
+++ b/alderhaven-policy/src/share_meter.rs
@@ -5,34 +5,34 @@
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-use crate::load_meter::LoadMeter;
+use crate::rate_meter::RateMeter;
 
 /// Over how long use is counted: long enough to tell a flood from two queries in a row.
-const USE_FADE: TimeSpan = TimeSpan::from_millis(500);
+const USAGE_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(500);
 /// The most flows that are told apart; above it, the least used are forgotten.
 const MAX_FLOWS: usize = 1024;
 /// A flow competes while it uses at least this share of the whole.
-const LEAST_COMPETING: f64 = 0.01;
+const MIN_COMPETING_SHARE: f64 = 0.01;
 
 /// Below this part of its due, a flow's use is clearly less than that and no matter of chance.
-const CLEARLY_BELOW: f64 = 0.8;
+const BELOW_SHARE_FACTOR: f64 = 0.8;
 
 /// Below this share of the whole no flow is in excess: among a hundred queries of as many keys, each
 /// has one part in a hundred, and which of them is above its due is a matter of chance.
-const LEAST_EXCESS: f64 = 0.03;
+const MIN_EXCESS_SHARE: f64 = 0.03;
 
 /// A `ShareMeter` counts the recent use of competing flows.
 #[derive(Clone, Debug)]
 pub struct ShareMeter<K> {
-    flows: HashMap<K, (LoadMeter, u32)>,
-    total: LoadMeter,
+    flows: HashMap<K, (RateMeter, u32)>,
+    total: RateMeter,
 }
 
 impl<K> Default for ShareMeter<K> {
     fn default() -> Self {
         Self {
             flows: HashMap::new(),
-            total: LoadMeter::new(USE_FADE),
+            total: RateMeter::new(USAGE_TIME_CONSTANT),
         }
     }
 }
@@ -47,9 +47,9 @@
             return;
         }
         if self.flows.len() >= MAX_FLOWS {
-            self.forget_least(now);
+            self.evict_least_used(now);
         }
-        let mut meter = LoadMeter::new(USE_FADE);
+        let mut meter = RateMeter::new(USAGE_TIME_CONSTANT);
         meter.add(amount, now);
         self.flows.insert(flow.clone(), (meter, weight));
     }
@@ -67,25 +67,25 @@
     pub fn excess(&self, flow: &K, now: TimePoint) -> f64 {
         let total = self.total.per_second(now);
         let own = self.per_second(flow, now);
-        if own < total * LEAST_EXCESS || total <= 0.0 {
+        if own < total * MIN_EXCESS_SHARE || total <= 0.0 {
             return 0.0;
         }
         let weight = self.flows.get(flow).map_or(1, |(_, weight)| *weight);
-        let due = total * self.due(flow, weight, now);
+        let due = total * self.fair_share(flow, weight, now);
         (own / due - 1.0).clamp(0.0, 1.0)
     }
 
     /// Returns true where a flow uses clearly less than its due.
     #[must_use]
-    pub fn is_below_due(&self, flow: &K, weight: u32, now: TimePoint) -> bool {
-        let due = self.total.per_second(now) * self.due(flow, weight, now);
-        self.per_second(flow, now) < due * CLEARLY_BELOW
+    pub fn is_below_fair_share(&self, flow: &K, weight: u32, now: TimePoint) -> bool {
+        let due = self.total.per_second(now) * self.fair_share(flow, weight, now);
+        self.per_second(flow, now) < due * BELOW_SHARE_FACTOR
     }
 
     /// Gets the share that is due to a flow of this weight among those that compete.
     #[must_use]
-    pub fn due(&self, flow: &K, weight: u32, now: TimePoint) -> f64 {
-        let least = LEAST_COMPETING * self.total.per_second(now);
+    pub fn fair_share(&self, flow: &K, weight: u32, now: TimePoint) -> f64 {
+        let least = MIN_COMPETING_SHARE * self.total.per_second(now);
         let weight = f64::from(weight);
         let mut competing = weight;
         let mut small = 0.0;
@@ -104,7 +104,7 @@
         weight / competing
     }
 
-    fn forget_least(&mut self, now: TimePoint) {
+    fn evict_least_used(&mut self, now: TimePoint) {
         let mut rates: Vec<f64> = self
             .flows
             .values()
--- a/alderhaven-policy/src/start_view.rs
+++ b/alderhaven-policy/src/start_view.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartView {
     /// Whether it knows of any other that is alive.
-    pub knows_others: bool,
+    pub knows_peers: bool,
     /// Whether it is among the first in the order of those that it knows.
-    pub is_first: bool,
+    pub is_among_first: bool,
     /// Whether one of them has said that the store does not answer it.
-    pub has_failed: bool,
+    pub has_peer_lost_store: bool,
 }
--- a/alderhaven-policy/src/store_budget.rs
+++ b/alderhaven-policy/src/store_budget.rs
@@ -13,15 +13,15 @@
 use serde::{Deserialize, Serialize};
 
 /// The default reads a second: 0.8 of the API's 2,000, shared by the 16 processes of 8 hosts.
-const DEFAULT_READS: &str = "100/s";
+const DEFAULT_READ_RATE: &str = "100/s";
 /// The default writes a second: 0.8 of 300, shared by the 16 processes of 8 hosts.
-const DEFAULT_WRITES: &str = "15/s";
+const DEFAULT_WRITE_RATE: &str = "15/s";
 /// The default time for which unused tokens are kept.
 const DEFAULT_BURST: TimeSpan = TimeSpan::from_secs(2);
 /// The cost of a call in tokens.
 const CALL_COST: f64 = 1.0;
 /// A missing part of a token that is taken as rounding, since times are whole microseconds.
-const ROUNDING: f64 = 1e-6;
+const TOKEN_TOLERANCE: f64 = 1e-6;
 
 /// A `StoreCall` is the kind of a call, as the API counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 /// `BudgetOptions` bound the calls of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct BudgetOptions {
+pub struct StoreBudgetOptions {
     /// The sustained reads a second.
     pub reads: RatePerSecond,
     /// The sustained writes a second.
@@ -45,11 +45,11 @@
     pub burst: TimeSpan,
 }
 
-impl Default for BudgetOptions {
+impl Default for StoreBudgetOptions {
     fn default() -> Self {
         Self {
-            reads: DEFAULT_READS.parse().unwrap_or_default(),
-            writes: DEFAULT_WRITES.parse().unwrap_or_default(),
+            reads: DEFAULT_READ_RATE.parse().unwrap_or_default(),
+            writes: DEFAULT_WRITE_RATE.parse().unwrap_or_default(),
             burst: DEFAULT_BURST,
         }
     }
@@ -58,14 +58,14 @@
 /// A `StoreBudget` grants or refuses calls so that their rate stays within the options.
 #[derive(Clone, Debug, Serialize)]
 pub struct StoreBudget {
-    options: BudgetOptions,
-    reads: TokenBucket,
-    writes: TokenBucket,
+    options: StoreBudgetOptions,
+    reads: CallBucket,
+    writes: CallBucket,
 }
 
 /// A `TokenBucket` holds the tokens of one kind of call.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct TokenBucket {
+struct CallBucket {
     tokens: f64,
     refilled: TimePoint,
 }
@@ -73,9 +73,9 @@
 impl StoreBudget {
     /// Returns a budget that is full at `now`.
     #[must_use]
-    pub fn new(options: BudgetOptions, now: TimePoint) -> Self {
-        let full = |rate| TokenBucket {
-            tokens: capacity(rate, options.burst),
+    pub fn new(options: StoreBudgetOptions, now: TimePoint) -> Self {
+        let full = |rate| CallBucket {
+            tokens: burst_capacity(rate, options.burst),
             refilled: now,
         };
         Self {
@@ -96,7 +96,7 @@
             StoreCall::Write => (&mut self.writes, self.options.writes),
         };
         bucket.refill(rate, burst, now);
-        if bucket.tokens + ROUNDING >= CALL_COST {
+        if bucket.tokens + TOKEN_TOLERANCE >= CALL_COST {
             bucket.tokens = (bucket.tokens - CALL_COST).max(0.0);
             return Ok(());
         }
@@ -105,15 +105,15 @@
 
     /// Gets the options.
     #[must_use]
-    pub const fn options(&self) -> &BudgetOptions {
+    pub const fn options(&self) -> &StoreBudgetOptions {
         &self.options
     }
 }
 
-impl TokenBucket {
+impl CallBucket {
     fn refill(&mut self, rate: RatePerSecond, burst: TimeSpan, now: TimePoint) {
         let earned = now.since(self.refilled).as_secs_f64() * rate.per_second();
-        self.tokens = (self.tokens + earned).min(capacity(rate, burst));
+        self.tokens = (self.tokens + earned).min(burst_capacity(rate, burst));
         self.refilled = self.refilled.max(now);
     }
 
@@ -126,7 +126,7 @@
     }
 }
 
-fn capacity(rate: RatePerSecond, burst: TimeSpan) -> f64 {
+fn burst_capacity(rate: RatePerSecond, burst: TimeSpan) -> f64 {
     if rate.per_second() <= 0.0 {
         return 0.0;
     }
--- a/alderhaven-policy/src/store_watch_plan.rs
+++ b/alderhaven-policy/src/store_watch_plan.rs
@@ -27,19 +27,19 @@
     /// waits and the time that its news takes, with as much again for one that is late.
     pub stale_after: TimeSpan,
     /// How long a node's word that it can't reach the store keeps it out of the order.
-    pub lost_for: TimeSpan,
+    pub store_loss_timeout: TimeSpan,
 }
 
 /// The pause between two calls of a whole group to a store that answers nobody.
-const GROUP_PAUSE: TimeSpan = TimeSpan::from_millis(100);
+const GROUP_RETRY_PAUSE: TimeSpan = TimeSpan::from_millis(100);
 
 /// Gets the pause before a node asks again that is not among the first of `nodes`, where the store answers
 /// none of them. `random`, 0 to 1, spreads them.
 ///
 /// All together ask as often whatever their number: one of many that is answered is enough.
 #[must_use]
-pub fn group_pause(nodes: usize, random: f64) -> TimeSpan {
-    GROUP_PAUSE.mul_f64(nodes as f64 * (0.5 + random))
+pub fn group_retry_pause(nodes: usize, random: f64) -> TimeSpan {
+    GROUP_RETRY_PAUSE.mul_f64(nodes as f64 * (0.5 + random))
 }
 
 impl Default for WatchOptions {
@@ -47,7 +47,7 @@
         Self {
             watchers: 3,
             stale_after: TimeSpan::from_millis(5_500),
-            lost_for: TimeSpan::from_secs(5),
+            store_loss_timeout: TimeSpan::from_secs(5),
         }
     }
 }
@@ -60,7 +60,7 @@
     /// Whether the store answered it.
     pub is_reached: bool,
     /// When this was heard.
-    pub heard_at: TimePoint,
+    pub reported_at: TimePoint,
 }
 
 /// A `WatchPlan` is what a node knows when it decides whether it watches.
@@ -73,42 +73,44 @@
     /// The nodes' own words on their way to the store.
     pub contacts: &'a [StoreContact],
     /// The time since the store answered another node; none where nobody said so.
-    pub answered: Option<TimeSpan>,
+    pub answered_age: Option<TimeSpan>,
 }
 
 impl WatchPlan<'_> {
     /// Returns true where the node should watch.
     #[must_use]
     pub fn should_watch(&self, options: &WatchOptions, now: TimePoint) -> bool {
-        if !self.is_watched(options, now) {
+        if !self.hears_from_store(options, now) {
             return true;
         }
-        if self.is_lost(self.own, options, now) {
+        if self.has_lost_store(self.own, options, now) {
             return false;
         }
         let reaching = self.others.iter();
-        let reaching = reaching.filter(|node| !self.is_lost(node, options, now));
+        let reaching = reaching.filter(|node| !self.has_lost_store(node, options, now));
         let others: Vec<NodeId> = reaching.cloned().collect();
         is_among_first(self.own, &others, options.watchers)
     }
 
     /// Returns true where another node was answered by the store not long ago.
-    fn is_watched(&self, options: &WatchOptions, now: TimePoint) -> bool {
-        let has_answered = self.answered.is_some_and(|age| age < options.stale_after);
+    fn hears_from_store(&self, options: &WatchOptions, now: TimePoint) -> bool {
+        let has_answered = self
+            .answered_age
+            .is_some_and(|age| age < options.stale_after);
         let is_fresh = |contact: &StoreContact| {
             contact.is_reached
                 && contact.node != *self.own
-                && now.since(contact.heard_at) < options.stale_after
+                && now.since(contact.reported_at) < options.stale_after
         };
         has_answered || self.contacts.iter().any(is_fresh)
     }
 
     /// Returns true where the node has said not long ago that the store does not answer it.
-    fn is_lost(&self, node: &NodeId, options: &WatchOptions, now: TimePoint) -> bool {
+    fn has_lost_store(&self, node: &NodeId, options: &WatchOptions, now: TimePoint) -> bool {
         self.contacts.iter().any(|contact| {
             contact.node == *node
                 && !contact.is_reached
-                && now.since(contact.heard_at) < options.lost_for
+                && now.since(contact.reported_at) < options.store_loss_timeout
         })
     }
 }
--- a/alderhaven-policy/src/subset.rs
+++ b/alderhaven-policy/src/subset.rs
@@ -57,7 +57,7 @@
     /// The target.
     pub target: TargetId,
     /// The connections that it takes in all.
-    pub connections: u32,
+    pub max_connections: u32,
 }
 
 /// A `RelaySubsets` is the choice for all targets in one view of the relays.
@@ -70,7 +70,7 @@
 struct TargetChoice {
     relays: SmallVec<[NodeId; 4]>,
     candidates: SmallVec<[NodeId; 8]>,
-    share: u32,
+    connection_share: u32,
 }
 
 impl RelaySubsets {
@@ -81,7 +81,7 @@
         relays: &[RelayCandidate],
         options: &SubsetOptions,
     ) -> Self {
-        let mut ranking = RelayRanking::new(relays, targets.len(), options);
+        let mut ranking = RelayLoads::new(relays, targets.len(), options);
         // Every node goes through the targets in the same order, so equal views choose alike.
         let ordered: BTreeMap<&TargetId, &SubsetTarget> = targets
             .iter()
@@ -116,61 +116,61 @@
     /// Gets how many connections a relay may open to a target: none where it is no candidate, even
     /// if another node's view sends it work for the target.
     #[must_use]
-    pub fn connections_of(&self, target: &TargetId, relay: &NodeId) -> u32 {
+    pub fn connection_share_of(&self, target: &TargetId, relay: &NodeId) -> u32 {
         self.choices
             .get(target)
             .filter(|choice| choice.candidates.contains(relay))
-            .map_or(0, |choice| choice.share)
+            .map_or(0, |choice| choice.connection_share)
     }
 }
 
 /// A `RelayRanking` holds the relays with what they were given so far.
-struct RelayRanking<'a> {
-    relays: Vec<RankedRelay<'a>>,
+struct RelayLoads<'a> {
+    relays: Vec<RelayLoad<'a>>,
     replicas: usize,
-    first_cap: usize,
-    total_cap: usize,
+    primary_cap: usize,
+    target_cap: usize,
 }
 
-struct RankedRelay<'a> {
+struct RelayLoad<'a> {
     candidate: &'a RelayCandidate,
     hash: u64,
-    firsts: usize,
-    total: usize,
+    primary_count: usize,
+    target_count: usize,
 }
 
-impl<'a> RelayRanking<'a> {
+impl<'a> RelayLoads<'a> {
     fn new(relays: &'a [RelayCandidate], targets: usize, options: &SubsetOptions) -> Self {
-        let rank = |candidate: &'a RelayCandidate| RankedRelay {
+        let rank = |candidate: &'a RelayCandidate| RelayLoad {
             candidate,
             hash: hashing::hash_name(candidate.node.as_str()),
-            firsts: 0,
-            total: 0,
+            primary_count: 0,
+            target_count: 0,
         };
         let replicas = options.replicas.max(1);
         Self {
             relays: relays.iter().map(rank).collect(),
             replicas,
-            first_cap: cap(targets, relays.len(), options.load_factor),
-            total_cap: cap(targets * replicas, relays.len(), options.load_factor),
+            primary_cap: load_cap(targets, relays.len(), options.load_factor),
+            target_cap: load_cap(targets * replicas, relays.len(), options.load_factor),
         }
     }
 
     fn choose(&mut self, target: &SubsetTarget) -> TargetChoice {
-        let replicas = replicas_within(target.connections, self.replicas);
+        let replicas = replicas_within(target.max_connections, self.replicas);
         let candidates = self.candidates(&target.target, 2 * replicas);
         let mut chosen: SmallVec<[usize; 4]> = SmallVec::new();
         while chosen.len() < replicas.min(candidates.len()) {
-            let best = self.best(&candidates, &chosen);
-            self.relays[best].firsts += usize::from(chosen.is_empty());
-            self.relays[best].total += 1;
+            let best = self.best_candidate(&candidates, &chosen);
+            self.relays[best].primary_count += usize::from(chosen.is_empty());
+            self.relays[best].target_count += 1;
             chosen.push(best);
         }
         let node = |index: &usize| self.relays[*index].candidate.node.clone();
         TargetChoice {
             relays: chosen.iter().map(node).collect(),
             candidates: candidates.iter().map(node).collect(),
-            share: connection_share(target.connections, replicas),
+            connection_share: connection_share(target.max_connections, replicas),
         }
     }
 
@@ -179,7 +179,7 @@
         let target_hash = hashing::hash_name(target.as_str());
         let mut best: SmallVec<[(u64, usize); 9]> = SmallVec::new();
         for (index, relay) in self.relays.iter().enumerate() {
-            let score = hashing::mix(target_hash, relay.hash);
+            let score = hashing::mix_hashes(target_hash, relay.hash);
             let place = best.partition_point(|(other, _)| *other > score);
             if place < count {
                 best.insert(place, (score, index));
@@ -191,16 +191,16 @@
 
     /// Gets the best candidate that is left: in a new failure domain, then not full, then first in
     /// rendezvous order.
-    fn best(&self, candidates: &[usize], chosen: &[usize]) -> usize {
+    fn best_candidate(&self, candidates: &[usize], chosen: &[usize]) -> usize {
         let cost = |index: usize| {
             let relay = &self.relays[index];
             let is_domain_taken = chosen
                 .iter()
                 .any(|other| self.relays[*other].candidate.domain == relay.candidate.domain);
             let is_full = if chosen.is_empty() {
-                relay.firsts >= self.first_cap
+                relay.primary_count >= self.primary_cap
             } else {
-                relay.total >= self.total_cap
+                relay.target_count >= self.target_cap
             };
             (is_domain_taken, is_full)
         };
@@ -218,7 +218,7 @@
     clippy::cast_sign_loss,
     reason = "a count of targets is a small positive number"
 )]
-fn cap(total: usize, relays: usize, load_factor: f64) -> usize {
+fn load_cap(total: usize, relays: usize, load_factor: f64) -> usize {
     (total as f64 * load_factor / relays.max(1) as f64).ceil() as usize
 }
 
--- a/alderhaven-policy/src/target_limit.rs
+++ b/alderhaven-policy/src/target_limit.rs
@@ -27,34 +27,34 @@
 #[serde(default, deny_unknown_fields)]
 pub struct TargetLimitOptions {
     /// What the limit is multiplied with when it falls.
-    pub fall_factor: f64,
+    pub decrease_factor: f64,
     /// The growth of the service time over the expected one at which the limit falls.
-    pub growth_factor: f64,
+    pub slowdown_factor: f64,
     /// The least time between two falls, so that one event counts once.
-    pub fall_gap: TimeSpan,
+    pub min_decrease_interval: TimeSpan,
     /// The quiet time before the limit is probed up by one slot.
-    pub probe_gap: TimeSpan,
+    pub probe_interval: TimeSpan,
     /// The longest quiet time, after probes that failed.
-    pub max_probe_gap: TimeSpan,
+    pub max_probe_interval: TimeSpan,
     /// The time in which a cold target's limit rises from one slot to all.
-    pub slow_start: TimeSpan,
+    pub slow_start_window: TimeSpan,
     /// Whether the target's own report of used slots counts where it says more than was sent.
-    pub reported_slots: bool,
+    pub uses_reported_slots: bool,
     /// How long a report counts.
-    pub report_life: TimeSpan,
+    pub report_ttl: TimeSpan,
 }
 
 impl Default for TargetLimitOptions {
     fn default() -> Self {
         Self {
-            fall_factor: 0.75,
-            growth_factor: 3.0,
-            fall_gap: TimeSpan::from_millis(250),
-            probe_gap: TimeSpan::from_secs(1),
-            max_probe_gap: TimeSpan::from_secs(16),
-            slow_start: TimeSpan::from_secs(4),
-            reported_slots: false,
-            report_life: TimeSpan::from_millis(50),
+            decrease_factor: 0.75,
+            slowdown_factor: 3.0,
+            min_decrease_interval: TimeSpan::from_millis(250),
+            probe_interval: TimeSpan::from_secs(1),
+            max_probe_interval: TimeSpan::from_secs(16),
+            slow_start_window: TimeSpan::from_secs(4),
+            uses_reported_slots: false,
+            report_ttl: TimeSpan::from_millis(50),
         }
     }
 }
@@ -65,18 +65,18 @@
     /// The target ran it.
     Ran {
         /// The time at the target.
-        service: TimeSpan,
+        service_time: TimeSpan,
         /// The time that was expected before this one.
-        expected: TimeSpan,
+        expected_service_time: TimeSpan,
     },
     /// The target shed it before it ran.
     Shed,
     /// Nothing was learnt, for example because it was cancelled or its connection was lost.
-    Nothing,
+    Uninformative,
 }
 
 /// The number of attempts over which the growth of the service time is smoothed.
-const GROWTH_WINDOW: f64 = 8.0;
+const SLOWDOWN_WINDOW_ATTEMPTS: f64 = 8.0;
 
 /// A `TargetLimit` counts what runs at one target and says how many more it may be given.
 #[derive(Clone, Debug)]
@@ -87,9 +87,9 @@
     limit: f64,
     in_flight: u32,
     reported_used: Option<(u32, TimePoint)>,
-    growth: f64,
-    last_fall: Option<TimePoint>,
-    last_rise: Option<TimePoint>,
+    slowdown: f64,
+    last_decrease: Option<TimePoint>,
+    last_probe: Option<TimePoint>,
     last_change: TimePoint,
     probe_gap: TimeSpan,
     cold_since: Option<TimePoint>,
@@ -101,16 +101,16 @@
     pub fn new(policy: PolicyKind, options: TargetLimitOptions, slots: u32) -> Self {
         let slots = slots.max(1);
         Self {
-            probe_gap: options.probe_gap,
+            probe_gap: options.probe_interval,
             options,
             policy,
             slots,
             limit: f64::from(slots),
             in_flight: 0,
             reported_used: None,
-            growth: 1.0,
-            last_fall: None,
-            last_rise: None,
+            slowdown: 1.0,
+            last_decrease: None,
+            last_probe: None,
             last_change: TimePoint::START,
             cold_since: None,
         }
@@ -119,8 +119,8 @@
     /// Notes that the target is cold: it is new, was restarted, or comes back from being away.
     pub fn mark_cold(&mut self, now: TimePoint) {
         self.cold_since = Some(now);
-        self.growth = 1.0;
-        self.probe_gap = self.options.probe_gap;
+        self.slowdown = 1.0;
+        self.probe_gap = self.options.probe_interval;
         self.limit = f64::from(self.slots);
     }
 
@@ -134,26 +134,29 @@
     }
 
     /// Counts an attempt that was sent.
-    pub fn sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
     /// Takes back an attempt that was sent and adapts to what it says.
-    pub fn finished(&mut self, signal: AttemptSignal, now: TimePoint) {
+    pub fn record_finished(&mut self, signal: AttemptSignal, now: TimePoint) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.policy == PolicyKind::Baseline {
             return;
         }
         match signal {
-            AttemptSignal::Ran { service, expected } => self.note_service(service, expected, now),
-            AttemptSignal::Shed => self.fall(now),
-            AttemptSignal::Nothing => {}
+            AttemptSignal::Ran {
+                service_time: service,
+                expected_service_time: expected,
+            } => self.record_service_time(service, expected, now),
+            AttemptSignal::Shed => self.decrease(now),
+            AttemptSignal::Uninformative => {}
         }
         self.probe(now);
     }
 
     /// Notes how many slots the target says are used; the report may lag or mislead.
-    pub fn reported(&mut self, used: u32, now: TimePoint) {
+    pub fn record_report(&mut self, used: u32, now: TimePoint) {
         self.reported_used = Some((used, now));
     }
 
@@ -169,10 +172,10 @@
 
     /// Gets how many more attempts may be sent now.
     #[must_use]
-    pub fn free(&self, now: TimePoint) -> u32 {
+    pub fn free_slots(&self, now: TimePoint) -> u32 {
         let used = match self.reported_used {
             Some((used, at))
-                if self.options.reported_slots && now.since(at) <= self.options.report_life =>
+                if self.options.uses_reported_slots && now.since(at) <= self.options.report_ttl =>
             {
                 used.max(self.in_flight)
             }
@@ -187,37 +190,39 @@
         self.in_flight
     }
 
-    fn note_service(&mut self, service: TimeSpan, expected: TimeSpan, now: TimePoint) {
+    fn record_service_time(&mut self, service: TimeSpan, expected: TimeSpan, now: TimePoint) {
         if expected == TimeSpan::ZERO {
             return;
         }
         let ratio = service.as_micros() as f64 / expected.as_micros() as f64;
-        self.growth += (ratio - self.growth) / GROWTH_WINDOW;
-        if self.growth > self.options.growth_factor {
-            self.growth = 1.0;
-            self.fall(now);
+        self.slowdown += (ratio - self.slowdown) / SLOWDOWN_WINDOW_ATTEMPTS;
+        if self.slowdown > self.options.slowdown_factor {
+            self.slowdown = 1.0;
+            self.decrease(now);
         }
     }
 
-    fn fall(&mut self, now: TimePoint) {
+    fn decrease(&mut self, now: TimePoint) {
         let is_same_event = self
-            .last_fall
-            .is_some_and(|at| now.since(at) < self.options.fall_gap);
+            .last_decrease
+            .is_some_and(|at| now.since(at) < self.options.min_decrease_interval);
         if is_same_event {
             return;
         }
         // A fall soon after the limit rose means that the probe failed: wait longer for the next.
         let is_failed_probe = self
-            .last_rise
-            .is_some_and(|at| now.since(at) < self.options.probe_gap);
+            .last_probe
+            .is_some_and(|at| now.since(at) < self.options.probe_interval);
         self.probe_gap = if is_failed_probe {
-            self.probe_gap.mul_f64(2.0).min(self.options.max_probe_gap)
+            self.probe_gap
+                .mul_f64(2.0)
+                .min(self.options.max_probe_interval)
         } else {
-            self.options.probe_gap
+            self.options.probe_interval
         };
-        let stepped = (self.limit - 1.0).min(self.limit * self.options.fall_factor);
+        let stepped = (self.limit - 1.0).min(self.limit * self.options.decrease_factor);
         self.limit = stepped.max(1.0);
-        self.last_fall = Some(now);
+        self.last_decrease = Some(now);
         self.last_change = now;
     }
 
@@ -228,14 +233,14 @@
         }
         self.limit = (self.limit + 1.0).min(ceiling);
         self.last_change = now;
-        self.last_rise = Some(now);
+        self.last_probe = Some(now);
     }
 
     fn slow_start_limit(&self, now: TimePoint) -> u32 {
         let Some(since) = self.cold_since else {
             return self.slots;
         };
-        let span = self.options.slow_start.as_micros().max(1) as f64;
+        let span = self.options.slow_start_window.as_micros().max(1) as f64;
         let part = (now.since(since).as_micros() as f64 / span).min(1.0);
         1 + whole_slots(f64::from(self.slots - 1) * part)
     }
--- a/alderhaven-policy/src/target_gauge.rs
+++ b/alderhaven-policy/src/target_stats.rs
@@ -16,7 +16,7 @@
 const FALL_WEIGHT: f64 = 0.1;
 /// The time in which slowness without new samples fades to 37%: a target that was ten times slower
 /// is tried again after some twenty seconds, which costs one slow attempt.
-const SLOWNESS_FADE: TimeSpan = TimeSpan::from_secs(10);
+const SLOWNESS_DECAY_TIME: TimeSpan = TimeSpan::from_secs(10);
 /// The greatest slowness that is told apart.
 const MAX_SLOWNESS: f64 = 100.0;
 
@@ -25,26 +25,26 @@
 /// Its fields are read one by one while other threads write. A choice made on values of slightly
 /// different times is still one of two replicas; nothing that must hold depends on it.
 #[derive(Debug, Default)]
-pub struct TargetGauge {
+pub struct TargetStats {
     outstanding: AtomicU32,
     slowness: AtomicU64,
     sampled_at: AtomicU64,
     wait: AtomicU64,
     wait_at: AtomicU64,
-    failures: AtomicU32,
+    consecutive_failures: AtomicU32,
     ejections: AtomicU32,
     ejected_until: AtomicU64,
     is_suspect: AtomicU32,
 }
 
-impl TargetGauge {
+impl TargetStats {
     /// Counts an attempt that was sent.
-    pub fn sent(&self) {
+    pub fn record_sent(&self) {
         self.outstanding.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Takes back an attempt that was sent.
-    pub fn ended(&self) {
+    pub fn record_ended(&self) {
         let _ = self
             .outstanding
             .try_update(Ordering::Relaxed, Ordering::Relaxed, |count| {
@@ -59,7 +59,7 @@
     }
 
     /// Adds a service time against the one that is expected of any target.
-    pub fn note_service(&self, service: TimeSpan, expected: TimeSpan, now: TimePoint) {
+    pub fn record_service_time(&self, service: TimeSpan, expected: TimeSpan, now: TimePoint) {
         if expected == TimeSpan::ZERO {
             return;
         }
@@ -77,7 +77,7 @@
     }
 
     /// Notes the wait that a relay reports for a new attempt at the target.
-    pub fn note_wait(&self, wait: TimeSpan, now: TimePoint) {
+    pub fn record_wait(&self, wait: TimeSpan, now: TimePoint) {
         self.wait.store(wait.as_micros(), Ordering::Relaxed);
         self.wait_at.store(now.as_micros(), Ordering::Relaxed);
     }
@@ -95,7 +95,7 @@
         }
         let sampled_at = TimePoint::from_micros(self.sampled_at.load(Ordering::Relaxed));
         let age = now.since(sampled_at).as_secs_f64();
-        1.0 + (kept - 1.0) * (-age / SLOWNESS_FADE.as_secs_f64()).exp()
+        1.0 + (kept - 1.0) * (-age / SLOWNESS_DECAY_TIME.as_secs_f64()).exp()
     }
 
     /// Gets the wait at the target by the last report, less the time since then.
@@ -107,25 +107,25 @@
     }
 
     /// Notes an answer; the target is no longer a candidate for ejection.
-    pub fn note_success(&self) {
-        self.failures.store(0, Ordering::Relaxed);
+    pub fn record_success(&self) {
+        self.consecutive_failures.store(0, Ordering::Relaxed);
     }
 
     /// Notes a failure; after `most` in a row the target is ejected, each time for longer.
     ///
     /// Returns true where it was ejected by this one.
-    pub fn note_failure(
+    pub fn record_failure(
         &self,
         most: u32,
         first: TimeSpan,
         longest: TimeSpan,
         now: TimePoint,
     ) -> bool {
-        let failures = self.failures.fetch_add(1, Ordering::Relaxed) + 1;
+        let failures = self.consecutive_failures.fetch_add(1, Ordering::Relaxed) + 1;
         if failures < most || self.is_ejected(now) {
             return false;
         }
-        self.failures.store(0, Ordering::Relaxed);
+        self.consecutive_failures.store(0, Ordering::Relaxed);
         let ended_at = TimePoint::from_micros(self.ejected_until.load(Ordering::Relaxed));
         // A target that held out for as long as the longest ejection begins anew.
         if now.since(ended_at) > longest {
--- a/alderhaven-policy/src/team_quota.rs
+++ b/alderhaven-policy/src/team_quota.rs
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// The refusal where a limit is reached.
-    pub fn take(&mut self, now: TimePoint) -> Result<(), Refusal> {
+    pub fn acquire(&mut self, now: TimePoint) -> Result<(), Refusal> {
         let most = self.policy.as_ref().and_then(|team| team.max_in_flight);
         if most.is_some_and(|most| self.in_flight >= most) {
             return Err(Refusal {
@@ -64,15 +64,15 @@
     }
 
     /// Takes a query out of the count because it ended.
-    pub fn put_back(&mut self) {
+    pub fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Takes a query out of the count because it was refused: it costs no part of the rate.
-    pub fn refused(&mut self) {
-        self.put_back();
+    pub fn release_refused(&mut self) {
+        self.release();
         if let Some(bucket) = &mut self.bucket {
-            bucket.put_back();
+            bucket.refund();
         }
     }
 
