--- a/alderhaven-policy/src/wake_lag.rs
+++ b/alderhaven-policy/src/timer_lag.rs
@@ -13,24 +13,28 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
 /// The weight of a wake-up that is later than the lag.
-const RISE: f64 = 0.25;
+const INCREASE_WEIGHT: f64 = 0.25;
 /// The weight of one that is not.
-const FALL: f64 = 0.02;
+const DECREASE_WEIGHT: f64 = 0.02;
 /// The most that is learnt. A process that was suspended wakes up seconds late, once.
 const MAX_LAG: TimeSpan = TimeSpan::from_millis(25);
 
 /// A `WakeLag` follows the lag of one process.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WakeLag {
-    micros: f64,
+pub struct TimerLag {
+    lag_micros: f64,
 }
 
-impl WakeLag {
+impl TimerLag {
     /// Notes a wake-up that was due at `due`.
-    pub fn note(&mut self, due: TimePoint, now: TimePoint) {
+    pub fn record_wakeup(&mut self, due: TimePoint, now: TimePoint) {
         let lag = now.since(due).min(MAX_LAG).as_micros() as f64;
-        let weight = if lag > self.micros { RISE } else { FALL };
-        self.micros += (lag - self.micros) * weight;
+        let weight = if lag > self.lag_micros {
+            INCREASE_WEIGHT
+        } else {
+            DECREASE_WEIGHT
+        };
+        self.lag_micros += (lag - self.lag_micros) * weight;
     }
 
     /// Gets the lag.
@@ -41,6 +45,6 @@
         reason = "the lag is at most some milliseconds, and not negative"
     )]
     pub const fn get(&self) -> TimeSpan {
-        TimeSpan::from_micros(self.micros as u64)
+        TimeSpan::from_micros(self.lag_micros as u64)
     }
 }
--- a/alderhaven-policy/src/token_bucket.rs
+++ b/alderhaven-policy/src/token_bucket.rs
@@ -9,7 +9,7 @@
     rate: f64,
     burst: f64,
     tokens: f64,
-    updated: TimePoint,
+    updated_at: TimePoint,
 }
 
 impl TokenBucket {
@@ -20,7 +20,7 @@
             rate: rate.per_second(),
             burst,
             tokens: burst,
-            updated: now,
+            updated_at: now,
         }
     }
 
@@ -47,13 +47,13 @@
     }
 
     /// Gives back a token that was taken for nothing.
-    pub fn put_back(&mut self) {
+    pub fn refund(&mut self) {
         self.tokens = (self.tokens + 1.0).min(self.burst);
     }
 
     fn refill(&mut self, now: TimePoint) {
-        let gained = now.since(self.updated).as_secs_f64() * self.rate;
+        let gained = now.since(self.updated_at).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + gained).min(self.burst);
-        self.updated = self.updated.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
--- a/alderhaven-policy/src/top_records.rs
+++ b/alderhaven-policy/src/top_records.rs
@@ -13,7 +13,7 @@
 ///
 /// Records that are equal all count. What is left of a part after its last whole record is no record.
 #[must_use]
-pub fn greatest<'a>(parts: impl IntoIterator<Item = &'a Bytes>, count: usize) -> Bytes {
+pub fn greatest_records<'a>(parts: impl IntoIterator<Item = &'a Bytes>, count: usize) -> Bytes {
     let mut records: Vec<&[u8; RECORD_BYTES]> = parts
         .into_iter()
         .flat_map(|part| part.as_chunks::<RECORD_BYTES>().0)
--- a/alderhaven-policy/src/warmup_limit.rs
+++ b/alderhaven-policy/src/warmup_limit.rs
@@ -19,13 +19,13 @@
 use crate::warmup_bound::WarmupBound;
 
 /// The nodes that send to a cold target: one may be lost.
-const SENDERS: usize = 2;
+const SENDERS_PER_TARGET: usize = 2;
 
 /// The window in which requests are counted.
-const WINDOW: TimeSpan = TimeSpan::from_secs(1);
+const RATE_WINDOW: TimeSpan = TimeSpan::from_secs(1);
 
 /// The longest warm-up that is believed.
-const LONGEST: TimeSpan = TimeSpan::from_secs(120);
+const MAX_WARMUP: TimeSpan = TimeSpan::from_secs(120);
 
 /// Gets the requests in any second that node `own` may send to a cold target which tolerates `rate`;
 /// `nodes` are those on large hosts, `own` among them or not.
@@ -44,21 +44,21 @@
 ) -> usize {
     let most = rate.per_second() * bound.overshoot + bound.slack;
     let all = rate.per_second().min(most / 2.0) as usize;
-    let Some(place) = place_of(own, nodes, target) else {
+    let Some(place) = rank_of(own, nodes, target) else {
         return 0;
     };
-    if place >= SENDERS {
+    if place >= SENDERS_PER_TARGET {
         return 0;
     }
-    let senders = SENDERS.min(nodes.len());
+    let senders = SENDERS_PER_TARGET.min(nodes.len());
     // The first takes what can't be halved.
     all / senders + usize::from(place < all % senders)
 }
 
 /// Gets the place of a node in the order of those that send to the target; none where it is not among them.
-fn place_of(own: &NodeId, nodes: &[NodeId], target: &str) -> Option<usize> {
+fn rank_of(own: &NodeId, nodes: &[NodeId], target: &str) -> Option<usize> {
     let target_hash = hashing::hash_name(target);
-    let order = |node: &NodeId| hashing::mix(target_hash, hashing::hash_name(node.as_str()));
+    let order = |node: &NodeId| hashing::mix_hashes(target_hash, hashing::hash_name(node.as_str()));
     let own_order = nodes.iter().find(|node| *node == own).map(order)?;
     Some(nodes.iter().filter(|node| order(node) < own_order).count())
 }
@@ -79,37 +79,40 @@
     }
 
     /// Notes that the target says it is cold for `left`.
-    pub fn note_cold(&mut self, left: TimeSpan, now: TimePoint) {
-        self.cold_until = now + left.min(LONGEST);
+    pub fn record_cold(&mut self, left: TimeSpan, now: TimePoint) {
+        self.cold_until = now + left.min(MAX_WARMUP);
     }
 
     /// Notes that the target may be cold for `left`, whatever it said before.
     pub fn presume_cold(&mut self, left: TimeSpan, now: TimePoint) {
-        self.cold_until = self.cold_until.max(now + left.min(LONGEST));
+        self.cold_until = self.cold_until.max(now + left.min(MAX_WARMUP));
     }
 
     /// Returns true where one more request may be sent now.
     #[must_use]
-    pub fn has_room(&self, now: TimePoint) -> bool {
+    pub fn allows_request(&self, now: TimePoint) -> bool {
         let Some(allowance) = self.allowance else {
             return true;
         };
         if now >= self.cold_until {
             return true;
         }
-        let recent = self.sent.iter().filter(|sent| now.since(**sent) < WINDOW);
+        let recent = self
+            .sent
+            .iter()
+            .filter(|sent| now.since(**sent) < RATE_WINDOW);
         recent.count() < allowance
     }
 
     /// Notes a request that is sent.
-    pub fn note_sent(&mut self, now: TimePoint) {
+    pub fn record_sent(&mut self, now: TimePoint) {
         if self.allowance.is_none() {
             return;
         }
         while self
             .sent
             .front()
-            .is_some_and(|sent| now.since(*sent) >= WINDOW)
+            .is_some_and(|sent| now.since(*sent) >= RATE_WINDOW)
         {
             self.sent.pop_front();
         }
--- a/alderhaven-policy/src/weighted_split.rs
+++ b/alderhaven-policy/src/weighted_round_robin.rs
@@ -10,11 +10,11 @@
 
 /// A `WeightedSplit` deals requests by weights.
 #[derive(Clone, Debug, Default)]
-pub struct WeightedSplit {
+pub struct WeightedRoundRobin {
     credits: SmallVec<[f64; 4]>,
 }
 
-impl WeightedSplit {
+impl WeightedRoundRobin {
     /// Chooses the place of the next request; none where no weight is above 0.
     pub fn next(&mut self, weights: &[f64]) -> Option<usize> {
         if self.credits.len() != weights.len() {
--- a/alderhaven-policy/tests/admission.rs
+++ b/alderhaven-policy/tests/admission.rs
@@ -8,11 +8,11 @@
 use alderhaven_core::class::QueryClass;
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::policy_kind::PolicyKind;
-use common::service_loop::{Call, Fate, ServiceLoop, ServiceShape, poisson};
-use common::{DrawSource, at, ms, quantile};
+use common::service_simulation::{Call, CallOutcome, ServiceShape, ServiceSimulation, poisson};
+use common::{SeededRng, at, ms, quantile};
 
 /// The queries of all shards that the service carries in a second.
-const CAPACITY: f64 = 400.0;
+const CAPACITY_PER_SECOND: f64 = 400.0;
 
 fn shape(policy: PolicyKind, entries: usize) -> ServiceShape {
     ServiceShape {
@@ -30,56 +30,62 @@
         class,
         key,
         shard: None,
-        span: ms(370),
-        service: ms(10),
+        time_limit: ms(370),
+        mean_service_time: ms(10),
     }
 }
 
 /// Draws calls of three teams with as many urgent, ordinary and bulk ones.
-fn mixed(draw: &mut DrawSource, load: f64, from: TimePoint, until: TimePoint) -> Vec<Call> {
-    poisson(draw, load * CAPACITY, from, until, |draw, time| {
-        let team = ["desk", "portal", "inspectors"][usize::try_from(draw.next() % 3).unwrap()];
-        let class = QueryClass::ALL[usize::try_from(draw.next() % 3).unwrap()];
-        call(time, team, class, draw.next())
-    })
+fn mixed_calls(draw: &mut SeededRng, load: f64, from: TimePoint, until: TimePoint) -> Vec<Call> {
+    poisson(
+        draw,
+        load * CAPACITY_PER_SECOND,
+        from,
+        until,
+        |draw, time| {
+            let team = ["desk", "portal", "inspectors"][usize::try_from(draw.next() % 3).unwrap()];
+            let class = QueryClass::ALL[usize::try_from(draw.next() % 3).unwrap()];
+            call(time, team, class, draw.next())
+        },
+    )
 }
 
 fn is_urgent(call: &Call) -> bool {
     call.class == QueryClass::Urgent
 }
 
-struct Overload {
+struct OverloadResult {
     goodput: f64,
     urgent_in_time: f64,
     refusal_p99: TimeSpan,
     incomplete: usize,
 }
 
-fn overload(policy: PolicyKind, entries: usize, seed: u64) -> Overload {
-    let mut draw = DrawSource(seed);
-    let calls = mixed(&mut draw, 2.0, at(0), at(10_000));
-    let run = ServiceLoop::new(shape(policy, entries), &calls, seed).run();
+fn run_overload(policy: PolicyKind, entries: usize, seed: u64) -> OverloadResult {
+    let mut draw = SeededRng(seed);
+    let calls = mixed_calls(&mut draw, 2.0, at(0), at(10_000));
+    let run = ServiceSimulation::new(shape(policy, entries), &calls, seed).run();
     // The first second, in which the capacity is found, is left out.
     let late = |call: &Call| call.time >= at(1000);
     let whole = run.latencies(late).len() as f64;
     let mut refusals: Vec<TimeSpan> = run
-        .with_fates(late)
+        .outcomes_of(late)
         .filter_map(|fate| match fate {
-            Fate::Refused(after) => Some(after),
+            CallOutcome::Refused(after) => Some(after),
             _ => None,
         })
         .collect();
     let incomplete = run
-        .with_fates(late)
-        .filter(|fate| matches!(fate, Fate::Incomplete(_)))
+        .outcomes_of(late)
+        .filter(|fate| matches!(fate, CallOutcome::Incomplete(_)))
         .count();
     for class in QueryClass::ALL {
-        let described = run.describe(|call| call.class == class && late(call));
+        let described = run.summarize(|call| call.class == class && late(call));
         eprintln!("{class}: {described}");
     }
-    let overload = Overload {
-        goodput: whole / 9.0 / CAPACITY,
-        urgent_in_time: run.share_whole(|call| is_urgent(call) && late(call)),
+    let overload = OverloadResult {
+        goodput: whole / 9.0 / CAPACITY_PER_SECOND,
+        urgent_in_time: run.complete_share(|call| is_urgent(call) && late(call)),
         refusal_p99: quantile(&mut refusals, 0.99),
         incomplete,
     };
@@ -95,7 +101,7 @@
 #[test]
 fn overload_keeps_goodput_and_urgent_queries() {
     for (entries, seed) in [(1, 1), (1, 2), (4, 3)] {
-        let overload = overload(PolicyKind::Current, entries, seed);
+        let overload = run_overload(PolicyKind::Current, entries, seed);
         assert!(overload.goodput >= 0.90, "{}", overload.goodput);
         assert!(
             overload.urgent_in_time >= 0.99,
@@ -108,79 +114,86 @@
 
 #[test]
 fn baseline_under_overload_loses_its_goodput() {
-    let overload = overload(PolicyKind::Baseline, 1, 1);
+    let overload = run_overload(PolicyKind::Baseline, 1, 1);
     assert!(overload.goodput < 0.5, "{}", overload.goodput);
 }
 
 #[test]
 fn steady_load_is_not_refused() {
-    let mut draw = DrawSource(4);
-    let calls = mixed(&mut draw, 0.5, at(0), at(5000));
-    let run = ServiceLoop::new(shape(PolicyKind::Current, 2), &calls, 4).run();
+    let mut draw = SeededRng(4);
+    let calls = mixed_calls(&mut draw, 0.5, at(0), at(5000));
+    let run = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 4).run();
     eprintln!(
         "limits {:?} whole {}",
         run.limits(),
-        run.share_whole(|_| true)
+        run.complete_share(|_| true)
     );
-    assert!(run.share_whole(|_| true) >= 0.999);
+    assert!(run.complete_share(|_| true) >= 0.999);
 }
 
 /// Five times the load arrives for one second. Afterwards callers must be served as before it, not
 /// behind what the burst left.
 #[test]
 fn burst_keeps_urgent_queries_and_ends() {
-    let mut draw = DrawSource(5);
-    let mut calls = mixed(&mut draw, 0.5, at(0), at(3000));
-    calls.extend(mixed(&mut draw, 2.5, at(3000), at(4000)));
-    calls.extend(mixed(&mut draw, 0.5, at(4000), at(9000)));
-    let run = ServiceLoop::new(shape(PolicyKind::Current, 2), &calls, 5).run();
+    let mut draw = SeededRng(5);
+    let mut calls = mixed_calls(&mut draw, 0.5, at(0), at(3000));
+    calls.extend(mixed_calls(&mut draw, 2.5, at(3000), at(4000)));
+    calls.extend(mixed_calls(&mut draw, 0.5, at(4000), at(9000)));
+    let run = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 5).run();
     let before = |call: &Call| (at(1000)..at(3000)).contains(&call.time);
     let during = |call: &Call| (at(3000)..at(4000)).contains(&call.time);
     let after = |call: &Call| call.time >= at(5000);
-    let urgent = run.share_whole(|call| is_urgent(call) && during(call));
+    let urgent = run.complete_share(|call| is_urgent(call) && during(call));
     let steady = quantile(&mut run.latencies(before), 0.99);
     let again = quantile(&mut run.latencies(after), 0.99);
     eprintln!(
         "burst: {}",
-        run.describe(|call| is_urgent(call) && during(call))
+        run.summarize(|call| is_urgent(call) && during(call))
     );
     eprintln!("burst urgent {urgent:.4} before {steady} after {again}");
     assert!(urgent >= 0.99, "{urgent}");
     assert!(again <= steady.mul_f64(1.2), "{steady} {again}");
-    assert!(run.share_whole(after) >= 0.999);
+    assert!(run.complete_share(after) >= 0.999);
 }
 
 /// One team offers ten times its share. The others must not see it: neither in what they get nor
 /// in how long it takes.
 #[test]
 fn hot_team_does_not_push_out_others() {
-    let quiet = |draw: &mut DrawSource| {
-        poisson(draw, 0.5 * CAPACITY, at(0), at(8000), |draw, time| {
-            let team = ["desk", "portal", "inspectors"][usize::try_from(draw.next() % 3).unwrap()];
-            call(time, team, QueryClass::Ordinary, draw.next())
-        })
+    let quiet = |draw: &mut SeededRng| {
+        poisson(
+            draw,
+            0.5 * CAPACITY_PER_SECOND,
+            at(0),
+            at(8000),
+            |draw, time| {
+                let team =
+                    ["desk", "portal", "inspectors"][usize::try_from(draw.next() % 3).unwrap()];
+                call(time, team, QueryClass::Ordinary, draw.next())
+            },
+        )
     };
-    let mut draw = DrawSource(6);
+    let mut draw = SeededRng(6);
     let alone = quiet(&mut draw);
     let mut calls = alone.clone();
     calls.extend(poisson(
         &mut draw,
-        1.67 * CAPACITY,
+        1.67 * CAPACITY_PER_SECOND,
         at(0),
         at(8000),
         |draw, time| call(time, "flood", QueryClass::Ordinary, draw.next()),
     ));
     calls.sort_by_key(|call| call.time);
     let others = |call: &Call| call.team != "flood" && call.time >= at(1000);
-    let without = ServiceLoop::new(shape(PolicyKind::Current, 2), &alone, 6).run();
-    let with = ServiceLoop::new(shape(PolicyKind::Current, 2), &calls, 6).run();
+    let without = ServiceSimulation::new(shape(PolicyKind::Current, 2), &alone, 6).run();
+    let with = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 6).run();
     let p99_without = quantile(&mut without.latencies(others), 0.99);
     let p99_with = quantile(&mut with.latencies(others), 0.99);
-    let share = with.share_whole(others);
+    let share = with.complete_share(others);
     eprintln!(
         "others {} / {}",
-        with.describe(others),
-        with.describe(|call| !others(call))
+        with.summarize(others),
+        with.summarize(|call| !others(call))
     );
     eprintln!("hot team: others p99 {p99_without} -> {p99_with}, whole {share:.4}");
     assert!(share >= 0.99, "{share}");
@@ -192,7 +205,7 @@
 #[test]
 fn hot_key_does_not_push_out_other_keys() {
     // Each shard carries 400 queries of one shard a second; the other keys fill half of that.
-    let spread = |draw: &mut DrawSource| {
+    let spread = |draw: &mut SeededRng| {
         poisson(draw, 20.0 * 0.5 * 400.0, at(0), at(3000), |draw, time| {
             let key = 1000 + draw.next() % 100_000;
             let mut call = call(time, "desk", QueryClass::Ordinary, key);
@@ -200,7 +213,7 @@
             call
         })
     };
-    let mut draw = DrawSource(7);
+    let mut draw = SeededRng(7);
     let alone = spread(&mut draw);
     let mut calls = alone.clone();
     calls.extend(poisson(&mut draw, 2000.0, at(0), at(3000), |_, time| {
@@ -210,14 +223,14 @@
     }));
     calls.sort_by_key(|call| call.time);
     let others = |call: &Call| call.key != 7 && call.time >= at(1000);
-    let without = ServiceLoop::new(shape(PolicyKind::Current, 2), &alone, 7).run();
-    let with = ServiceLoop::new(shape(PolicyKind::Current, 2), &calls, 7).run();
+    let without = ServiceSimulation::new(shape(PolicyKind::Current, 2), &alone, 7).run();
+    let with = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 7).run();
     let p99_without = quantile(&mut without.latencies(others), 0.99);
     let p99_with = quantile(&mut with.latencies(others), 0.99);
-    let share = with.share_whole(others);
+    let share = with.complete_share(others);
     eprintln!(
         "hot key: others p99 {p99_without} -> {p99_with}, whole {share:.4}, hot {:.3}, limits {:?}",
-        with.share_whole(|call| call.key == 7),
+        with.complete_share(|call| call.key == 7),
         with.limits()
     );
     assert!(share >= 0.99, "{share}");
@@ -227,27 +240,31 @@
 /// Reports of 200 ms an attempt run among lookups of 10 ms.
 #[test]
 fn long_among_short_does_not_hold_up_short_ones() {
-    let mut draw = DrawSource(8);
-    let alone = poisson(&mut draw, 0.4 * CAPACITY, at(0), at(8000), |draw, time| {
-        call(time, "desk", QueryClass::Urgent, draw.next())
-    });
+    let mut draw = SeededRng(8);
+    let alone = poisson(
+        &mut draw,
+        0.4 * CAPACITY_PER_SECOND,
+        at(0),
+        at(8000),
+        |draw, time| call(time, "desk", QueryClass::Urgent, draw.next()),
+    );
     let mut calls = alone.clone();
     calls.extend(poisson(&mut draw, 4.0, at(0), at(8000), |draw, time| {
         let mut call = call(time, "statistics", QueryClass::Bulk, draw.next());
-        call.span = ms(20_000);
-        call.service = ms(200);
+        call.time_limit = ms(20_000);
+        call.mean_service_time = ms(200);
         call
     }));
     calls.sort_by_key(|call| call.time);
     let short = |call: &Call| call.team == "desk" && call.time >= at(1000);
-    let without = ServiceLoop::new(shape(PolicyKind::Current, 2), &alone, 8).run();
-    let with = ServiceLoop::new(shape(PolicyKind::Current, 2), &calls, 8).run();
+    let without = ServiceSimulation::new(shape(PolicyKind::Current, 2), &alone, 8).run();
+    let with = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 8).run();
     let p99_without = quantile(&mut without.latencies(short), 0.99);
     let p99_with = quantile(&mut with.latencies(short), 0.99);
-    let long = with.share_whole(|call| call.team == "statistics");
-    eprintln!("short {}", with.describe(short));
+    let long = with.complete_share(|call| call.team == "statistics");
+    eprintln!("short {}", with.summarize(short));
     eprintln!("long among short: p99 {p99_without} -> {p99_with}, long whole {long:.3}");
-    assert!(with.share_whole(short) >= 0.99);
+    assert!(with.complete_share(short) >= 0.99);
     assert!(p99_with <= p99_without.mul_f64(1.5));
     assert!(long >= 0.95, "{long}");
 }
--- a/alderhaven-policy/tests/admission_rules.rs
+++ b/alderhaven-policy/tests/admission_rules.rs
@@ -13,7 +13,7 @@
 };
 use alderhaven_policy::policy_kind::PolicyKind;
 use alderhaven_policy::service_capacity::QueryReport;
-use common::{at, cases, ms};
+use common::{at, ms, proptest_config};
 use proptest::prelude::{Just, Strategy, prop_assert, prop_assert_eq, prop_oneof, proptest};
 use proptest::{collection, sample};
 
@@ -70,12 +70,12 @@
     }
 }
 
-fn is_truthful(refusal: Refusal) -> bool {
+fn has_min_retry_after(refusal: Refusal) -> bool {
     refusal.retry_after >= AdmissionOptions::default().min_retry_after
 }
 
 proptest! {
-    #![proptest_config(cases(200))]
+    #![proptest_config(proptest_config(200))]
 
     #[test]
     fn every_query_has_one_decision(actions in collection::vec(action(), 1..150)) {
@@ -99,7 +99,7 @@
                         AdmitDecision::Admit(ticket) => open.push(ticket),
                         AdmitDecision::Queue => { waiting.insert(count); }
                         AdmitDecision::Refuse(refusal) => {
-                            prop_assert!(is_truthful(refusal));
+                            prop_assert!(has_min_retry_after(refusal));
                             continue;
                         }
                     }
@@ -111,14 +111,14 @@
                     let ticket = open.swap_remove(place);
                     let report = QueryReport {
                         queue_wait: ms(wait),
-                        service: ms(10),
+                        service_time: ms(10),
                         attempts: ticket.request.fan_out,
                         not_run: lost.min(ticket.request.fan_out),
                     };
-                    gate.finished(&ticket, report, now);
+                    gate.record_finished(&ticket, report, now);
                     limited_in_flight.remove(&ticket.request.id);
                 }
-                Action::Reply(place) if place < open.len() => gate.replied(&mut open[place]),
+                Action::Reply(place) if place < open.len() => gate.record_reply(&mut open[place]),
                 Action::Finish(..) | Action::Reply(_) => {}
                 Action::Cancel(id) => {
                     let cancelled = gate.cancel(&service, id);
@@ -138,12 +138,12 @@
                     }
                     ReadyQuery::Refuse { id, refusal } => {
                         prop_assert!(waiting.remove(&id));
-                        prop_assert!(is_truthful(refusal));
+                        prop_assert!(has_min_retry_after(refusal));
                         limited_in_flight.remove(&id);
                     }
                 }
             }
-            let load = gate.load_of(&service).expect("a known service");
+            let load = gate.service_load(&service).expect("a known service");
             let sent: u64 = open
                 .iter()
                 .map(|ticket| u64::from(ticket.request.fan_out - ticket.replied))
@@ -161,7 +161,7 @@
             prop_assert!(gate.cancel(&service, id));
         }
         for ticket in open {
-            gate.finished(&ticket, QueryReport::default(), now);
+            gate.record_finished(&ticket, QueryReport::default(), now);
         }
         now = now + ms(10_000);
         for id in [1001, 1002] {
@@ -186,7 +186,7 @@
         match gate.offer(request, now) {
             AdmitDecision::Admit(ticket) => {
                 admitted += 1;
-                gate.finished(&ticket, QueryReport::default(), now);
+                gate.record_finished(&ticket, QueryReport::default(), now);
             }
             AdmitDecision::Queue => panic!("an idle service makes nobody wait"),
             AdmitDecision::Refuse(refusal) => {
--- a/alderhaven-policy/tests/answer_time.rs
+++ b/alderhaven-policy/tests/answer_time.rs
@@ -9,7 +9,7 @@
 }
 
 /// A target of 100 ms of which 14 are needed for the way, and 1.5 s of patience.
-fn sweep() -> AnswerTime {
+fn answer_time() -> AnswerTime {
     AnswerTime::new(
         at(0),
         TimeSpan::from_millis(100),
@@ -18,12 +18,12 @@
     )
 }
 
-const fn count(present: usize, open: usize) -> ShardCount {
+const fn shard_count(present: usize, open: usize) -> ShardCount {
     ShardCount {
-        all: 20,
-        present,
-        open,
-        least: 18,
+        total: 20,
+        answered: present,
+        pending: open,
+        required: 18,
     }
 }
 
@@ -31,38 +31,53 @@
 /// without the rule all of its queries that meet a pause are late.
 #[test]
 fn paused_shard_is_left_out_when_the_target_is_near() {
-    let time = sweep();
-    assert_eq!(time.decide(count(19, 1), at(85)), AnswerStep::Wait(at(86)));
-    assert_eq!(time.decide(count(19, 1), at(86)), AnswerStep::Answer);
+    let time = answer_time();
+    assert_eq!(
+        time.decide(shard_count(19, 1), at(85)),
+        AnswerStep::Wait(at(86))
+    );
+    assert_eq!(time.decide(shard_count(19, 1), at(86)), AnswerStep::Answer);
 }
 
 #[test]
 fn complete_answer_is_sent_at_once() {
-    assert_eq!(sweep().decide(count(20, 0), at(9)), AnswerStep::Answer);
+    assert_eq!(
+        answer_time().decide(shard_count(20, 0), at(9)),
+        AnswerStep::Answer
+    );
 }
 
 /// Too many servers are slow. The target is missed, and the caller gets the answer at the moment at
 /// which enough shards are in, not at the end of its patience.
 #[test]
 fn late_answer_is_sent_when_enough_shards_are_in() {
-    let time = sweep();
+    let time = answer_time();
     assert_eq!(
-        time.decide(count(17, 3), at(300)),
+        time.decide(shard_count(17, 3), at(300)),
         AnswerStep::Wait(at(1_500))
     );
-    assert_eq!(time.decide(count(18, 2), at(301)), AnswerStep::Answer);
+    assert_eq!(time.decide(shard_count(18, 2), at(301)), AnswerStep::Answer);
 }
 
 /// Three shards have lost all their servers. No wait can help, so the caller hears it at once.
 #[test]
 fn lost_shards_end_the_query_at_once() {
-    assert_eq!(sweep().decide(count(10, 7), at(5)), AnswerStep::GiveUp);
-    assert_eq!(sweep().decide(count(17, 0), at(5)), AnswerStep::GiveUp);
+    assert_eq!(
+        answer_time().decide(shard_count(10, 7), at(5)),
+        AnswerStep::GiveUp
+    );
+    assert_eq!(
+        answer_time().decide(shard_count(17, 0), at(5)),
+        AnswerStep::GiveUp
+    );
 }
 
 #[test]
 fn patience_that_is_used_up_ends_the_query() {
-    assert_eq!(sweep().decide(count(17, 3), at(1_500)), AnswerStep::TimeUp);
+    assert_eq!(
+        answer_time().decide(shard_count(17, 3), at(1_500)),
+        AnswerStep::TimeUp
+    );
 }
 
 /// A caller of a tight route has used up 33 of its 60 ms by its question for fronts and a new connection.
@@ -74,7 +89,7 @@
     let reserve = TimeSpan::from_millis(12 + 33);
     let time = AnswerTime::new(at(0), target, reserve, TimeSpan::from_millis(267));
     assert_eq!(time.partial_at, at(15));
-    assert_eq!(time.decide(count(18, 2), at(18)), AnswerStep::Answer);
+    assert_eq!(time.decide(shard_count(18, 2), at(18)), AnswerStep::Answer);
 }
 
 #[test]
@@ -94,7 +109,7 @@
     #[test]
     fn any_step_is_bounded(present in 0usize..=20, open in 0usize..=20, now in 0u64..3_000) {
         prop_assume!(present + open <= 20);
-        match sweep().decide(count(present, open), at(now)) {
+        match answer_time().decide(shard_count(present, open), at(now)) {
             AnswerStep::Wait(until) => prop_assert!(until > at(now) && until <= at(1_500)),
             AnswerStep::Answer => prop_assert!(present >= 18),
             AnswerStep::GiveUp => prop_assert!(present + open < 18),
--- a/alderhaven-policy/tests/claim_ledger/bucket.rs
+++ b/alderhaven-policy/tests/claim_ledger/bucket.rs
@@ -5,9 +5,9 @@
 use alderhaven_policy::claim_key::ClaimKey;
 use alderhaven_policy::claim_slot::{KEY_SKEW, KEY_WINDOW, KeyAge, SLICE_MILLIS, SLOT_COUNT};
 
-use crate::ledger_world::{fingerprint, sample_key};
+use crate::ledger_simulation::{fingerprint, sample_key};
 
-const HALF_OF_VALUE: usize = 1 << 19;
+const MAX_BUCKET_BYTES: usize = 1 << 19;
 
 fn writer(origin: u64) -> ClaimWriter {
     ClaimWriter {
@@ -109,7 +109,7 @@
         assert_eq!(verdict, expected);
     }
     let body = bucket.encode();
-    assert!(body.len() < HALF_OF_VALUE, "{} bytes", body.len());
+    assert!(body.len() < MAX_BUCKET_BYTES, "{} bytes", body.len());
     assert_eq!(ClaimBucket::read(&body).unwrap(), bucket);
 }
 
--- a/alderhaven-policy/tests/claim_ledger/ledger_world.rs
+++ b/alderhaven-policy/tests/claim_ledger/ledger_simulation.rs
@@ -16,7 +16,7 @@
 use alderhaven_policy::claim_verdict::{ClaimTicket, ClaimVerdict};
 
 /// The most rounds in which a healthy ledger must come to rest.
-const REST_ROUNDS: usize = 400;
+const MAX_SETTLE_ROUNDS: usize = 400;
 
 /// A `LedgerOp` is one thing that happens.
 #[derive(Clone, Copy, Debug)]
@@ -49,21 +49,21 @@
     Outage(bool),
 }
 
-struct Message {
+struct PendingCall {
     node: usize,
     start: u64,
     call: ClaimCall,
     is_awaited: bool,
 }
 
-struct Reply {
+struct PendingReply {
     node: usize,
     start: u64,
     slot: ClaimSlot,
     content: ClaimReply,
 }
 
-struct Sent {
+struct SentClaim {
     start: u64,
     key: ClaimKey,
     other: bool,
@@ -71,16 +71,16 @@
     dispatched: Option<bool>,
 }
 
-pub struct LedgerWorld {
+pub struct LedgerSimulation {
     now: TimePoint,
-    starts: u64,
+    start_count: u64,
     nodes: Vec<(u64, ClaimBatcher)>,
     store: BTreeMap<ClaimSlot, StoredObject>,
     version: u64,
-    outage: bool,
-    calls: Vec<Message>,
-    replies: Vec<Reply>,
-    sent: HashMap<ClaimTicket, Sent>,
+    is_store_down: bool,
+    calls: Vec<PendingCall>,
+    replies: Vec<PendingReply>,
+    sent: HashMap<ClaimTicket, SentClaim>,
     order: Vec<ClaimTicket>,
     runs: HashMap<ClaimKey, usize>,
 }
@@ -96,15 +96,15 @@
     ClaimFingerprint::from_bits(u64::from(other))
 }
 
-impl LedgerWorld {
+impl LedgerSimulation {
     pub fn new() -> Self {
         let mut world = Self {
             now: TimePoint::START,
-            starts: 0,
+            start_count: 0,
             nodes: Vec::new(),
             store: BTreeMap::new(),
             version: 0,
-            outage: false,
+            is_store_down: false,
             calls: Vec::new(),
             replies: Vec::new(),
             sent: HashMap::new(),
@@ -112,21 +112,22 @@
             runs: HashMap::new(),
         };
         for _ in 0..3 {
-            let node = world.fresh_node();
+            let node = world.start_node();
             world.nodes.push(node);
         }
         world
     }
 
-    fn fresh_node(&mut self) -> (u64, ClaimBatcher) {
-        self.starts += 1;
+    fn start_node(&mut self) -> (u64, ClaimBatcher) {
+        self.start_count += 1;
         let writer = ClaimWriter {
             node: "entry".parse().unwrap(),
             address: ([127, 0, 0, 1], 1).into(),
-            origin: self.starts,
+            origin: self.start_count,
         };
-        let batcher = ClaimBatcher::new(writer, ClaimOptions::default(), self.starts, self.now);
-        (self.starts, batcher)
+        let batcher =
+            ClaimBatcher::new(writer, ClaimOptions::default(), self.start_count, self.now);
+        (self.start_count, batcher)
     }
 
     pub fn apply(&mut self, op: LedgerOp) {
@@ -142,8 +143,8 @@
             LedgerOp::LoseCall(pick) => self.give_up_call(pick, true),
             LedgerOp::Dispatch { pick, runs } => self.dispatch(pick, runs),
             LedgerOp::Advance(millis) => self.now = self.now + TimeSpan::from_millis(millis),
-            LedgerOp::Crash(node) => self.nodes[node] = self.fresh_node(),
-            LedgerOp::Outage(outage) => self.outage = outage,
+            LedgerOp::Crash(node) => self.nodes[node] = self.start_node(),
+            LedgerOp::Outage(outage) => self.is_store_down = outage,
         }
         self.step();
     }
@@ -152,7 +153,7 @@
         let deadline = self.now + TimeSpan::from_secs(3);
         let (start, batcher) = &mut self.nodes[node];
         let ticket = batcher.offer(key, fingerprint(other), deadline, self.now);
-        let sent = Sent {
+        let sent = SentClaim {
             start: *start,
             key,
             other,
@@ -184,7 +185,7 @@
         for node in 0..self.nodes.len() {
             let (start, batcher) = &mut self.nodes[node];
             while let Some(call) = batcher.poll(self.now) {
-                self.calls.push(Message {
+                self.calls.push(PendingCall {
                     node,
                     start: *start,
                     call,
@@ -200,7 +201,7 @@
     fn check_verdict(&mut self, ticket: ClaimTicket, verdict: ClaimVerdict) {
         let key = ticket.key;
         let other = self.sent[&ticket].other;
-        let same_key = |sent: &&Sent| sent.key == key;
+        let same_key = |sent: &&SentClaim| sent.key == key;
         let mut others = self.sent.values().filter(same_key);
         match &verdict {
             ClaimVerdict::Granted(granted) => assert_eq!(*granted, ticket),
@@ -208,7 +209,7 @@
                 assert!(others.filter(|sent| sent.other == other).count() > 1);
             }
             ClaimVerdict::Conflict => assert!(others.any(|sent| sent.other != other)),
-            ClaimVerdict::TooOld => assert!(self.is_passed(key), "{key} too old too early"),
+            ClaimVerdict::TooOld => assert!(self.is_behind_horizon(key), "{key} too old too early"),
             ClaimVerdict::Refused { .. } => {}
         }
         let sent = self.sent.get_mut(&ticket).unwrap();
@@ -216,7 +217,7 @@
         sent.verdict = Some(verdict);
     }
 
-    fn is_passed(&self, key: ClaimKey) -> bool {
+    fn is_behind_horizon(&self, key: ClaimKey) -> bool {
         self.sent.values().any(|sent| {
             ClaimSlot::of(&sent.key) == ClaimSlot::of(&key) && slice_of(&sent.key) > slice_of(&key)
         })
@@ -258,7 +259,7 @@
         let reply = self.store_reply(self.calls[place].call.clone());
         let message = &mut self.calls[place];
         if message.is_awaited {
-            self.replies.push(Reply {
+            self.replies.push(PendingReply {
                 node: message.node,
                 start: message.start,
                 slot: message.call.slot,
@@ -267,13 +268,13 @@
         }
         message.is_awaited = false;
         // A store that answers that it did nothing does nothing later either.
-        if !again || self.outage {
+        if !again || self.is_store_down {
             self.calls.remove(place);
         }
     }
 
     fn store_reply(&mut self, call: ClaimCall) -> ClaimReply {
-        if self.outage {
+        if self.is_store_down {
             return ClaimReply::NotDone { retry_after: None };
         }
         let current = self.store.get(&call.slot).cloned();
@@ -308,7 +309,7 @@
         } else {
             reply.content
         };
-        self.hear(reply.node, reply.start, reply.slot, heard);
+        self.deliver_reply(reply.node, reply.start, reply.slot, heard);
     }
 
     fn give_up_call(&mut self, pick: usize, is_gone: bool) {
@@ -323,21 +324,21 @@
             self.calls.remove(place);
         }
         if was_awaited {
-            self.hear(node, start, slot, ClaimReply::Lost);
+            self.deliver_reply(node, start, slot, ClaimReply::Lost);
         }
     }
 
-    fn hear(&mut self, node: usize, start: u64, slot: ClaimSlot, reply: ClaimReply) {
+    fn deliver_reply(&mut self, node: usize, start: u64, slot: ClaimSlot, reply: ClaimReply) {
         let (current, batcher) = &mut self.nodes[node];
         if *current == start {
-            batcher.finish(slot, reply, self.now);
+            batcher.handle_reply(slot, reply, self.now);
         }
     }
 
     /// Ends all faults, lets everything come to rest, and asserts that free keys can be claimed.
-    pub fn heal(&mut self) {
-        self.outage = false;
-        self.rest();
+    pub fn recover_and_check(&mut self) {
+        self.is_store_down = false;
+        self.settle();
         // The ledger may refuse until its longest pause is over.
         self.now = self.now + ClaimOptions::default().longest_pause;
         let ready: Vec<ClaimTicket> = self.ready().collect();
@@ -351,11 +352,11 @@
                 .sent
                 .values()
                 .any(|sent| sent.key == key && self.is_held(sent));
-            if is_held || self.is_passed(key) {
+            if is_held || self.is_behind_horizon(key) {
                 continue;
             }
             let ticket = self.send(0, key, false);
-            self.rest();
+            self.settle();
             let verdict = self.verdict(ticket);
             assert!(
                 matches!(verdict, Some(ClaimVerdict::Granted(_))),
@@ -365,15 +366,15 @@
     }
 
     /// Returns true where the claim of a send stands, or may do so since its node is gone.
-    fn is_held(&self, sent: &Sent) -> bool {
+    fn is_held(&self, sent: &SentClaim) -> bool {
         let is_up = self.nodes.iter().any(|node| node.0 == sent.start);
         let is_granted = matches!(sent.verdict, Some(ClaimVerdict::Granted(_)));
         !is_up || (is_granted && sent.dispatched != Some(false))
     }
 
     /// Serves all calls until nothing is under way.
-    pub fn rest(&mut self) {
-        for _ in 0..REST_ROUNDS {
+    pub fn settle(&mut self) {
+        for _ in 0..MAX_SETTLE_ROUNDS {
             self.now = self.now + TimeSpan::from_millis(50);
             self.step();
             while !self.calls.is_empty() {
@@ -383,8 +384,9 @@
                 self.reply(0, false);
             }
             self.step();
-            let is_idle =
-                |node: &(u64, ClaimBatcher)| node.1.waiting() == 0 && node.1.releases() == 0;
+            let is_idle = |node: &(u64, ClaimBatcher)| {
+                node.1.waiting_count() == 0 && node.1.release_count() == 0
+            };
             if self.calls.is_empty() && self.nodes.iter().all(is_idle) {
                 return;
             }
--- a/alderhaven-policy/tests/claim_ledger/main.rs
+++ b/alderhaven-policy/tests/claim_ledger/main.rs
@@ -1,15 +1,15 @@
 //! Tests of the claim ledger: buckets by cases, and the whole by stateful fuzzing against an oracle.
 
 mod bucket;
-mod ledger_world;
+mod ledger_simulation;
 mod scenarios;
 
-use ledger_world::{LedgerOp, LedgerWorld};
+use ledger_simulation::{LedgerOp, LedgerSimulation};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 /// The cases of a plain run; `PROPTEST_CASES` raises them.
-const LEAST_CASES: u32 = 256;
+const DEFAULT_CASES: u32 = 256;
 /// The seed of a plain run; `LEDGER_SEED` gives another.
 const CI_SEED: u64 = 20_261_202;
 
@@ -21,7 +21,7 @@
         .ok()
         .and_then(|text| text.parse().ok());
     ProptestConfig {
-        cases: asked.unwrap_or(LEAST_CASES),
+        cases: asked.unwrap_or(DEFAULT_CASES),
         rng_seed: RngSeed::Fixed(seed.unwrap_or(CI_SEED)),
         failure_persistence: None,
         max_shrink_iters: 20_000,
@@ -59,10 +59,10 @@
     /// all is well again a key that nobody ran or holds can be claimed.
     #[test]
     fn ledger_any_order_of_events(ops in prop::collection::vec(ledger_op(), 0..160)) {
-        let mut world = LedgerWorld::new();
+        let mut world = LedgerSimulation::new();
         for op in ops {
             world.apply(op);
         }
-        world.heal();
+        world.recover_and_check();
     }
 }
--- a/alderhaven-policy/tests/claim_ledger/scenarios.rs
+++ b/alderhaven-policy/tests/claim_ledger/scenarios.rs
@@ -2,9 +2,9 @@
 
 use alderhaven_policy::claim_verdict::{ClaimRefusal, ClaimVerdict};
 
-use crate::ledger_world::{LedgerOp, LedgerWorld, sample_key};
+use crate::ledger_simulation::{LedgerOp, LedgerSimulation, sample_key};
 
-fn run(world: &mut LedgerWorld, ops: &[LedgerOp]) {
+fn apply_all(world: &mut LedgerSimulation, ops: &[LedgerOp]) {
     for op in ops {
         world.apply(*op);
     }
@@ -14,10 +14,10 @@
 /// entry reads back, finds its own claim and runs the request, once.
 #[test]
 fn ledger_lost_reply_is_read_back() {
-    let mut world = LedgerWorld::new();
+    let mut world = LedgerSimulation::new();
     let ticket = world.send(0, sample_key(0), false);
     world.step();
-    run(
+    apply_all(
         &mut world,
         &[
             LedgerOp::Serve(0),
@@ -30,7 +30,7 @@
         ],
     );
     assert_eq!(world.verdict(ticket), Some(&ClaimVerdict::Granted(ticket)));
-    world.heal();
+    world.recover_and_check();
 }
 
 /// A write is late and its entry gives up: the caller hears "not run". A read shows nothing, and
@@ -38,10 +38,10 @@
 /// entry has to write the claim out instead of trusting the read.
 #[test]
 fn ledger_write_takes_effect_after_the_read() {
-    let mut world = LedgerWorld::new();
+    let mut world = LedgerSimulation::new();
     let ticket = world.send(0, sample_key(0), false);
     world.step();
-    run(
+    apply_all(
         &mut world,
         &[
             LedgerOp::Serve(0),
@@ -65,25 +65,25 @@
         })
     );
     assert!(refused, "{:?}", world.verdict(ticket));
-    world.heal();
+    world.recover_and_check();
 }
 
 /// A request ran, its caller missed the answer, and the store goes out of service. The caller asks
 /// an entry that has seen the claim: it must not hear "not run" of a request that ran.
 #[test]
 fn ledger_outage_does_not_deny_a_claim_that_was_seen() {
-    let mut world = LedgerWorld::new();
+    let mut world = LedgerSimulation::new();
     let first = world.send(0, sample_key(0), false);
-    world.rest();
+    world.settle();
     assert_eq!(world.verdict(first), Some(&ClaimVerdict::Granted(first)));
     let seen = world.send(1, sample_key(1), false);
-    world.rest();
+    world.settle();
     assert_eq!(world.verdict(seen), Some(&ClaimVerdict::Granted(seen)));
-    run(&mut world, &[LedgerOp::Outage(true)]);
+    apply_all(&mut world, &[LedgerOp::Outage(true)]);
     for _ in 0..2 {
         let again = world.send(1, sample_key(0), false);
         world.step();
-        run(&mut world, &[LedgerOp::Serve(0), LedgerOp::Reply(0)]);
+        apply_all(&mut world, &[LedgerOp::Serve(0), LedgerOp::Reply(0)]);
         let verdict = world.verdict(again);
         assert!(
             matches!(verdict, Some(ClaimVerdict::Taken(_))),
@@ -97,15 +97,15 @@
 #[test]
 fn ledger_restored_store_grants_nothing() {
     for later_key in [1, 4] {
-        let mut world = LedgerWorld::new();
+        let mut world = LedgerSimulation::new();
         let older = world.copy_store();
         let ticket = world.send(0, sample_key(0), false);
-        world.rest();
+        world.settle();
         assert_eq!(world.verdict(ticket), Some(&ClaimVerdict::Granted(ticket)));
         world.restore_store(older);
         for _ in 0..2 {
             let later = world.send(0, sample_key(later_key), false);
-            world.rest();
+            world.settle();
             let refused = matches!(
                 world.verdict(later),
                 Some(ClaimVerdict::Refused {
@@ -116,7 +116,7 @@
             assert!(refused, "{:?}", world.verdict(later));
         }
         let again = world.send(0, sample_key(0), false);
-        world.rest();
+        world.settle();
         let verdict = world.verdict(again);
         assert!(
             matches!(verdict, Some(ClaimVerdict::Taken(_))),
@@ -129,11 +129,11 @@
 /// came too late waits before its next try; it must not wait as long as that call took.
 #[test]
 fn ledger_conflict_of_a_slow_call_holds_up_briefly() {
-    let mut world = LedgerWorld::new();
+    let mut world = LedgerSimulation::new();
     world.send(0, sample_key(0), false);
     world.send(1, sample_key(1), false);
     world.step();
-    run(
+    apply_all(
         &mut world,
         &[
             LedgerOp::Serve(0),
@@ -149,7 +149,7 @@
         ],
     );
     let ticket = world.send(1, sample_key(1), false);
-    world.rest();
+    world.settle();
     assert_eq!(world.verdict(ticket), Some(&ClaimVerdict::Granted(ticket)));
 }
 
@@ -157,10 +157,10 @@
 /// the next one without a call.
 #[test]
 fn ledger_outage_refuses_at_once() {
-    let mut world = LedgerWorld::new();
+    let mut world = LedgerSimulation::new();
     let first = world.send(0, sample_key(0), false);
     world.step();
-    run(
+    apply_all(
         &mut world,
         &[
             LedgerOp::Outage(true),
@@ -180,5 +180,5 @@
         );
         assert!(refused, "{:?}", world.verdict(ticket));
     }
-    world.heal();
+    world.recover_and_check();
 }
--- a/alderhaven-policy/tests/common/mod.rs
+++ b/alderhaven-policy/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use proptest::test_runner::{Config, RngSeed};
 
 /// Returns a configuration with a fixed seed; `PROPTEST_CASES` sets the number of cases.
-pub fn cases(count: u32) -> Config {
+pub fn proptest_config(count: u32) -> Config {
     let cases = std::env::var("PROPTEST_CASES")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -32,9 +32,9 @@
 }
 
 /// A `DrawSource` draws repeatable numbers (the generator splitmix64).
-pub struct DrawSource(pub u64);
+pub struct SeededRng(pub u64);
 
-impl DrawSource {
+impl SeededRng {
     /// Draws any number.
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -56,18 +56,18 @@
 }
 
 /// An `EventLoop` hands out events in the order of their times.
-pub struct EventLoop<E> {
+pub struct EventQueue<E> {
     events: BinaryHeap<Reverse<(TimePoint, u64)>>,
-    bodies: std::collections::HashMap<u64, E>,
+    payloads: std::collections::HashMap<u64, E>,
     count: u64,
 }
 
-impl<E> EventLoop<E> {
+impl<E> EventQueue<E> {
     /// Returns a loop without events.
     pub fn new() -> Self {
         Self {
             events: BinaryHeap::new(),
-            bodies: std::collections::HashMap::new(),
+            payloads: std::collections::HashMap::new(),
             count: 0,
         }
     }
@@ -76,13 +76,13 @@
     pub fn add(&mut self, time: TimePoint, body: E) {
         self.count += 1;
         self.events.push(Reverse((time, self.count)));
-        self.bodies.insert(self.count, body);
+        self.payloads.insert(self.count, body);
     }
 
     /// Takes the next event.
     pub fn next(&mut self) -> Option<(TimePoint, E)> {
         let Reverse((time, number)) = self.events.pop()?;
-        self.bodies.remove(&number).map(|body| (time, body))
+        self.payloads.remove(&number).map(|body| (time, body))
     }
 }
 
@@ -99,5 +99,5 @@
     values.get(place).copied().unwrap_or_default()
 }
 
-pub mod service_loop;
-pub mod shard_field;
+pub mod service_simulation;
+pub mod shard_simulation;
--- a/alderhaven-policy/tests/common/service_loop.rs
+++ b/alderhaven-policy/tests/common/service_simulation.rs
@@ -11,7 +11,7 @@
 use alderhaven_policy::relay_queue::{OfferOutcome, QueueJob, RelayQueue, RelayQueueOptions};
 use alderhaven_policy::service_capacity::QueryReport;
 
-use super::{DrawSource, EventLoop, ms};
+use super::{EventQueue, SeededRng, ms};
 
 /// A query that a caller sends.
 #[derive(Clone)]
@@ -23,14 +23,14 @@
     /// The only shard it asks, or all.
     pub shard: Option<usize>,
     /// The time in which an answer is of use.
-    pub span: TimeSpan,
+    pub time_limit: TimeSpan,
     /// The mean service time of one attempt.
-    pub service: TimeSpan,
+    pub mean_service_time: TimeSpan,
 }
 
 /// What a caller received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum CallOutcome {
     Complete(TimeSpan),
     Incomplete(TimeSpan),
     Refused(TimeSpan),
@@ -48,9 +48,9 @@
     ticket: AdmitTicket,
     entry: usize,
     call: usize,
-    left: usize,
+    pending: usize,
     waits: Vec<TimeSpan>,
-    services: Vec<TimeSpan>,
+    service_times: Vec<TimeSpan>,
     not_run: u32,
 }
 
@@ -62,22 +62,22 @@
 }
 
 /// The state of one run.
-pub struct ServiceLoop<'a> {
+pub struct ServiceSimulation<'a> {
     shape: ServiceShape,
     calls: &'a [Call],
     gates: Vec<AdmissionGate>,
     queues: Vec<RelayQueue>,
     open: BTreeMap<u64, OpenQuery>,
     waits: BTreeMap<AttemptId, TimeSpan>,
-    pub fates: Vec<Option<Fate>>,
-    events: EventLoop<Step>,
-    draw: DrawSource,
-    wake: Option<TimePoint>,
+    pub outcomes: Vec<Option<CallOutcome>>,
+    events: EventQueue<Step>,
+    rng: SeededRng,
+    next_wakeup: Option<TimePoint>,
     /// The attempts that the targets ran.
     pub ran: u64,
 }
 
-impl<'a> ServiceLoop<'a> {
+impl<'a> ServiceSimulation<'a> {
     pub fn new(shape: ServiceShape, calls: &'a [Call], seed: u64) -> Self {
         let mut gates = Vec::new();
         for entry in 0..shape.entries {
@@ -96,10 +96,10 @@
             gates,
             open: BTreeMap::new(),
             waits: BTreeMap::new(),
-            fates: vec![None; calls.len()],
-            events: EventLoop::new(),
-            draw: DrawSource(seed),
-            wake: None,
+            outcomes: vec![None; calls.len()],
+            events: EventQueue::new(),
+            rng: SeededRng(seed),
+            next_wakeup: None,
             ran: 0,
         }
     }
@@ -113,15 +113,15 @@
             match step {
                 Step::Call(index) => self.call(index, now),
                 Step::End(shard, id, query, service) => {
-                    self.queues[shard].finished(id, Some(service), now);
+                    self.queues[shard].record_finished(id, Some(service), now);
                     let wait = self.waits.remove(&id).unwrap_or_default();
-                    self.answered(query, Some((wait, service)), now);
+                    self.record_answer(query, Some((wait, service)), now);
                     self.start(shard, now);
                 }
                 Step::Deadline(query) => self.give_up(query, now),
                 Step::Wake => {}
             }
-            self.drive(now);
+            self.process_ready(now);
         }
         self
     }
@@ -138,16 +138,18 @@
             class: call.class,
             fan_out: u32::try_from(fan_out).unwrap(),
             key: call.key,
-            deadline: now + call.span,
+            deadline: now + call.time_limit,
         };
         match self.gates[entry].offer(request, now) {
             AdmitDecision::Admit(ticket) => self.scatter(entry, ticket, now),
             AdmitDecision::Queue => {}
-            AdmitDecision::Refuse(_) => self.fates[index] = Some(Fate::Refused(TimeSpan::ZERO)),
+            AdmitDecision::Refuse(_) => {
+                self.outcomes[index] = Some(CallOutcome::Refused(TimeSpan::ZERO))
+            }
         }
     }
 
-    fn drive(&mut self, now: TimePoint) {
+    fn process_ready(&mut self, now: TimePoint) {
         for entry in 0..self.gates.len() {
             while let Some(ready) = self.gates[entry].next_ready(now) {
                 match ready {
@@ -155,12 +157,12 @@
                     ReadyQuery::Refuse { id, .. } => {
                         let index = usize::try_from(id).unwrap();
                         let after = now.since(self.calls[index].time);
-                        self.fates[index] = Some(Fate::Refused(after));
+                        self.outcomes[index] = Some(CallOutcome::Refused(after));
                     }
                 }
             }
         }
-        if self.wake.is_some_and(|wake| wake > now) {
+        if self.next_wakeup.is_some_and(|wake| wake > now) {
             return;
         }
         for shard in 0..self.queues.len() {
@@ -168,9 +170,9 @@
             self.start(shard, now);
         }
         let wake = now + ms(1);
-        self.wake = Some(wake);
-        let is_busy = self.queues.iter().any(|queue| queue.waiting() > 0)
-            || self.gates.iter().any(|gate| gate.next_give_up().is_some());
+        self.next_wakeup = Some(wake);
+        let is_busy = self.queues.iter().any(|queue| queue.waiting_count() > 0)
+            || self.gates.iter().any(|gate| gate.next_expiry().is_some());
         if is_busy {
             self.events.add(wake, Step::Wake);
         }
@@ -193,23 +195,23 @@
                 ticket,
                 entry,
                 call: index,
-                left: shards.len(),
+                pending: shards.len(),
                 waits: Vec::new(),
-                services: Vec::new(),
+                service_times: Vec::new(),
                 not_run: 0,
             },
         );
         for shard in shards {
             let job = QueueJob {
-                id: attempt(query, shard),
+                id: attempt_id(query, shard),
                 class,
                 order,
                 template: job_template.clone(),
                 deadline,
-                hedge: false,
+                is_hedge: false,
             };
             if let OfferOutcome::Refused(_) = self.queues[shard].offer(job, now, self.shape.slots) {
-                self.answered(query, None, now);
+                self.record_answer(query, None, now);
             }
             self.start(shard, now);
         }
@@ -218,9 +220,9 @@
     fn start(&mut self, shard: usize, now: TimePoint) {
         while let Some(started) = self.queues[shard].start_next(now, self.shape.slots) {
             let query = started.job.id.origin;
-            let mean = self.calls[usize::try_from(query).unwrap()].service;
+            let mean = self.calls[usize::try_from(query).unwrap()].mean_service_time;
             // Half of the time is fixed, half varies.
-            let service = mean.mul_f64(0.5) + self.draw.exponential(mean.mul_f64(0.5));
+            let service = mean.mul_f64(0.5) + self.rng.exponential(mean.mul_f64(0.5));
             self.waits.insert(started.job.id, started.waited);
             self.ran += 1;
             self.events.add(
@@ -229,24 +231,24 @@
             );
         }
         for dropped in self.queues[shard].take_dropped() {
-            self.answered(dropped.id.origin, None, now);
+            self.record_answer(dropped.id.origin, None, now);
         }
     }
 
-    fn answered(&mut self, query: u64, reply: Option<(TimeSpan, TimeSpan)>, now: TimePoint) {
+    fn record_answer(&mut self, query: u64, reply: Option<(TimeSpan, TimeSpan)>, now: TimePoint) {
         let Some(open) = self.open.get_mut(&query) else {
             return;
         };
         match reply {
             Some((wait, service)) => {
                 open.waits.push(wait);
-                open.services.push(service);
+                open.service_times.push(service);
             }
             None => open.not_run += 1,
         }
-        open.left -= 1;
-        self.gates[open.entry].replied(&mut open.ticket);
-        if open.left == 0 {
+        open.pending -= 1;
+        self.gates[open.entry].record_reply(&mut open.ticket);
+        if open.pending == 0 {
             self.close(query, now);
         }
     }
@@ -254,7 +256,7 @@
     fn give_up(&mut self, query: u64, now: TimePoint) {
         if self.open.contains_key(&query) {
             for shard in 0..self.queues.len() {
-                self.queues[shard].cancel(attempt(query, shard));
+                self.queues[shard].cancel(attempt_id(query, shard));
             }
             self.close(query, now);
         }
@@ -264,17 +266,17 @@
         let open = self.open.remove(&query).unwrap();
         let report = QueryReport {
             queue_wait: mean(&open.waits),
-            service: mean(&open.services),
+            service_time: mean(&open.service_times),
             attempts: open.ticket.request.fan_out,
             not_run: open.not_run,
         };
-        self.gates[open.entry].finished(&open.ticket, report, now);
+        self.gates[open.entry].record_finished(&open.ticket, report, now);
         let after = now.since(self.calls[open.call].time);
-        let is_whole = open.left == 0 && open.not_run == 0;
-        self.fates[open.call] = Some(if is_whole {
-            Fate::Complete(after)
+        let is_whole = open.pending == 0 && open.not_run == 0;
+        self.outcomes[open.call] = Some(if is_whole {
+            CallOutcome::Complete(after)
         } else {
-            Fate::Incomplete(after)
+            CallOutcome::Incomplete(after)
         });
     }
 
@@ -282,19 +284,19 @@
     pub fn limits(&self) -> Vec<f64> {
         self.gates
             .iter()
-            .map(|gate| gate.load_of(&service()).unwrap().limit)
+            .map(|gate| gate.service_load(&service()).unwrap().limit)
             .collect()
     }
 
     /// Describes the fates of the calls that `keep` holds for.
-    pub fn describe(&self, keep: impl Fn(&Call) -> bool) -> String {
+    pub fn summarize(&self, keep: impl Fn(&Call) -> bool) -> String {
         let (mut complete, mut incomplete, mut refused, mut late) = (0, 0, 0, 0);
-        for fate in self.with_fates(keep) {
+        for fate in self.outcomes_of(keep) {
             match fate {
-                Fate::Complete(_) => complete += 1,
-                Fate::Incomplete(_) => incomplete += 1,
-                Fate::Refused(after) if after > ms(5) => late += 1,
-                Fate::Refused(_) => refused += 1,
+                CallOutcome::Complete(_) => complete += 1,
+                CallOutcome::Incomplete(_) => incomplete += 1,
+                CallOutcome::Refused(after) if after > ms(5) => late += 1,
+                CallOutcome::Refused(_) => refused += 1,
             }
         }
         format!(
@@ -305,25 +307,25 @@
 
     /// Gets the latencies of the whole answers to the calls that `keep` holds for.
     pub fn latencies(&self, keep: impl Fn(&Call) -> bool) -> Vec<TimeSpan> {
-        self.with_fates(keep)
+        self.outcomes_of(keep)
             .filter_map(|fate| match fate {
-                Fate::Complete(after) => Some(after),
+                CallOutcome::Complete(after) => Some(after),
                 _ => None,
             })
             .collect()
     }
 
     /// Gets the share of the calls that got a whole answer in time.
-    pub fn share_whole(&self, keep: impl Fn(&Call) -> bool + Copy) -> f64 {
-        let all = self.with_fates(keep).count();
+    pub fn complete_share(&self, keep: impl Fn(&Call) -> bool + Copy) -> f64 {
+        let all = self.outcomes_of(keep).count();
         self.latencies(keep).len() as f64 / all.max(1) as f64
     }
 
     /// Gets the fates of the calls that `keep` holds for.
-    pub fn with_fates(&self, keep: impl Fn(&Call) -> bool) -> impl Iterator<Item = Fate> {
+    pub fn outcomes_of(&self, keep: impl Fn(&Call) -> bool) -> impl Iterator<Item = CallOutcome> {
         self.calls
             .iter()
-            .zip(&self.fates)
+            .zip(&self.outcomes)
             .filter(move |(call, _)| keep(call))
             .map(|(_, fate)| fate.expect("every call has its answer"))
     }
@@ -334,7 +336,7 @@
     sum.mul_f64(1.0 / spans.len().max(1) as f64)
 }
 
-fn attempt(query: u64, shard: usize) -> AttemptId {
+fn attempt_id(query: u64, shard: usize) -> AttemptId {
     AttemptId {
         origin: query,
         sequence: shard as u64,
@@ -346,16 +348,18 @@
 }
 
 fn template(call: &Call) -> TemplateName {
-    format!("{}-{}", call.class, call.service).parse().unwrap()
+    format!("{}-{}", call.class, call.mean_service_time)
+        .parse()
+        .unwrap()
 }
 
 /// Draws calls with exponential gaps at a rate per second from `from` until `until`.
 pub fn poisson(
-    draw: &mut DrawSource,
+    draw: &mut SeededRng,
     rate: f64,
     from: TimePoint,
     until: TimePoint,
-    mut build: impl FnMut(&mut DrawSource, TimePoint) -> Call,
+    mut build: impl FnMut(&mut SeededRng, TimePoint) -> Call,
 ) -> Vec<Call> {
     let mut calls = Vec::new();
     let mut time = from;
--- a/alderhaven-policy/tests/common/shard_field.rs
+++ b/alderhaven-policy/tests/common/shard_simulation.rs
@@ -4,20 +4,20 @@
 use std::collections::VecDeque;
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
+use alderhaven_policy::concurrency_limit::QuerySignal;
 use alderhaven_policy::query_gate::{GateDecision, GateQuery, QueryGate};
-use alderhaven_policy::room_limit::QueryNeed;
 
-use super::{DrawSource, EventLoop, ms};
+use super::{EventQueue, SeededRng, ms};
 
 /// The way between a front and a target, there or back.
-const WAY: TimeSpan = TimeSpan::from_millis(1);
+const ONE_WAY_DELAY: TimeSpan = TimeSpan::from_millis(1);
 
 /// The requests that wait at a replica before it refuses.
-const QUEUE: usize = 12;
+const MAX_QUEUE_LENGTH: usize = 12;
 
 /// A `FieldOptions` is a load on shards with two replicas of two slots each.
 #[derive(Clone, Debug)]
-pub struct FieldOptions {
+pub struct ShardSimulationOptions {
     /// Queries a second at each front, by stretches of time: until when, and how many.
     pub rates: Vec<(TimePoint, Vec<f64>)>,
     /// The shards; one stands for a service that is not sharded.
@@ -27,7 +27,7 @@
     /// Whether fronts decide on queries; else all are sent.
     pub is_gated: bool,
     /// How many shards have replicas that work this many times as long.
-    pub slow: (usize, f64),
+    pub slow_shards: (usize, f64),
     /// The seed.
     pub seed: u64,
 }
@@ -38,20 +38,20 @@
     /// Its rank.
     pub rank: u32,
     /// Its part of all queries.
-    pub part: f64,
+    pub share: f64,
     /// The mean work for each shard.
-    pub work: TimeSpan,
+    pub mean_work: TimeSpan,
     /// The latency target.
-    pub target: TimeSpan,
+    pub latency_target: TimeSpan,
     /// The shards that make an answer.
-    pub least: usize,
+    pub required_shards: usize,
 }
 
 /// A `FieldTally` counts the ends of queries.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FieldTally {
+pub struct QueryTally {
     /// All of them.
-    pub asked: f64,
+    pub total: f64,
     /// Those answered in time.
     pub in_time: f64,
     /// Those refused.
@@ -61,14 +61,14 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum FieldEvent {
+enum SimulationEvent {
     Arrive {
         front: usize,
     },
-    WaitOver {
+    WaitTimedOut {
         query: usize,
     },
-    Reached {
+    AttemptArrived {
         query: usize,
         shard: usize,
         replica: usize,
@@ -77,12 +77,12 @@
         shard: usize,
         replica: usize,
     },
-    Back {
+    ReplyArrived {
         query: usize,
         shard: usize,
         is_answered: bool,
     },
-    Due {
+    DeadlineReached {
         query: usize,
     },
 }
@@ -95,13 +95,13 @@
 }
 
 #[derive(Debug)]
-struct FieldQuery {
+struct SimulatedQuery {
     front: usize,
     kind: usize,
     arrived: TimePoint,
     started: TimePoint,
     state: QueryState,
-    present: usize,
+    answered_shards: usize,
     /// The replica that each shard was sent to, until it has refused and the other was asked.
     tried: Vec<Option<usize>>,
     /// The shards that were sent a second time.
@@ -109,45 +109,45 @@
 }
 
 #[derive(Debug, Default)]
-struct FieldReplica {
+struct SimulatedReplica {
     busy: usize,
     queue: VecDeque<(usize, usize)>,
 }
 
 #[derive(Debug, Default)]
-struct FieldFront {
+struct SimulatedFront {
     gate: QueryGate,
     /// The attempts of this front that are out, by shard and replica.
-    out: Vec<[usize; 2]>,
+    attempts_in_flight: Vec<[usize; 2]>,
 }
 
 /// A `ShardField` is the model while it runs.
-pub struct ShardField {
-    options: FieldOptions,
-    draws: DrawSource,
+pub struct ShardSimulation {
+    options: ShardSimulationOptions,
+    rng: SeededRng,
     now: TimePoint,
-    events: EventLoop<FieldEvent>,
-    queries: Vec<FieldQuery>,
-    shards: Vec<[FieldReplica; 2]>,
-    fronts: Vec<FieldFront>,
+    events: EventQueue<SimulationEvent>,
+    queries: Vec<SimulatedQuery>,
+    shards: Vec<[SimulatedReplica; 2]>,
+    fronts: Vec<SimulatedFront>,
     /// What was counted, by kind, front and second of arrival.
-    tallies: Vec<(usize, usize, u64, FieldTally)>,
+    tallies: Vec<(usize, usize, u64, QueryTally)>,
 }
 
-const SLOTS: usize = 2;
+const SLOTS_PER_REPLICA: usize = 2;
 
-impl ShardField {
+impl ShardSimulation {
     /// Runs a load to its end.
-    pub fn run(options: FieldOptions) -> Self {
+    pub fn run(options: ShardSimulationOptions) -> Self {
         let (fronts, shards) = (options.rates[0].1.len(), options.shards);
         let mut field = Self {
-            draws: DrawSource(options.seed),
+            rng: SeededRng(options.seed),
             options,
             now: TimePoint::START,
-            events: EventLoop::new(),
+            events: EventQueue::new(),
             queries: Vec::new(),
             shards: (0..shards).map(|_| Default::default()).collect(),
-            fronts: (0..fronts).map(|_| FieldFront::new(shards)).collect(),
+            fronts: (0..fronts).map(|_| SimulatedFront::new(shards)).collect(),
             tallies: Vec::new(),
         };
         for front in 0..fronts {
@@ -161,11 +161,11 @@
     }
 
     /// Adds up what was counted of queries that `is_meant` by kind, front and second of arrival.
-    pub fn tally(&self, is_meant: impl Fn(usize, usize, u64) -> bool) -> FieldTally {
-        let mut sum = FieldTally::default();
+    pub fn tally(&self, is_meant: impl Fn(usize, usize, u64) -> bool) -> QueryTally {
+        let mut sum = QueryTally::default();
         for (kind, front, second, tally) in &self.tallies {
             if is_meant(*kind, *front, *second) {
-                sum.asked += tally.asked;
+                sum.total += tally.total;
                 sum.in_time += tally.in_time;
                 sum.refused += tally.refused;
                 sum.slowest_refusal = sum.slowest_refusal.max(tally.slowest_refusal);
@@ -174,25 +174,25 @@
         sum
     }
 
-    fn handle(&mut self, event: FieldEvent) {
+    fn handle(&mut self, event: SimulationEvent) {
         match event {
-            FieldEvent::Arrive { front } => self.arrive(front),
-            FieldEvent::WaitOver { query } => self.wait_over(query),
-            FieldEvent::Reached {
+            SimulationEvent::Arrive { front } => self.arrive(front),
+            SimulationEvent::WaitTimedOut { query } => self.time_out_wait(query),
+            SimulationEvent::AttemptArrived {
                 query,
                 shard,
                 replica,
-            } => self.reach(query, shard, replica),
-            FieldEvent::WorkDone { shard, replica } => {
+            } => self.receive_attempt(query, shard, replica),
+            SimulationEvent::WorkDone { shard, replica } => {
                 self.shards[shard][replica].busy -= 1;
                 self.start_work(shard, replica);
             }
-            FieldEvent::Back {
+            SimulationEvent::ReplyArrived {
                 query,
                 shard,
                 is_answered,
-            } => self.take(query, shard, is_answered),
-            FieldEvent::Due { query } => self.end(query),
+            } => self.receive_reply(query, shard, is_answered),
+            SimulationEvent::DeadlineReached { query } => self.end(query),
         }
     }
 
@@ -201,8 +201,9 @@
         let stretch = self.options.rates.iter().find(|(until, _)| now < *until);
         if let Some((_, rates)) = stretch {
             let mean = TimeSpan::from_secs(1).mul_f64(1.0 / rates[front]);
-            let gap = self.draws.exponential(mean);
-            self.events.add(now + gap, FieldEvent::Arrive { front });
+            let gap = self.rng.exponential(mean);
+            self.events
+                .add(now + gap, SimulationEvent::Arrive { front });
         }
     }
 
@@ -210,13 +211,13 @@
         self.plan_arrival(front);
         let kind = self.draw_kind();
         let id = self.queries.len();
-        self.queries.push(FieldQuery {
+        self.queries.push(SimulatedQuery {
             front,
             kind,
             arrived: self.now,
             started: self.now,
             state: QueryState::Waiting,
-            present: 0,
+            answered_shards: 0,
             tried: vec![None; self.options.shards],
             retried: vec![false; self.options.shards],
         });
@@ -228,13 +229,14 @@
         let query = GateQuery {
             id: id as u64,
             rank: options.rank,
-            target: options.target,
+            latency_target: options.latency_target,
             is_late: false,
         };
         match self.fronts[front].gate.offer(query, self.now) {
             GateDecision::Admit => self.start(id),
             GateDecision::Wait { until, outranked } => {
-                self.events.add(until, FieldEvent::WaitOver { query: id });
+                self.events
+                    .add(until, SimulationEvent::WaitTimedOut { query: id });
                 if let Some(outranked) = outranked {
                     self.refuse(usize::try_from(outranked).expect("a place"));
                 }
@@ -244,16 +246,16 @@
     }
 
     fn draw_kind(&mut self) -> usize {
-        let mut left = self.draws.unit();
+        let mut left = self.rng.unit();
         let kinds = &self.options.kinds;
         let found = kinds.iter().position(|kind| {
-            left -= kind.part;
+            left -= kind.share;
             left < 0.0
         });
         found.unwrap_or(0)
     }
 
-    fn wait_over(&mut self, query: usize) {
+    fn time_out_wait(&mut self, query: usize) {
         if self.queries[query].state != QueryState::Waiting {
             return;
         }
@@ -265,13 +267,13 @@
     fn refuse(&mut self, query: usize) {
         let took = self.now.since(self.queries[query].arrived);
         self.queries[query].state = QueryState::Ended;
-        let tally = FieldTally {
-            asked: 1.0,
+        let tally = QueryTally {
+            total: 1.0,
             refused: 1.0,
             slowest_refusal: took,
-            ..FieldTally::default()
+            ..QueryTally::default()
         };
-        self.count(query, tally);
+        self.record(query, tally);
     }
 
     fn start(&mut self, query: usize) {
@@ -280,15 +282,16 @@
         for shard in 0..self.options.shards {
             self.send(query, shard);
         }
-        let due = self.queries[query].arrived + self.kind(query).target;
-        self.events.add(due, FieldEvent::Due { query });
+        let due = self.queries[query].arrived + self.kind(query).latency_target;
+        self.events
+            .add(due, SimulationEvent::DeadlineReached { query });
     }
 
     /// Sends a part to the replica at which this front has fewest attempts out.
     fn send(&mut self, query: usize, shard: usize) {
         let front = self.queries[query].front;
-        let draw = usize::from(self.draws.unit() < 0.5);
-        let out = &mut self.fronts[front].out[shard];
+        let draw = usize::from(self.rng.unit() < 0.5);
+        let out = &mut self.fronts[front].attempts_in_flight[shard];
         let replica = match out[0].cmp(&out[1]) {
             std::cmp::Ordering::Less => 0,
             std::cmp::Ordering::Equal => draw,
@@ -300,8 +303,8 @@
         *tried = Some(replica);
         out[replica] += 1;
         self.events.add(
-            self.now + WAY,
-            FieldEvent::Reached {
+            self.now + ONE_WAY_DELAY,
+            SimulationEvent::AttemptArrived {
                 query,
                 shard,
                 replica,
@@ -309,10 +312,10 @@
         );
     }
 
-    fn reach(&mut self, query: usize, shard: usize, replica: usize) {
+    fn receive_attempt(&mut self, query: usize, shard: usize, replica: usize) {
         let target = &mut self.shards[shard][replica];
-        if target.busy == SLOTS && target.queue.len() == QUEUE {
-            self.back(query, shard, replica, self.now, false);
+        if target.busy == SLOTS_PER_REPLICA && target.queue.len() == MAX_QUEUE_LENGTH {
+            self.send_reply(query, shard, replica, self.now, false);
             return;
         }
         target.queue.push_back((query, shard));
@@ -320,33 +323,33 @@
     }
 
     fn start_work(&mut self, shard: usize, replica: usize) {
-        while self.shards[shard][replica].busy < SLOTS {
+        while self.shards[shard][replica].busy < SLOTS_PER_REPLICA {
             let Some((query, _)) = self.shards[shard][replica].queue.pop_front() else {
                 return;
             };
             // Work stops with the answer that it is for; what has waited for so long is not begun.
-            let ends = self.queries[query].arrived + self.kind(query).target;
+            let ends = self.queries[query].arrived + self.kind(query).latency_target;
             if self.now >= ends {
-                self.back(query, shard, replica, self.now, false);
+                self.send_reply(query, shard, replica, self.now, false);
                 continue;
             }
-            let done = self.now + self.work(query, shard);
+            let done = self.now + self.draw_work(query, shard);
             self.shards[shard][replica].busy += 1;
-            let event = FieldEvent::WorkDone { shard, replica };
+            let event = SimulationEvent::WorkDone { shard, replica };
             self.events.add(done.min(ends), event);
-            self.back(query, shard, replica, done.min(ends), done <= ends);
+            self.send_reply(query, shard, replica, done.min(ends), done <= ends);
         }
     }
 
-    fn work(&mut self, query: usize, shard: usize) -> TimeSpan {
-        let mean = self.kind(query).work;
-        let tail = if self.draws.unit() < 0.01 { 5.0 } else { 1.0 };
-        let slow = self.options.slow;
+    fn draw_work(&mut self, query: usize, shard: usize) -> TimeSpan {
+        let mean = self.kind(query).mean_work;
+        let tail = if self.rng.unit() < 0.01 { 5.0 } else { 1.0 };
+        let slow = self.options.slow_shards;
         let slow = if shard < slow.0 { slow.1 } else { 1.0 };
-        mean.mul_f64((0.5 + self.draws.unit()) * tail * slow)
+        mean.mul_f64((0.5 + self.rng.unit()) * tail * slow)
     }
 
-    fn back(
+    fn send_reply(
         &mut self,
         query: usize,
         shard: usize,
@@ -355,22 +358,22 @@
         is_answered: bool,
     ) {
         let front = self.queries[query].front;
-        self.fronts[front].out[shard][replica] -= 1;
-        let event = FieldEvent::Back {
+        self.fronts[front].attempts_in_flight[shard][replica] -= 1;
+        let event = SimulationEvent::ReplyArrived {
             query,
             shard,
             is_answered,
         };
-        self.events.add(time + WAY, event);
+        self.events.add(time + ONE_WAY_DELAY, event);
     }
 
-    fn take(&mut self, query: usize, shard: usize, is_answered: bool) {
+    fn receive_reply(&mut self, query: usize, shard: usize, is_answered: bool) {
         if self.queries[query].state != QueryState::Running {
             return;
         }
         if is_answered {
-            self.queries[query].present += 1;
-            if self.queries[query].present == self.kind(query).least {
+            self.queries[query].answered_shards += 1;
+            if self.queries[query].answered_shards == self.kind(query).required_shards {
                 self.end(query);
             }
         } else if !self.queries[query].retried[shard] {
@@ -387,22 +390,24 @@
         known.state = QueryState::Ended;
         let (front, started, arrived) = (known.front, known.started, known.arrived);
         let kind = self.kind(query);
-        let is_enough = self.queries[query].present >= kind.least;
+        let is_enough = self.queries[query].answered_shards >= kind.required_shards;
         let need = if is_enough {
             let passed = self.now.since(started).as_secs_f64();
-            QueryNeed::Met(passed / kind.target.as_secs_f64())
+            QuerySignal::EnoughShards(passed / kind.latency_target.as_secs_f64())
         } else {
-            QueryNeed::Missed
+            QuerySignal::TimedOut
         };
-        let tally = FieldTally {
-            asked: 1.0,
-            in_time: f64::from(u8::from(is_enough && self.now.since(arrived) < kind.target)),
-            ..FieldTally::default()
+        let tally = QueryTally {
+            total: 1.0,
+            in_time: f64::from(u8::from(
+                is_enough && self.now.since(arrived) < kind.latency_target,
+            )),
+            ..QueryTally::default()
         };
-        self.count(query, tally);
+        self.record(query, tally);
         if self.options.is_gated {
             let gate = &mut self.fronts[front].gate;
-            gate.finished(self.now.since(started), need);
+            gate.record_finished(self.now.since(started), need);
             while let Some(next) = self.fronts[front].gate.next_ready(self.now) {
                 self.start(usize::try_from(next).expect("a place"));
             }
@@ -413,18 +418,18 @@
         self.options.kinds[self.queries[query].kind]
     }
 
-    fn count(&mut self, query: usize, tally: FieldTally) {
+    fn record(&mut self, query: usize, tally: QueryTally) {
         let known = &self.queries[query];
         let second = known.arrived.as_micros() / ms(1_000).as_micros();
         self.tallies.push((known.kind, known.front, second, tally));
     }
 }
 
-impl FieldFront {
+impl SimulatedFront {
     fn new(shards: usize) -> Self {
         Self {
             gate: QueryGate::default(),
-            out: vec![[0; 2]; shards],
+            attempts_in_flight: vec![[0; 2]; shards],
         }
     }
 }
--- a/alderhaven-policy/tests/connection_health.rs
+++ b/alderhaven-policy/tests/connection_health.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use alderhaven_core::time::TimeSpan;
-use alderhaven_policy::connection_health::HealthAction::{Nothing, Probe, ReplaceOld};
+use alderhaven_policy::connection_health::HealthAction::{Nothing, Probe, ReplaceIdle};
 use alderhaven_policy::connection_health::HealthEvent::{
     ProbeAnswered, ProbeRefused, ProbeSilent, Replied, Silent,
 };
@@ -41,12 +41,12 @@
         (Trusted, ProbeSilent, Trusted, Nothing),
         (Probing, Silent, Probing, Nothing),
         (Probing, Replied, Trusted, Nothing),
-        (Probing, ProbeAnswered, Trusted, ReplaceOld),
+        (Probing, ProbeAnswered, Trusted, ReplaceIdle),
         (Probing, ProbeRefused, Down, Nothing),
         (Probing, ProbeSilent, Down, Nothing),
         (Down, Silent, Probing, Probe),
         (Down, Replied, Trusted, Nothing),
-        (Down, ProbeAnswered, Trusted, ReplaceOld),
+        (Down, ProbeAnswered, Trusted, ReplaceIdle),
         (Down, ProbeRefused, Down, Nothing),
         (Down, ProbeSilent, Down, Nothing),
     ];
@@ -65,7 +65,7 @@
     let attempt = SilentAttempt {
         idle_before: ms(1),
         sent: at(100),
-        answered_sent: Some(at(90)),
+        last_answered_sent: Some(at(90)),
     };
     assert!(!health().is_silent(&attempt));
 }
@@ -77,13 +77,13 @@
     let overtaken = SilentAttempt {
         idle_before: ms(1),
         sent: at(100),
-        answered_sent: Some(at(101)),
+        last_answered_sent: Some(at(101)),
     };
     assert!(health().is_silent(&overtaken));
     let idle = SilentAttempt {
         idle_before: ms(60_000),
         sent: at(100),
-        answered_sent: None,
+        last_answered_sent: None,
     };
     assert!(health().is_silent(&idle));
 }
--- a/alderhaven-policy/tests/drain.rs
+++ b/alderhaven-policy/tests/drain.rs
@@ -8,7 +8,7 @@
     TimePoint::START + TimeSpan::from_secs(secs)
 }
 
-fn asked(secs: u64, in_flight: usize) -> DrainEvent {
+fn stop_requested(secs: u64, in_flight: usize) -> DrainEvent {
     DrainEvent::StopRequested {
         now: at(secs),
         in_flight,
@@ -33,8 +33,8 @@
 fn report(reason: StopReason, cut: usize, secs: u64) -> StopReport {
     StopReport {
         reason,
-        cut,
-        took: TimeSpan::from_secs(secs),
+        aborted_requests: cut,
+        elapsed: TimeSpan::from_secs(secs),
     }
 }
 
@@ -49,7 +49,7 @@
 fn handle_serves_for_the_address_life() {
     // Others name the process for 3 s more, and callers keep that for 10 s: a process that ended
     // when it was idle would be a closed door for them.
-    let sequence = sequence_after(&[asked(100, 0), ticked(112, 0)]);
+    let sequence = sequence_after(&[stop_requested(100, 0), ticked(112, 0)]);
     assert_eq!(sequence.state(), Leaving);
     assert!(sequence.takes_requests());
     assert_eq!(sequence.report(), None);
@@ -57,7 +57,7 @@
 
 #[test]
 fn handle_finishes_what_is_in_flight() {
-    let events = [asked(100, 9), ticked(113, 2)];
+    let events = [stop_requested(100, 9), ticked(113, 2)];
     let sequence = sequence_after(&events);
     assert_eq!(sequence.state(), Finishing);
     assert!(!sequence.takes_requests());
@@ -70,12 +70,16 @@
 
 #[test]
 fn handle_says_what_a_second_signal_cut() {
-    let sequence = sequence_after(&[asked(100, 9), asked(101, 7)]);
+    let sequence = sequence_after(&[stop_requested(100, 9), stop_requested(101, 7)]);
     assert_eq!(
         sequence.report(),
         Some(report(StopReason::AskedTwice, 7, 1))
     );
-    let sequence = sequence_after(&[asked(100, 9), ticked(113, 4), asked(114, 3)]);
+    let sequence = sequence_after(&[
+        stop_requested(100, 9),
+        ticked(113, 4),
+        stop_requested(114, 3),
+    ]);
     assert_eq!(sequence.state(), Stopped);
     assert_eq!(
         sequence.report(),
@@ -85,12 +89,12 @@
 
 #[test]
 fn handle_says_what_the_limit_cut() {
-    let sequence = sequence_after(&[asked(100, 9), ticked(160, 5)]);
+    let sequence = sequence_after(&[stop_requested(100, 9), ticked(160, 5)]);
     assert_eq!(
         sequence.report(),
         Some(report(StopReason::LimitReached, 5, 60))
     );
-    let sequence = sequence_after(&[asked(100, 9), ticked(113, 4), ticked(160, 3)]);
+    let sequence = sequence_after(&[stop_requested(100, 9), ticked(113, 4), ticked(160, 3)]);
     assert_eq!(
         sequence.report(),
         Some(report(StopReason::LimitReached, 3, 60))
@@ -99,7 +103,12 @@
 
 #[test]
 fn handle_stays_stopped() {
-    let events = [asked(100, 9), asked(101, 7), asked(102, 1), ticked(300, 0)];
+    let events = [
+        stop_requested(100, 9),
+        stop_requested(101, 7),
+        stop_requested(102, 1),
+        ticked(300, 0),
+    ];
     let sequence = sequence_after(&events);
     assert_eq!(sequence.state(), Stopped);
     assert_eq!(
--- a/alderhaven-policy/tests/entry_answer.rs
+++ b/alderhaven-policy/tests/entry_answer.rs
@@ -27,8 +27,8 @@
         state,
         version: MemberVersion::default(),
         load: LoadLevel(load),
-        heard_at: None,
-        met_at: TimePoint::START,
+        last_contact_at: None,
+        discovered_at: TimePoint::START,
         config: None,
     }
 }
--- a/alderhaven-policy/tests/exchange/domains.rs
+++ b/alderhaven-policy/tests/exchange/domains.rs
@@ -6,26 +6,26 @@
 use crate::network::{ExchangeNetwork, key};
 
 /// The nodes and failure domains of a large group.
-const NODES: usize = 198;
-const DOMAINS: usize = 6;
+const NODE_COUNT: usize = 198;
+const DOMAIN_COUNT: usize = 6;
 
 /// The time in which a change is to be in force everywhere.
-const IN_FORCE_WITHIN: TimeSpan = TimeSpan::from_secs(3);
+const CONVERGENCE_BOUND: TimeSpan = TimeSpan::from_secs(3);
 
 /// The same where messages are lost and those who know first are gone.
-const IN_FORCE_WITH_LOSS: TimeSpan = TimeSpan::from_secs(6);
+const LOSSY_CONVERGENCE_BOUND: TimeSpan = TimeSpan::from_secs(6);
 
 /// The most copies of an object that may come into a failure domain: a few, so that the loss of any one
 /// of its carriers delays nothing.
-const COPIES_PER_DOMAIN: usize = 8;
+const MAX_COPIES_PER_DOMAIN: usize = 8;
 
 fn settled(seed: u64) -> ExchangeNetwork {
-    let mut network = ExchangeNetwork::new(NODES, seed);
-    network.split_into_domains(DOMAINS);
+    let mut network = ExchangeNetwork::new(NODE_COUNT, seed);
+    network.split_into_domains(DOMAIN_COUNT);
     assert!(network.store.write(&key(0), StoreVersion(0), Some("first")));
-    let settled = network.run_until(TimeSpan::from_secs(20), ExchangeNetwork::all_in_force);
+    let settled = network.run_until(TimeSpan::from_secs(20), ExchangeNetwork::all_match_store);
     assert!(settled.is_some(), "seed {seed}");
-    network.far_bytes = 0;
+    network.cross_domain_bytes = 0;
     network
 }
 
@@ -38,11 +38,11 @@
         let mut network = settled(seed);
         let body = "x".repeat(10_000);
         assert!(network.store.write(&key(0), StoreVersion(1), Some(&body)));
-        let taken = network.run_until(IN_FORCE_WITHIN, ExchangeNetwork::all_in_force);
+        let taken = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
         assert!(taken.is_some(), "seed {seed}");
-        let copies = network.far_bytes / body.len();
+        let copies = network.cross_domain_bytes / body.len();
         assert!(
-            copies <= DOMAINS * COPIES_PER_DOMAIN,
+            copies <= DOMAIN_COUNT * MAX_COPIES_PER_DOMAIN,
             "{copies}, seed {seed}"
         );
     }
@@ -61,12 +61,12 @@
                 .write(&key(0), StoreVersion(1), Some("second"))
         );
         network.run_until(TimeSpan::from_millis(150), |_| false);
-        let watchers = network.watchers;
-        network.watchers = 0;
+        let watchers = network.watcher_count;
+        network.watcher_count = 0;
         for node in &mut network.nodes[..watchers] {
             node.is_paused = true;
         }
-        let taken = network.run_until(IN_FORCE_WITH_LOSS, |network| {
+        let taken = network.run_until(LOSSY_CONVERGENCE_BOUND, |network| {
             let mut running = network.nodes.iter().filter(|node| !node.is_paused);
             running.all(|node| node.registry.objects().eq(network.store.newest.values()))
         });
@@ -80,7 +80,7 @@
 fn hear_digest_brings_a_change_into_a_domain_that_was_cut_off() {
     for seed in 60..65 {
         let mut network = settled(seed);
-        for index in (0..NODES).filter(|index| index % DOMAINS == 3) {
+        for index in (0..NODE_COUNT).filter(|index| index % DOMAIN_COUNT == 3) {
             network.nodes[index].side = 1;
         }
         assert!(
@@ -92,7 +92,7 @@
         for node in &mut network.nodes {
             node.side = 0;
         }
-        let taken = network.run_until(IN_FORCE_WITHIN, ExchangeNetwork::all_in_force);
+        let taken = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
         assert!(taken.is_some(), "seed {seed}");
     }
 }
@@ -105,15 +105,15 @@
         let mut network = settled(seed);
         let body = "x".repeat(10_000);
         assert!(network.store.write(&key(0), StoreVersion(1), Some(&body)));
-        network.run_until(IN_FORCE_WITHIN, ExchangeNetwork::all_in_force);
-        network.far_bytes = 0;
+        network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
+        network.cross_domain_bytes = 0;
         network.store.is_down = true;
-        for index in (0..NODES).filter(|index| index % DOMAINS == 4) {
+        for index in (0..NODE_COUNT).filter(|index| index % DOMAIN_COUNT == 4) {
             network.restart(index);
         }
-        let taken = network.run_until(IN_FORCE_WITHIN, ExchangeNetwork::all_in_force);
+        let taken = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
         assert!(taken.is_some(), "seed {seed}");
-        let copies = network.far_bytes / body.len();
-        assert!(copies <= COPIES_PER_DOMAIN, "{copies}, seed {seed}");
+        let copies = network.cross_domain_bytes / body.len();
+        assert!(copies <= MAX_COPIES_PER_DOMAIN, "{copies}, seed {seed}");
     }
 }
--- a/alderhaven-policy/tests/exchange/failures.rs
+++ b/alderhaven-policy/tests/exchange/failures.rs
@@ -3,7 +3,7 @@
 use alderhaven_core::config_object::StoredObject;
 use alderhaven_core::ids::{NodeId, StoreVersion};
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::exchange::exchange_message::{ExchangeMessage, ExchangeStep, ObjectStamp};
+use alderhaven_policy::exchange::exchange_message::{ExchangeMessage, ExchangeOutput, ObjectStamp};
 use alderhaven_policy::exchange::exchange_options::ExchangeOptions;
 use alderhaven_policy::exchange::object_exchange::ObjectExchange;
 use alderhaven_policy::exchange::peer_set::PeerSet;
@@ -12,9 +12,9 @@
 
 use crate::network::{ExchangeNetwork, key};
 
-const SOON: TimeSpan = TimeSpan::from_secs(3);
+const CONVERGENCE_BOUND: TimeSpan = TimeSpan::from_secs(3);
 
-fn with_objects(nodes: usize, objects: usize, seed: u64) -> ExchangeNetwork {
+fn settled_network(nodes: usize, objects: usize, seed: u64) -> ExchangeNetwork {
     let mut network = ExchangeNetwork::new(nodes, seed);
     for index in 0..objects {
         assert!(
@@ -23,7 +23,7 @@
                 .write(&key(index), StoreVersion(0), Some("{}"))
         );
     }
-    let settled = network.run_until(TimeSpan::from_secs(10), ExchangeNetwork::all_in_force);
+    let settled = network.run_until(TimeSpan::from_secs(10), ExchangeNetwork::all_match_store);
     assert!(settled.is_some());
     network
 }
@@ -31,15 +31,15 @@
 #[test]
 fn tick_puts_a_change_in_force_everywhere() {
     for seed in 0..5 {
-        let mut network = with_objects(100, 20, seed);
+        let mut network = settled_network(100, 20, seed);
         let version = network.store.version(&key(3));
         assert!(network.store.write(&key(3), version, Some("{}")));
         let newest = network.store.version(&key(3));
         // Announcements reach most of them at once; the rest is found by comparing digests.
         network.run_until(TimeSpan::from_millis(250), |_| false);
-        let reached = (0..100).filter(|node| network.held(*node, &key(3)) == Some(newest));
+        let reached = (0..100).filter(|node| network.held_version(*node, &key(3)) == Some(newest));
         assert!(reached.count() >= 80);
-        let in_force = network.run_until(SOON, ExchangeNetwork::all_in_force);
+        let in_force = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
         assert!(
             in_force.is_some_and(|span| span <= TimeSpan::from_secs(2)),
             "{in_force:?}"
@@ -50,7 +50,7 @@
 #[test]
 fn tick_spreads_a_deletion() {
     // An object is deleted. A node that still holds it must not bring it back to the others.
-    let mut network = with_objects(12, 3, 1);
+    let mut network = settled_network(12, 3, 1);
     network.nodes[7].is_paused = true;
     let version = network.store.version(&key(1));
     assert!(network.store.write(&key(1), version, None));
@@ -58,11 +58,11 @@
     network.nodes[7].is_paused = false;
     assert!(
         network
-            .run_until(SOON, ExchangeNetwork::all_in_force)
+            .run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store)
             .is_some()
     );
     network.run_until(TimeSpan::from_secs(10), |network| {
-        assert!(network.all_in_force(), "the deleted object is back");
+        assert!(network.all_match_store(), "the deleted object is back");
         false
     });
 }
@@ -71,10 +71,10 @@
 fn tick_completes_a_node_while_the_store_is_down() {
     // A node is replaced while the store is down. It must serve the configuration that its peers
     // hold, all of it (more than one message), and not count as complete before.
-    let mut network = with_objects(6, 700, 2);
+    let mut network = settled_network(6, 700, 2);
     network.store.is_down = true;
     network.restart(4);
-    let complete = network.run_until(SOON, ExchangeNetwork::all_in_force);
+    let complete = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
     assert!(
         complete.is_some_and(|span| span <= TimeSpan::from_millis(500)),
         "{complete:?}"
@@ -84,7 +84,7 @@
 #[test]
 fn tick_completes_a_node_over_a_bad_path() {
     // As before, but messages are late and some are lost.
-    let mut network = with_objects(6, 700, 2);
+    let mut network = settled_network(6, 700, 2);
     network.store.is_down = true;
     network.max_delay = TimeSpan::from_millis(200);
     network.loss = 0.2;
@@ -106,7 +106,7 @@
     // The store is down and every node but one, which is frozen, restarts. The new ones find only
     // each other; if they took the other's emptiness for the whole, they would refuse everything
     // as unknown. They complete once the frozen one wakes.
-    let mut network = with_objects(4, 5, 3);
+    let mut network = settled_network(4, 5, 3);
     network.store.is_down = true;
     network.nodes[3].is_paused = true;
     for index in 0..3 {
@@ -119,7 +119,7 @@
     network.nodes[3].is_paused = false;
     assert!(
         network
-            .run_until(SOON, ExchangeNetwork::all_in_force)
+            .run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store)
             .is_some()
     );
 }
@@ -127,19 +127,19 @@
 #[test]
 fn accept_takes_no_replay() {
     // A watch is resumed too far back and tells old versions again.
-    let mut network = with_objects(3, 1, 4);
+    let mut network = settled_network(3, 1, 4);
     for _ in 0..5 {
         let version = network.store.version(&key(0));
         assert!(network.store.write(&key(0), version, Some("{}")));
     }
     assert!(
         network
-            .run_until(SOON, ExchangeNetwork::all_in_force)
+            .run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store)
             .is_some()
     );
     let digest = network.nodes[1].exchange.digest();
     network.replay(1);
-    assert!(network.all_in_force());
+    assert!(network.all_match_store());
     assert_eq!(network.nodes[1].exchange.digest(), digest);
 }
 
@@ -187,7 +187,7 @@
             body: None,
         }],
     };
-    let mut step = ExchangeStep::default();
+    let mut step = ExchangeOutput::default();
     for message in [announcement, objects] {
         let now = TimePoint::from_micros(1_000_000);
         step = exchange.receive(&peer, message, |_| None, &PeerSet::default(), now, &mut rng);
--- a/alderhaven-policy/tests/exchange/fuzz.rs
+++ b/alderhaven-policy/tests/exchange/fuzz.rs
@@ -9,11 +9,11 @@
 
 use crate::network::{ExchangeNetwork, key};
 
-const NODES: usize = 5;
-const KEYS: usize = 4;
+const NODE_COUNT: usize = 5;
+const KEY_COUNT: usize = 4;
 
 /// The bound within which all nodes hold what the store does, once nothing fails any more.
-const AGREEMENT: TimeSpan = TimeSpan::from_secs(10);
+const AGREEMENT_BOUND: TimeSpan = TimeSpan::from_secs(10);
 
 #[derive(Clone, Debug)]
 enum Action {
@@ -30,10 +30,10 @@
 }
 
 fn action() -> impl Strategy<Value = Action> {
-    let node = 0..NODES;
+    let node = 0..NODE_COUNT;
     prop_oneof![
         4 => (50_u64..3_000).prop_map(Action::Run),
-        3 => (0..2_usize, 0..KEYS).prop_map(|(operator, key)| Action::Read(operator, key)),
+        3 => (0..2_usize, 0..KEY_COUNT).prop_map(|(operator, key)| Action::Read(operator, key)),
         3 => (0..2_usize, any::<bool>()).prop_map(|(operator, keep)| Action::Write(operator, keep)),
         1 => node.clone().prop_map(Action::Restart),
         1 => (node.clone(), any::<bool>()).prop_map(|(node, paused)| Action::Pause(node, paused)),
@@ -95,9 +95,9 @@
     fn run(&mut self, network: &mut ExchangeNetwork, span: TimeSpan) {
         let held = std::cell::RefCell::new(std::mem::take(&mut self.held));
         network.run_until(span, |network| {
-            for node in 0..NODES {
-                for index in 0..KEYS {
-                    let Some(version) = network.held(node, &key(index)) else {
+            for node in 0..NODE_COUNT {
+                for index in 0..KEY_COUNT {
+                    let Some(version) = network.held_version(node, &key(index)) else {
                         assert!(
                             !held.borrow().contains_key(&(node, index)),
                             "an object is lost"
@@ -131,7 +131,7 @@
         seed in any::<u64>(),
         actions in proptest::collection::vec(action(), 1..40),
     ) {
-        let mut network = ExchangeNetwork::new(NODES, seed);
+        let mut network = ExchangeNetwork::new(NODE_COUNT, seed);
         let mut oracle = Oracle::default();
         for action in &actions {
             oracle.apply(&mut network, action);
@@ -142,7 +142,7 @@
         for node in &mut network.nodes {
             node.is_paused = false;
         }
-        oracle.run(&mut network, AGREEMENT);
-        prop_assert!(network.all_in_force(), "they do not hold what the store does");
+        oracle.run(&mut network, AGREEMENT_BOUND);
+        prop_assert!(network.all_match_store(), "they do not hold what the store does");
     }
 }
--- a/alderhaven-policy/tests/exchange/network.rs
+++ b/alderhaven-policy/tests/exchange/network.rs
@@ -7,14 +7,14 @@
 use alderhaven_core::ids::{NodeId, StoreVersion};
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::config_registry::ConfigRegistry;
-use alderhaven_policy::exchange::exchange_message::{ExchangeMessage, ExchangeStep, ObjectStamp};
+use alderhaven_policy::exchange::exchange_message::{ExchangeMessage, ExchangeOutput, ObjectStamp};
 use alderhaven_policy::exchange::exchange_options::ExchangeOptions;
 use alderhaven_policy::exchange::object_exchange::ObjectExchange;
 use alderhaven_policy::exchange::peer_set::PeerSet;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-const STEP: TimeSpan = TimeSpan::from_millis(50);
+const TICK_PERIOD: TimeSpan = TimeSpan::from_millis(50);
 
 /// The time between two digests that a node hears on gossip.
 const DIGEST_PERIOD_STEPS: u64 = 4;
@@ -26,14 +26,14 @@
     pub now: TimePoint,
     pub loss: f64,
     pub max_delay: TimeSpan,
-    pub watchers: usize,
-    domains: usize,
+    pub watcher_count: usize,
+    domain_count: usize,
     peers: Vec<Rc<PeerSet>>,
     /// The bytes of objects' bodies that crossed between domains.
-    pub far_bytes: usize,
+    pub cross_domain_bytes: usize,
     rng: StdRng,
     packets: BTreeMap<(TimePoint, u64), (usize, usize, ExchangeMessage)>,
-    count: u64,
+    packet_count: u64,
 }
 
 /// A `FakeNode` is one process; a restart puts a new one in its place.
@@ -128,13 +128,13 @@
             now: TimePoint::from_micros(1_000_000),
             loss: 0.0,
             max_delay: TimeSpan::from_millis(5),
-            watchers: 2,
-            domains: 1,
+            watcher_count: 2,
+            domain_count: 1,
             peers: Vec::new(),
-            far_bytes: 0,
+            cross_domain_bytes: 0,
             rng: StdRng::seed_from_u64(seed),
             packets: BTreeMap::new(),
-            count: 0,
+            packet_count: 0,
         };
         network.split_into_domains(1);
         network
@@ -146,14 +146,14 @@
         self.nodes[index] = new_node();
         self.nodes[index].side = side;
         if !self.store.is_down {
-            self.list(index);
+            self.list_store(index);
         }
     }
 
     /// Lets a node list the store.
-    pub fn list(&mut self, index: usize) {
+    pub fn list_store(&mut self, index: usize) {
         let objects = self.store.newest.values().cloned().collect();
-        self.nodes[index].exchange.complete();
+        self.nodes[index].exchange.mark_complete();
         self.accept(index, objects);
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Gets the version of an object that a node has in force.
-    pub fn held(&self, index: usize, key: &ObjectKey) -> Option<StoreVersion> {
+    pub fn held_version(&self, index: usize, key: &ObjectKey) -> Option<StoreVersion> {
         let registry = &self.nodes[index].registry;
         registry
             .objects()
@@ -174,7 +174,7 @@
     }
 
     /// Returns true where every node holds exactly what the store does.
-    pub fn all_in_force(&self) -> bool {
+    pub fn all_match_store(&self) -> bool {
         self.nodes.iter().all(|node| {
             node.registry.objects().eq(self.store.newest.values()) && node.exchange.is_complete()
         })
@@ -197,7 +197,7 @@
 
     /// Spreads the nodes over failure domains by turns.
     pub fn split_into_domains(&mut self, domains: usize) {
-        self.domains = domains;
+        self.domain_count = domains;
         let count = self.nodes.len();
         self.peers = (0..count)
             .map(|index| Rc::new(peers_of(index, count, domains)))
@@ -215,11 +215,11 @@
         for object in objects {
             node.registry.accept(object);
         }
-        let step = node.exchange.hold(stamps, &peers, &mut self.rng);
+        let step = node.exchange.announce_held(stamps, &peers, &mut self.rng);
         self.carry_out(index, step);
     }
 
-    fn carry_out(&mut self, index: usize, step: ExchangeStep) {
+    fn carry_out(&mut self, index: usize, step: ExchangeOutput) {
         for object in step.accept {
             self.nodes[index].registry.accept(object);
         }
@@ -229,18 +229,19 @@
             if is_cut || self.rng.random_bool(self.loss) {
                 continue;
             }
-            if to % self.domains != index % self.domains {
-                self.far_bytes += body_bytes(&message);
+            if to % self.domain_count != index % self.domain_count {
+                self.cross_domain_bytes += body_bytes(&message);
             }
             let delay = self.rng.random_range(200..=self.max_delay.as_micros());
-            self.count += 1;
+            self.packet_count += 1;
             let at = self.now + TimeSpan::from_micros(delay);
-            self.packets.insert((at, self.count), (index, to, message));
+            self.packets
+                .insert((at, self.packet_count), (index, to, message));
         }
     }
 
     fn step(&mut self) {
-        let end = self.now + STEP;
+        let end = self.now + TICK_PERIOD;
         while let Some((&(at, number), _)) = self.packets.first_key_value() {
             if at > end {
                 break;
@@ -259,8 +260,8 @@
     }
 
     fn tick(&mut self, index: usize) {
-        if index < self.watchers && !self.store.is_down {
-            self.list(index);
+        if index < self.watcher_count && !self.store.is_down {
+            self.list_store(index);
         }
         let is_digest_due = self.rng.random_range(0..DIGEST_PERIOD_STEPS) == 0;
         if is_digest_due && self.nodes.len() > 1 {
@@ -269,7 +270,7 @@
             let is_heard = side == self.nodes[index].side && !self.nodes[other].is_paused;
             if is_heard {
                 let peers = self.peers(index);
-                self.nodes[index].exchange.hear_digest(
+                self.nodes[index].exchange.handle_digest(
                     &node_id(other),
                     digest,
                     &peers,
--- a/alderhaven-policy/tests/front_decisions.rs
+++ b/alderhaven-policy/tests/front_decisions.rs
@@ -4,10 +4,12 @@
 use std::net::SocketAddr;
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::caller_wait::CallerWait;
+use alderhaven_policy::caller_delay::CallerDelayEstimator;
 use alderhaven_policy::delivery_age::DeliveryAge;
-use alderhaven_policy::front_choice::{ChoiceOptions, FrontOffer, choose, is_started};
-use alderhaven_policy::weighted_split::WeightedSplit;
+use alderhaven_policy::front_choice::{
+    FrontCandidate, FrontChoiceOptions, choose_fronts, is_presumed_started,
+};
+use alderhaven_policy::weighted_round_robin::WeightedRoundRobin;
 use proptest::prelude::*;
 
 const fn millis(millis: u64) -> TimeSpan {
@@ -18,11 +20,11 @@
     TimePoint::START + millis(point)
 }
 
-fn offer(port: u16, domain: &str, size: f64) -> FrontOffer {
-    FrontOffer {
+fn offer(port: u16, domain: &str, size: f64) -> FrontCandidate {
+    FrontCandidate {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         domain: domain.parse().expect("a domain"),
-        size,
+        relative_size: size,
         is_started: true,
     }
 }
@@ -34,7 +36,7 @@
     fn split_keeps_its_weights(weights in prop::collection::vec(1u32..50, 1..5), requests in 1u32..500) {
         let weights: Vec<f64> = weights.into_iter().map(f64::from).collect();
         let sum: f64 = weights.iter().sum();
-        let mut split = WeightedSplit::default();
+        let mut split = WeightedRoundRobin::default();
         let mut dealt = vec![0.0; weights.len()];
         for _ in 0..requests {
             dealt[split.next(&weights).expect("a service")] += 1.0;
@@ -48,38 +50,38 @@
 
 #[test]
 fn split_without_weights_deals_nothing() {
-    assert_eq!(WeightedSplit::default().next(&[0.0, 0.0]), None);
-    assert_eq!(WeightedSplit::default().next(&[]), None);
+    assert_eq!(WeightedRoundRobin::default().next(&[0.0, 0.0]), None);
+    assert_eq!(WeightedRoundRobin::default().next(&[]), None);
 }
 
 /// A caller asked for fronts and opened a connection before its first request, 23 ms in all. A front
 /// that counts from the request's arrival answers after the target, though it had enough in time.
 #[test]
 fn wait_before_the_arrival_is_known_from_what_is_left() {
-    let mut wait = CallerWait::default();
-    let first = wait.note(millis(800), at(0));
-    assert_eq!(first.used_up(millis(60)), TimeSpan::ZERO);
-    let second = wait.note(millis(777), at(10));
-    assert_eq!(second.used_up(millis(60)), millis(23));
+    let mut wait = CallerDelayEstimator::default();
+    let first = wait.record_time_left(millis(800), at(0));
+    assert_eq!(first.consumed_time(millis(60)), TimeSpan::ZERO);
+    let second = wait.record_time_left(millis(777), at(10));
+    assert_eq!(second.consumed_time(millis(60)), millis(23));
     assert!(!second.is_late(millis(60)));
 }
 
 #[test]
 fn wait_beyond_the_target_is_not_hurried() {
-    let mut wait = CallerWait::default();
-    wait.note(millis(800), at(0));
-    let delay = wait.note(millis(300), at(10));
-    assert_eq!(delay.used_up(millis(60)), TimeSpan::ZERO);
+    let mut wait = CallerDelayEstimator::default();
+    wait.record_time_left(millis(800), at(0));
+    let delay = wait.record_time_left(millis(300), at(10));
+    assert_eq!(delay.consumed_time(millis(60)), TimeSpan::ZERO);
     assert!(delay.is_late(millis(60)));
 }
 
 #[test]
 fn wait_forgets_an_old_patience() {
-    let mut wait = CallerWait::default();
-    wait.note(millis(830), at(0));
-    wait.note(millis(800), at(12_000));
-    let delay = wait.note(millis(800), at(25_000));
-    assert_eq!(delay.used_up(millis(60)), TimeSpan::ZERO);
+    let mut wait = CallerDelayEstimator::default();
+    wait.record_time_left(millis(830), at(0));
+    wait.record_time_left(millis(800), at(12_000));
+    let delay = wait.record_time_left(millis(800), at(25_000));
+    assert_eq!(delay.consumed_time(millis(60)), TimeSpan::ZERO);
 }
 
 /// A path between two fronts is cut for three seconds. The asks that were written into it arrive when
@@ -87,9 +89,9 @@
 #[test]
 fn delivery_after_a_cut_shows_its_age() {
     let mut age = DeliveryAge::default();
-    assert_eq!(age.note(at(5_000), at(100)), TimeSpan::ZERO);
-    assert_eq!(age.note(at(5_100), at(202)), millis(2));
-    assert_eq!(age.note(at(5_200), at(3_300)), millis(3_000));
+    assert_eq!(age.record_delivery(at(5_000), at(100)), TimeSpan::ZERO);
+    assert_eq!(age.record_delivery(at(5_100), at(202)), millis(2));
+    assert_eq!(age.record_delivery(at(5_200), at(3_300)), millis(3_000));
 }
 
 #[test]
@@ -100,7 +102,7 @@
         offer(3, "own", 1.0),
     ];
     let own = "own".parse().ok();
-    let chosen = choose(&offers, own.as_ref(), &ChoiceOptions::default(), 0);
+    let chosen = choose_fronts(&offers, own.as_ref(), &FrontChoiceOptions::default(), 0);
     assert_eq!(chosen.as_slice(), [offers[1].address, offers[2].address]);
 }
 
@@ -113,31 +115,35 @@
         offer(3, "far", 1.0),
     ];
     let own = "own".parse().ok();
-    let chosen = choose(&offers, own.as_ref(), &ChoiceOptions::default(), 0);
+    let chosen = choose_fronts(&offers, own.as_ref(), &FrontChoiceOptions::default(), 0);
     assert_eq!(chosen.as_slice(), [offers[1].address, offers[2].address]);
 }
 
 #[test]
 fn choice_names_the_last_front_that_lives() {
     let offers = [offer(1, "far", 0.1)];
-    assert_eq!(choose(&offers, None, &ChoiceOptions::default(), 0).len(), 1);
+    assert_eq!(
+        choose_fronts(&offers, None, &FrontChoiceOptions::default(), 0).len(),
+        1
+    );
 }
 
 /// A large front restarts in the midst of load. It has no configuration yet, and callers who are sent there
 /// wait or are refused; the others are named until it had the time to start.
 #[test]
 fn choose_passes_over_a_front_that_starts() {
-    let options = ChoiceOptions::default();
+    let options = FrontChoiceOptions::default();
     let mut starting = offer(1, "a", 1.0);
-    starting.is_started = is_started(false, millis(300));
+    starting.is_started = is_presumed_started(false, millis(300));
     let small = [offer(2, "a", 0.2), offer(3, "b", 0.2)];
     let offers = [starting.clone(), small[0].clone(), small[1].clone()];
     let domain = "a".parse().ok();
-    let chosen = choose(&offers, domain.as_ref(), &options, 0);
+    let chosen = choose_fronts(&offers, domain.as_ref(), &options, 0);
     assert!(!chosen.contains(&starting.address), "{chosen:?}");
-    starting.is_started = is_started(false, millis(1_500)) && is_started(true, millis(0));
+    starting.is_started =
+        is_presumed_started(false, millis(1_500)) && is_presumed_started(true, millis(0));
     let offers = [starting.clone(), small[0].clone(), small[1].clone()];
-    let chosen = choose(&offers, domain.as_ref(), &options, 0);
+    let chosen = choose_fronts(&offers, domain.as_ref(), &options, 0);
     assert_eq!(chosen[0], starting.address);
 }
 
@@ -148,12 +154,12 @@
     for offer in &mut offers {
         offer.is_started = false;
     }
-    let chosen = choose(&offers, None, &ChoiceOptions::default(), 0);
+    let chosen = choose_fronts(&offers, None, &FrontChoiceOptions::default(), 0);
     assert_eq!(chosen.len(), 2);
 }
 
 /// Eight large fronts, two in each of four domains, and two small ones in each.
-fn four_domains() -> Vec<FrontOffer> {
+fn four_domains() -> Vec<FrontCandidate> {
     let domains = ["a", "b", "c", "d"];
     let sizes = [1.0, 1.0, 0.24, 0.24];
     let fronts = domains.iter().zip(0_u16..).flat_map(|(domain, place)| {
@@ -166,14 +172,14 @@
 /// Guards against callers who know no front outside their own failure domain when that is lost.
 #[test]
 fn choice_names_fronts_of_another_domain() {
-    let options = ChoiceOptions {
-        domains: 2,
-        ..ChoiceOptions::default()
+    let options = FrontChoiceOptions {
+        min_domains: 2,
+        ..FrontChoiceOptions::default()
     };
     let own = "b".parse().ok();
     let mut others = std::collections::BTreeSet::new();
     for turn in 0..6 {
-        let chosen = choose(&four_domains(), own.as_ref(), &options, turn);
+        let chosen = choose_fronts(&four_domains(), own.as_ref(), &options, turn);
         let ports: Vec<u16> = chosen.iter().map(SocketAddr::port).collect();
         assert_eq!(ports.len(), 4, "two of each domain");
         assert_eq!(ports[..2], [10, 11], "the own domain first");
@@ -186,12 +192,12 @@
 /// A deployment with one domain, or one of which only one is alive, names what there is.
 #[test]
 fn choice_of_more_domains_than_there_are() {
-    let options = ChoiceOptions {
-        domains: 3,
-        ..ChoiceOptions::default()
+    let options = FrontChoiceOptions {
+        min_domains: 3,
+        ..FrontChoiceOptions::default()
     };
-    let offers: Vec<FrontOffer> = four_domains().into_iter().take(4).collect();
-    assert_eq!(choose(&offers, None, &options, 7).len(), 2);
-    let offers: Vec<FrontOffer> = four_domains().into_iter().take(8).collect();
-    assert_eq!(choose(&offers, None, &options, 7).len(), 4);
+    let offers: Vec<FrontCandidate> = four_domains().into_iter().take(4).collect();
+    assert_eq!(choose_fronts(&offers, None, &options, 7).len(), 2);
+    let offers: Vec<FrontCandidate> = four_domains().into_iter().take(8).collect();
+    assert_eq!(choose_fronts(&offers, None, &options, 7).len(), 4);
 }
--- a/alderhaven-policy/tests/group_share.rs
+++ b/alderhaven-policy/tests/group_share.rs
@@ -13,7 +13,7 @@
 fn share_of(own: CpuCapacity, steps: &[&[CpuCapacity]]) -> GroupShare {
     let mut share = GroupShare::alone(own);
     for seen in steps {
-        share.note(seen.iter().copied());
+        share.update(seen.iter().copied());
     }
     share
 }
@@ -23,8 +23,8 @@
 #[test]
 fn repeat_part_follows_the_load() {
     let fleet = fleet();
-    let large = share_of(fleet[0], &[&fleet]).repeat_part();
-    let small = share_of(fleet[62], &[&fleet]).repeat_part();
+    let large = share_of(fleet[0], &[&fleet]).repeat_share();
+    let small = share_of(fleet[62], &[&fleet]).repeat_share();
     assert!(large > 0.09, "{large}");
     let all = large * 8.0 + small * 55.0;
     assert!((all - 1.0).abs() < 1e-9, "{all}");
@@ -34,7 +34,7 @@
 #[test]
 fn repeat_part_of_equal_hosts_is_even() {
     let fleet = [CpuCapacity(250); 8];
-    let part = share_of(fleet[0], &[&fleet]).repeat_part();
+    let part = share_of(fleet[0], &[&fleet]).repeat_share();
     assert!((part - 0.125).abs() < 1e-9, "{part}");
 }
 
@@ -54,7 +54,7 @@
             .collect();
         let all: f64 = fleet
             .iter()
-            .map(|own| share_of(*own, &[&cut, &fleet, &cut]).repeat_part())
+            .map(|own| share_of(*own, &[&cut, &fleet, &cut]).repeat_share())
             .sum();
         prop_assert!(all <= 1.0 + 1e-9, "{}", all);
     }
--- a/alderhaven-policy/tests/group_start.rs
+++ b/alderhaven-policy/tests/group_start.rs
@@ -9,49 +9,53 @@
 const NODES: usize = 76;
 
 /// What a node knows that has met others, whether it is among the first of them.
-const fn met(is_first: bool, has_failed: bool) -> StartView {
+const fn knowing_peers(is_first: bool, has_failed: bool) -> StartView {
     StartView {
-        knows_others: true,
-        is_first,
-        has_failed,
+        knows_peers: true,
+        is_among_first: is_first,
+        has_peer_lost_store: has_failed,
     }
 }
 
 /// What a node knows that has met nobody yet.
-const ALONE: StartView = StartView {
-    knows_others: false,
-    is_first: true,
-    has_failed: false,
+const KNOWING_NOBODY: StartView = StartView {
+    knows_peers: false,
+    is_among_first: true,
+    has_peer_lost_store: false,
 };
 
 /// What a node needs to join and to be told all by a peer that knows it.
-const TOLD_AFTER: TimeSpan = TimeSpan::from_millis(900);
+const PEER_ANSWER_TIME: TimeSpan = TimeSpan::from_millis(900);
 
 /// Three nodes of 76 are known to all by address. Before, each of the others knew of none at its start,
 /// counted itself among the first, and listed the whole store: hundreds of calls within a second.
 #[test]
 fn chance_lets_few_of_a_first_start_ask_the_store() {
     let starts = (0..NODES).map(|node| match node {
-        0..3 => GroupStart::FirstKnown,
-        _ => GroupStart::First,
+        0..3 => GroupStart::SeedFirstStart,
+        _ => GroupStart::FirstStart,
     });
-    let asks = starts.filter(|start| start.chance(ALONE) < TOLD_AFTER);
+    let asks = starts.filter(|start| start.peer_wait(KNOWING_NOBODY) < PEER_ANSWER_TIME);
     assert_eq!(asks.count(), 3);
 }
 
 /// All hosts lose power and come back with callers who wait: who is ahead asks at once.
 #[test]
 fn chance_of_a_later_start_is_short() {
-    let waits = GroupStart::Again.chance(met(true, false));
+    let waits = GroupStart::Restart.peer_wait(knowing_peers(true, false));
     assert!(waits <= TimeSpan::from_millis(20), "{waits}");
-    assert!(GroupStart::Again.chance(met(false, false)) > waits);
+    assert!(GroupStart::Restart.peer_wait(knowing_peers(false, false)) > waits);
 }
 
 /// The store does not answer the nodes that went first: the others must not wait for them.
 #[test]
 fn chance_is_short_where_the_store_has_failed_others() {
-    for start in [GroupStart::Again, GroupStart::FirstKnown, GroupStart::First] {
-        assert!(start.chance(met(false, true)) <= TimeSpan::from_millis(20));
+    for start in [
+        GroupStart::Restart,
+        GroupStart::SeedFirstStart,
+        GroupStart::FirstStart,
+    ] {
+        assert!(start.peer_wait(knowing_peers(false, true)) <= TimeSpan::from_millis(20));
     }
 }
 
@@ -77,11 +81,11 @@
 fn chance_lets_few_of_a_group_that_starts_again_ask_the_store() {
     let told_after = TimeSpan::from_millis(150);
     let starts = (0..NODES).map(|node| match node {
-        0..3 => GroupStart::AgainKnown,
-        _ => GroupStart::Again,
+        0..3 => GroupStart::SeedRestart,
+        _ => GroupStart::Restart,
     });
-    let asks = starts.filter(|start| start.chance(ALONE) < told_after);
+    let asks = starts.filter(|start| start.peer_wait(KNOWING_NOBODY) < told_after);
     assert_eq!(asks.count(), 3);
     // Those that all know by address may be gone: callers of the others wait.
-    assert!(GroupStart::Again.chance(ALONE) <= TimeSpan::from_millis(250));
+    assert!(GroupStart::Restart.peer_wait(KNOWING_NOBODY) <= TimeSpan::from_millis(250));
 }
--- a/alderhaven-policy/tests/hedge_time.rs
+++ b/alderhaven-policy/tests/hedge_timing.rs
@@ -2,7 +2,7 @@
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::answer_time::AnswerTime;
-use alderhaven_policy::hedge_time::{HedgeTime, attempt_ends};
+use alderhaven_policy::hedge_timing::{HedgeTiming, attempt_deadline};
 
 fn at(millis: u64) -> TimePoint {
     TimePoint::START + TimeSpan::from_millis(millis)
@@ -16,10 +16,10 @@
 /// for one attempt in eight; one after 76 ms is sent for those that meet a pause, and still in time.
 #[test]
 fn hedge_of_a_patient_route_is_as_late_as_it_may_be() {
-    let time = HedgeTime {
+    let time = HedgeTiming {
         answer_at: at(136),
-        usual: millis(20),
-        late: millis(30),
+        typical_latency: millis(20),
+        late_threshold: millis(30),
     };
     assert_eq!(time.hedge_at(at(0)), at(76));
 }
@@ -28,21 +28,21 @@
 /// those 22 ms would be answered too late and is not sent at all: it has to go out before.
 #[test]
 fn hedge_of_a_tight_route_leaves_time_for_its_answer() {
-    let time = HedgeTime {
+    let time = HedgeTiming {
         answer_at: at(34),
-        usual: millis(8),
-        late: millis(22),
+        typical_latency: millis(8),
+        late_threshold: millis(22),
     };
     assert_eq!(time.hedge_at(at(0)), at(20));
-    assert!(time.is_worth(millis(8), at(20)));
+    assert!(time.is_worthwhile(millis(8), at(20)));
 }
 
 #[test]
 fn hedge_is_never_sent_before_most_attempts_answer() {
-    let time = HedgeTime {
+    let time = HedgeTiming {
         answer_at: at(10),
-        usual: millis(10),
-        late: millis(15),
+        typical_latency: millis(10),
+        late_threshold: millis(15),
     };
     assert_eq!(time.hedge_at(at(0)), at(12));
 }
@@ -51,15 +51,15 @@
 /// all the same it would take the budget from shards that it can save.
 #[test]
 fn hedge_to_a_slow_replica_is_not_worth_its_place_in_the_budget() {
-    let time = HedgeTime {
+    let time = HedgeTiming {
         answer_at: at(136),
-        usual: millis(20),
-        late: millis(30),
+        typical_latency: millis(20),
+        late_threshold: millis(30),
     };
-    assert!(!time.is_worth(millis(140), at(76)));
-    assert!(time.is_worth(millis(20), at(76)));
+    assert!(!time.is_worthwhile(millis(140), at(76)));
+    assert!(time.is_worthwhile(millis(20), at(76)));
     assert!(
-        time.is_worth(millis(140), at(140)),
+        time.is_worthwhile(millis(140), at(140)),
         "late answers need it all the same"
     );
 }
@@ -70,8 +70,8 @@
 fn attempt_ends_with_its_answer() {
     let time = AnswerTime::new(at(0), millis(150), millis(14), millis(800));
     assert_eq!(
-        attempt_ends(&time, millis(150), at(10)),
+        attempt_deadline(&time, millis(150), at(10)),
         at(136) + TimeSpan::from_micros(7_500)
     );
-    assert_eq!(attempt_ends(&time, millis(150), at(136)), at(800));
+    assert_eq!(attempt_deadline(&time, millis(150), at(136)), at(800));
 }
--- a/alderhaven-policy/tests/hedging.rs
+++ b/alderhaven-policy/tests/hedging.rs
@@ -5,7 +5,7 @@
 use alderhaven_core::time::TimeSpan;
 use alderhaven_policy::hedging::{HedgeGroup, HedgeOptions, HedgePolicy};
 use alderhaven_policy::policy_kind::PolicyKind;
-use common::{DrawSource, cases, ms, quantile};
+use common::{SeededRng, ms, proptest_config, quantile};
 use proptest::collection;
 use proptest::prelude::{any, prop_assert, proptest};
 
@@ -25,16 +25,16 @@
 fn run(kind: PolicyKind, slow_share: f64) -> (Vec<TimeSpan>, f64) {
     let mut policy = policy(kind);
     let group = group("search");
-    let mut draw = DrawSource(21);
+    let mut draw = SeededRng(21);
     let mut latencies = Vec::new();
     let mut ran = 0_u32;
-    let service = |draw: &mut DrawSource| {
+    let service = |draw: &mut SeededRng| {
         let slow = if draw.unit() < slow_share { 10.0 } else { 1.0 };
         (ms(5) + draw.exponential(ms(5))).mul_f64(slow)
     };
     for _ in 0..3000 {
-        policy.sent(20);
-        let delay = policy.delay(&group, true);
+        policy.record_sent(20);
+        let delay = policy.hedge_delay(&group, true);
         let mut slowest = TimeSpan::ZERO;
         for _ in 0..20 {
             ran += 1;
@@ -45,9 +45,9 @@
             {
                 ran += 1;
                 latency = latency.min(delay + service(&mut draw));
-                policy.hedge_ended(false);
+                policy.record_hedge_end(false);
             }
-            policy.answered(&group, latency, latency);
+            policy.record_answer(&group, latency, latency);
             slowest = slowest.max(latency);
         }
         latencies.push(slowest);
@@ -69,14 +69,14 @@
 #[test]
 fn overload_turns_hedging_off() {
     let mut policy = policy(PolicyKind::Current);
-    policy.sent(1000);
+    policy.record_sent(1000);
     assert!(!policy.take(true), "the service is full");
     assert!(policy.take(false));
     for _ in 0..30 {
-        policy.hedge_ended(true);
+        policy.record_hedge_end(true);
     }
     assert!(!policy.take(false), "relays refuse most hedges");
-    policy.sent(2000);
+    policy.record_sent(2000);
     assert!(policy.take(false), "it is tried again later");
 }
 
@@ -85,10 +85,10 @@
     let mut policy = policy(PolicyKind::Current);
     let group = group("assign");
     for _ in 0..100 {
-        policy.answered(&group, ms(10), ms(10));
+        policy.record_answer(&group, ms(10), ms(10));
     }
-    assert!(policy.delay(&group, true).is_some());
-    assert!(policy.delay(&group, false).is_none());
+    assert!(policy.hedge_delay(&group, true).is_some());
+    assert!(policy.hedge_delay(&group, false).is_none());
 }
 
 /// Reports take a hundred times as long as lookups. With one delay for both, every report would be
@@ -97,23 +97,26 @@
 fn long_among_short_has_its_own_delay() {
     let mut policy = policy(PolicyKind::Current);
     for _ in 0..100 {
-        policy.answered(&group("lookup"), ms(5), ms(5));
-        policy.answered(&group("report"), ms(500), ms(500));
+        policy.record_answer(&group("lookup"), ms(5), ms(5));
+        policy.record_answer(&group("report"), ms(500), ms(500));
     }
-    let delay = |name| policy.delay(&group(name), true).expect("it is known");
+    let delay = |name| policy.hedge_delay(&group(name), true).expect("it is known");
     assert!(delay("lookup") <= ms(6));
     assert!(delay("report") >= ms(495));
-    assert_eq!(policy.expected_service(&group("report")), Some(ms(500)));
+    assert_eq!(
+        policy.expected_service_time(&group("report")),
+        Some(ms(500))
+    );
 }
 
 #[test]
 fn unknown_group_is_not_hedged() {
     let policy = policy(PolicyKind::Current);
-    assert!(policy.delay(&group("new"), true).is_none());
+    assert!(policy.hedge_delay(&group("new"), true).is_none());
 }
 
 proptest! {
-    #![proptest_config(cases(256))]
+    #![proptest_config(proptest_config(256))]
 
     /// However attempts and hedges follow each other, hedges stay within the budget.
     #[test]
@@ -123,12 +126,12 @@
         let mut policy = policy(PolicyKind::Current);
         let (mut sent, mut hedged) = (0_u32, 0_u32);
         for (attempts, wanted, refused) in steps {
-            policy.sent(attempts);
+            policy.record_sent(attempts);
             sent += attempts;
             for _ in 0..wanted {
                 if policy.take(false) {
                     hedged += u32::from(!refused);
-                    policy.hedge_ended(refused);
+                    policy.record_hedge_end(refused);
                 }
             }
             prop_assert!(f64::from(hedged) <= 0.05 * f64::from(sent) + 1e-6);
@@ -144,9 +147,9 @@
         let group = group("search");
         for latency in &latencies {
             let latency = TimeSpan::from_micros(*latency);
-            policy.answered(&group, latency, latency);
+            policy.record_answer(&group, latency, latency);
         }
-        let delay = policy.delay(&group, true).expect("it is known");
+        let delay = policy.hedge_delay(&group, true).expect("it is known");
         let greatest = latencies.iter().max().expect("some");
         prop_assert!(delay <= TimeSpan::from_micros(*greatest).mul_f64(1.02) + ms(1));
     }
--- a/alderhaven-policy/tests/leaving_targets.rs
+++ b/alderhaven-policy/tests/leaving_targets.rs
@@ -10,7 +10,7 @@
     list.iter().map(ToString::to_string).collect()
 }
 
-fn second(count: u64) -> TimePoint {
+fn at_second(count: u64) -> TimePoint {
     TimePoint::START + TimeSpan::from_secs(count)
 }
 
@@ -20,14 +20,14 @@
 fn leaving_reply_outlives_lagging_list() {
     let target: TargetId = "desk-0-0".parse().expect("a name");
     let mut targets = LeavingTargets::new(LeavingOptions::default());
-    targets.set_listed(1, names(&[]), second(0));
-    targets.note_reply(&target, second(1));
-    targets.set_listed(1, names(&[]), second(2));
+    targets.set_listed(1, names(&[]), at_second(0));
+    targets.record_reply(&target, at_second(1));
+    targets.set_listed(1, names(&[]), at_second(2));
     assert_eq!(targets.names(), names(&["desk-0-0"]));
-    targets.set_listed(2, names(&["desk-0-0"]), second(5));
-    targets.set_listed(2, names(&["desk-0-0"]), second(40));
+    targets.set_listed(2, names(&["desk-0-0"]), at_second(5));
+    targets.set_listed(2, names(&["desk-0-0"]), at_second(40));
     assert_eq!(targets.names(), names(&["desk-0-0"]));
-    targets.set_listed(3, names(&[]), second(41));
+    targets.set_listed(3, names(&[]), at_second(41));
     assert_eq!(targets.names(), names(&[]));
 }
 
@@ -36,8 +36,8 @@
 #[test]
 fn leaving_list_does_not_go_back() {
     let mut targets = LeavingTargets::new(LeavingOptions::default());
-    targets.set_listed(7, names(&["desk-0-0"]), second(1));
-    targets.set_listed(6, names(&[]), second(2));
+    targets.set_listed(7, names(&["desk-0-0"]), at_second(1));
+    targets.set_listed(6, names(&[]), at_second(2));
     assert_eq!(targets.names(), names(&["desk-0-0"]));
 }
 
@@ -45,7 +45,7 @@
 fn leaving_drain_holds_until_taken_back() {
     let mut targets = LeavingTargets::new(LeavingOptions::default());
     targets.set_drained(names(&["desk-1-1"]));
-    targets.set_listed(1, names(&[]), second(100));
+    targets.set_listed(1, names(&[]), at_second(100));
     assert_eq!(targets.names(), names(&["desk-1-1"]));
     targets.set_drained(names(&[]));
     assert_eq!(targets.names(), names(&[]));
--- a/alderhaven-policy/tests/membership/domains.rs
+++ b/alderhaven-policy/tests/membership/domains.rs
@@ -6,15 +6,15 @@
 use crate::network::GossipNetwork;
 
 /// The processes and failure domains of a group.
-const MEMBERS: usize = 96;
-const DOMAINS: usize = 6;
+const MEMBER_COUNT: usize = 96;
+const DOMAIN_COUNT: usize = 6;
 
 fn settled(seed: u64) -> GossipNetwork {
-    let mut network = GossipNetwork::start_in_domains(MEMBERS, DOMAINS, seed);
-    let joined = network.run_until(TimeSpan::from_secs(20), GossipNetwork::all_true);
+    let mut network = GossipNetwork::start_in_domains(MEMBER_COUNT, DOMAIN_COUNT, seed);
+    let joined = network.run_until(TimeSpan::from_secs(20), GossipNetwork::all_views_correct);
     assert!(joined.is_some(), "seed {seed}");
     network.run(TimeSpan::from_secs(5));
-    network.far_updates = 0;
+    network.cross_domain_updates = 0;
     network
 }
 
@@ -26,14 +26,14 @@
         let mut network = settled(seed);
         network.crash(7);
         network.restart(7);
-        let known = network.run_until(TimeSpan::from_secs(3), GossipNetwork::all_true);
+        let known = network.run_until(TimeSpan::from_secs(3), GossipNetwork::all_views_correct);
         assert!(known.is_some(), "seed {seed}");
         network.run(TimeSpan::from_secs(3));
         // Drawn from all alike, five of six tellings cross: some 800.
         assert!(
-            network.far_updates <= 200,
+            network.cross_domain_updates <= 200,
             "{}, seed {seed}",
-            network.far_updates
+            network.cross_domain_updates
         );
     }
 }
@@ -46,7 +46,7 @@
         let mut network = settled(seed);
         network.leave(11);
         let known = network.run_until(TimeSpan::from_millis(800), |network| {
-            network.all_believe(11, &[Some(MemberState::Leaving)])
+            network.all_observe(11, &[Some(MemberState::Leaving)])
         });
         assert!(known.is_some(), "seed {seed}");
     }
@@ -57,7 +57,9 @@
 fn receive_agrees_after_a_domain_was_cut_off_and_restarted() {
     for seed in 100..103 {
         let mut network = settled(seed);
-        let cut: Vec<usize> = (0..MEMBERS).filter(|index| index % DOMAINS == 2).collect();
+        let cut: Vec<usize> = (0..MEMBER_COUNT)
+            .filter(|index| index % DOMAIN_COUNT == 2)
+            .collect();
         for index in &cut {
             network.nodes[*index].side = 1;
         }
@@ -66,7 +68,7 @@
             network.restart(*index);
             network.nodes[*index].side = 0;
         }
-        let known = network.run_until(TimeSpan::from_secs(15), GossipNetwork::all_true);
+        let known = network.run_until(TimeSpan::from_secs(15), GossipNetwork::all_views_correct);
         assert!(known.is_some(), "seed {seed}");
     }
 }
--- a/alderhaven-policy/tests/membership/failures.rs
+++ b/alderhaven-policy/tests/membership/failures.rs
@@ -10,11 +10,11 @@
 
 use crate::network::{GossipNetwork, address, node_id};
 
-const SETTLE: TimeSpan = TimeSpan::from_secs(30);
+const JOIN_BOUND: TimeSpan = TimeSpan::from_secs(30);
 
 fn settled(count: usize, seed: u64) -> GossipNetwork {
     let mut network = GossipNetwork::start(count, seed);
-    let joined = network.run_until(SETTLE, GossipNetwork::all_true);
+    let joined = network.run_until(JOIN_BOUND, GossipNetwork::all_views_correct);
     assert!(joined.is_some(), "{count} processes do not find each other");
     network.run(TimeSpan::from_secs(3));
     network
@@ -43,7 +43,7 @@
         let mut network = settled(64, seed);
         network.crash(9);
         let known = network.run_until(TimeSpan::from_secs(10), |network| {
-            network.all_believe(9, &[Some(Dead)])
+            network.all_observe(9, &[Some(Dead)])
         });
         assert!(
             known.is_some_and(|span| span <= TimeSpan::from_secs(5)),
@@ -59,7 +59,7 @@
     for seed in 0..10 {
         let mut network = settled(64, seed);
         let config = ConfigDigest {
-            progress: 1,
+            version_sum: 1,
             ..ConfigDigest::default()
         };
         for node in &mut network.nodes {
@@ -71,7 +71,7 @@
         network.run(TimeSpan::from_millis(300));
         network.leave(5);
         let known = network.run_until(TimeSpan::from_secs(5), |network| {
-            network.all_believe(5, &[Some(Leaving)])
+            network.all_observe(5, &[Some(Leaving)])
         });
         assert!(
             known.is_some_and(|span| span <= TimeSpan::from_secs(1)),
@@ -86,14 +86,14 @@
     // process wakes and believes that nothing happened. It must hear of its death and come back
     // under a newer version.
     let mut network = settled(8, 3);
-    network.is_kept_while_paused = false;
+    network.keeps_messages_while_paused = false;
     network.nodes[4].is_paused = true;
     network.run(TimeSpan::from_secs(20));
     for observer in (0..8).filter(|observer| *observer != 4) {
-        assert_eq!(network.believed(observer, 4), Some(Dead));
+        assert_eq!(network.observed_state(observer, 4), Some(Dead));
     }
     network.nodes[4].is_paused = false;
-    let back = network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_true);
+    let back = network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
     assert!(
         back.is_some_and(|span| span <= TimeSpan::from_secs(1)),
         "{back:?}"
@@ -114,7 +114,11 @@
         network.nodes[4].is_paused = false;
         network.run_until(TimeSpan::from_secs(2), |network| {
             for member in (0..8).filter(|member| *member != 4) {
-                assert_eq!(network.believed(4, member), Some(Alive), "seed {seed}");
+                assert_eq!(
+                    network.observed_state(4, member),
+                    Some(Alive),
+                    "seed {seed}"
+                );
             }
             false
         });
@@ -126,14 +130,14 @@
     // A switch loses track of the path between two hosts. All others reach both: neither may be
     // doubted, least of all by everyone.
     let mut network = settled(8, 9);
-    network.cut = Some((2, 6));
+    network.cut_link = Some((2, 6));
     network.run_until(TimeSpan::from_secs(60), |network| {
-        assert!(network.all_true());
+        assert!(network.all_views_correct());
         false
     });
 }
 
-fn split(network: &mut GossipNetwork, span: TimeSpan) {
+fn split_in_halves(network: &mut GossipNetwork, span: TimeSpan) {
     let half = network.nodes.len() / 2;
     for node in &mut network.nodes[half..] {
         node.side = 1;
@@ -145,18 +149,18 @@
 }
 
 /// Runs until all believe the truth; nobody may at any time give up a member of its own side.
-fn heal(network: &mut GossipNetwork, given_up: &[MemberState]) -> Option<TimeSpan> {
+fn run_until_healed(network: &mut GossipNetwork, given_up: &[MemberState]) -> Option<TimeSpan> {
     let half = network.nodes.len() / 2;
     network.run_until(TimeSpan::from_secs(60), |network| {
         for observer in 0..2 * half {
             let own_side = observer / half * half;
             for member in own_side..own_side + half {
-                let believed = network.believed(observer, member);
+                let believed = network.observed_state(observer, member);
                 let is_given_up = believed.is_some_and(|state| given_up.contains(&state));
                 assert!(!is_given_up, "{observer} gives up {member}: {believed:?}");
             }
         }
-        network.all_true()
+        network.all_views_correct()
     })
 }
 
@@ -166,10 +170,10 @@
     // other dead. When the path is back, no member may lose the work of its own side, nor be
     // doubted there, and both sides must be one again.
     let mut network = settled(16, 4);
-    split(&mut network, TimeSpan::from_secs(120));
-    assert_eq!(network.believed(0, 8), Some(Dead));
-    assert_eq!(network.believed(8, 0), Some(Dead));
-    let healed = heal(&mut network, &[Suspect, Dead]);
+    split_in_halves(&mut network, TimeSpan::from_secs(120));
+    assert_eq!(network.observed_state(0, 8), Some(Dead));
+    assert_eq!(network.observed_state(8, 0), Some(Dead));
+    let healed = run_until_healed(&mut network, &[Suspect, Dead]);
     assert!(
         healed.is_some_and(|span| span <= TimeSpan::from_secs(20)),
         "{healed:?}"
@@ -182,8 +186,8 @@
     // around when the path comes back, and then reaches those who know the dead to be well.
     for seed in 0..20 {
         let mut network = settled(16, seed);
-        split(&mut network, TimeSpan::from_millis(2_500 + seed * 100));
-        let healed = heal(&mut network, &[Dead]);
+        split_in_halves(&mut network, TimeSpan::from_millis(2_500 + seed * 100));
+        let healed = run_until_healed(&mut network, &[Dead]);
         assert!(
             healed.is_some_and(|span| span <= TimeSpan::from_secs(20)),
             "{healed:?}"
@@ -197,7 +201,7 @@
     let mut network = settled(8, 5);
     network.crash(2);
     network.restart(2);
-    let back = network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_true);
+    let back = network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
     assert!(back.is_some());
     let version = network.nodes[2]
         .membership
@@ -225,7 +229,7 @@
     network.run(TimeSpan::from_secs(10));
     network.restart(3);
     network.restart(5);
-    let back = network.run_until(TimeSpan::from_secs(20), GossipNetwork::all_true);
+    let back = network.run_until(TimeSpan::from_secs(20), GossipNetwork::all_views_correct);
     assert!(back.is_some(), "they are not found");
 }
 
@@ -236,8 +240,8 @@
     let mut network = settled(8, 6);
     network.crash(3);
     network.run(TimeSpan::from_secs(10));
-    network.restart_numbered(3, 1);
-    let back = network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_true);
+    network.restart_with_incarnation(3, 1);
+    let back = network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
     assert!(back.is_some(), "the others still hold it dead");
 }
 
@@ -255,12 +259,12 @@
     let old_news = network.message_about(5, 4);
     network.crash(4);
     network.run(TimeSpan::from_secs(90));
-    assert_eq!(network.believed(0, 4), None, "it is forgotten");
+    assert_eq!(network.observed_state(0, 4), None, "it is forgotten");
     network.receive(0, 5, old_news);
     network.run_until(TimeSpan::from_secs(30), |network| {
         for observer in 0..4 {
             assert_eq!(
-                network.believed(observer, 4),
+                network.observed_state(observer, 4),
                 None,
                 "{observer} is taken in"
             );
@@ -279,10 +283,10 @@
     message.updates[0].state = Dead;
     message.body = GossipBody::SyncReply {
         sequence: 0,
-        next: None,
+        continue_after: None,
     };
     let outgoing = network.receive(0, 3, message);
-    assert_eq!(network.believed(0, 2), Some(Alive));
+    assert_eq!(network.observed_state(0, 2), Some(Alive));
     let told = outgoing.iter().find(|outgoing| outgoing.to == address(2));
     let told = told.and_then(|outgoing| outgoing.message.updates.first());
     assert_eq!(told.map(|update| update.state), Some(Dead));
@@ -299,7 +303,7 @@
             for member in 0..24 {
                 for observer in 0..24 {
                     assert_ne!(
-                        network.believed(observer, member),
+                        network.observed_state(observer, member),
                         Some(Dead),
                         "seed {seed}"
                     );
--- a/alderhaven-policy/tests/membership/fuzz.rs
+++ b/alderhaven-policy/tests/membership/fuzz.rs
@@ -9,10 +9,10 @@
 
 use crate::network::GossipNetwork;
 
-const COUNT: usize = 6;
+const PROCESS_COUNT: usize = 6;
 
 /// The bound within which all that can reach each other agree, once nothing fails any more.
-const AGREEMENT: TimeSpan = TimeSpan::from_secs(40);
+const AGREEMENT_BOUND: TimeSpan = TimeSpan::from_secs(40);
 
 #[derive(Clone, Debug)]
 enum Fault {
@@ -27,7 +27,7 @@
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
-    let node = 0..COUNT;
+    let node = 0..PROCESS_COUNT;
     prop_oneof![
         4 => (100_u64..15_000).prop_map(Fault::Run),
         1 => node.clone().prop_map(Fault::Crash),
@@ -63,10 +63,10 @@
 }
 
 /// The time after which nobody may choose a member that announced that it leaves.
-const LEFT_AFTER: TimeSpan = TimeSpan::from_secs(3);
+const LEAVING_BOUND: TimeSpan = TimeSpan::from_secs(3);
 
 /// The time after which nobody may choose a member that died.
-const DEAD_AFTER: TimeSpan = TimeSpan::from_secs(5);
+const DEATH_BOUND: TimeSpan = TimeSpan::from_secs(5);
 
 /// Lets time pass and checks that nobody's knowledge of a member goes back to an older version.
 fn check_run(network: &mut GossipNetwork, span: TimeSpan) {
@@ -99,7 +99,7 @@
         seed in any::<u64>(),
         faults in proptest::collection::vec(fault(), 1..30),
     ) {
-        let mut network = GossipNetwork::start(COUNT, seed);
+        let mut network = GossipNetwork::start(PROCESS_COUNT, seed);
         network.run(TimeSpan::from_secs(3));
         for fault in &faults {
             apply(&mut network, fault);
@@ -109,7 +109,7 @@
         for node in &mut network.nodes {
             node.is_paused = false;
         }
-        let agreed = network.run_until(AGREEMENT, GossipNetwork::all_true);
+        let agreed = network.run_until(AGREEMENT_BOUND, GossipNetwork::all_views_correct);
         assert!(agreed.is_some(), "they do not agree on the truth");
     }
 
@@ -117,25 +117,25 @@
     fn membership_chooses_no_leaving_or_dead_member(
         seed in any::<u64>(),
         loss in 0_u8..10,
-        leaving in 0..COUNT,
-        dead in 0..COUNT,
-        restarted in 0..COUNT,
+        leaving in 0..PROCESS_COUNT,
+        dead in 0..PROCESS_COUNT,
+        restarted in 0..PROCESS_COUNT,
     ) {
-        let mut network = GossipNetwork::start(COUNT, seed);
+        let mut network = GossipNetwork::start(PROCESS_COUNT, seed);
         network.run(TimeSpan::from_secs(5));
         apply(&mut network, &Fault::Loss(loss));
         network.leave(leaving);
-        network.run(LEFT_AFTER);
-        prop_assert!(!network.is_chosen(leaving));
+        network.run(LEAVING_BOUND);
+        prop_assert!(!network.is_offered_work(leaving));
         if dead != leaving {
             network.crash(dead);
-            network.run(DEAD_AFTER);
-            prop_assert!(!network.is_chosen(dead));
+            network.run(DEATH_BOUND);
+            prop_assert!(!network.is_offered_work(dead));
         }
         if restarted != leaving && restarted != dead {
             network.restart(restarted);
-            network.run(LEFT_AFTER);
+            network.run(LEAVING_BOUND);
         }
-        prop_assert!(!network.is_chosen(leaving));
+        prop_assert!(!network.is_offered_work(leaving));
     }
 }
--- a/alderhaven-policy/tests/membership/lifecycle.rs
+++ b/alderhaven-policy/tests/membership/lifecycle.rs
@@ -10,13 +10,13 @@
 
 fn version(refutation: u32) -> MemberVersion {
     MemberVersion {
-        start: IncarnationNumber(7),
+        incarnation: IncarnationNumber(7),
         refutation,
     }
 }
 
-fn heard(state: MemberState, refutation: u32) -> MemberEvent {
-    MemberEvent::Heard {
+fn update_received(state: MemberState, refutation: u32) -> MemberEvent {
+    MemberEvent::UpdateReceived {
         state,
         version: version(refutation),
         now: TimePoint::START,
@@ -29,18 +29,18 @@
     match state {
         Alive => {}
         Dead => {
-            machine.handle(heard(Leaving, 5));
-            machine.handle(heard(Dead, 5));
+            machine.handle(update_received(Leaving, 5));
+            machine.handle(update_received(Dead, 5));
         }
         Suspect | Leaving => {
-            machine.handle(heard(state, 5));
+            machine.handle(update_received(state, 5));
         }
     }
     assert_eq!((machine.state(), machine.version()), (state, version(5)));
     machine
 }
 
-fn after(state: MemberState, event: MemberEvent) -> (MemberState, u32) {
+fn state_after(state: MemberState, event: MemberEvent) -> (MemberState, u32) {
     let mut machine = machine_in(state);
     machine.handle(event);
     (machine.state(), machine.version().refutation)
@@ -57,9 +57,9 @@
     ];
     for (before, row) in STATES.into_iter().zip(expected) {
         for (heard_state, next) in STATES.into_iter().zip(row) {
-            let event = heard(heard_state, 5);
+            let event = update_received(heard_state, 5);
             assert_eq!(
-                after(before, event),
+                state_after(before, event),
                 (next, 5),
                 "{before:?} hears {heard_state:?}"
             );
@@ -71,7 +71,10 @@
 fn handle_news_of_an_older_version() {
     for before in STATES {
         for heard_state in STATES {
-            assert_eq!(after(before, heard(heard_state, 4)), (before, 5));
+            assert_eq!(
+                state_after(before, update_received(heard_state, 4)),
+                (before, 5)
+            );
         }
     }
 }
@@ -84,7 +87,10 @@
                 (Alive | Suspect, Dead) => Suspect,
                 _ => heard_state,
             };
-            assert_eq!(after(before, heard(heard_state, 6)), (next, 6));
+            assert_eq!(
+                state_after(before, update_received(heard_state, 6)),
+                (next, 6)
+            );
         }
     }
 }
@@ -96,18 +102,18 @@
     };
     let expected = [Suspect, Suspect, Dead, Dead];
     for (before, next) in STATES.into_iter().zip(expected) {
-        assert_eq!(after(before, event), (next, 5));
+        assert_eq!(state_after(before, event), (next, 5));
     }
 }
 
 #[test]
 fn handle_suspicion_lapsed() {
-    let event = MemberEvent::SuspicionLapsed {
+    let event = MemberEvent::SuspicionExpired {
         now: TimePoint::START,
     };
     let expected = [Alive, Dead, Leaving, Dead];
     for (before, next) in STATES.into_iter().zip(expected) {
-        assert_eq!(after(before, event), (next, 5));
+        assert_eq!(state_after(before, event), (next, 5));
     }
 }
 
--- a/alderhaven-policy/tests/membership/main.rs
+++ b/alderhaven-policy/tests/membership/main.rs
@@ -6,4 +6,4 @@
 mod lifecycle;
 mod network;
 mod reports;
-mod sightings;
+mod store_answers;
--- a/alderhaven-policy/tests/membership/network.rs
+++ b/alderhaven-policy/tests/membership/network.rs
@@ -18,10 +18,10 @@
 use rand::{RngExt, SeedableRng};
 
 /// The step of time, which is how often a process ticks.
-const STEP: TimeSpan = TimeSpan::from_millis(50);
+const TICK_PERIOD: TimeSpan = TimeSpan::from_millis(50);
 
 /// The most messages that wait for a frozen process; a socket drops the rest.
-const MAX_WAITING: usize = 200;
+const MAX_QUEUED_PACKETS: usize = 200;
 
 /// A `GossipNetwork` runs some memberships and carries their messages.
 pub struct GossipNetwork {
@@ -36,19 +36,19 @@
     /// The longest delay of a message.
     pub max_delay: TimeSpan,
     /// Two processes that can't reach each other.
-    pub cut: Option<(usize, usize)>,
+    pub cut_link: Option<(usize, usize)>,
     /// Whether messages wait for a frozen process; else they are lost.
-    pub is_kept_while_paused: bool,
+    pub keeps_messages_while_paused: bool,
     options: MembershipOptions,
     rng: StdRng,
     packets: BTreeMap<(TimePoint, u64), Packet>,
     /// The messages sent.
     pub sent: u64,
     /// The pieces of news of members that crossed between failure domains, but for comparisons.
-    pub far_updates: usize,
-    domains: usize,
-    count: u64,
-    starts: u64,
+    pub cross_domain_updates: usize,
+    domain_count: usize,
+    packet_count: u64,
+    start_count: u64,
 }
 
 /// A `FakeProcess` is one process, or the place where one was.
@@ -59,7 +59,7 @@
     pub is_paused: bool,
     /// The side of a split that the process is on.
     pub side: u8,
-    waiting: Vec<Packet>,
+    queued_packets: Vec<Packet>,
 }
 
 struct Packet {
@@ -91,7 +91,7 @@
 
     /// Starts `count` processes with the given settings.
     pub fn start_with(count: usize, seed: u64, options: MembershipOptions) -> Self {
-        Self::empty(seed, options).started(count)
+        Self::empty(seed, options).with_processes(count)
     }
 
     /// Starts `count` processes that are spread over failure domains by turns.
@@ -101,39 +101,39 @@
             ..MembershipOptions::default()
         };
         let network = Self {
-            domains,
+            domain_count: domains,
             ..Self::empty(seed, options)
         };
-        network.started(count)
+        network.with_processes(count)
     }
 
     fn empty(seed: u64, options: MembershipOptions) -> Self {
         Self {
-            domains: 3,
-            far_updates: 0,
+            domain_count: 3,
+            cross_domain_updates: 0,
             options,
             nodes: Vec::new(),
             now: TimePoint::from_micros(1_000_000),
             loss: 0.0,
             duplicates: 0.0,
             max_delay: TimeSpan::from_millis(3),
-            cut: None,
-            is_kept_while_paused: true,
+            cut_link: None,
+            keeps_messages_while_paused: true,
             rng: StdRng::seed_from_u64(seed),
             packets: BTreeMap::new(),
             sent: 0,
-            count: 0,
-            starts: 0,
+            packet_count: 0,
+            start_count: 0,
         }
     }
 
-    fn started(mut self, count: usize) -> Self {
+    fn with_processes(mut self, count: usize) -> Self {
         for index in 0..count {
             self.nodes.push(FakeProcess {
                 membership: None,
                 is_paused: false,
                 side: 0,
-                waiting: Vec::new(),
+                queued_packets: Vec::new(),
             });
             self.restart(index);
         }
@@ -142,25 +142,25 @@
 
     /// Starts a process anew with nothing kept, as a clock that works numbers it.
     pub fn restart(&mut self, index: usize) {
-        self.starts += 1;
-        self.restart_numbered(index, 1_000 + self.starts);
+        self.start_count += 1;
+        self.restart_with_incarnation(index, 1_000 + self.start_count);
     }
 
     /// Starts a process anew with a given start number.
-    pub fn restart_numbered(&mut self, index: usize, start: u64) {
+    pub fn restart_with_incarnation(&mut self, index: usize, start: u64) {
         let record = MemberRecord::builder()
             .node(node_id(index))
             .role(MemberRole::Entry)
             .host(format!("host-{index}").parse().expect("a valid id"))
             .domain(
-                format!("domain-{}", index % self.domains)
+                format!("domain-{}", index % self.domain_count)
                     .parse()
                     .expect("a valid id"),
             )
             .gossip_address(address(index))
             .build();
         let version = MemberVersion {
-            start: IncarnationNumber(start),
+            incarnation: IncarnationNumber(start),
             refutation: 0,
         };
         let options = self.options.clone();
@@ -234,36 +234,36 @@
     }
 
     /// Gets what one process believes of another; none where it does not know it.
-    pub fn believed(&self, observer: usize, member: usize) -> Option<MemberState> {
+    pub fn observed_state(&self, observer: usize, member: usize) -> Option<MemberState> {
         let membership = self.nodes[observer].membership.as_ref()?;
         membership.state_of(&node_id(member))
     }
 
     /// Returns true where every running process believes the same of a member.
-    pub fn all_believe(&self, member: usize, states: &[Option<MemberState>]) -> bool {
+    pub fn all_observe(&self, member: usize, states: &[Option<MemberState>]) -> bool {
         (0..self.nodes.len())
             .filter(|observer| self.nodes[*observer].membership.is_some())
-            .all(|observer| states.contains(&self.believed(observer, member)))
+            .all(|observer| states.contains(&self.observed_state(observer, member)))
     }
 
     /// Returns true where any running process would send work to a member.
-    pub fn is_chosen(&self, member: usize) -> bool {
+    pub fn is_offered_work(&self, member: usize) -> bool {
         (0..self.nodes.len()).any(|observer| {
-            self.believed(observer, member)
+            self.observed_state(observer, member)
                 .is_some_and(MemberState::takes_work)
         })
     }
 
     /// Returns true where every running process believes the truth of every other one.
-    pub fn all_true(&self) -> bool {
+    pub fn all_views_correct(&self) -> bool {
         (0..self.nodes.len()).all(|member| match &self.nodes[member].membership {
-            Some(membership) => self.all_believe(member, &[Some(membership.own_state())]),
-            None => self.all_believe(member, &[Some(MemberState::Dead), None]),
+            Some(membership) => self.all_observe(member, &[Some(membership.own_state())]),
+            None => self.all_observe(member, &[Some(MemberState::Dead), None]),
         })
     }
 
     fn step(&mut self) {
-        let end = self.now + STEP;
+        let end = self.now + TICK_PERIOD;
         while let Some((&(at, number), _)) = self.packets.first_key_value() {
             if at > end {
                 break;
@@ -284,7 +284,7 @@
                 self.send(index, outgoing);
             }
             // A process that wakes may tick before it reads what waits for it.
-            for packet in std::mem::take(&mut self.nodes[index].waiting) {
+            for packet in std::mem::take(&mut self.nodes[index].queued_packets) {
                 self.deliver(packet);
             }
         }
@@ -293,8 +293,8 @@
     fn deliver(&mut self, packet: Packet) {
         let node = &mut self.nodes[packet.to];
         if node.is_paused {
-            if self.is_kept_while_paused && node.waiting.len() < MAX_WAITING {
-                node.waiting.push(packet);
+            if self.keeps_messages_while_paused && node.queued_packets.len() < MAX_QUEUED_PACKETS {
+                node.queued_packets.push(packet);
             }
             return;
         }
@@ -311,15 +311,15 @@
         for OutgoingMessage { to, message } in outgoing {
             let to = usize::from(to.port() - 10_000);
             let is_sync = matches!(message.body, GossipBody::SyncReply { .. });
-            if to % self.domains != from % self.domains && !is_sync {
-                self.far_updates += message.updates.len();
+            if to % self.domain_count != from % self.domain_count && !is_sync {
+                self.cross_domain_updates += message.updates.len();
             }
             let is_cut = self
                 .nodes
                 .get(to)
                 .is_none_or(|receiver| receiver.side != self.nodes[from].side)
-                || self.cut == Some((from, to))
-                || self.cut == Some((to, from));
+                || self.cut_link == Some((from, to))
+                || self.cut_link == Some((to, from));
             if is_cut || self.rng.random_bool(self.loss) {
                 continue;
             }
@@ -327,13 +327,14 @@
             for _ in 0..copies {
                 let delay =
                     TimeSpan::from_micros(self.rng.random_range(200..=self.max_delay.as_micros()));
-                self.count += 1;
+                self.packet_count += 1;
                 let packet = Packet {
                     from,
                     to,
                     message: message.clone(),
                 };
-                self.packets.insert((self.now + delay, self.count), packet);
+                self.packets
+                    .insert((self.now + delay, self.packet_count), packet);
             }
         }
     }
--- a/alderhaven-policy/tests/membership/reports.rs
+++ b/alderhaven-policy/tests/membership/reports.rs
@@ -9,12 +9,12 @@
 fn digest(version: u64) -> ConfigDigest {
     ConfigDigest {
         highest: StoreVersion(version),
-        progress: version,
+        version_sum: version,
         hash: version,
     }
 }
 
-fn in_force(network: &GossipNetwork, observer: usize, config: ConfigDigest) -> usize {
+fn reported_count(network: &GossipNetwork, observer: usize, config: ConfigDigest) -> usize {
     let membership = network.nodes[observer]
         .membership
         .as_ref()
@@ -37,7 +37,7 @@
             .set_config(digest(9));
     }
     let known = network.run_until(TimeSpan::from_secs(10), |network| {
-        (0..32).all(|observer| in_force(network, observer, digest(9)) == 32)
+        (0..32).all(|observer| reported_count(network, observer, digest(9)) == 32)
     });
     assert!(
         known.is_some_and(|span| span <= TimeSpan::from_secs(3)),
@@ -58,7 +58,7 @@
             membership.set_config(digest(9));
         }
         let known = network.run_until(TimeSpan::from_secs(3), |network| {
-            (0..32).all(|observer| in_force(network, observer, digest(9)) == 32)
+            (0..32).all(|observer| reported_count(network, observer, digest(9)) == 32)
         });
         assert!(known.is_some(), "seed {seed}");
     }
@@ -80,11 +80,11 @@
     network.crash(3);
     network.restart(3);
     let unclaimed = network.run_until(TimeSpan::from_secs(10), |network| {
-        (0..8).all(|observer| in_force(network, observer, digest(9)) == 7)
+        (0..8).all(|observer| reported_count(network, observer, digest(9)) == 7)
     });
     assert!(unclaimed.is_some());
     network.run_until(TimeSpan::from_secs(5), |network| {
-        assert!((0..8).all(|observer| in_force(network, observer, digest(9)) == 7));
+        assert!((0..8).all(|observer| reported_count(network, observer, digest(9)) == 7));
         false
     });
 }
--- a/alderhaven-policy/tests/membership/sightings.rs
+++ b/alderhaven-policy/tests/membership/store_answers.rs
@@ -10,13 +10,13 @@
 
 /// The age after which a node that hears of no answer watches the store itself, less the longest that
 /// a watch waits.
-const KNOWN_WITHIN: TimeSpan = TimeSpan::from_millis(2_500);
+const PROPAGATION_BOUND: TimeSpan = TimeSpan::from_millis(2_500);
 
-fn answered_ages(network: &GossipNetwork) -> Vec<Option<TimeSpan>> {
+fn other_answer_ages(network: &GossipNetwork) -> Vec<Option<TimeSpan>> {
     let running = network.nodes.iter().skip(1);
     let memberships = running.filter_map(|node| node.membership.as_ref());
     memberships
-        .map(GroupMembership::store_answered_other)
+        .map(GroupMembership::other_store_answered_at)
         .map(|seen| seen.map(|seen_at| network.now.since(seen_at)))
         .collect()
 }
@@ -31,9 +31,12 @@
     let first = network.nodes[0].membership.as_mut().expect("it runs");
     first.note_store_answer(now);
     let known = network.run_until(TimeSpan::from_secs(5), |network| {
-        answered_ages(network).iter().all(Option::is_some)
+        other_answer_ages(network).iter().all(Option::is_some)
     });
-    assert!(known.is_some_and(|span| span <= KNOWN_WITHIN), "{known:?}");
+    assert!(
+        known.is_some_and(|span| span <= PROPAGATION_BOUND),
+        "{known:?}"
+    );
 }
 
 /// A word that is passed on must not grow younger on its way: nodes would believe that the store is
@@ -48,7 +51,7 @@
     network.run(TimeSpan::from_secs(4));
     let age = network.now.since(answered_at);
     assert!(
-        answered_ages(&network)
+        other_answer_ages(&network)
             .iter()
             .flatten()
             .all(|seen| *seen >= age)
@@ -66,7 +69,7 @@
     first.note_store_answer(now);
     network.run(TimeSpan::from_secs(5));
     let first = network.nodes[0].membership.as_ref().expect("it runs");
-    assert_eq!(first.store_answered_other(), None);
+    assert_eq!(first.other_store_answered_at(), None);
 }
 
 /// Fronts take a new configuration over every few seconds. Where each member reports so to all others, a
@@ -86,7 +89,7 @@
             let membership = node.membership.as_mut().expect("it runs");
             membership.set_config(ConfigDigest {
                 highest: StoreVersion(9),
-                progress: 9,
+                version_sum: 9,
                 hash: 9,
             });
         }
--- a/alderhaven-policy/tests/quarantine.rs
+++ b/alderhaven-policy/tests/quarantine.rs
@@ -8,7 +8,7 @@
 use alderhaven_policy::crash_strike::TargetCrash;
 use alderhaven_policy::policy_kind::PolicyKind;
 use alderhaven_policy::quarantine::{CrashQuarantine, QuarantineOptions};
-use common::{at, cases};
+use common::{at, proptest_config};
 use proptest::collection;
 use proptest::prelude::{prop_assert, prop_assert_eq, proptest};
 
@@ -27,7 +27,7 @@
 
 fn crash_in(id: u64, target: u32, domain: &str, names: &[&str]) -> TargetCrash {
     TargetCrash {
-        crash: id,
+        id,
         target: format!("stock-0-{target}").parse().expect("a name"),
         domain: domain.parse().expect("a name"),
         in_flight: names
@@ -47,13 +47,13 @@
 #[test]
 fn quarantine_neighbour_is_not_refused() {
     let mut quarantine = quarantine();
-    quarantine.note_crash(&crash(1, 0, &["poison", "harmless"]), at(0));
+    quarantine.record_crash(&crash(1, 0, &["poison", "harmless"]), at(0));
     assert!(quarantine.is_suspect(&request("harmless"), at(1)));
     assert!(!is_refused(&quarantine, "poison", at(1)));
-    let cleared = quarantine.answered(&request("harmless"), ShardId(0), at(2));
+    let cleared = quarantine.record_answer(&request("harmless"), ShardId(0), at(2));
     assert_eq!(cleared.len(), 1);
     assert!(!quarantine.is_suspect(&request("harmless"), at(3)));
-    quarantine.note_crash(&crash(2, 1, &["poison"]), at(3));
+    quarantine.record_crash(&crash(2, 1, &["poison"]), at(3));
     assert!(is_refused(&quarantine, "poison", at(4)));
     assert!(!is_refused(&quarantine, "harmless", at(4)));
 }
@@ -66,7 +66,7 @@
     for id in 0..10 {
         let other = format!("other-{id}");
         let replica = u32::try_from(id).expect("small");
-        quarantine.note_crash(&crash(id, replica, &["popular", &other]), at(id * 5000));
+        quarantine.record_crash(&crash(id, replica, &["popular", &other]), at(id * 5000));
     }
     assert!(!is_refused(&quarantine, "popular", at(50_000)));
 }
@@ -74,8 +74,8 @@
 #[test]
 fn quarantine_one_target_twice_is_not_enough() {
     let mut quarantine = quarantine();
-    quarantine.note_crash(&crash(1, 0, &["poison"]), at(0));
-    quarantine.note_crash(&crash(2, 0, &["poison"]), at(100));
+    quarantine.record_crash(&crash(1, 0, &["poison"]), at(0));
+    quarantine.record_crash(&crash(2, 0, &["poison"]), at(100));
     assert!(!is_refused(&quarantine, "poison", at(101)));
 }
 
@@ -89,14 +89,14 @@
         let target = u32::try_from(id).expect("small");
         let mut lost = crash_in(id, target, "accra-a", &["search"]);
         lost.in_flight[0].1 = ShardId(shard);
-        quarantine.note_crash(&lost, at(id * 10));
+        quarantine.record_crash(&lost, at(id * 10));
     }
-    quarantine.note_crash(&crash_in(4, 4, "accra-a", &["other"]), at(40));
+    quarantine.record_crash(&crash_in(4, 4, "accra-a", &["other"]), at(40));
     assert!(!is_refused(&quarantine, "search", at(50)));
     assert!(!is_refused(&quarantine, "other", at(50)));
     // Two targets of other domains later on are its own doing.
-    quarantine.note_crash(&crash_in(5, 5, "accra-b", &["search"]), at(60));
-    quarantine.note_crash(&crash_in(6, 6, "accra-c", &["search"]), at(80));
+    quarantine.record_crash(&crash_in(5, 5, "accra-b", &["search"]), at(60));
+    quarantine.record_crash(&crash_in(6, 6, "accra-c", &["search"]), at(80));
     assert!(is_refused(&quarantine, "search", at(90)));
 }
 
@@ -109,22 +109,22 @@
     for shard in [1, 0] {
         let mut lost = crash(u64::from(shard), shard, &["sweep"]);
         lost.in_flight[0].1 = ShardId(shard);
-        quarantine.note_crash(&lost, at(u64::from(1 - shard)));
+        quarantine.record_crash(&lost, at(u64::from(1 - shard)));
     }
     assert!(!is_refused(&quarantine, "sweep", at(2)));
     // A replica of one of the shards, tried next, is another matter.
-    quarantine.note_crash(&crash(2, 2, &["sweep"]), at(20));
+    quarantine.record_crash(&crash(2, 2, &["sweep"]), at(20));
     assert!(is_refused(&quarantine, "sweep", at(21)));
 }
 
 #[test]
 fn quarantine_lapses_and_grows() {
     let mut quarantine = quarantine();
-    quarantine.note_crash(&crash(1, 0, &["poison"]), at(0));
-    quarantine.note_crash(&crash(2, 1, &["poison"]), at(0));
+    quarantine.record_crash(&crash(1, 0, &["poison"]), at(0));
+    quarantine.record_crash(&crash(2, 1, &["poison"]), at(0));
     assert!(is_refused(&quarantine, "poison", at(29_999)));
     assert!(!is_refused(&quarantine, "poison", at(30_000)));
-    quarantine.note_crash(&crash(3, 2, &["poison"]), at(40_000));
+    quarantine.record_crash(&crash(3, 2, &["poison"]), at(40_000));
     assert!(is_refused(&quarantine, "poison", at(99_999)));
     assert!(!is_refused(&quarantine, "poison", at(100_000)));
 }
@@ -132,8 +132,8 @@
 #[test]
 fn quarantine_baseline_refuses_nothing() {
     let mut quarantine = CrashQuarantine::new(PolicyKind::Baseline, QuarantineOptions::default());
-    quarantine.note_crash(&crash(1, 0, &["poison"]), at(0));
-    quarantine.note_crash(&crash(2, 1, &["poison"]), at(0));
+    quarantine.record_crash(&crash(1, 0, &["poison"]), at(0));
+    quarantine.record_crash(&crash(2, 1, &["poison"]), at(0));
     assert!(!is_refused(&quarantine, "poison", at(1)));
 }
 
@@ -142,7 +142,7 @@
 
 const NAMES: [&str; 4] = ["one", "two", "three", "four"];
 
-fn noted(index: usize, drawn: &DrawnCrash) -> (TargetCrash, TimePoint) {
+fn drawn_crash(index: usize, drawn: &DrawnCrash) -> (TargetCrash, TimePoint) {
     let (target, first, second, millis) = *drawn;
     let names = [NAMES[first], NAMES[second]];
     let shown = if first == second {
@@ -154,7 +154,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(64))]
+    #![proptest_config(proptest_config(64))]
 
     /// Strikes that travel in any split, order and repetition lead all processes to one judgement.
     #[test]
@@ -165,8 +165,8 @@
         let now = at(60_000);
         let mut parts = [quarantine(), quarantine()];
         for (index, item) in drawn.iter().enumerate() {
-            let (crash, time) = noted(index, item);
-            parts[usize::from(index % 3 == swap % 3)].note_crash(&crash, time);
+            let (crash, time) = drawn_crash(index, item);
+            parts[usize::from(index % 3 == swap % 3)].record_crash(&crash, time);
         }
         let news: Vec<_> = parts.iter().flat_map(|part| part.strikes(now)).collect();
         let mut forward = quarantine();
@@ -189,8 +189,8 @@
     ) {
         let mut quarantine = quarantine();
         for (index, item) in drawn.iter().enumerate() {
-            let (crash, time) = noted(index, item);
-            quarantine.note_crash(&crash, time);
+            let (crash, time) = drawn_crash(index, item);
+            quarantine.record_crash(&crash, time);
         }
         for entry in quarantine.entries(at(60_000)) {
             let mut targets: Vec<_> = entry.strikes.iter().map(|strike| &strike.target).collect();
@@ -208,7 +208,7 @@
         for index in 0..count {
             let name = format!("request-{index}");
             let target = u32::try_from(index).expect("small");
-            quarantine.note_crash(&crash(index as u64, target, &[&name]), at(index as u64));
+            quarantine.record_crash(&crash(index as u64, target, &[&name]), at(index as u64));
         }
         prop_assert!(quarantine.len() <= 8);
         // The latest are the ones that stay.
@@ -220,9 +220,9 @@
 #[test]
 fn quarantine_forgets_after_its_memory() {
     let mut quarantine = quarantine();
-    quarantine.note_crash(&crash(1, 0, &["old"]), at(0));
+    quarantine.record_crash(&crash(1, 0, &["old"]), at(0));
     let later = TimePoint::START + TimeSpan::from_secs(3601);
-    quarantine.note_crash(&crash(2, 1, &["new"]), later);
+    quarantine.record_crash(&crash(2, 1, &["new"]), later);
     assert_eq!(quarantine.len(), 1);
     assert!(!quarantine.is_empty());
 }
--- a/alderhaven-policy/tests/query_gate.rs
+++ b/alderhaven-policy/tests/query_gate.rs
@@ -3,44 +3,44 @@
 mod common;
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
+use alderhaven_policy::concurrency_limit::{ConcurrencyLimit, QuerySignal};
 use alderhaven_policy::query_gate::{GateDecision, GateQuery, GateReason, QueryGate};
-use alderhaven_policy::room_limit::{QueryNeed, RoomLimit};
 
-use common::shard_field::{FieldOptions, FieldTally, KindOptions, ShardField};
+use common::shard_simulation::{KindOptions, QueryTally, ShardSimulation, ShardSimulationOptions};
 use common::{at, ms};
 
 /// What the shards carry, in sweeps a second: four slots for 12 ms of work and 4% of long ones.
-const CAPACITY: f64 = 4.0 / 0.012 / 1.04;
+const CAPACITY_PER_SECOND: f64 = 4.0 / 0.012 / 1.04;
 
-const SWEEP: KindOptions = KindOptions {
+const FAN_OUT_QUERY: KindOptions = KindOptions {
     rank: 1,
-    part: 1.0,
-    work: ms(12),
-    target: ms(76),
-    least: 18,
+    share: 1.0,
+    mean_work: ms(12),
+    latency_target: ms(76),
+    required_shards: 18,
 };
 
 /// Runs sweeps at this multiple of the capacity for ten seconds, spread over five fronts.
-fn steady(times: f64, is_gated: bool) -> ShardField {
+fn run_steady(times: f64, is_gated: bool) -> ShardSimulation {
     run(
-        vec![(at(10_000), vec![CAPACITY * times / 5.0; 5])],
+        vec![(at(10_000), vec![CAPACITY_PER_SECOND * times / 5.0; 5])],
         is_gated,
     )
 }
 
-fn run(rates: Vec<(TimePoint, Vec<f64>)>, is_gated: bool) -> ShardField {
-    ShardField::run(FieldOptions {
+fn run(rates: Vec<(TimePoint, Vec<f64>)>, is_gated: bool) -> ShardSimulation {
+    ShardSimulation::run(ShardSimulationOptions {
         rates,
         shards: 20,
-        kinds: vec![SWEEP],
+        kinds: vec![FAN_OUT_QUERY],
         is_gated,
-        slow: (0, 1.0),
+        slow_shards: (0, 1.0),
         seed: 7,
     })
 }
 
 /// Counts what arrived after the first second.
-fn settled(field: &ShardField) -> FieldTally {
+fn tally_after_warmup(field: &ShardSimulation) -> QueryTally {
     field.tally(|_, _, second| second >= 1)
 }
 
@@ -49,13 +49,13 @@
 /// answered, whatever the load.
 #[test]
 fn overload_keeps_what_is_answered_in_time() {
-    let most = settled(&steady(0.85, true)).in_time;
+    let most = tally_after_warmup(&run_steady(0.85, true)).in_time;
     for times in [1.2, 1.6, 2.4] {
-        let gated = settled(&steady(times, true)).in_time;
+        let gated = tally_after_warmup(&run_steady(times, true)).in_time;
         assert!(gated >= 0.9 * most, "{times}: {gated} of {most}");
     }
     for times in [1.6, 2.4] {
-        let sent_all = settled(&steady(times, false)).in_time;
+        let sent_all = tally_after_warmup(&run_steady(times, false)).in_time;
         assert!(
             sent_all < 0.5 * most,
             "{times}: {sent_all} of {most} without the gate"
@@ -67,9 +67,9 @@
 #[test]
 fn usual_load_is_not_refused() {
     for times in [0.2, 0.5] {
-        let tally = settled(&steady(times, true));
+        let tally = tally_after_warmup(&run_steady(times, true));
         assert!(tally.refused < 1.0, "{times}: {} refused", tally.refused);
-        assert!(tally.in_time >= 0.99 * tally.asked, "{times}: {tally:?}");
+        assert!(tally.in_time >= 0.99 * tally.total, "{times}: {tally:?}");
     }
 }
 
@@ -77,17 +77,17 @@
 /// target for which a query may wait, and a quarter of it at most.
 #[test]
 fn refusals_come_at_once() {
-    let tally = settled(&steady(2.4, true));
-    assert!(tally.refused > 0.4 * tally.asked, "{tally:?}");
-    assert!(tally.slowest_refusal <= SWEEP.target.mul_f64(0.25));
+    let tally = tally_after_warmup(&run_steady(2.4, true));
+    assert!(tally.refused > 0.4 * tally.total, "{tally:?}");
+    assert!(tally.slowest_refusal <= FAN_OUT_QUERY.latency_target.mul_f64(0.25));
 }
 
 /// A burst of three times the capacity ends. What queues at targets is short, so that the next callers
 /// are served as if there had been none.
 #[test]
 fn burst_that_ends_leaves_nothing_behind() {
-    let usual = vec![CAPACITY * 0.4 / 5.0; 5];
-    let burst = vec![CAPACITY * 3.0 / 5.0; 5];
+    let usual = vec![CAPACITY_PER_SECOND * 0.4 / 5.0; 5];
+    let burst = vec![CAPACITY_PER_SECOND * 3.0 / 5.0; 5];
     let rates = vec![
         (at(2_000), usual.clone()),
         (at(6_000), burst),
@@ -95,19 +95,19 @@
     ];
     let field = run(rates, true);
     let after = field.tally(|_, _, second| second >= 7);
-    assert!(after.in_time >= 0.98 * after.asked, "{after:?}");
+    assert!(after.in_time >= 0.98 * after.total, "{after:?}");
 }
 
 /// One front has four times the callers of the others. All meet the same queues, so that its callers
 /// are served nearly as often as those of the others.
 #[test]
 fn fronts_of_unequal_load_serve_alike() {
-    let unit = CAPACITY * 1.5 / 8.0;
+    let unit = CAPACITY_PER_SECOND * 1.5 / 8.0;
     let rates = vec![(at(10_000), vec![4.0 * unit, unit, unit, unit, unit])];
     let field = run(rates, true);
     let share = |is_meant: fn(usize) -> bool| {
         let tally = field.tally(|_, front, second| second >= 1 && is_meant(front));
-        tally.in_time / tally.asked
+        tally.in_time / tally.total
     };
     let (busy, others) = (share(|front| front == 0), share(|front| front > 0));
     assert!(
@@ -121,12 +121,12 @@
 #[test]
 fn shards_that_can_be_left_out_do_not_close_it() {
     let run = |is_gated| {
-        settled(&ShardField::run(FieldOptions {
-            rates: vec![(at(10_000), vec![CAPACITY * 0.5 / 5.0; 5])],
+        tally_after_warmup(&ShardSimulation::run(ShardSimulationOptions {
+            rates: vec![(at(10_000), vec![CAPACITY_PER_SECOND * 0.5 / 5.0; 5])],
             shards: 20,
-            kinds: vec![SWEEP],
+            kinds: vec![FAN_OUT_QUERY],
             is_gated,
-            slow: (2, 10.0),
+            slow_shards: (2, 10.0),
             seed: 7,
         }))
     };
@@ -139,23 +139,26 @@
 /// lookups keep a part of it: neither is shut out.
 #[test]
 fn better_rank_goes_first_and_none_is_shut_out() {
-    let urgent = KindOptions { part: 0.6, ..SWEEP };
+    let urgent = KindOptions {
+        share: 0.6,
+        ..FAN_OUT_QUERY
+    };
     let lookup = KindOptions {
         rank: 2,
-        part: 0.4,
-        ..SWEEP
+        share: 0.4,
+        ..FAN_OUT_QUERY
     };
-    let field = ShardField::run(FieldOptions {
-        rates: vec![(at(10_000), vec![CAPACITY * 2.0 / 5.0; 5])],
+    let field = ShardSimulation::run(ShardSimulationOptions {
+        rates: vec![(at(10_000), vec![CAPACITY_PER_SECOND * 2.0 / 5.0; 5])],
         shards: 20,
         kinds: vec![urgent, lookup],
         is_gated: true,
-        slow: (0, 1.0),
+        slow_shards: (0, 1.0),
         seed: 7,
     });
     let share = |kind: usize| {
         let tally = field.tally(|of, _, second| second >= 1 && of == kind);
-        tally.in_time / tally.asked
+        tally.in_time / tally.total
     };
     assert!(share(0) > share(1), "{} and {}", share(0), share(1));
     assert!(share(1) > 0.25 * share(0), "{} and {}", share(0), share(1));
@@ -165,7 +168,7 @@
     GateQuery {
         id,
         rank,
-        target: ms(100),
+        latency_target: ms(100),
         is_late,
     }
 }
@@ -179,7 +182,7 @@
     }
     gate.cancel(id, at(0));
     // One goes and one comes, so that the mean stay is known.
-    gate.finished(ms(20), QueryNeed::Unknown);
+    gate.record_finished(ms(20), QuerySignal::Uninformative);
     let decision = gate.offer(query(999, rank, false), at(0));
     assert_eq!(decision, GateDecision::Admit);
     gate
@@ -194,7 +197,7 @@
     assert!(matches!(late, GateDecision::Wait { .. }), "{late:?}");
     let in_time = gate.offer(query(2, 2, false), at(2));
     assert!(matches!(in_time, GateDecision::Wait { .. }), "{in_time:?}");
-    gate.finished(ms(20), QueryNeed::Unknown);
+    gate.record_finished(ms(20), QuerySignal::Uninformative);
     assert_eq!(gate.next_ready(at(3)), Some(2));
 }
 
@@ -232,26 +235,26 @@
 
 #[test]
 fn limit_ignores_what_says_nothing_of_the_room() {
-    let mut limit = RoomLimit::default();
-    limit.note(QueryNeed::Unknown, 8);
-    assert_eq!(limit, RoomLimit::default());
+    let mut limit = ConcurrencyLimit::default();
+    limit.record_finished(QuerySignal::Uninformative, 8);
+    assert_eq!(limit, ConcurrencyLimit::default());
 }
 
 /// A front with little to do learns nothing of how much more would fit: its limit stays.
 #[test]
 fn limit_rises_only_while_it_is_used() {
-    let mut limit = RoomLimit::default();
-    limit.note(QueryNeed::Met(0.1), 1);
-    assert_eq!(limit, RoomLimit::default());
-    limit.note(QueryNeed::Met(0.1), 8);
-    assert!(limit.get() > RoomLimit::default().get());
+    let mut limit = ConcurrencyLimit::default();
+    limit.record_finished(QuerySignal::EnoughShards(0.1), 1);
+    assert_eq!(limit, ConcurrencyLimit::default());
+    limit.record_finished(QuerySignal::EnoughShards(0.1), 8);
+    assert!(limit.get() > ConcurrencyLimit::default().get());
 }
 
 #[test]
 fn limit_falls_within_rounds_to_its_least() {
-    let mut limit = RoomLimit::default();
+    let mut limit = ConcurrencyLimit::default();
     for _ in 0..60 {
-        limit.note(QueryNeed::Missed, 8);
+        limit.record_finished(QuerySignal::TimedOut, 8);
     }
     assert!(limit.get() <= 2.0, "{}", limit.get());
 }
@@ -263,29 +266,29 @@
 fn overload_of_one_service_keeps_what_is_answered_in_time() {
     const LOOKUP: KindOptions = KindOptions {
         rank: 2,
-        part: 1.0,
-        work: ms(90),
-        target: ms(380),
-        least: 1,
+        share: 1.0,
+        mean_work: ms(90),
+        latency_target: ms(380),
+        required_shards: 1,
     };
     const CARRIED: f64 = 4.0 / 0.090 / 1.04;
     let run = |times: f64, is_gated| {
-        let field = ShardField::run(FieldOptions {
+        let field = ShardSimulation::run(ShardSimulationOptions {
             rates: vec![(at(20_000), vec![CARRIED * times / 5.0; 5])],
             shards: 1,
             kinds: vec![LOOKUP],
             is_gated,
-            slow: (0, 1.0),
+            slow_shards: (0, 1.0),
             seed: 11,
         });
         field.tally(|_, _, second| second >= 3)
     };
     let most = run(0.85, true);
-    assert!(most.refused <= 0.02 * most.asked, "{most:?}");
+    assert!(most.refused <= 0.02 * most.total, "{most:?}");
     for times in [2.0, 3.0] {
         let (gated, all) = (run(times, true), run(times, false));
         assert!(gated.in_time >= 0.85 * most.in_time, "{times}: {gated:?}");
         assert!(all.in_time < 0.7 * most.in_time, "{times}: {all:?}");
-        assert!(gated.slowest_refusal <= LOOKUP.target.mul_f64(0.25));
+        assert!(gated.slowest_refusal <= LOOKUP.latency_target.mul_f64(0.25));
     }
 }
--- a/alderhaven-policy/tests/relay_queue.rs
+++ b/alderhaven-policy/tests/relay_queue.rs
@@ -10,7 +10,7 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::policy_kind::PolicyKind;
 use alderhaven_policy::relay_queue::{OfferOutcome, QueueJob, RelayQueue, RelayQueueOptions};
-use common::{EventLoop, at, cases, ms, quantile};
+use common::{EventQueue, at, ms, proptest_config, quantile};
 use proptest::prelude::{Just, Strategy, any, prop_assert, prop_oneof, proptest};
 use proptest::{collection, prop_assert_eq};
 
@@ -32,7 +32,7 @@
         order: sequence,
         template: template(name),
         deadline,
-        hedge: false,
+        is_hedge: false,
     }
 }
 
@@ -49,8 +49,8 @@
 
 /// What callers received, by attempt.
 #[derive(Default)]
-struct Received {
-    done: BTreeMap<u64, TimePoint>,
+struct RunResult {
+    finished_at: BTreeMap<u64, TimePoint>,
     dropped: BTreeMap<u64, (NotRunReason, TimePoint)>,
 }
 
@@ -61,9 +61,9 @@
 }
 
 /// Runs the arrivals through a queue with a target of `slots` slots.
-fn run(mut queue: RelayQueue, slots: u32, arrivals: &[Arrival]) -> Received {
-    let mut events = EventLoop::new();
-    let mut received = Received::default();
+fn run(mut queue: RelayQueue, slots: u32, arrivals: &[Arrival]) -> RunResult {
+    let mut events = EventQueue::new();
+    let mut received = RunResult::default();
     let mut wake = None;
     for (index, arrival) in arrivals.iter().enumerate() {
         events.add(arrival.time, Step::Arrive(index));
@@ -78,14 +78,14 @@
                 }
             }
             Step::End(id, service) => {
-                queue.finished(id, Some(service), now);
-                received.done.insert(id.sequence, now);
+                queue.record_finished(id, Some(service), now);
+                received.finished_at.insert(id.sequence, now);
             }
             Step::Expire => queue.drop_expired(now),
         }
         while let Some(started) = queue.start_next(now, slots) {
             assert!(
-                queue.running() <= slots as usize,
+                queue.running_count() <= slots as usize,
                 "more attempts run than the target has slots"
             );
             let service = arrivals
@@ -110,7 +110,7 @@
     received
 }
 
-fn steady(
+fn steady_arrivals(
     count: u64,
     first: u64,
     gap: TimeSpan,
@@ -132,7 +132,7 @@
 #[test]
 fn overload_serves_urgent_in_time_and_answers_the_rest_at_once() {
     // 2 slots of 10 ms run 200 attempts/s; 400 arrive.
-    let arrivals = steady(
+    let arrivals = steady_arrivals(
         2000,
         0,
         TimeSpan::from_micros(2500),
@@ -152,7 +152,7 @@
     let mut done_late = 0;
     for arrival in &arrivals {
         let number = arrival.job.id.sequence;
-        let done = received.done.get(&number);
+        let done = received.finished_at.get(&number);
         let in_time = done.is_some_and(|end| *end <= arrival.job.deadline);
         if done.is_some() && !in_time {
             done_late += 1;
@@ -171,7 +171,11 @@
         "{done_late} ran for nobody"
     );
     // 5 s at 200/s; one in a hundred may be lost at the edges.
-    assert!(received.done.len() >= 990, "{} ran", received.done.len());
+    assert!(
+        received.finished_at.len() >= 990,
+        "{} ran",
+        received.finished_at.len()
+    );
     let mut waits: Vec<TimeSpan> = received
         .dropped
         .iter()
@@ -184,7 +188,7 @@
 
 #[test]
 fn baseline_under_the_same_overload_misses_urgent_work() {
-    let arrivals = steady(
+    let arrivals = steady_arrivals(
         2000,
         0,
         TimeSpan::from_micros(2500),
@@ -204,7 +208,7 @@
         .iter()
         .filter(|arrival| arrival.job.class == QueryClass::Urgent)
         .filter(|arrival| {
-            let done = received.done.get(&arrival.job.id.sequence);
+            let done = received.finished_at.get(&arrival.job.id.sequence);
             done.is_some_and(|end| *end <= arrival.job.deadline)
         })
         .count();
@@ -215,7 +219,7 @@
 /// long as a report: all slots run reports, and nothing tells the two apart.
 #[test]
 fn long_among_short_leaves_a_slot_for_short_work() {
-    let mut arrivals = steady(400, 0, ms(10), ms(5), |number, time| {
+    let mut arrivals = steady_arrivals(400, 0, ms(10), ms(5), |number, time| {
         job(number, QueryClass::Urgent, "lookup", time + ms(300))
     });
     // Three reports come together each 600 ms, more than the target has slots.
@@ -236,7 +240,7 @@
         .iter()
         .filter(|arrival| arrival.job.id.sequence < 1000)
         .filter_map(|arrival| {
-            let end = received.done.get(&arrival.job.id.sequence)?;
+            let end = received.finished_at.get(&arrival.job.id.sequence)?;
             Some(end.since(arrival.time))
         })
         .collect();
@@ -244,7 +248,7 @@
     // Alone they take 5 ms; 1.5 times that is the bound.
     assert!(quantile(&mut short, 0.99) <= TimeSpan::from_micros(7500));
     let long = received
-        .done
+        .finished_at
         .keys()
         .filter(|number| **number >= 1000)
         .count();
@@ -255,16 +259,20 @@
 /// class alone decided.
 #[test]
 fn bulk_is_not_starved_by_urgent_work() {
-    let mut arrivals = steady(2000, 0, ms(5), ms(10), |number, time| {
+    let mut arrivals = steady_arrivals(2000, 0, ms(5), ms(10), |number, time| {
         job(number, QueryClass::Urgent, "lookup", time + ms(100))
     });
-    arrivals.extend(steady(10, 5000, ms(100), ms(10), |number, time| {
-        job(number, QueryClass::Bulk, "report", time + ms(5000))
-    }));
+    arrivals.extend(steady_arrivals(
+        10,
+        5000,
+        ms(100),
+        ms(10),
+        |number, time| job(number, QueryClass::Bulk, "report", time + ms(5000)),
+    ));
     arrivals.sort_by_key(|arrival| arrival.time);
     let received = run(queue(), 2, &arrivals);
     let bulk = received
-        .done
+        .finished_at
         .keys()
         .filter(|number| **number >= 5000)
         .count();
@@ -275,7 +283,7 @@
 /// and nothing that had already been refused or expired may run.
 #[test]
 fn burst_is_over_when_it_is_over() {
-    let mut arrivals = steady(500, 0, ms(2), ms(10), |number, time| {
+    let mut arrivals = steady_arrivals(500, 0, ms(2), ms(10), |number, time| {
         job(number, QueryClass::Ordinary, "lookup", time + ms(150))
     });
     arrivals.extend((0..200).map(|number| {
@@ -294,11 +302,11 @@
     }));
     let received = run(queue(), 2, &arrivals);
     for arrival in arrivals.iter().filter(|arrival| arrival.time >= at(1200)) {
-        let end = received.done.get(&arrival.job.id.sequence);
+        let end = received.finished_at.get(&arrival.job.id.sequence);
         let end = end.expect("work after the burst runs");
         assert!(end.since(arrival.time) <= ms(20));
     }
-    for number in received.done.keys() {
+    for number in received.finished_at.keys() {
         assert!(
             !received.dropped.contains_key(number),
             "{number} ran and was dropped"
@@ -318,7 +326,7 @@
         let mut queue = queue();
         queue.offer(job(900, QueryClass::Ordinary, "lookup", at(1000)), at(0), 1);
         queue.start_next(at(0), 1).expect("the first one starts");
-        queue.finished(id(900), Some(ms(10)), at(0));
+        queue.record_finished(id(900), Some(ms(10)), at(0));
         queue.offer(job(901, QueryClass::Ordinary, "lookup", at(1000)), at(0), 1);
         queue.start_next(at(0), 1).expect("the slot is taken");
         for number in numbers {
@@ -329,12 +337,12 @@
             );
         }
         let mut now = at(10);
-        queue.finished(id(901), Some(ms(10)), now);
+        queue.record_finished(id(901), Some(ms(10)), now);
         let mut served = BTreeSet::new();
         while let Some(started) = queue.start_next(now, 1) {
             served.insert(started.job.id.sequence);
             now = now + ms(10);
-            queue.finished(started.job.id, Some(ms(10)), now);
+            queue.record_finished(started.job.id, Some(ms(10)), now);
         }
         served
     };
@@ -359,7 +367,7 @@
             2,
         );
         queue.start_next(now, 2).expect("an idle target is tried");
-        queue.finished(id(number), Some(ms(400)), now + ms(400));
+        queue.record_finished(id(number), Some(ms(400)), now + ms(400));
     }
     let now = at(20_000);
     let urgent = job(50, QueryClass::Urgent, "lookup", now + ms(100));
@@ -377,7 +385,7 @@
 fn hedge_is_taken_only_where_a_slot_is_free() {
     let mut queue = queue();
     let mut hedge = job(1, QueryClass::Urgent, "lookup", at(100));
-    hedge.hedge = true;
+    hedge.is_hedge = true;
     assert_eq!(queue.offer(hedge.clone(), at(0), 1), OfferOutcome::Queued);
     assert!(queue.start_next(at(0), 1).is_some());
     hedge.id = id(2);
@@ -394,7 +402,7 @@
     let mut queue = queue();
     queue.offer(job(1, QueryClass::Urgent, "lookup", at(900)), at(0), 1);
     queue.start_next(at(0), 1).expect("the first one starts");
-    queue.finished(id(1), Some(ms(10)), at(10));
+    queue.record_finished(id(1), Some(ms(10)), at(10));
     queue.offer(job(2, QueryClass::Urgent, "lookup", at(900)), at(10), 1);
     queue.start_next(at(10), 1).expect("the slot is taken");
     for number in 10..30 {
@@ -461,7 +469,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(256))]
+    #![proptest_config(proptest_config(256))]
 
     /// Whatever happens, each job has one fate, the slots are never exceeded, nothing starts after
     /// its deadline, and while short work may come, long work leaves it a slot.
@@ -494,7 +502,7 @@
                 Action::Finish(number) => {
                     if let Some(name) = started.remove(&number) {
                         let service = if name.as_str() == "report" { ms(100) } else { ms(4) };
-                        queue.finished(id(number), Some(service), now);
+                        queue.record_finished(id(number), Some(service), now);
                     }
                 }
                 Action::Cancel(number) => {
@@ -507,9 +515,9 @@
             for dropped in queue.take_dropped() {
                 *fates.entry(dropped.id.sequence).or_default() += 1;
             }
-            prop_assert!(queue.running() <= slots as usize);
-            prop_assert_eq!(queue.running(), started.len());
-            prop_assert_eq!(queue.waiting() + fates.len(), taken);
+            prop_assert!(queue.running_count() <= slots as usize);
+            prop_assert_eq!(queue.running_count(), started.len());
+            prop_assert_eq!(queue.waiting_count() + fates.len(), taken);
             prop_assert!(fates.values().all(|count| *count == 1));
         }
     }
--- a/alderhaven-policy/tests/repeat_budget.rs
+++ b/alderhaven-policy/tests/repeat_budget.rs
@@ -6,7 +6,7 @@
 
 const OPTIONS: RepeatOptions = RepeatOptions {
     ratio: 0.2,
-    extra: 56.0,
+    free_per_window: 56.0,
     window: TimeSpan::from_secs(10),
 };
 
@@ -25,12 +25,12 @@
     for millis in 0..10_000 {
         let budget = &mut budgets[usize::try_from(millis).unwrap_or_default() % nodes];
         if millis % 10 == 0 {
-            budget.note_request(at(millis));
+            budget.record_request(at(millis));
             requests += 1;
         }
         repeats += u32::from(budget.take(RepeatReason::Hedge, 1.0 / nodes as f64, at(millis)));
     }
-    let allowed = f64::from(requests) * OPTIONS.ratio + OPTIONS.extra;
+    let allowed = f64::from(requests) * OPTIONS.ratio + OPTIONS.free_per_window;
     assert!(f64::from(repeats) <= allowed);
     assert!(
         f64::from(repeats) > allowed * 0.6,
@@ -44,7 +44,7 @@
 fn retry_after_hedges_is_still_sent() {
     let mut budget = RepeatBudget::new(OPTIONS);
     for millis in 0..500 {
-        budget.note_request(at(millis));
+        budget.record_request(at(millis));
     }
     while budget.take(RepeatReason::Hedge, 1.0, at(500)) {}
     assert!(budget.take(RepeatReason::Retry, 1.0, at(500)));
@@ -77,13 +77,13 @@
         for (wait, is_request) in steps {
             now += wait;
             if is_request {
-                budget.note_request(at(now));
+                budget.record_request(at(now));
                 requests.push(now);
             } else if budget.take(RepeatReason::Retry, 1.0, at(now)) {
                 repeats.push(now);
             }
             let within = |points: &[u64], span: u64| points.iter().filter(|point| **point + span > now).count();
-            let allowed = within(&requests, 10_500) as f64 * OPTIONS.ratio + OPTIONS.extra;
+            let allowed = within(&requests, 10_500) as f64 * OPTIONS.ratio + OPTIONS.free_per_window;
             prop_assert!(within(&repeats, 10_000) as f64 <= allowed);
         }
     }
