--- a/alderhaven-policy/tests/replica_choice.rs
+++ b/alderhaven-policy/tests/replica_choice.rs
@@ -9,7 +9,7 @@
 use alderhaven_policy::policy_kind::PolicyKind;
 use alderhaven_policy::replica_choice::{AttemptSample, ReplicaChooser, ReplicaOptions};
 use alderhaven_policy::replica_table::{ReplicaTable, TargetIndex, TargetListing};
-use common::{DrawSource, EventLoop, at, cases, ms, quantile};
+use common::{EventQueue, SeededRng, at, ms, proptest_config, quantile};
 use proptest::collection;
 use proptest::prelude::{any, prop_assert, prop_assert_eq, proptest};
 
@@ -38,11 +38,11 @@
 
 /// Sends attempts to `targets` replicas of 2 slots of which the first is `factor` times slower, and
 /// gets the times that the attempts took.
-fn run(policy: PolicyKind, targets: u32, factor: f64, rate: f64) -> Vec<TimeSpan> {
+fn simulate(policy: PolicyKind, targets: u32, factor: f64, rate: f64) -> Vec<TimeSpan> {
     let (table, chooser) = (table(targets as usize), chooser(policy));
     let replicas = indexes(targets);
-    let mut draw = DrawSource(11);
-    let mut events = EventLoop::new();
+    let mut draw = SeededRng(11);
+    let mut events = EventQueue::new();
     let mut slots: Vec<Vec<TimePoint>> = vec![vec![at(0); 2]; targets as usize];
     let mut times = Vec::new();
     let mut now = at(0);
@@ -61,14 +61,14 @@
                 service,
                 expected: ms(10),
             };
-            assert!(!chooser.finished(entry, sample, Some(now.until(*free)), now));
+            assert!(!chooser.record_finished(entry, sample, Some(now.until(*free)), now));
             continue;
         }
         let random = draw.next();
         let index = chooser
             .choose(&table, &replicas, &[], ms(10), now, random)
             .expect("a replica");
-        chooser.sent(&table, index);
+        chooser.record_sent(&table, index);
         let own_factor = if index.0 == 0 { factor } else { 1.0 };
         let service = draw.exponential(ms(10)).mul_f64(own_factor);
         let slot = slots[index.0 as usize].iter_mut().min().expect("two slots");
@@ -87,17 +87,17 @@
 #[test]
 fn slow_target_gets_little_work() {
     // 4 replicas of 2 slots carry 800/s; half of that arrives.
-    let plain = quantile(&mut run(PolicyKind::Baseline, 4, 10.0, 400.0), 0.99);
-    let chosen = quantile(&mut run(PolicyKind::Current, 4, 10.0, 400.0), 0.99);
+    let plain = quantile(&mut simulate(PolicyKind::Baseline, 4, 10.0, 400.0), 0.99);
+    let chosen = quantile(&mut simulate(PolicyKind::Current, 4, 10.0, 400.0), 0.99);
     assert!(chosen <= plain.mul_f64(0.1), "{chosen} against {plain}");
-    let healthy = quantile(&mut run(PolicyKind::Current, 4, 1.0, 400.0), 0.99);
+    let healthy = quantile(&mut simulate(PolicyKind::Current, 4, 1.0, 400.0), 0.99);
     assert!(chosen <= healthy.mul_f64(2.0), "{chosen} against {healthy}");
 }
 
 #[test]
 fn overload_of_one_replica_is_avoided() {
-    let plain = quantile(&mut run(PolicyKind::Baseline, 4, 1.0, 640.0), 0.99);
-    let chosen = quantile(&mut run(PolicyKind::Current, 4, 1.0, 640.0), 0.99);
+    let plain = quantile(&mut simulate(PolicyKind::Baseline, 4, 1.0, 640.0), 0.99);
+    let chosen = quantile(&mut simulate(PolicyKind::Current, 4, 1.0, 640.0), 0.99);
     assert!(chosen <= plain.mul_f64(0.8), "{chosen} against {plain}");
 }
 
@@ -106,18 +106,18 @@
 fn burst_is_spread_by_what_was_sent() {
     let (table, chooser) = (table(2), chooser(PolicyKind::Current));
     let replicas = indexes(2);
-    let mut draw = DrawSource(3);
+    let mut draw = SeededRng(3);
     for _ in 0..100 {
         let random = draw.next();
         let index = chooser
             .choose(&table, &replicas, &[], ms(10), at(1), random)
             .expect("a replica");
-        chooser.sent(&table, index);
+        chooser.record_sent(&table, index);
     }
     let counts: Vec<u32> = table
         .entries()
         .iter()
-        .map(|entry| entry.gauge.outstanding())
+        .map(|entry| entry.stats.outstanding())
         .collect();
     assert!(counts.iter().all(|count| *count >= 45), "{counts:?}");
 }
@@ -127,8 +127,8 @@
     let (table, chooser) = (table(2), chooser(PolicyKind::Current));
     let choose = |random| chooser.choose(&table, &indexes(2), &[], ms(10), at(1), random);
     assert!((0..20).all(|random| choose(random) == Some(TargetIndex(0))));
-    let near = &table.entries()[0].gauge;
-    near.note_wait(ms(8), at(1));
+    let near = &table.entries()[0].stats;
+    near.record_wait(ms(8), at(1));
     assert!((0..20).all(|random| choose(random) == Some(TargetIndex(1))));
 }
 
@@ -143,7 +143,7 @@
             service: ms(100),
             expected: ms(10),
         };
-        assert!(!chooser.finished(entry, sample, None, at(1000)));
+        assert!(!chooser.record_finished(entry, sample, None, at(1000)));
     }
     let choose = |now| chooser.choose(&table, &indexes(2), &[], ms(10), now, 0);
     assert_eq!(choose(at(1001)), Some(TargetIndex(1)));
@@ -157,9 +157,9 @@
     let mut now = at(0);
     let mut spans = Vec::new();
     for _ in 0..3 {
-        while !chooser.finished(entry, AttemptSample::Failed, None, now) {}
+        while !chooser.record_finished(entry, AttemptSample::Failed, None, now) {}
         let start = now;
-        while entry.gauge.is_ejected(now) {
+        while entry.stats.is_ejected(now) {
             assert!(
                 (0..50).all(|random| {
                     chooser.choose(&table, &indexes(4), &[], ms(10), now, random * 77)
@@ -180,7 +180,7 @@
 fn many_failing_targets_are_used_all_the_same() {
     let (table, chooser) = (table(4), chooser(PolicyKind::Current));
     for entry in &table.entries()[..3] {
-        while !chooser.finished(entry, AttemptSample::Failed, None, at(1)) {}
+        while !chooser.record_finished(entry, AttemptSample::Failed, None, at(1)) {}
     }
     let chosen: std::collections::BTreeSet<TargetIndex> = (0..100)
         .filter_map(|random| {
@@ -200,13 +200,13 @@
 #[test]
 fn table_keeps_the_counts_of_targets_that_stay() {
     let before = table(3);
-    before.entries()[1].gauge.sent();
+    before.entries()[1].stats.record_sent();
     let own = "d0".parse().expect("a name");
     let listings = [listing(2, false), listing(1, true)];
     let after = ReplicaTable::build(&before, listings, &own);
     let index = after.index_of(&"t1".parse().expect("a name"));
     let entry = after.get(index.expect("it stays")).expect("it stays");
-    assert_eq!(entry.gauge.outstanding(), 1);
+    assert_eq!(entry.stats.outstanding(), 1);
     assert!(entry.is_draining);
     let draining = [index.expect("it stays")];
     let chooser = chooser(PolicyKind::Current);
@@ -224,19 +224,19 @@
         .map(|seed| {
             let (table, chooser) = (Arc::clone(&table), chooser.clone());
             thread::spawn(move || {
-                let mut draw = DrawSource(seed);
+                let mut draw = SeededRng(seed);
                 for step in 0..10_000 {
                     let (now, random) = (at(step), draw.next());
                     let index = chooser
                         .choose(&table, &indexes(2), &[], ms(10), now, random)
                         .expect("a replica");
-                    chooser.sent(&table, index);
+                    chooser.record_sent(&table, index);
                     let entry = table.get(index).expect("a known target");
                     let sample = AttemptSample::Answered {
                         service: ms(10),
                         expected: ms(10),
                     };
-                    let _ = chooser.finished(entry, sample, Some(ms(1)), now);
+                    let _ = chooser.record_finished(entry, sample, Some(ms(1)), now);
                 }
             })
         })
@@ -248,12 +248,12 @@
         table
             .entries()
             .iter()
-            .all(|entry| entry.gauge.outstanding() == 0)
+            .all(|entry| entry.stats.outstanding() == 0)
     );
 }
 
 proptest! {
-    #![proptest_config(cases(256))]
+    #![proptest_config(proptest_config(256))]
 
     /// Whatever the targets' states, a choice is made exactly where one that neither drains nor was
     /// tried is left, and it is one of those; a target set aside is chosen only where the floor
@@ -271,7 +271,7 @@
         for (entry, (number, (_, suspect, was_tried))) in
             table.entries().iter().zip(states.iter().enumerate())
         {
-            entry.gauge.set_suspect(*suspect);
+            entry.stats.set_suspect(*suspect);
             if *was_tried {
                 tried.push(TargetIndex(u32::try_from(number).expect("few")));
             }
--- a/alderhaven-policy/tests/retry.rs
+++ b/alderhaven-policy/tests/retry.rs
@@ -6,7 +6,7 @@
 use alderhaven_policy::policy_kind::PolicyKind;
 use alderhaven_policy::retry::{EndedAttempt, GiveUpReason, RetryDecision, decide};
 use alderhaven_policy::retry_budget::{RetryBudget, RetryOptions};
-use common::{at, cases, ms};
+use common::{at, ms, proptest_config};
 use proptest::prelude::{any, prop_assert, proptest};
 use proptest::{collection, sample};
 
@@ -19,13 +19,13 @@
         outcome,
         is_idempotent: true,
         retries: 0,
-        untried: 1,
-        expected: ms(10),
+        untried_replicas: 1,
+        expected_service_time: ms(10),
         deadline: at(1000),
     }
 }
 
-const NOT_RUN: [NotRunReason; 8] = [
+const NOT_RUN_REASONS: [NotRunReason; 8] = [
     NotRunReason::NotSent,
     NotRunReason::Shed,
     NotRunReason::Draining,
@@ -37,7 +37,7 @@
 ];
 
 fn outcomes() -> Vec<AttemptOutcome> {
-    let not_run = NOT_RUN.into_iter().map(AttemptOutcome::NotRun);
+    let not_run = NOT_RUN_REASONS.into_iter().map(AttemptOutcome::NotRun);
     [
         AttemptOutcome::Answered,
         AttemptOutcome::Failed,
@@ -75,7 +75,7 @@
     let mut budget = budget();
     let mut retries = 0;
     for step in 0..100_u64 {
-        budget.sent(100);
+        budget.record_sent(100);
         for _ in 0..100 {
             let mut ended = attempt(AttemptOutcome::NotRun(NotRunReason::Shed));
             ended.deadline = at(step * 10 + 1000);
@@ -89,7 +89,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(256))]
+    #![proptest_config(proptest_config(256))]
 
     /// Whatever the attempt, it is repeated only where that does no harm and may still help.
     #[test]
@@ -105,8 +105,8 @@
             outcome,
             is_idempotent,
             retries,
-            untried,
-            expected: ms(expected),
+            untried_replicas: untried,
+            expected_service_time: ms(expected),
             deadline: at(500 + left),
         };
         if decide(ended, &mut budget(), at(500)) == RetryDecision::Retry {
@@ -126,13 +126,13 @@
         let (mut sent, mut taken, mut now) = (0.0, 0.0, at(0));
         for (attempts, wanted, time) in steps {
             now = now + ms(time);
-            budget.sent(attempts);
+            budget.record_sent(attempts);
             sent += f64::from(attempts);
             for _ in 0..wanted {
                 taken += f64::from(u8::from(budget.take(now)));
             }
             let free = now.since(at(0)).as_secs_f64() * options.free_per_second;
-            let most = options.burst + sent * options.budget + free;
+            let most = options.burst + sent * options.retries_per_attempt + free;
             prop_assert!(taken <= most + 1e-6);
         }
     }
--- a/alderhaven-policy/tests/store_budget.rs
+++ b/alderhaven-policy/tests/store_budget.rs
@@ -2,15 +2,15 @@
 
 use alderhaven_core::quantities::RatePerSecond;
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::store_budget::{BudgetOptions, StoreBudget, StoreCall};
+use alderhaven_policy::store_budget::{StoreBudget, StoreBudgetOptions, StoreCall};
 use proptest::prelude::{ProptestConfig, prop, prop_assert, proptest};
 use proptest::test_runner::RngSeed;
 
-fn options(writes: f64) -> BudgetOptions {
-    BudgetOptions {
+fn options(writes: f64) -> StoreBudgetOptions {
+    StoreBudgetOptions {
         writes: RatePerSecond::new(writes).expect("a rate"),
         burst: TimeSpan::from_secs(1),
-        ..BudgetOptions::default()
+        ..StoreBudgetOptions::default()
     }
 }
 
--- a/alderhaven-policy/tests/store_watch_plan.rs
+++ b/alderhaven-policy/tests/store_watch_plan.rs
@@ -18,7 +18,7 @@
     StoreContact {
         node: node.clone(),
         is_reached,
-        heard_at,
+        reported_at: heard_at,
     }
 }
 
@@ -30,7 +30,7 @@
             own,
             others: &others,
             contacts,
-            answered: None,
+            answered_age: None,
         };
         plan.should_watch(&WatchOptions::default(), now)
     };
@@ -109,7 +109,7 @@
             own,
             others: &others,
             contacts: &[],
-            answered,
+            answered_age: answered,
         };
         plan.should_watch(&WatchOptions::default(), at(60_000))
     };
@@ -138,7 +138,7 @@
         let count = usize::try_from(nodes).expect("a small number");
         let calls: f64 = (0..nodes)
             .map(|node| f64::from(node) / f64::from(nodes))
-            .map(|random| 1.0 / store_watch_plan::group_pause(count, random).as_secs_f64())
+            .map(|random| 1.0 / store_watch_plan::group_retry_pause(count, random).as_secs_f64())
             .sum();
         assert!(
             (8.0..14.0).contains(&calls),
--- a/alderhaven-policy/tests/subset.rs
+++ b/alderhaven-policy/tests/subset.rs
@@ -24,7 +24,7 @@
     (0..count)
         .map(|index| SubsetTarget {
             target: target(index),
-            connections,
+            max_connections: connections,
         })
         .collect()
 }
@@ -131,13 +131,13 @@
             let subsets = choose(&targets, &view);
             for target in &targets {
                 for relay in &view {
-                    let share = subsets.connections_of(&target.target, &relay.node);
+                    let share = subsets.connection_share_of(&target.target, &relay.node);
                     let held = opened.entry(target.target.clone()).or_default();
                     let most = held.entry(relay.node.clone()).or_default();
                     *most = share.max(*most);
                 }
                 for relay in subsets.relays_of(&target.target) {
-                    prop_assert!(subsets.connections_of(&target.target, relay) > 0);
+                    prop_assert!(subsets.connection_share_of(&target.target, relay) > 0);
                 }
             }
         }
--- a/alderhaven-policy/tests/target_limit.rs
+++ b/alderhaven-policy/tests/target_limit.rs
@@ -4,7 +4,7 @@
 
 use alderhaven_policy::policy_kind::PolicyKind;
 use alderhaven_policy::target_limit::{AttemptSignal, TargetLimit, TargetLimitOptions};
-use common::{at, cases, ms};
+use common::{at, ms, proptest_config};
 use proptest::collection;
 use proptest::prelude::{any, prop_assert, proptest};
 
@@ -14,8 +14,8 @@
 
 fn ran(service: u64) -> AttemptSignal {
     AttemptSignal::Ran {
-        service: ms(service),
-        expected: ms(10),
+        service_time: ms(service),
+        expected_service_time: ms(10),
     }
 }
 
@@ -27,9 +27,9 @@
     let (mut sent, mut shed) = (0, 0);
     for step in 0..3000 {
         let now = at(step * 10);
-        let count = limit.free(now);
+        let count = limit.free_slots(now);
         for _ in 0..count {
-            limit.sent();
+            limit.record_sent();
         }
         for place in 0..count {
             let is_shed = place >= 2;
@@ -40,7 +40,7 @@
             } else {
                 ran(10)
             };
-            limit.finished(signal, now + ms(9));
+            limit.record_finished(signal, now + ms(9));
         }
     }
     assert!(shed * 100 <= sent, "{shed} of {sent} shed");
@@ -52,23 +52,23 @@
     let options = TargetLimitOptions::default();
     let mut limit = TargetLimit::new(PolicyKind::Baseline, options, 4);
     for step in 0..100 {
-        limit.sent();
-        limit.finished(AttemptSignal::Shed, at(step));
+        limit.record_sent();
+        limit.record_finished(AttemptSignal::Shed, at(step));
     }
-    assert_eq!(limit.free(at(100)), 4);
+    assert_eq!(limit.free_slots(at(100)), 4);
 }
 
 #[test]
 fn slow_target_is_given_less_and_recovers() {
     let mut limit = limit(4);
     for step in 0..40 {
-        limit.sent();
-        limit.finished(ran(100), at(step * 100));
+        limit.record_sent();
+        limit.record_finished(ran(100), at(step * 100));
     }
     assert!(limit.limit(at(4000)) <= 2, "{}", limit.limit(at(4000)));
     for step in 0..300 {
-        limit.sent();
-        limit.finished(ran(10), at(4000 + step * 100));
+        limit.record_sent();
+        limit.record_finished(ran(10), at(4000 + step * 100));
     }
     assert_eq!(limit.limit(at(34_000)), 4);
 }
@@ -76,13 +76,19 @@
 #[test]
 fn spread_of_service_times_is_no_slowness() {
     let mut limit = limit(4);
-    let mut draw = common::DrawSource(7);
+    let mut draw = common::SeededRng(7);
     let mut lowered = 0;
     for step in 0..2000 {
-        limit.sent();
+        limit.record_sent();
         let service = draw.exponential(ms(10));
         let expected = ms(10);
-        limit.finished(AttemptSignal::Ran { service, expected }, at(step * 10));
+        limit.record_finished(
+            AttemptSignal::Ran {
+                service_time: service,
+                expected_service_time: expected,
+            },
+            at(step * 10),
+        );
         lowered += u32::from(limit.limit(at(step * 10)) < 4);
     }
     assert!(
@@ -105,21 +111,25 @@
 #[test]
 fn report_counts_only_where_it_says_more_and_is_fresh() {
     let options = TargetLimitOptions {
-        reported_slots: true,
+        uses_reported_slots: true,
         ..TargetLimitOptions::default()
     };
     let mut limit = TargetLimit::new(PolicyKind::Current, options, 4);
-    limit.sent();
-    limit.sent();
-    limit.reported(0, at(10));
-    assert_eq!(limit.free(at(10)), 2, "what was sent goes before a report");
-    limit.reported(3, at(10));
-    assert_eq!(limit.free(at(10)), 1);
-    assert_eq!(limit.free(at(100)), 2, "an old report is forgotten");
+    limit.record_sent();
+    limit.record_sent();
+    limit.record_report(0, at(10));
+    assert_eq!(
+        limit.free_slots(at(10)),
+        2,
+        "what was sent goes before a report"
+    );
+    limit.record_report(3, at(10));
+    assert_eq!(limit.free_slots(at(10)), 1);
+    assert_eq!(limit.free_slots(at(100)), 2, "an old report is forgotten");
 }
 
 proptest! {
-    #![proptest_config(cases(256))]
+    #![proptest_config(proptest_config(256))]
 
     /// Whatever the target says, it is given at least one and at most its declared slots.
     #[test]
@@ -135,10 +145,10 @@
             }
             match kind {
                 0 => limit.mark_cold(now),
-                1 => limit.finished(AttemptSignal::Shed, now),
-                2 => limit.finished(ran(time), now),
-                3 => limit.finished(AttemptSignal::Nothing, now),
-                _ => while limit.free(now) > 0 { limit.sent() },
+                1 => limit.record_finished(AttemptSignal::Shed, now),
+                2 => limit.record_finished(ran(time), now),
+                3 => limit.record_finished(AttemptSignal::Uninformative, now),
+                _ => while limit.free_slots(now) > 0 { limit.record_sent() },
             }
             prop_assert!((1..=slots).contains(&limit.limit(now)));
             prop_assert!(limit.in_flight() <= slots);
--- a/alderhaven-policy/tests/top_records.rs
+++ b/alderhaven-policy/tests/top_records.rs
@@ -1,26 +1,26 @@
 //! The greatest records of many parts.
 
-use alderhaven_policy::top_records::{RECORD_BYTES, greatest};
+use alderhaven_policy::top_records::{RECORD_BYTES, greatest_records};
 use bytes::Bytes;
 use proptest::prelude::*;
 
 #[test]
 fn greatest_equal_records_all_count() {
     let part = Bytes::from(vec![7; 2 * RECORD_BYTES]);
-    assert_eq!(greatest([&part, &part], 3).len(), 3 * RECORD_BYTES);
+    assert_eq!(greatest_records([&part, &part], 3).len(), 3 * RECORD_BYTES);
 }
 
 #[test]
 fn greatest_of_a_broken_record_leaves_it_out() {
     let part = Bytes::from(vec![1; RECORD_BYTES + 5]);
-    assert_eq!(greatest([&part], 9).len(), RECORD_BYTES);
+    assert_eq!(greatest_records([&part], 9).len(), RECORD_BYTES);
 }
 
 #[test]
 fn greatest_none_is_empty() {
     let part = Bytes::from(vec![1; RECORD_BYTES]);
-    assert!(greatest([&part], 0).is_empty());
-    assert!(greatest([], 5).is_empty());
+    assert!(greatest_records([&part], 0).is_empty());
+    assert!(greatest_records([], 5).is_empty());
 }
 
 proptest! {
@@ -34,10 +34,10 @@
     ) {
         let parts: Vec<Bytes> = parts.into_iter().map(Bytes::from).collect();
         let cut = cut.min(parts.len());
-        let block = greatest(&parts[..cut], count);
+        let block = greatest_records(&parts[..cut], count);
         let rest = parts[cut..].iter();
-        let merged = greatest(std::iter::once(&block).chain(rest), count);
-        prop_assert_eq!(&merged, &greatest(&parts, count));
+        let merged = greatest_records(std::iter::once(&block).chain(rest), count);
+        prop_assert_eq!(&merged, &greatest_records(&parts, count));
 
         let chunks = parts.iter().flat_map(|part| part.chunks_exact(RECORD_BYTES));
         let mut oracle: Vec<&[u8]> = chunks.collect();
--- a/alderhaven-policy/tests/warmup_limit.rs
+++ b/alderhaven-policy/tests/warmup_limit.rs
@@ -81,13 +81,13 @@
     fn limit_holds_in_any_second(gaps in prop::collection::vec(0_u64..400, 1..200)) {
         let mut limit = WarmupLimit::default();
         limit.set_allowance(Some(3));
-        limit.note_cold(TimeSpan::from_secs(60), at(0));
+        limit.record_cold(TimeSpan::from_secs(60), at(0));
         let mut now = 0;
         let mut sent: Vec<u64> = Vec::new();
         for gap in gaps {
             now += gap;
-            if now < 60_000 && limit.has_room(at(now)) {
-                limit.note_sent(at(now));
+            if now < 60_000 && limit.allows_request(at(now)) {
+                limit.record_sent(at(now));
                 sent.push(now);
             }
         }
@@ -102,14 +102,14 @@
 #[test]
 fn limit_ends_with_the_warmup() {
     let mut limit = WarmupLimit::default();
-    limit.note_cold(TimeSpan::from_secs(3), at(0));
+    limit.record_cold(TimeSpan::from_secs(3), at(0));
     assert!(
-        limit.has_room(at(0)),
+        limit.allows_request(at(0)),
         "nothing is said of what it tolerates"
     );
     limit.set_allowance(Some(0));
-    assert!(!limit.has_room(at(2_999)));
-    assert!(limit.has_room(at(3_000)));
+    assert!(!limit.allows_request(at(2_999)));
+    assert!(limit.allows_request(at(3_000)));
 }
 
 /// Guards against a domain that returns cold before its targets have said so.
@@ -118,7 +118,7 @@
     let mut limit = WarmupLimit::default();
     limit.set_allowance(Some(0));
     limit.presume_cold(TimeSpan::from_secs(3), at(0));
-    assert!(!limit.has_room(at(100)));
-    limit.note_cold(TimeSpan::ZERO, at(200));
-    assert!(limit.has_room(at(200)));
+    assert!(!limit.allows_request(at(100)));
+    limit.record_cold(TimeSpan::ZERO, at(200));
+    assert!(limit.allows_request(at(200)));
 }
--- a/alderhaven-relay/src/lane_attempt.rs
+++ b/alderhaven-relay/src/lane_attempt.rs
@@ -50,7 +50,7 @@
             order: self.order,
             template: self.template.clone(),
             deadline: self.deadline,
-            hedge: self.hedge,
+            is_hedge: self.hedge,
         }
     }
 
--- a/alderhaven-relay/src/node.rs
+++ b/alderhaven-relay/src/node.rs
@@ -151,7 +151,7 @@
 
     /// Asks for the planned stop; a second time, to end at once.
     pub fn request_stop(&self) {
-        self.state.stop.request();
+        self.state.stop.request_stop();
     }
 
     /// Waits until the relay may end: all attempts are answered, or the report says how many were
@@ -224,7 +224,7 @@
     }
 
     fn drain(&self) {
-        self.stop.request_once();
+        self.stop.request_stop_once();
     }
 }
 
@@ -263,7 +263,7 @@
 fn prepare_own(state: &RelayState) {
     let candidates: Vec<RelayCandidate> = state
         .group
-        .working(MemberRole::Relay)
+        .working_members(MemberRole::Relay)
         .into_iter()
         .map(|member| RelayCandidate {
             node: member.record.node.clone(),
@@ -281,7 +281,7 @@
         .iter()
         .map(|replica| SubsetTarget {
             target: replica.target.clone(),
-            connections: replica.connections,
+            max_connections: replica.connections,
         })
         .collect();
     let subsets = RelaySubsets::choose(&targets, &candidates, &SubsetOptions::default());
--- a/alderhaven-relay/src/settings.rs
+++ b/alderhaven-relay/src/settings.rs
@@ -131,16 +131,28 @@
         );
         check.within("queue.max_wait", &self.queue.max_wait, &TIME_RANGE);
         check.within("queue.max_jobs", &self.queue.max_jobs, &(1..=MAX_JOBS));
-        check.within("queue.aged_every", &self.queue.aged_every, &(1..=1_000));
-        check.within("queue.long_factor", &self.queue.long_factor, &(1.0..=1e3));
-        check.within("limit.fall_factor", &self.limit.fall_factor, &(0.1..=1.0));
+        check.within(
+            "queue.aged_every",
+            &self.queue.aged_start_interval,
+            &(1..=1_000),
+        );
+        check.within(
+            "queue.long_factor",
+            &self.queue.long_job_factor,
+            &(1.0..=1e3),
+        );
+        check.within(
+            "limit.fall_factor",
+            &self.limit.decrease_factor,
+            &(0.1..=1.0),
+        );
         check.within(
             "limit.growth_factor",
-            &self.limit.growth_factor,
+            &self.limit.slowdown_factor,
             &(1.0..=1e3),
         );
         self.quarantine.check(&mut check);
-        check.within("health.factor", &self.health.factor, &(1.0..=1e3));
+        check.within("health.factor", &self.health.silence_factor, &(1.0..=1e3));
         check.within("health.min_silence", &self.health.min_silence, &TIME_RANGE);
         check.within(
             "health.probe_timeout",
@@ -167,7 +179,7 @@
 /// No answer names a relay, so it is not kept up for one.
 fn default_stop() -> DrainOptions {
     DrainOptions {
-        address_life: TimeSpan::ZERO,
+        directory_lifetime: TimeSpan::ZERO,
         ..DrainOptions::default()
     }
 }
--- a/alderhaven-relay/src/target_connections.rs
+++ b/alderhaven-relay/src/target_connections.rs
@@ -231,7 +231,7 @@
         path.health.is_silent(&SilentAttempt {
             idle_before,
             sent,
-            answered_sent: path.answered_sent,
+            last_answered_sent: path.answered_sent,
         })
     }
 
@@ -304,7 +304,7 @@
                 path.probe_began = self.clock.now();
                 path.probes += 1;
             }
-            HealthAction::ReplaceOld => {
+            HealthAction::ReplaceIdle => {
                 let began = path.probe_began;
                 let mut idle = self.idle();
                 let before = idle.len();
--- a/alderhaven-relay/src/target_lane.rs
+++ b/alderhaven-relay/src/target_lane.rs
@@ -203,7 +203,7 @@
     #[must_use]
     pub fn unfinished(&self) -> usize {
         let state = self.lock();
-        state.queue.waiting() + state.queue.running()
+        state.queue.waiting_count() + state.queue.running_count()
     }
 
     /// Gets the lane's state for the dump.
@@ -213,8 +213,8 @@
         let state = self.lock();
         LaneReport {
             address: self.authority.clone(),
-            queued: state.queue.waiting(),
-            in_flight: state.queue.running(),
+            queued: state.queue.waiting_count(),
+            in_flight: state.queue.running_count(),
             limit: state.limit.limit(now),
             idle_connections: self.shared.connections.idle_count(),
             path: self.shared.connections.report(),
@@ -273,7 +273,8 @@
             .iter()
             .map(|(attempt, _)| state.wait_of(attempt, now))
             .collect();
-        self.waiting.store(state.queue.waiting(), Ordering::Relaxed);
+        self.waiting
+            .store(state.queue.waiting_count(), Ordering::Relaxed);
         drop(state);
         for ((attempt, reason), wait) in dropped.into_iter().zip(waits) {
             self.answer_not_run(&attempt, reason, wait);
@@ -339,7 +340,7 @@
             return;
         }
         let is_new = shared.strikes.note_crash(&TargetCrash {
-            crash: incident.number,
+            id: incident.number,
             target: shared.target.clone(),
             domain: shared.domain.clone(),
             in_flight: incident.in_flight,
@@ -390,19 +391,22 @@
         }
         let has_run = verdict.outcome == AttemptOutcome::Answered;
         let measured = has_run.then_some(service);
-        state.queue.finished(attempt.id(), measured, now);
+        state.queue.record_finished(attempt.id(), measured, now);
         let signal = match verdict.outcome {
-            AttemptOutcome::Answered => AttemptSignal::Ran { service, expected },
+            AttemptOutcome::Answered => AttemptSignal::Ran {
+                service_time: service,
+                expected_service_time: expected,
+            },
             AttemptOutcome::NotRun(NotRunReason::Shed) => AttemptSignal::Shed,
             AttemptOutcome::NotRun(_)
             | AttemptOutcome::Failed
             | AttemptOutcome::VersionGone
-            | AttemptOutcome::Unknown => AttemptSignal::Nothing,
+            | AttemptOutcome::Unknown => AttemptSignal::Uninformative,
         };
-        state.limit.finished(signal, now);
+        state.limit.record_finished(signal, now);
         if let Some(free) = verdict.free_slots {
             let used = state.slots.saturating_sub(free);
-            state.limit.reported(used, now);
+            state.limit.record_report(used, now);
         }
         if verdict.is_draining {
             self.shared.watch.note_reply(&self.shared.target);
@@ -438,12 +442,12 @@
         if self.held.is_some() {
             return self.start_held(now, strikes);
         }
-        let slots = self.limit.in_flight() + self.limit.free(now);
+        let slots = self.limit.in_flight() + self.limit.free_slots(now);
         let started = self.queue.start_next(now, slots)?;
         let attempt = self.waiting.remove(&started.job.id)?;
-        self.limit.sent();
+        self.limit.record_sent();
         let ready = ReadyAttempt {
-            expected: self.queue.expected(&attempt.template),
+            expected: self.queue.expected_service_time(&attempt.template),
             attempt,
             cancelled: Arc::new(Notify::new()),
             waited: started.waited,
@@ -485,8 +489,9 @@
 
     /// Gives back the slot of an attempt that will not run.
     fn refuse(&mut self, ready: ReadyAttempt, reason: NotRunReason, now: TimePoint) -> NextAttempt {
-        self.queue.finished(ready.attempt.id(), None, now);
-        self.limit.finished(AttemptSignal::Nothing, now);
+        self.queue.record_finished(ready.attempt.id(), None, now);
+        self.limit
+            .record_finished(AttemptSignal::Uninformative, now);
         NextAttempt::Refuse(ready.attempt, reason)
     }
 
@@ -509,6 +514,6 @@
 
     fn wait_of(&self, attempt: &LaneAttempt, now: TimePoint) -> TimeSpan {
         self.queue
-            .wait_of(attempt.class, now, self.limit.limit(now))
+            .estimated_wait(attempt.class, now, self.limit.limit(now))
     }
 }
--- a/alderhaven-soak/src/front_process.rs
+++ b/alderhaven-soak/src/front_process.rs
@@ -58,7 +58,7 @@
         log: HistoryLog,
     ) -> Result<Self> {
         let path = folder.join(format!("{}.toml", settings.name));
-        std::fs::write(&path, settings.text())
+        std::fs::write(&path, settings.to_toml())
             .wrap_err_with(|| format!("{} can't be written", path.display()))?;
         let mut process = Self {
             settings,
--- a/alderhaven-soak/src/soak_caller.rs
+++ b/alderhaven-soak/src/soak_caller.rs
@@ -75,7 +75,7 @@
 
     async fn connect(&mut self) -> Option<(IpAddr, CallerConnection)> {
         let asked = self.rng.random_range(0..self.fronts.len());
-        let directory = self.fronts[asked].directory();
+        let directory = self.fronts[asked].directory_address();
         let domain = DOMAINS[self.rng.random_range(0..DOMAINS.len())];
         let found = caller_client::find_fronts(directory, domain);
         let found = time::timeout(CONNECT_LIMIT, found).await.ok()??;
@@ -107,7 +107,7 @@
             Err(_) if leaves => RequestOutcome::Left,
             Err(_) => RequestOutcome::Unanswered,
         };
-        let may_go_on = matches!(&reply, Ok(Some(reply)) if !reply.is_last());
+        let may_go_on = matches!(&reply, Ok(Some(reply)) if !reply.closes_connection());
         if may_go_on {
             self.open = Some((front, connection));
         } else {
@@ -160,7 +160,7 @@
             method: kind.method().to_owned(),
             path: kind.path(request_id),
             request_id: request_id.to_owned(),
-            patience: kind.patience().as_duration(),
+            timeout: kind.patience().as_duration(),
             body,
         };
         let record = RequestRecord {
@@ -192,7 +192,7 @@
         is_refusal: reply.is_refusal(),
         part_proofs: reply.proofs().into_iter().map(str::to_owned).collect(),
         proof: reply.proof().to_owned(),
-        missing: reply.missing(),
+        missing: reply.missing_shards(),
         body: reply.body.clone(),
     }
 }
--- a/alderhaven-soak/src/soak_history.rs
+++ b/alderhaven-soak/src/soak_history.rs
@@ -6,7 +6,7 @@
 
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_platform_standin::site_texts;
+use alderhaven_platform_standin::store_fixtures;
 use alderhaven_platform_standin::store_standin::StoreStandin;
 use bytes::Bytes;
 use serde::Serialize;
@@ -243,7 +243,7 @@
     pub fn begin_evacuation(&self, store: &StoreStandin, domain: &str) -> usize {
         // The lock is held while the store takes it, as for a configuration.
         let mut history = self.lock();
-        store.put(site_texts::EVACUATIONS, domain, json!({}));
+        store.put(store_fixtures::EVACUATION_KIND, domain, json!({}));
         history.evacuations.push(EvacuationRecord {
             domain: domain.to_owned(),
             acked: self.now(),
@@ -258,7 +258,7 @@
         let now = self.now();
         if let Some(evacuation) = history.evacuations.get_mut(place) {
             evacuation.taken_back = Some(now);
-            store.remove(site_texts::EVACUATIONS, &evacuation.domain);
+            store.remove(store_fixtures::EVACUATION_KIND, &evacuation.domain);
         }
     }
 
--- a/alderhaven-soak/src/soak_operator.rs
+++ b/alderhaven-soak/src/soak_operator.rs
@@ -1,6 +1,6 @@
 //! The operator: it writes one configuration after the other.
 
-use alderhaven_platform_standin::site_texts;
+use alderhaven_platform_standin::store_fixtures;
 use alderhaven_platform_standin::store_standin::StoreStandin;
 
 use crate::soak_history::{ConfigRecord, HistoryLog};
@@ -57,7 +57,7 @@
     }
 
     fn write(&mut self, mut config: ConfigRecord) {
-        let (kind, name) = site_texts::CONFIG;
+        let (kind, name) = store_fixtures::CONFIG_KEY;
         // The lock is held while the store takes it: nobody sees it in force before it is noted.
         let mut history = self.log.lock();
         self.store.put(kind, name, soak_site::config_text(&config));
--- a/alderhaven-soak/src/soak_plan.rs
+++ b/alderhaven-soak/src/soak_plan.rs
@@ -119,7 +119,7 @@
     match rng.random_range(0..4) {
         0 => StoreFault::Silent,
         1 => StoreFault::Down,
-        2 => StoreFault::Limited,
+        2 => StoreFault::RateLimited,
         _ => StoreFault::Slow(Duration::from_millis(rng.random_range(20..800))),
     }
 }
--- a/alderhaven-soak/src/soak_run.rs
+++ b/alderhaven-soak/src/soak_run.rs
@@ -177,7 +177,7 @@
     async fn wait_until_ready(&self) -> Result<()> {
         let waiting = async {
             for front in &self.fronts {
-                while !caller_client::is_ready(front.settings.ready()).await {
+                while !caller_client::is_ready(front.settings.ready_address()).await {
                     time::sleep(READY_PAUSE).await;
                 }
             }
@@ -245,7 +245,7 @@
             SoakFault::StoreLink(place, mode, span) => self.disturb_store_link(place, mode, span),
             SoakFault::StoreFault(fault, span) => self.disturb_store(fault, span),
             SoakFault::StoreForgets => {
-                self.store.forget_history();
+                self.store.compact_history();
                 self.log.note_trouble(TroubleSubject::Store, "forgot");
             }
             SoakFault::CrashTarget(place, pause) => {
--- a/alderhaven-soak/src/soak_site.rs
+++ b/alderhaven-soak/src/soak_site.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use alderhaven_core::time::TimeSpan;
-use alderhaven_platform_standin::site_texts;
+use alderhaven_platform_standin::store_fixtures;
 use serde::Serialize;
 use serde_json::Value;
 
@@ -170,15 +170,15 @@
     let shards = config.shards.services();
     let shards: Vec<&str> = shards.iter().map(String::as_str).collect();
     let mut routes = vec![
-        site_texts::gather_route(&shards, LEAST_SHARE, RECORDS),
-        site_texts::path_route("record", "/record/", "safe", RECORD_SERVICE),
-        site_texts::path_route("order", "/order/", "unsafe", ORDER_SERVICE),
+        store_fixtures::gather_route(&shards, LEAST_SHARE, RECORDS),
+        store_fixtures::path_route("record", "/record/", "safe", RECORD_SERVICE),
+        store_fixtures::path_route("order", "/order/", "unsafe", ORDER_SERVICE),
     ];
     routes.extend(config.marks.iter().map(|mark| {
         let name = format!("mark-{mark}");
-        site_texts::path_route(&name, &format!("/{name}/"), "safe", RECORD_SERVICE)
+        store_fixtures::path_route(&name, &format!("/{name}/"), "safe", RECORD_SERVICE)
     }));
     let services = services();
     let services: Vec<&str> = services.iter().map(String::as_str).collect();
-    site_texts::config(config.version, &routes, &services)
+    store_fixtures::config(config.version, &routes, &services)
 }
--- a/alderhaven-soak/src/target_crew.rs
+++ b/alderhaven-soak/src/target_crew.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use alderhaven_core::time::TimeSpan;
-use alderhaven_platform_standin::site_texts;
+use alderhaven_platform_standin::store_fixtures;
 use alderhaven_platform_standin::store_standin::StoreStandin;
-use alderhaven_platform_standin::target_act::TargetAct;
+use alderhaven_platform_standin::target_behavior::TargetBehavior;
 use alderhaven_platform_standin::target_request::TargetRequest;
 use alderhaven_platform_standin::target_standin::TargetStandin;
 use bytes::Bytes;
@@ -95,7 +95,7 @@
         let trouble = self.begin_trouble(&id, "crashed");
         running.target.crash();
         tokio::time::sleep(LAPSE).await;
-        self.store.remove(site_texts::TARGETS, &id);
+        self.store.remove(store_fixtures::TARGET_KIND, &id);
         tokio::time::sleep(pause.as_duration()).await;
         self.log.end_trouble(trouble);
         self.start_target(place).await
@@ -113,12 +113,12 @@
         let (service, domain) = self.place(place);
         let id = running.target.id.clone();
         let address = running.link.address();
-        let leaving = site_texts::registration(address, &service, domain, "draining");
-        self.store.put(site_texts::TARGETS, &id, leaving);
+        let leaving = store_fixtures::registration(address, &service, domain, "draining");
+        self.store.put(store_fixtures::TARGET_KIND, &id, leaving);
         let now = self.log.now();
         self.log.lock().leavings.push((id.clone(), now));
         tokio::time::sleep((DRAIN + DRAIN_MARGIN).as_duration()).await;
-        self.store.remove(site_texts::TARGETS, &id);
+        self.store.remove(store_fixtures::TARGET_KIND, &id);
         running.target.crash();
         Ok(())
     }
@@ -168,8 +168,8 @@
         });
         let target = target.await.wrap_err("no target")?;
         let link = LinkProxy::start(target.address).await.wrap_err("no link")?;
-        let entry = site_texts::registration(link.address(), &service, domain, "ready");
-        self.store.put(site_texts::TARGETS, &id, entry);
+        let entry = store_fixtures::registration(link.address(), &service, domain, "ready");
+        self.store.put(store_fixtures::TARGET_KIND, &id, entry);
         self.posts()[place].target = Some(RunningTarget {
             target,
             link,
@@ -215,7 +215,7 @@
     }
 }
 
-fn act(service: &str, request: &TargetRequest, trouble: Option<TargetTrouble>) -> TargetAct {
+fn act(service: &str, request: &TargetRequest, trouble: Option<TargetTrouble>) -> TargetBehavior {
     let kind = if request.path.starts_with("/sweep/") {
         RequestKind::Sweep
     } else {
@@ -226,14 +226,14 @@
     let work = kind.work().mul_f64(rng.random_range(0.5..2.0));
     let trouble = trouble.filter(|_| rng.random_bool(BAD_SHARE));
     match trouble {
-        None => TargetAct::AnswerAfter(work, body),
-        Some(TargetTrouble::Slow) => TargetAct::AnswerAfter(work * SLOW_FACTOR, body),
-        Some(TargetTrouble::Mute) => TargetAct::RunAndKeepSilent,
-        Some(TargetTrouble::Fails) => TargetAct::Fail,
-        Some(TargetTrouble::Refuses) => TargetAct::Refuse,
-        Some(TargetTrouble::LosesAnswers) => TargetAct::RunAndCut,
-        Some(TargetTrouble::CutsAnswers) => TargetAct::AnswerCutShort(body),
-        Some(TargetTrouble::AnswersTwice) => TargetAct::AnswerTwice(body),
+        None => TargetBehavior::AnswerAfter(work, body),
+        Some(TargetTrouble::Slow) => TargetBehavior::AnswerAfter(work * SLOW_FACTOR, body),
+        Some(TargetTrouble::Mute) => TargetBehavior::RunWithoutReply,
+        Some(TargetTrouble::Fails) => TargetBehavior::Fail,
+        Some(TargetTrouble::Refuses) => TargetBehavior::Refuse,
+        Some(TargetTrouble::LosesAnswers) => TargetBehavior::RunAndDisconnect,
+        Some(TargetTrouble::CutsAnswers) => TargetBehavior::AnswerTruncated(body),
+        Some(TargetTrouble::AnswersTwice) => TargetBehavior::AnswerTwice(body),
     }
 }
 
@@ -242,7 +242,7 @@
     target: &str,
     service: &str,
     request: &TargetRequest,
-    act: &TargetAct,
+    act: &TargetBehavior,
 ) {
     let at = log.now();
     log.lock().arrivals.push(ArrivalRecord {
@@ -254,10 +254,12 @@
         path: request.path.clone(),
         body: Bytes::copy_from_slice(&request.body),
         time_left: request.time_left.map(TimeSpan::from),
-        is_run: act.is_run(),
+        is_run: act.runs_request(),
         is_answered: matches!(
             act,
-            TargetAct::Answer(_) | TargetAct::AnswerAfter(..) | TargetAct::AnswerTwice(_)
+            TargetBehavior::Answer(_)
+                | TargetBehavior::AnswerAfter(..)
+                | TargetBehavior::AnswerTwice(_)
         ),
     });
 }
--- a/alderhaven-store/src/http_store.rs
+++ b/alderhaven-store/src/http_store.rs
@@ -6,7 +6,7 @@
 use alderhaven_core::config_object::{ObjectKey, ObjectKind, StoredObject};
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_policy::store_budget::{BudgetOptions, StoreBudget, StoreCall};
+use alderhaven_policy::store_budget::{StoreBudget, StoreBudgetOptions, StoreCall};
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::Full;
@@ -26,7 +26,7 @@
     /// Timeouts, connections and sizes.
     pub client: ClientOptions,
     /// The calls a second.
-    pub budget: BudgetOptions,
+    pub budget: StoreBudgetOptions,
 }
 
 /// An `HttpStore` is the object API at one address of the platform.
--- a/alderhaven-store/src/target_watch.rs
+++ b/alderhaven-store/src/target_watch.rs
@@ -68,7 +68,7 @@
     /// What the list or an operator says every node hears; the target's own word is passed on.
     #[must_use]
     pub fn has_said(&self, target: &TargetId) -> bool {
-        self.lock().has_said(target)
+        self.lock().has_reported_drain(target)
     }
 
     /// Notes that a reply of a target says that it drains.
@@ -77,7 +77,7 @@
             return;
         }
         let now = self.shared.clock.now();
-        self.change(|targets| targets.note_reply(target, now));
+        self.change(|targets| targets.record_reply(target, now));
     }
 
     /// Follows the host list and the published drains until the task is ended.
--- a/alderhaven-store/tests/http_store.rs
+++ b/alderhaven-store/tests/http_store.rs
@@ -7,7 +7,7 @@
 use alderhaven_core::config_object::{ObjectKey, ObjectKind};
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_core::time::TimeSpan;
-use alderhaven_policy::store_budget::BudgetOptions;
+use alderhaven_policy::store_budget::StoreBudgetOptions;
 use alderhaven_store::http_client::ClientOptions;
 use alderhaven_store::http_store::{HttpStore, HttpStoreOptions};
 use alderhaven_store::object_store::{
@@ -242,9 +242,9 @@
 #[tokio::test]
 async fn call_budget_used_up_is_not_sent() {
     let (store, served) = platform(&[Reply::Answer("404 Not Found", "", "")]).await;
-    let budget = BudgetOptions {
+    let budget = StoreBudgetOptions {
         reads: "0.001/s".parse().expect("a rate"),
-        ..BudgetOptions::default()
+        ..StoreBudgetOptions::default()
     };
     let options = HttpStoreOptions {
         budget,
