--- a/alderhaven-policy/src/connection_health.rs
+++ b/alderhaven-policy/src/connection_health.rs
@@ -37,6 +37,7 @@
     /// Whether silent connections are looked for at all.
     pub enabled: bool,
     /// How many times the expected service time an attempt may be silent.
+    #[serde(rename = "factor")]
     pub silence_factor: f64,
     /// The least silence that leads to a probe.
     pub min_silence: TimeSpan,
--- a/alderhaven-policy/src/crash_strike.rs
+++ b/alderhaven-policy/src/crash_strike.rs
@@ -23,6 +23,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct CrashStrike {
     /// The number of the crash.
+    #[serde(rename = "crash")]
     pub crash_id: u64,
     /// The target.
     pub target: TargetId,
--- a/alderhaven-policy/src/drain.rs
+++ b/alderhaven-policy/src/drain.rs
@@ -17,8 +17,10 @@
 #[serde(default, deny_unknown_fields)]
 pub struct DrainOptions {
     /// The time until every node has heard that the process leaves.
+    #[serde(rename = "heard_within")]
     pub leave_propagation_time: TimeSpan,
     /// The time for which answers that name the process are kept; zero for a relay.
+    #[serde(rename = "address_life")]
     pub directory_lifetime: TimeSpan,
     /// The longest time from the signal to the end.
     pub limit: TimeSpan,
@@ -85,8 +87,10 @@
     /// Why the process ended.
     pub reason: StopReason,
     /// How many requests in flight were cut.
+    #[serde(rename = "cut")]
     pub aborted_requests: usize,
     /// The time from the signal to the end.
+    #[serde(rename = "took")]
     pub elapsed: TimeSpan,
 }
 
--- a/alderhaven-policy/src/front_choice.rs
+++ b/alderhaven-policy/src/front_choice.rs
@@ -24,14 +24,19 @@
 #[serde(default, deny_unknown_fields)]
 pub struct FrontChoiceOptions {
     /// The score of a front in the caller's domain, against 1 for one on the largest host.
+    #[serde(rename = "near_bonus")]
     pub own_domain_bonus: f64,
     /// The fewest fronts that are named where there are as many: one that dies leaves others.
+    #[serde(rename = "fewest")]
     pub min_fronts: usize,
     /// The score below the best up to which a front is named.
+    #[serde(rename = "spread")]
     pub score_margin: f64,
     /// The most fronts that are named.
+    #[serde(rename = "most")]
     pub max_fronts: usize,
     /// The fewest failure domains whose fronts are named, where there are as many.
+    #[serde(rename = "domains")]
     pub min_domains: usize,
 }
 
--- a/alderhaven-policy/src/group_share.rs
+++ b/alderhaven-policy/src/group_share.rs
@@ -28,13 +28,17 @@
 /// A `GroupShare` says how a node stands in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct GroupShare {
+    #[serde(rename = "own")]
     own_capacity: f64,
+    #[serde(rename = "largest")]
     largest_alive: f64,
+    #[serde(rename = "all")]
     total_capacity: f64,
     /// The largest host that was ever known. A node that no longer sees it must not take over what nodes on
     /// such hosts use elsewhere.
     largest_known: f64,
     /// The hosts that are large against it.
+    #[serde(rename = "all_large")]
     large_host_capacity: f64,
 }
 
--- a/alderhaven-policy/src/group_start.rs
+++ b/alderhaven-policy/src/group_start.rs
@@ -59,12 +59,16 @@
 pub enum GroupStart {
     /// Its group may be running, with callers.
     #[default]
+    #[serde(rename = "again")]
     Restart,
     /// The same of a node that all know by address.
+    #[serde(rename = "again_known")]
     SeedRestart,
     /// Its group starts for the first time, and this is one of the nodes that all know by address.
+    #[serde(rename = "first_known")]
     SeedFirstStart,
     /// Its group starts for the first time.
+    #[serde(rename = "first")]
     FirstStart,
 }
 
--- a/alderhaven-policy/src/replica_choice.rs
+++ b/alderhaven-policy/src/replica_choice.rs
@@ -39,6 +39,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct ReplicaOptions {
     /// What a target in another failure domain costs.
+    #[serde(rename = "far_penalty")]
     pub cross_domain_penalty: TimeSpan,
     /// The failures in a row after which a target is ejected.
     pub eject_after: u32,
--- a/alderhaven-policy/src/store_watch_plan.rs
+++ b/alderhaven-policy/src/store_watch_plan.rs
@@ -27,6 +27,7 @@
     /// waits and the time that its news takes, with as much again for one that is late.
     pub stale_after: TimeSpan,
     /// How long a node's word that it can't reach the store keeps it out of the order.
+    #[serde(rename = "lost_for")]
     pub store_loss_timeout: TimeSpan,
 }
 
