--- a/alderhaven-policy/src/claim_batcher.rs
+++ b/alderhaven-policy/src/claim_batcher.rs
@@ -1,24 +1,14 @@
-//! The claims of one process on the ledger: which calls to the store they need, and when.
+//! Batching of one process's idempotency claims into calls to the store.
 //!
-//! Load pattern: up to hundreds of claims a second in bursts, against a store that takes several
-//! hundred writes a second for everything and everybody, and that is at times slow or out of
-//! service. With one write a claim, the claims of one team would use up the rate of all. Here many
-//! claims share a write: the first claim after a quiet time is written at once; when writes come
-//! faster than the entry's share, the next one waits for its turn and takes along what has come
-//! meanwhile. The batch interval is thus zero at low load and grows to the inverse of the share.
+//! Claims may arrive much faster than the store accepts writes, so many claims share a write. The first
+//! claim after a quiet time is written at once; at higher rates the next write waits for its token and
+//! takes along all claims that arrived meanwhile. Entries write the same buckets, because new keys carry
+//! nearly the same time, so writes and retries after conflicts are spread at random.
 //!
-//! Several entries write the same bucket, since new keys all carry nearly the same time. Entries
-//! that began together would go on together: each write would find another one before it, and of
-//! eight that try again at once seven would fail again. Both the turns and the tries after a
-//! conflict are therefore spread at random, the latter over as many store calls as there may be
-//! writers.
-//!
-//! A store that was restored from an older copy lacks claims that were granted, and their requests
-//! could run again. Its versions only grow otherwise, so that a version below one seen before shows
-//! it; from then on this process claims nothing until it is started anew.
-//!
-//! While the store is out of service, claims are refused at once instead of being held until their
-//! time is up; one claim after each pause finds out whether it is back.
+//! A store restored from an older copy lacks claims that were granted. Its versions otherwise only grow,
+//! so a version below one seen before reveals the restore; from then on the process grants no claims
+//! until it is restarted. While the store is out of service claims are refused at once, and after each
+//! pause one claim tests whether the store is back.
 
 use std::collections::BTreeMap;
 
@@ -40,11 +30,11 @@
 use crate::pending_claim::PendingClaim;
 use crate::token_bucket::TokenBucket;
 
-/// The most lanes that are kept though they have nothing to do: their buckets are likely to be
-/// claimed in again, and a kept bucket saves a read.
+/// The number of idle queues that are kept; their buckets are likely to be claimed in again, and a known
+/// bucket saves a read.
 const MAX_IDLE_QUEUES: usize = 8;
 
-/// A `ClaimBatcher` turns tries to claim keys into calls to the store, and replies into verdicts.
+/// Turns claims into calls to the store, and replies of the store into verdicts.
 #[derive(Debug)]
 pub struct ClaimBatcher {
     writer: ClaimWriter,
@@ -53,55 +43,55 @@
     write_limiter: TokenBucket,
     rng: StdRng,
     next_sequence: u64,
-    /// The number of tries without a verdict.
+    /// The number of claims without a verdict.
     waiting_count: usize,
     next_write_at: TimePoint,
     pause: Option<StorePause>,
-    /// The highest version that the store has shown.
+    /// The highest version seen in the store.
     highest_version: StoreVersion,
-    /// Whether the store has gone backwards.
+    /// Whether the store has returned a version below one seen before.
     has_store_regressed: bool,
     verdicts: ClaimVerdicts,
     counts: ClaimCounts,
 }
 
-/// A `StorePause` is a time in which the store is left alone.
+/// A time span without calls to the store.
 #[derive(Clone, Copy, Debug)]
 struct StorePause {
     until: TimePoint,
     span: TimeSpan,
-    /// Whether claims are refused meanwhile, or wait.
+    /// Whether claims are refused during the pause; otherwise they wait.
     refuses_claims: bool,
 }
 
-/// A `ClaimCounts` counts what a batcher did.
+/// Counters of one batcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClaimCounts {
-    /// Tries to claim a key.
+    /// Claims that were offered.
     pub offered: u64,
     /// Claims that were granted.
     pub granted: u64,
     /// Reads of buckets.
     pub reads: u64,
-    /// Writes of buckets that were begun.
+    /// Writes of buckets that were started.
     pub writes: u64,
     /// Writes that took effect.
     pub written: u64,
-    /// The bytes of those writes.
+    /// The bytes of all writes that were started.
     pub written_bytes: u64,
-    /// Writes that another writer was before.
+    /// Writes that failed because another writer had changed the bucket.
     pub conflicts: u64,
-    /// Calls whose answer was lost.
+    /// Calls whose reply was lost.
     pub lost_replies: u64,
-    /// Calls that the store, or the process's budget, refused.
+    /// Calls that the store or the process's own budget refused.
     pub not_done: u64,
-    /// Buckets that can't be read, and buckets older than one seen before.
+    /// Buckets that could not be read, or were older than a version seen before.
     pub broken: u64,
 }
 
 impl ClaimBatcher {
-    /// Returns a batcher; the writer's origin must be random, so that claims don't recur. The seed
-    /// only spreads calls over time.
+    /// Creates a batcher. The writer's origin must be random, so that claim ids never recur; the seed only
+    /// spreads calls over time.
     #[must_use]
     pub fn new(writer: ClaimWriter, options: ClaimOptions, seed: u64, now: TimePoint) -> Self {
         Self {
@@ -121,20 +111,20 @@
         }
     }
 
-    /// Gets the counts.
+    /// Returns the counters.
     #[must_use]
     pub const fn counts(&self) -> ClaimCounts {
         self.counts
     }
 
-    /// Gets the number of tries without a verdict.
+    /// Returns the number of claims without a verdict.
     #[must_use]
     pub const fn waiting_count(&self) -> usize {
         self.waiting_count
     }
 
-    /// Gets the number of claims that are still to be taken back; none once the store has gone
-    /// backwards, since nothing is written then.
+    /// Returns the number of claims still to be released in the store. It is zero once the store has
+    /// regressed, since nothing is written then.
     #[must_use]
     pub fn release_count(&self) -> usize {
         if self.has_store_regressed {
@@ -143,7 +133,7 @@
         self.queues.values().map(ClaimQueue::release_count).sum()
     }
 
-    /// Tries to claim a key until `deadline`; exactly one verdict follows.
+    /// Offers a claim of a key, valid until `deadline`; exactly one verdict follows.
     pub fn offer(
         &mut self,
         key: ClaimKey,
@@ -161,8 +151,8 @@
         self.waiting_count += 1;
         if let Some((reason, retry_after)) = self.current_refusal(now) {
             let claim = PendingClaim::new(ticket, fingerprint, now);
-            let lane = self.queue(ClaimSlot::of(&key));
-            let verdict = lane.refuse(&claim, reason, retry_after);
+            let queue = self.queue(ClaimSlot::of(&key));
+            let verdict = queue.refuse(&claim, reason, retry_after);
             self.verdicts.push(verdict);
             return ticket;
         }
@@ -172,26 +162,26 @@
         ticket
     }
 
-    /// Takes a granted claim back. To be called only with evidence that the request did not run.
+    /// Releases a granted claim. To be called only with evidence that the request did not run.
     pub fn release(&mut self, ticket: ClaimTicket) {
         self.queue(ClaimSlot::of(&ticket.key)).release(ticket);
     }
 
-    /// Gets the next call to make now; to be repeated until there is none.
+    /// Returns the next call to make now. To be repeated until it returns `None`.
     pub fn poll(&mut self, now: TimePoint) -> Option<ClaimCall> {
         let retry = self.options.least_pause;
-        // Nothing is written any more, so that an operator finds the store as it was restored.
+        // After a regression nothing is written, so that an operator finds the store as it was restored.
         let is_paused =
             self.has_store_regressed || self.pause.is_some_and(|pause| now < pause.until);
         let mut call = None;
-        for (slot, lane) in &mut self.queues {
-            lane.expire_claims(now, retry, &mut self.verdicts);
-            let need = lane.needed_call(now, retry, &mut self.verdicts);
-            let is_held = is_paused || lane.is_backing_off(now);
-            if need == NeededCall::Nothing || is_held || call.is_some() {
+        for (slot, queue) in &mut self.queues {
+            queue.expire_claims(now, retry, &mut self.verdicts);
+            let needed = queue.needed_call(now, retry, &mut self.verdicts);
+            let is_held = is_paused || queue.is_backing_off(now);
+            if needed == NeededCall::Nothing || is_held || call.is_some() {
                 continue;
             }
-            if !lane.has_write_token() {
+            if !queue.has_write_token() {
                 if now < self.next_write_at {
                     continue;
                 }
@@ -200,10 +190,10 @@
                     self.next_write_at = now + wait.mul_f64(share);
                     continue;
                 }
-                lane.grant_write_token();
+                queue.grant_write_token();
             }
-            call = lane
-                .start_call(need, &self.writer, self.highest_version, now)
+            call = queue
+                .start_call(needed, &self.writer, self.highest_version, now)
                 .map(|action| ClaimCall {
                     slot: *slot,
                     action,
@@ -214,21 +204,21 @@
         call
     }
 
-    /// Takes the reply to a call.
+    /// Handles the reply to a call.
     pub fn handle_reply(&mut self, slot: ClaimSlot, reply: ClaimReply, now: TimePoint) {
         if matches!(reply, ClaimReply::Conflict(_)) {
             self.counts.conflicts += 1;
         }
-        let Some(lane) = self.queues.get_mut(&slot) else {
+        let Some(queue) = self.queues.get_mut(&slot) else {
             return;
         };
-        let end = lane.handle_reply(reply, now, &mut self.verdicts);
-        self.highest_version = self.highest_version.max(lane.seen_version());
+        let end = queue.handle_reply(reply, now, &mut self.verdicts);
+        self.highest_version = self.highest_version.max(queue.seen_version());
         match end {
             CallOutcome::Answered => self.pause = None,
             CallOutcome::Conflict => {
                 self.pause = None;
-                lane.back_off(self.rng.random(), now);
+                queue.back_off(self.rng.random(), now);
             }
             CallOutcome::Written => {
                 self.pause = None;
@@ -260,14 +250,14 @@
             CallOutcome::Unreadable => {
                 self.counts.broken += 1;
                 let retry = self.begin_pause(false, now);
-                if let Some(lane) = self.queues.get_mut(&slot) {
-                    lane.refuse_waiting(ClaimRefusal::LedgerBroken, retry, &mut self.verdicts);
+                if let Some(queue) = self.queues.get_mut(&slot) {
+                    queue.refuse_waiting(ClaimRefusal::LedgerBroken, retry, &mut self.verdicts);
                 }
             }
         }
     }
 
-    /// Takes the verdicts that were reached.
+    /// Removes and returns the verdicts reached so far.
     #[must_use]
     pub fn take_verdicts(&mut self) -> Vec<(ClaimTicket, ClaimVerdict)> {
         let verdicts = std::mem::take(&mut self.verdicts);
@@ -280,7 +270,7 @@
         verdicts
     }
 
-    /// Gets the time at which [`Self::poll`] may have more to do without another event.
+    /// Returns the time at which [`Self::poll`] may have more to do without another event.
     #[must_use]
     pub fn next_wake(&self, now: TimePoint) -> Option<TimePoint> {
         let give_up = self
@@ -288,7 +278,7 @@
             .values()
             .filter_map(ClaimQueue::next_expiry)
             .min();
-        let has_work = self.queues.values().any(|lane| !lane.is_idle());
+        let has_work = self.queues.values().any(|queue| !queue.is_idle());
         let paused = self.pause.map(|pause| pause.until);
         let held = self.queues.values().map(ClaimQueue::backoff_until);
         let turn = [Some(self.next_write_at), paused]
@@ -340,18 +330,18 @@
     }
 
     fn refuse_all(&mut self, reason: ClaimRefusal, retry: TimeSpan) {
-        for lane in self.queues.values_mut() {
-            lane.refuse_waiting(reason, retry, &mut self.verdicts);
+        for queue in self.queues.values_mut() {
+            queue.refuse_waiting(reason, retry, &mut self.verdicts);
         }
     }
 
-    /// Drops the lanes that have nothing to do and were claimed in the longest time ago.
+    /// Drops surplus idle queues, those without offers for the longest time first.
     fn drop_idle_queues(&mut self) {
         let mut idle: Vec<(TimePoint, ClaimSlot)> = self
             .queues
             .iter()
-            .filter(|(_, lane)| lane.is_idle())
-            .map(|(slot, lane)| (lane.last_offer_at(), *slot))
+            .filter(|(_, queue)| queue.is_idle())
+            .map(|(slot, queue)| (queue.last_offer_at(), *slot))
             .collect();
         idle.sort_unstable();
         let surplus = idle.len().saturating_sub(MAX_IDLE_QUEUES);
--- a/alderhaven-policy/src/claim_bucket.rs
+++ b/alderhaven-policy/src/claim_bucket.rs
@@ -1,13 +1,10 @@
-//! One bucket of the claim ledger: which keys of a time slice are claimed, and by whom.
+//! One bucket of the claim ledger: the claimed keys of a time slice, and who claimed them.
 //!
-//! Load pattern: the same request comes to several entries, at once or minutes apart, while
-//! entries restart with nothing kept. Without a common record each entry would run it. The bucket
-//! is that record; the store's conditional update of it is the only fence.
-//!
-//! The ring of buckets forgets without a clock. A bucket stores its slice; all keys of earlier
-//! slices are behind its horizon. A newer slice takes the bucket over in the same conditional
-//! update that drops the older claims, so there is no moment at which an old key's claim is gone
-//! and the key is still taken.
+//! The bucket is the record that the entries share, so that a request sent to several of them runs at most
+//! once. Only the store's conditional update protects it; no clock is involved. A bucket stores its
+//! slice, and keys of earlier slices are behind its horizon and refused. A claim of a newer slice drops
+//! the older claims in the same conditional update that moves the horizon, so there is no moment at which
+//! an old claim is gone and its key is still accepted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,90 +18,93 @@
 use crate::claim_key::ClaimKey;
 use crate::claim_slot;
 
-/// The most claims in a bucket: at most 80 bytes each, they stay below half of the platform's 1 MB.
+/// The maximum number of claims in a bucket; it keeps the text below half of the platform's 1 MB limit.
 pub const MAX_BUCKET_CLAIMS: usize = 6_000;
-/// The most writers in a bucket: each entry start that claims in two seconds is one.
+/// The maximum number of writers in a bucket; each process start of an entry is one writer.
 pub const MAX_BUCKET_WRITERS: usize = 1_000;
 
-/// A `ClaimBucket` holds the claims of one time slice.
+/// The claims of one time slice.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimBucket {
     /// The time slice; keys of earlier slices are behind the horizon.
     slice: u64,
-    /// Who made the claims.
+    /// The writers of the claims.
     writers: Vec<ClaimWriter>,
     /// The claims by key.
     claims: BTreeMap<ClaimKey, ClaimEntry>,
 }
 
-/// A `ClaimWriter` is one start of an entry.
+/// One process start of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimWriter {
-    /// The entry.
+    /// The entry's node.
     pub node: NodeId,
-    /// The address at which other entries ask it.
+    /// The address at which other entries reach this one.
     pub address: SocketAddr,
-    /// The random number of the process start.
+    /// A random number that identifies the process start.
     pub origin: u64,
 }
 
-/// A `ClaimEntry` is one claim: fingerprint, position of the writer, and the writer's count.
+/// One claim: fingerprint, index of its writer, and the writer's sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ClaimEntry(ClaimFingerprint, usize, u64);
 
-/// A `BucketVerdict` says what a bucket knows of a key.
+/// What a bucket says about a claim of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BucketVerdict {
-    /// Nobody has claimed the key.
+    /// The key is not claimed.
     Free,
-    /// This very claim stands.
+    /// The key is held by this very claim.
     Own,
-    /// Another claim of the same request stands.
+    /// The key is held by another claim of the same request.
     Taken(ClaimWriter),
-    /// A claim of another request stands.
+    /// The key is held by a claim of a different request.
     Conflict,
     /// The key is behind the horizon.
     TooOld,
-    /// The bucket takes no more claims.
+    /// The bucket accepts no more claims.
     Full,
 }
 
 impl ClaimBucket {
-    /// Reads a bucket from its JSON text.
+    /// Parses a bucket from its JSON text.
     ///
     /// # Errors
-    /// `Error::Invalid` for a text that is no bucket; it must not be overwritten then.
+    /// `Error::Invalid` if the text is not a bucket. The stored text must then not be overwritten.
     pub fn read(body: &str) -> Result<Self> {
         let bucket: Self = serde_json::from_str(body)
             .map_err(|error| Error::invalid("claim bucket", error.to_string()))?;
         let writers = bucket.writers.len();
         if bucket.claims.values().any(|entry| entry.1 >= writers) {
-            return Err(Error::invalid("claim bucket", "a claim without its writer"));
+            return Err(Error::invalid(
+                "claim bucket",
+                "a claim refers to a writer that is not listed",
+            ));
         }
         Ok(bucket)
     }
 
-    /// Gets the JSON text.
+    /// Returns the JSON text.
     #[must_use]
     pub fn encode(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Gets the number of claims.
+    /// Returns the number of claims.
     #[must_use]
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Returns true where there is no claim.
+    /// Returns `true` if there is no claim.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Judges a claim against the bucket.
+    /// Compares a claim with the bucket, without changing it.
     #[must_use]
     pub fn judge(
         &self,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns true where this very claim stands.
+    /// Returns `true` if the key is held by this very claim.
     #[must_use]
     pub fn holds(&self, key: &ClaimKey, id: ClaimId) -> bool {
         self.claims
@@ -136,7 +136,7 @@
             .is_some_and(|entry| self.id_of(entry) == id)
     }
 
-    /// Adds a claim where the key is free; returns what the bucket said of it.
+    /// Adds a claim if the key is free. Returns the state of the key before.
     pub fn claim(
         &mut self,
         key: ClaimKey,
@@ -158,14 +158,14 @@
         verdict
     }
 
-    /// Takes a claim back; the claim of anyone else on the same key stays.
+    /// Removes a claim; another claim of the same key stays.
     pub fn release(&mut self, key: &ClaimKey, id: ClaimId) {
         if self.holds(key, id) {
             self.claims.remove(key);
         }
     }
 
-    /// Takes the bucket over for a newer slice: drops the claims and moves the horizon, as one.
+    /// Moves the bucket to a newer slice, which drops its claims and moves the horizon in one step.
     fn advance(&mut self, slice: u64) {
         if slice > self.slice {
             *self = Self {
--- a/alderhaven-policy/src/claim_fingerprint.rs
+++ b/alderhaven-policy/src/claim_fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a claim remembers of its request, to tell a resend from another request.
+//! Fingerprint of a claimed request, which tells a resend from a different request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,10 +8,10 @@
 use alderhaven_core::ids::TeamId;
 use serde::{Deserialize, Serialize};
 
-/// A `ClaimFingerprint` is a hash of template, canonical parameters and team.
+/// A hash of template, canonical parameters and team.
 ///
-/// 64 bits keep claims short. It guards callers against a key that they used twice by mistake, not
-/// against one who searches for a collision: that caller could only run its own request once less.
+/// It detects a key that a caller reuses by mistake. 64 bits are enough for that: a caller that searches
+/// for a collision can only prevent a run of its own request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ClaimFingerprint(u64);
@@ -28,7 +28,7 @@
         Self(u64::from_le_bytes(head))
     }
 
-    /// Returns the fingerprint with these bits.
+    /// Creates a fingerprint from its bits.
     #[must_use]
     pub const fn from_bits(bits: u64) -> Self {
         Self(bits)
--- a/alderhaven-policy/src/claim_id.rs
+++ b/alderhaven-policy/src/claim_id.rs
@@ -1,15 +1,15 @@
-//! The identity of one try to claim a key.
+//! Identity of one claim of a key.
 
 use serde::{Deserialize, Serialize};
 
-/// A `ClaimId` identifies one try to claim a key; it never recurs, not even over restarts.
+/// Identifies one claim of a key; it never recurs, not even after a restart.
 ///
-/// A key alone does not say whose claim it is: the same entry may have claimed it, released it and
-/// claimed it again, and only the id tells a late release of the first from one of the second.
+/// The key alone is not enough: an entry may claim it, release it and claim it again, and a late release
+/// of the first claim must not remove the second.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize)]
 pub struct ClaimId {
     /// The random number of the process start that made the claim.
     pub origin: u64,
-    /// The count of claims within that start.
+    /// The sequence number of the claim within that process start.
     pub sequence: u64,
 }
--- a/alderhaven-policy/src/claim_key.rs
+++ b/alderhaven-policy/src/claim_key.rs
@@ -1,4 +1,4 @@
-//! The idempotency key of a request that may run at most once.
+//! Idempotency key of a request that may run at most once.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,25 +7,25 @@
 use serde::{Deserialize, Serialize};
 use uuid::{Uuid, Variant};
 
-/// The bits of a `UUIDv7` below its time.
+/// The number of bits of a `UUIDv7` below its timestamp.
 const BITS_BELOW_TIME: u32 = 80;
 
-/// A `ClaimKey` is a caller's idempotency key, a `UUIDv7`.
+/// A caller's idempotency key, a `UUIDv7`.
 ///
-/// Its embedded time says which bucket remembers it, and with that for how long. The time is the
-/// caller's; nothing's safety rests on it being right.
+/// Its timestamp determines the bucket that holds the claim, and thereby how long it is remembered. The
+/// timestamp is the caller's; at-most-once does not depend on its accuracy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ClaimKey(Uuid);
 
 impl ClaimKey {
-    /// Returns the key of a time, in milliseconds since the Unix epoch, and random bits.
+    /// Creates a key from a time in milliseconds since the Unix epoch and random bits.
     #[must_use]
     pub fn new(millis: u64, random: [u8; 10]) -> Self {
         Self(uuid::Builder::from_unix_timestamp_millis(millis, &random).into_uuid())
     }
 
-    /// Gets the embedded time in milliseconds since the Unix epoch.
+    /// Returns the timestamp in milliseconds since the Unix epoch.
     #[must_use]
     pub fn millis(&self) -> u64 {
         u64::try_from(self.0.as_u128() >> BITS_BELOW_TIME).unwrap_or(u64::MAX)
--- a/alderhaven-policy/src/claim_options.rs
+++ b/alderhaven-policy/src/claim_options.rs
@@ -1,33 +1,32 @@
-//! The settings of the claim ledger.
+//! Settings of the claim ledger.
 
 use alderhaven_core::errors::Error;
 use alderhaven_core::quantities::{ByteSize, RatePerSecond};
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// The default writes a second of one entry: 8 entries make 24 of the store's 300, and 500 claims/s
-/// over them make batches of about 20.
+/// The default write rate of one entry.
 const DEFAULT_WRITE_RATE: &str = "3/s";
 
-/// `ClaimOptions` bound what the claim ledger costs and holds.
+/// Limits on the load and memory of the claim ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClaimOptions {
-    /// The sustained writes a second of this entry; batches grow where claims come faster.
+    /// The sustained write rate of this entry; batches grow when claims arrive faster.
     pub writes: RatePerSecond,
-    /// The writes that may follow each other at once after a quiet time.
+    /// The number of writes that may follow each other at once after a quiet time.
     pub burst: u32,
-    /// The longest time that a claim waits for the store.
+    /// The maximum time that a claim waits for the store.
     pub claim_timeout: TimeSpan,
-    /// How long the store is left alone after it was out of service; doubled up to the longest.
+    /// The pause in calls after the store was out of service; it doubles up to `longest_pause`.
     pub least_pause: TimeSpan,
-    /// The longest such pause.
+    /// The longest pause in calls.
     pub longest_pause: TimeSpan,
-    /// The most claims under way at a time.
+    /// The maximum number of claims without a verdict.
     pub max_waiting: usize,
-    /// The most bytes of answers that are held for resends.
+    /// The maximum size of the answers that are kept for resends.
     pub held_bytes: ByteSize,
-    /// How long an answer is held for resends.
+    /// How long an answer is kept for resends.
     pub held_time: TimeSpan,
 }
 
@@ -47,7 +46,7 @@
 }
 
 impl ClaimOptions {
-    /// Collects everything that is wrong with the values.
+    /// Returns all errors in the values.
     #[must_use]
     pub fn check(&self) -> Vec<Error> {
         let zero = |field: &str| {
--- a/alderhaven-policy/src/claim_queue.rs
+++ b/alderhaven-policy/src/claim_queue.rs
@@ -1,14 +1,12 @@
-//! The claims of one process on one bucket: which of them wait, are being written or taken back.
+//! One process's claims on one bucket: waiting, being written, or being released.
 //!
-//! One call is under way at a time. What waits meanwhile goes into the next write together, so that
-//! the number of writes does not grow with the number of claims.
+//! One call is in flight at a time, and all claims that arrive meanwhile share the next write.
 //!
-//! A write whose answer is lost leaves three cases: it took effect, it never will, or it is still
-//! on its way. A read tells only the first from the others. The lane therefore goes on as follows:
-//! a claim that the read shows is granted; one that it doesn't show is written again over the
-//! version that was read, so that the store itself decides between the old write and the new one.
-//! A claim that is given up on in that state is written out of the bucket, and that is only over
-//! once the bucket's version has moved past the one that the lost write expected.
+//! A write whose reply is lost may have taken effect, may do so later, or never. A read can prove only the
+//! first: a claim that the read shows is granted. Any other claim is written again over the version that
+//! was read, so that the store decides between the old write and the new one. A claim that expires in
+//! that state is removed from the bucket by a write, and that is complete only once the bucket's version
+//! has moved past the one that the lost write expected.
 
 use std::mem;
 
@@ -26,9 +24,9 @@
 struct SeenBucket {
     version: StoreVersion,
     bucket: ClaimBucket,
-    /// The number of the call that showed it.
+    /// The number of the call that returned it.
     shown_by_call: u64,
-    /// When it was shown.
+    /// When it was returned.
     seen_at: TimePoint,
 }
 
@@ -37,7 +35,7 @@
     Read,
     Write {
         expected: StoreVersion,
-        /// The highest version that the process had seen; the write's own must be above it.
+        /// The highest version that the process had seen; the write must create a higher one.
         floor: StoreVersion,
         bucket: ClaimBucket,
         claims: Vec<PendingClaim>,
@@ -45,7 +43,7 @@
     },
 }
 
-/// A `LaneNeed` says what call a lane wants to make.
+/// The call that a queue needs next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NeededCall {
     Nothing,
@@ -53,7 +51,7 @@
     Write,
 }
 
-/// A `ClaimLane` is the state of one process towards one bucket.
+/// The state of one process in relation to one bucket.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimQueue {
     seen: Option<SeenBucket>,
@@ -64,24 +62,24 @@
     must_read: bool,
     has_write_token: bool,
     last_offer_at: TimePoint,
-    /// When the call under way was begun.
+    /// When the latest call was started.
     call_started_at: TimePoint,
     /// The conflicts since a write last took effect.
     consecutive_conflicts: u32,
-    /// The time before which no call is made, after a conflict.
+    /// The time before which no call is made after a conflict.
     backoff_until: TimePoint,
 }
 
-/// The most doublings of the wait after a conflict: 32 writers take their turns within it.
+/// The maximum number of doublings of the backoff after conflicts.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// The longest wait after a conflict: a call that took seconds in an outage says nothing of how
-/// long the next ones take, and claims wait for two seconds at most.
+/// The longest backoff after a conflict. The duration of one slow call must not delay claims beyond their
+/// deadline.
 const MAX_BACKOFF: TimeSpan = TimeSpan::from_millis(500);
-/// How long a bucket that was seen is taken as the newest. Other entries write the same bucket, and
-/// a read before the write costs less than a write that comes to nothing.
+/// How long a bucket that was seen is written over without another read. Other entries write it too, and a
+/// read costs less than a write that ends in a conflict.
 const MAX_SEEN_BUCKET_AGE: TimeSpan = TimeSpan::from_millis(10);
 
-/// The verdicts that a step of a lane gives.
+/// Verdicts with the tickets of their claims.
 pub(crate) type ClaimVerdicts = Vec<(ClaimTicket, ClaimVerdict)>;
 
 impl ClaimQueue {
@@ -99,34 +97,34 @@
         });
     }
 
-    /// Gets the version of the bucket as last seen.
+    /// Returns the version of the bucket as last seen.
     pub(crate) fn seen_version(&self) -> StoreVersion {
         self.seen
             .as_ref()
             .map_or(StoreVersion(0), |seen| seen.version)
     }
 
-    /// Gets when the lane was last claimed in.
+    /// Returns the time of the latest offer.
     pub(crate) const fn last_offer_at(&self) -> TimePoint {
         self.last_offer_at
     }
 
-    /// Returns true where the lane's next write has its place in the rate already.
+    /// Returns `true` if the queue already holds the rate limiter's token for its next write.
     pub(crate) const fn has_write_token(&self) -> bool {
         self.has_write_token
     }
 
-    /// Returns true where the lane waits after a conflict.
+    /// Returns `true` if the queue waits after a conflict.
     pub(crate) fn is_backing_off(&self, now: TimePoint) -> bool {
         now < self.backoff_until
     }
 
-    /// Gets the time until which the lane waits after a conflict.
+    /// Returns the end of the wait after a conflict.
     pub(crate) const fn backoff_until(&self) -> TimePoint {
         self.backoff_until
     }
 
-    /// Waits a part of the time that the writers in conflict need one after the other.
+    /// Waits after a conflict for a random `share` of the time that the conflicting writers need in turn.
     pub(crate) fn back_off(&mut self, share: f64, now: TimePoint) {
         let turns = 1_u32 << self.consecutive_conflicts.min(MAX_BACKOFF_DOUBLINGS);
         let span = now
@@ -147,32 +145,32 @@
         self.releases.len()
     }
 
-    /// Gets the time at which the next try is given up on.
+    /// Returns the earliest deadline of a claim without a verdict.
     pub(crate) fn next_expiry(&self) -> Option<TimePoint> {
-        let flying = match &self.in_flight {
+        let written = match &self.in_flight {
             Some(InFlightCall::Write { claims, .. }) => claims.as_slice(),
             Some(InFlightCall::Read) | None => &[],
         };
         self.waiting
             .iter()
-            .chain(flying.iter().filter(|claim| !claim.is_abandoned))
+            .chain(written.iter().filter(|claim| !claim.is_abandoned))
             .map(|claim| claim.deadline)
             .min()
     }
 
-    /// Gives up on the tries whose time has come.
+    /// Refuses the claims whose deadline has passed.
     pub(crate) fn expire_claims(
         &mut self,
         now: TimePoint,
-        retry: TimeSpan,
+        retry_after: TimeSpan,
         verdicts: &mut ClaimVerdicts,
     ) {
-        let (over, waiting): (Vec<_>, Vec<_>) = mem::take(&mut self.waiting)
+        let (expired, waiting): (Vec<_>, Vec<_>) = mem::take(&mut self.waiting)
             .into_iter()
             .partition(|claim| claim.deadline <= now);
         self.waiting = waiting;
-        for claim in over {
-            verdicts.push(self.refuse(&claim, ClaimRefusal::StoreSlow, retry));
+        for claim in expired {
+            verdicts.push(self.refuse(&claim, ClaimRefusal::StoreSlow, retry_after));
             self.release_if_uncertain(&claim);
         }
         if let Some(InFlightCall::Write { claims, .. }) = &mut self.in_flight {
@@ -183,7 +181,7 @@
                         claim.ticket,
                         ClaimVerdict::Refused {
                             reason: ClaimRefusal::StoreSlow,
-                            retry_after: retry,
+                            retry_after,
                         },
                     ));
                 }
@@ -191,10 +189,10 @@
         }
     }
 
-    /// Gets the verdict on a try that comes to nothing.
+    /// Returns the verdict on a claim that ends without being made.
     ///
-    /// "Refused" tells a caller that nothing ran. A resend must not hear that while the bucket, as
-    /// it was last seen, says that an earlier send claimed the key and may have run.
+    /// "Refused" tells a caller that its request did not run. So the verdict is `Taken` if the bucket, as
+    /// last seen, shows that an earlier send claimed the key and may have run.
     pub(crate) fn refuse(
         &self,
         claim: &PendingClaim,
@@ -216,30 +214,30 @@
         (ticket, verdict)
     }
 
-    /// Refuses every try that waits.
+    /// Refuses all waiting claims.
     pub(crate) fn refuse_waiting(
         &mut self,
         reason: ClaimRefusal,
-        retry: TimeSpan,
+        retry_after: TimeSpan,
         verdicts: &mut ClaimVerdicts,
     ) {
         for claim in mem::take(&mut self.waiting) {
-            verdicts.push(self.refuse(&claim, reason, retry));
+            verdicts.push(self.refuse(&claim, reason, retry_after));
             self.release_if_uncertain(&claim);
         }
     }
 
-    /// Settles what the bucket as seen already tells, and gets the call that is wanted next.
+    /// Gives the verdicts that follow from the bucket as last seen, and returns the call needed next.
     pub(crate) fn needed_call(
         &mut self,
         now: TimePoint,
-        retry: TimeSpan,
+        retry_after: TimeSpan,
         verdicts: &mut ClaimVerdicts,
     ) -> NeededCall {
         if self.in_flight.is_some() {
             return NeededCall::Nothing;
         }
-        self.evaluate_waiting(retry, verdicts);
+        self.evaluate_waiting(retry_after, verdicts);
         if self.waiting.is_empty() && self.releases.is_empty() {
             NeededCall::Nothing
         } else if self.must_read || !self.is_seen_fresh(now) {
@@ -249,17 +247,17 @@
         }
     }
 
-    /// Begins the call that [`Self::need`] wanted.
+    /// Starts the call that [`Self::needed_call`] returned.
     pub(crate) fn start_call(
         &mut self,
-        need: NeededCall,
+        needed: NeededCall,
         writer: &ClaimWriter,
         floor: StoreVersion,
         now: TimePoint,
     ) -> Option<ClaimAction> {
         self.call_count += 1;
         self.call_started_at = now;
-        let seen = match need {
+        let seen = match needed {
             NeededCall::Nothing => return None,
             NeededCall::Read => None,
             NeededCall::Write => self.seen.as_ref(),
@@ -276,21 +274,21 @@
             bucket.release(&release.ticket.key, release.ticket.id);
         }
         let mut claims = Vec::new();
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         for claim in mem::take(&mut self.waiting) {
             let ticket = claim.ticket;
             let verdict = bucket.claim(ticket.key, claim.fingerprint, writer, ticket.id.sequence);
             match verdict {
                 BucketVerdict::Free => claims.push(claim),
-                _ => left.push(claim),
+                _ => remaining.push(claim),
             }
         }
-        // A claim of a newer slice takes the bucket over and leaves those of older ones behind.
-        let (claims, behind): (Vec<_>, Vec<_>) = claims
+        // A claim of a newer slice moves the bucket on and leaves claims of older slices out of it.
+        let (claims, dropped): (Vec<_>, Vec<_>) = claims
             .into_iter()
             .partition(|claim| bucket.holds(&claim.ticket.key, claim.ticket.id));
-        left.extend(behind);
-        self.waiting = left;
+        remaining.extend(dropped);
+        self.waiting = remaining;
         let body = bucket.encode();
         self.in_flight = Some(InFlightCall::Write {
             expected,
@@ -302,7 +300,7 @@
         Some(ClaimAction::Write { expected, body })
     }
 
-    /// Takes the reply to the call under way.
+    /// Handles the reply to the call in flight.
     pub(crate) fn handle_reply(
         &mut self,
         reply: ClaimReply,
@@ -398,7 +396,7 @@
         }
     }
 
-    /// Takes over a bucket that the store showed.
+    /// Takes over the bucket that the store returned.
     fn observe(&mut self, object: Option<StoredObject>, now: TimePoint) -> CallOutcome {
         let version = object
             .as_ref()
@@ -432,21 +430,21 @@
         CallOutcome::Answered
     }
 
-    /// Drops the doubt about lost writes that the seen version has left behind.
+    /// Clears the uncertainty about lost writes that the bucket's version has moved past.
     fn resolve_lost_writes(&mut self) {
         let Some(seen) = &self.seen else { return };
-        let is_past = |lost_at: StoreVersion| seen.version > lost_at;
+        let has_passed = |lost_at: StoreVersion| seen.version > lost_at;
         for claim in &mut self.waiting {
             let holds = seen.bucket.holds(&claim.ticket.key, claim.ticket.id);
             claim.lost_write_version = claim
                 .lost_write_version
-                .filter(|lost_at| holds || !is_past(*lost_at));
+                .filter(|lost_at| holds || !has_passed(*lost_at));
         }
         self.releases.retain(|release| {
-            let may_come = release
+            let may_take_effect = release
                 .lost_write_version
-                .is_some_and(|lost_at| !is_past(lost_at));
-            may_come || seen.bucket.holds(&release.ticket.key, release.ticket.id)
+                .is_some_and(|lost_at| !has_passed(lost_at));
+            may_take_effect || seen.bucket.holds(&release.ticket.key, release.ticket.id)
         });
     }
 
@@ -456,15 +454,15 @@
             .is_some_and(|seen| now.since(seen.seen_at) <= MAX_SEEN_BUCKET_AGE)
     }
 
-    /// Judges the tries that wait by the bucket as it was last seen.
-    fn evaluate_waiting(&mut self, retry: TimeSpan, verdicts: &mut ClaimVerdicts) {
+    /// Gives the verdicts on waiting claims that follow from the bucket as last seen.
+    fn evaluate_waiting(&mut self, retry_after: TimeSpan, verdicts: &mut ClaimVerdicts) {
         let Some(seen) = &self.seen else { return };
         let mut waiting = Vec::new();
         for claim in mem::take(&mut self.waiting) {
             let ticket = claim.ticket;
             let verdict = seen.bucket.judge(&ticket.key, claim.fingerprint, ticket.id);
-            // A claim may have been released since, so that only a bucket that was asked for after
-            // the try came says that the key is taken.
+            // The holder may have released its claim since, so only a bucket that was requested after the
+            // offer proves that the key is taken.
             let is_fresh = seen.shown_by_call > claim.offered_after_call;
             match verdict {
                 BucketVerdict::Free => waiting.push(claim),
@@ -481,7 +479,7 @@
                 BucketVerdict::Full => {
                     let verdict = ClaimVerdict::Refused {
                         reason: ClaimRefusal::BucketFull,
-                        retry_after: retry,
+                        retry_after,
                     };
                     verdicts.push((ticket, verdict));
                 }
@@ -498,7 +496,7 @@
         }
     }
 
-    /// Forgets a try that was refused; one that a lost write may yet bring in is written out.
+    /// Schedules a release for a refused claim that a lost write may still bring into the bucket.
     fn release_if_uncertain(&mut self, claim: &PendingClaim) {
         if claim.lost_write_version.is_some() {
             self.releases.push(claim.to_release());
@@ -506,21 +504,21 @@
     }
 }
 
-/// A `LaneEnd` says how a lane's call ended.
+/// How a call of a queue ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOutcome {
     /// The store answered.
     Answered,
-    /// The store took the write.
+    /// The write took effect.
     Written,
-    /// Another writer was before.
+    /// Another writer had changed the bucket.
     Conflict,
-    /// The call did nothing.
+    /// The call had no effect; the store may ask to wait.
     NotDone(Option<TimeSpan>),
-    /// The answer is lost.
+    /// The reply is lost.
     Lost,
     /// The bucket can't be read.
     Unreadable,
-    /// The store went backwards.
+    /// The store returned a version below one seen before.
     StoreRegressed,
 }
--- a/alderhaven-policy/src/claim_verdict.rs
+++ b/alderhaven-policy/src/claim_verdict.rs
@@ -1,4 +1,4 @@
-//! What becomes of a try to claim a key.
+//! Result of a claim of an idempotency key.
 
 use alderhaven_core::time::TimeSpan;
 use serde::Serialize;
@@ -7,48 +7,48 @@
 use crate::claim_id::ClaimId;
 use crate::claim_key::ClaimKey;
 
-/// A `ClaimVerdict` is the one answer to a try to claim a key.
+/// The final result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimVerdict {
-    /// The claim stands: the holder of this verdict, and nobody else ever, may dispatch.
+    /// The claim was made: only the holder of this ticket may ever dispatch the request.
     Granted(ClaimTicket),
-    /// Another try holds the claim: whether the request ran is known to its maker alone.
+    /// Another claim holds the key; only its writer knows whether the request ran.
     Taken(ClaimWriter),
-    /// The key was claimed for another request.
+    /// The key was claimed for a different request.
     Conflict,
-    /// The key is behind the horizon: whether its request ran is not remembered any more.
+    /// The key is behind the horizon; whether its request ran is no longer recorded.
     TooOld,
-    /// The try came to nothing, and nothing will ever be dispatched for it.
+    /// No claim was made, and the request will not be dispatched because of it.
     Refused {
-        /// Why.
+        /// Why the claim was refused.
         reason: ClaimRefusal,
-        /// When to come back.
+        /// When to try again.
         retry_after: TimeSpan,
     },
 }
 
-/// A `ClaimRefusal` names why a try came to nothing.
+/// Why a claim was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimRefusal {
     /// The store is out of service.
     StoreDown,
-    /// The store did not answer within the claim's time.
+    /// The store did not answer before the claim's deadline.
     StoreSlow,
-    /// The bucket takes no more claims.
+    /// The bucket accepts no more claims.
     BucketFull,
-    /// The bucket can't be read, or the store went backwards.
+    /// The bucket can't be read, or the store returned an older version than before.
     LedgerBroken,
-    /// The entry has as many tries under way as it may.
+    /// The entry has the maximum number of claims without a verdict.
     Busy,
 }
 
-/// A `ClaimTicket` is the right to dispatch one request once.
+/// The right to dispatch one request once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 pub struct ClaimTicket {
-    /// The key.
+    /// The claimed key.
     pub key: ClaimKey,
-    /// The claim.
+    /// The identity of the claim.
     pub id: ClaimId,
 }
--- a/alderhaven-policy/src/config_registry.rs
+++ b/alderhaven-policy/src/config_registry.rs
@@ -1,9 +1,8 @@
-//! The configuration that a node holds in force.
+//! The configuration in force on a node.
 //!
-//! Load pattern: objects arrive from the store's watch, from relists and from peers, late, twice
-//! and in any order. Without this rule a replayed watch or a lagging peer would take a node back to
-//! an older version. The rule is that the higher store version of an object wins, tombstones
-//! included, so the order of arrival does not matter.
+//! Objects arrive from the store's watch, from full lists and from peers, possibly late, twice or out of
+//! order. For each key the highest store version wins, tombstones included, so that the result does not
+//! depend on the order of arrival and a lagging source can't bring back an older version.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,8 +14,7 @@
 use alderhaven_core::team::TeamPolicy;
 use alderhaven_core::template::QueryTemplate;
 
-/// A `ConfigRegistry` holds, for each key, the newest object that was heard of and the newest one
-/// that checks.
+/// The newest known version of each object, and the newest valid one.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigRegistry {
     newest: BTreeMap<ObjectKey, StoredObject>,
@@ -24,41 +22,41 @@
     rejected: BTreeMap<ObjectKey, RejectedObject>,
 }
 
-/// A `ConfigView` is the checked configuration as requests read it.
+/// The valid configuration, as requests read it.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
-    /// The templates by name.
+    /// Query templates by name.
     pub templates: BTreeMap<TemplateName, Arc<QueryTemplate>>,
-    /// The teams by name.
+    /// Team policies by team.
     pub teams: BTreeMap<TeamId, Arc<TeamPolicy>>,
-    /// The manifests by service.
+    /// Snapshot manifests by service.
     pub manifests: BTreeMap<ServiceName, Arc<SnapshotManifest>>,
-    /// The targets that operators drain.
+    /// The names of targets that operators drain.
     pub drains: std::collections::BTreeSet<String>,
 }
 
-/// A `RejectedObject` is an object that did not check; the last good one stays in force.
+/// An invalid object; the last valid version of it stays in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedObject {
-    /// The version that was refused.
+    /// The rejected version.
     pub version: StoreVersion,
-    /// Everything that is wrong with it.
+    /// All errors found in it.
     pub errors: Vec<Error>,
 }
 
-/// An `AcceptOutcome` says what became of an object that was heard of.
+/// The result of [`ConfigRegistry::accept`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AcceptOutcome {
-    /// The object is in force now.
+    /// The object is now in force.
     InForce,
-    /// The same or a newer version was known already.
+    /// This or a newer version was already known.
     Known,
-    /// The object does not check; what was in force before stays.
+    /// The object is invalid; what was in force before stays.
     Rejected(Vec<Error>),
 }
 
 impl ConfigRegistry {
-    /// Takes an object that was heard of, whatever its source.
+    /// Applies an object, whatever source it came from.
     pub fn accept(&mut self, object: StoredObject) -> AcceptOutcome {
         let known = self.newest.get(&object.key).map(|known| known.version);
         if known >= Some(object.version) {
@@ -90,30 +88,30 @@
         outcome
     }
 
-    /// Gets the configuration as requests read it.
+    /// Returns the valid configuration, as requests read it.
     #[must_use]
     pub fn view(&self) -> ConfigView {
         self.in_force.clone()
     }
 
-    /// Gets the newest object heard of for each key, tombstones included.
+    /// Returns the newest known version of each object, tombstones included.
     pub fn objects(&self) -> impl Iterator<Item = &StoredObject> {
         self.newest.values()
     }
 
-    /// Gets the newest version of an object, a tombstone included.
+    /// Returns the newest known version of an object, which may be a tombstone.
     #[must_use]
     pub fn object(&self, key: &ObjectKey) -> Option<&StoredObject> {
         self.newest.get(key)
     }
 
-    /// Gets the objects that did not check, by key.
+    /// Returns the rejected objects by key.
     #[must_use]
     pub const fn rejected(&self) -> &BTreeMap<ObjectKey, RejectedObject> {
         &self.rejected
     }
 
-    /// Gets the highest store version heard of.
+    /// Returns the highest store version known.
     #[must_use]
     pub fn highest_version(&self) -> StoreVersion {
         self.newest
--- a/alderhaven-policy/src/connection_health.rs
+++ b/alderhaven-policy/src/connection_health.rs
@@ -1,28 +1,14 @@
-//! Connection health: silence is not slowness.
+//! Detection of connections that were lost without notice, as opposed to slow or failed targets.
 //!
-//! Load pattern: the network path between two processes loses track of old connections. Bytes that
-//! are sent on one arrive nowhere and nothing says so, while a new connection to the same target
-//! works at once.
+//! A network path may drop the state of an old connection: what is sent on it is lost without an error,
+//! while a new connection works. An attempt without a reply for several times the expected service time
+//! leads to a probe, a cheap request on a new connection; meanwhile idle connections are not used. If the
+//! probe is answered, older silent connections are replaced and their attempts end as unknown, without
+//! blame on the target. If it is refused or not answered, the target is down. Any reply on an old
+//! connection shows that the path works.
 //!
-//! Without it: each attempt on such a connection waits for its deadline, the target looks slow or
-//! dead, and replica choice takes a healthy target out of use.
-//!
-//! The rules: an attempt that is silent for several times what its kind takes at this target leads
-//! to a probe: a new connection with a cheap request. While the probe is under way the idle
-//! connections are not used. Where the probe is answered, the connections that are older than it
-//! and silent are replaced, their attempts end as unknown, in time for a retry elsewhere, and the
-//! target is not blamed. Where it is refused or silent too, the target itself is down. A reply on
-//! an old connection at any moment shows that the path is whole.
-//!
-//! A slow target answers the probe as well. So the silence must exceed [`HealthOptions::factor`]
-//! times the mean that was learnt from this very target, and the attempt is ended only where its
-//! connection had been idle before ([`HealthOptions::idle_suspect`]) or other attempts that were
-//! sent later were answered meanwhile. A target that is slow as a whole answers none of them.
-//!
-//! Grounds for the figures: with service times spread exponentially about their mean, one attempt
-//! in 3,000 takes eight times the mean; 200 ms is the shortest pause of a target's process that is
-//! common under collection of garbage, and two such waits fit into the deadline of a second; a
-//! probe costs one connection of 6 ms at most, so 150 ms without an answer is silence.
+//! A slow target answers the probe as well. So an attempt is ended only if its connection had been idle
+//! before ([`HealthOptions::idle_suspect`]) or attempts sent later have been answered meanwhile.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
@@ -30,20 +16,20 @@
 
 use crate::health_machine::{HealthMachine, HealthPhase};
 
-/// A `HealthOptions` holds the settings of connection health.
+/// Settings of [`ConnectionHealth`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HealthOptions {
-    /// Whether silent connections are looked for at all.
+    /// Whether silent connections are detected at all.
     pub enabled: bool,
-    /// How many times the expected service time an attempt may be silent.
+    /// The multiple of the expected service time after which an attempt counts as silent.
     #[serde(rename = "factor")]
     pub silence_factor: f64,
-    /// The least silence that leads to a probe.
+    /// The minimum time after which an attempt counts as silent.
     pub min_silence: TimeSpan,
-    /// The time within which a probe is answered.
+    /// The time within which a probe must be answered.
     pub probe_timeout: TimeSpan,
-    /// The idle time after which a connection may have been lost unnoticed.
+    /// The idle time after which a connection may have been lost without notice.
     pub idle_suspect: TimeSpan,
 }
 
@@ -59,63 +45,63 @@
     }
 }
 
-/// A `HealthEvent` is what happened on the connections to a target.
+/// An event on the connections to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HealthEvent {
-    /// An attempt has been silent for longer than it should.
+    /// An attempt has had no reply for longer than the silence bound.
     Silent,
-    /// An attempt on a kept connection was answered.
+    /// An attempt on a reused connection was answered.
     Replied,
-    /// The probe on a new connection was answered.
+    /// The probe was answered.
     ProbeAnswered,
-    /// The probe's connection was refused.
+    /// The connection of the probe was refused.
     ProbeRefused,
     /// The probe was not answered in time.
     ProbeSilent,
 }
 
-/// A `HealthState` is what is believed of the connections to a target.
+/// The assumed state of the connections to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthState {
-    /// Kept connections are used.
+    /// Idle connections are reused.
     Trusted,
-    /// A probe is under way; kept connections are not used.
+    /// A probe is in flight; idle connections are not reused.
     Probing,
     /// New connections are refused or silent: the target itself is down.
     Down,
 }
 
-/// A `HealthAction` is what is to be done after an event.
+/// The action to take after an event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HealthAction {
-    /// Nothing.
+    /// No action is needed.
     Nothing,
     /// Send a probe on a new connection.
     Probe,
-    /// Close the connections that were idle since before the probe.
+    /// Close the connections that have been idle since before the probe.
     ReplaceIdle,
 }
 
-/// A `SilentAttempt` is an attempt that waits for its reply while a probe was answered.
+/// An attempt that has no reply although a probe was answered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SilentAttempt {
-    /// How long its connection had been idle when it was sent.
+    /// How long the connection had been idle when the attempt was sent.
     pub idle_before: TimeSpan,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent: TimePoint,
-    /// When the latest attempt of those that were answered had been sent, if any was.
+    /// The send time of the latest attempt that has been answered, if any.
     pub last_answered_sent: Option<TimePoint>,
 }
 
-/// A `ConnectionHealth` tells silent connections from a target that is slow or down.
+/// Tells lost connections from a target that is slow or down.
 pub struct ConnectionHealth {
     options: HealthOptions,
     machine: StateMachine<HealthMachine>,
 }
 
 impl ConnectionHealth {
-    /// Returns the health of a target whose connections are trusted.
+    /// Creates the health of a target whose connections are trusted.
     #[must_use]
     pub fn new(options: HealthOptions) -> Self {
         let mut machine = HealthMachine::new().state_machine();
@@ -123,7 +109,7 @@
         Self { options, machine }
     }
 
-    /// Gets the silence after which an attempt leads to a probe, or none where it never does.
+    /// Returns the time without a reply after which an attempt leads to a probe, or `None` if disabled.
     #[must_use]
     pub fn silence_bound(&self, expected: TimeSpan) -> Option<TimeSpan> {
         let bound = expected.mul_f64(self.options.silence_factor);
@@ -132,13 +118,13 @@
             .then(|| bound.max(self.options.min_silence))
     }
 
-    /// Applies an event and gets what is to be done.
+    /// Applies an event and returns the action to take.
     pub fn handle(&mut self, event: HealthEvent) -> HealthAction {
         self.machine.handle(&event);
         self.machine.inner().action()
     }
 
-    /// Gets the state.
+    /// Returns the assumed state of the connections.
     #[must_use]
     pub fn state(&self) -> HealthState {
         match self.machine.state() {
@@ -148,14 +134,14 @@
         }
     }
 
-    /// Returns true where kept connections may be used.
+    /// Returns `true` if idle connections may be reused.
     #[must_use]
     pub fn may_reuse(&self) -> bool {
         self.state() == HealthState::Trusted
     }
 
-    /// Judges an attempt that still waits after a probe was answered: true where its connection is
-    /// silent, false where the target may only be slow.
+    /// Decides about an attempt that has no reply after a probe was answered: `true` if its connection is
+    /// lost, `false` if the target may only be slow.
     #[must_use]
     pub fn is_silent(&self, attempt: &SilentAttempt) -> bool {
         let overtaken = attempt
@@ -164,7 +150,7 @@
         overtaken || attempt.idle_before >= self.options.idle_suspect
     }
 
-    /// Gets the settings.
+    /// Returns the settings.
     #[must_use]
     pub const fn options(&self) -> &HealthOptions {
         &self.options
--- a/alderhaven-policy/src/domain_silence.rs
+++ b/alderhaven-policy/src/domain_silence.rs
@@ -1,44 +1,39 @@
-//! Whether a failure domain has stopped to answer a node.
+//! Detection of a failure domain that no longer answers.
 //!
-//! Load pattern: a failure domain loses power or is cut off, and all replicas there fall silent in the
-//! same moment.
-//!
-//! Without it: each query learns of it target by target. Its second attempts go to the same domain, and
-//! while it waits for them it takes the place of another query.
-//!
-//! The rules:
-//! - a domain is silent once some sources there were asked and nothing was heard from any of them since;
-//!   a target that pauses while others answer says nothing of its domain, and neither do the first
-//!   attempts of a node that has just started;
-//! - it is lost, and what was sent there will hardly run, once that has lasted for a while: a domain
-//!   whose targets are all slow is silent too;
-//! - the silence ends with the first answer, or by itself after a while: few requests then find out
-//!   whether it goes on, since one that meets it again is enough.
+//! If a domain loses power or is cut off, all its replicas become silent at once; waiting for each of
+//! them delays every query. A domain is silent once several of its sources (targets, or connections to
+//! fronts) were asked and none of the domain has answered since. Only a domain that has answered before can
+//! become silent, since the first attempts of a starting node wait for their connections. A domain that is
+//! silent for longer is lost, and what was sent there has probably not run; before that, its targets may
+//! all just be slow. The silence ends with the first answer, or by itself after a while; a single overdue
+//! source then renews it.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-/// The sources that must be silent: targets, or connections to fronts.
+/// The number of overdue sources from which a domain is silent.
 const MIN_SILENT_SOURCES: u32 = 3;
 
-/// How long a domain counts as silent after the latest sign of it.
+/// How long a domain stays silent after the latest overdue source.
 const SILENCE_SPAN: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// How long nothing is heard of a domain that is lost.
+/// The time without any answer after which a silent domain is lost.
 const LOST_AFTER: TimeSpan = TimeSpan::from_millis(500);
 
-/// The shortest wait for a source that says anything of its domain.
+/// The shortest time after which a source is overdue.
 const MIN_SOURCE_TIMEOUT: TimeSpan = TimeSpan::from_millis(60);
 
-/// How many times the usual time a source is waited for.
+/// The multiple of the typical latency after which a source is overdue.
 const SOURCE_TIMEOUT_FACTOR: f64 = 3.0;
 
-/// Gets how long a source that was asked is waited for, where answers usually take `usual`.
+/// Returns the time after which a source is overdue if answers typically take `typical_latency`.
 #[must_use]
-pub fn source_timeout(usual: TimeSpan) -> TimeSpan {
-    usual.mul_f64(SOURCE_TIMEOUT_FACTOR).max(MIN_SOURCE_TIMEOUT)
+pub fn source_timeout(typical_latency: TimeSpan) -> TimeSpan {
+    typical_latency
+        .mul_f64(SOURCE_TIMEOUT_FACTOR)
+        .max(MIN_SOURCE_TIMEOUT)
 }
 
-/// A `DomainSilence` is what one node has heard of one failure domain.
+/// One node's record of answers from one failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DomainSilence {
     last_answer_at: Option<TimePoint>,
@@ -47,7 +42,7 @@
 }
 
 impl DomainSilence {
-    /// Notes that a source in the domain has answered; returns true where that ends a silence.
+    /// Records an answer from the domain. Returns `true` if that ends a silence.
     pub fn record_answer(&mut self, now: TimePoint) -> bool {
         let was_silent = self.is_silent(now);
         *self = Self {
@@ -57,8 +52,7 @@
         was_silent
     }
 
-    /// Notes that a source which was asked at `sent` has said nothing for as long as one is waited for;
-    /// returns true where that begins a silence.
+    /// Records that a source that was asked at `sent` is overdue. Returns `true` if that starts a silence.
     pub fn record_overdue(&mut self, sent: TimePoint, now: TimePoint) -> bool {
         if self.last_answer_at.is_none_or(|heard_at| sent <= heard_at) {
             return false;
@@ -71,14 +65,14 @@
         !was_silent && self.is_silent(now)
     }
 
-    /// Returns true while the domain counts as lost.
+    /// Returns `true` while the domain is lost.
     #[must_use]
     pub fn is_lost(&self, now: TimePoint) -> bool {
         let heard_at = self.last_answer_at.unwrap_or(now);
         self.is_silent(now) && now.since(heard_at) >= LOST_AFTER
     }
 
-    /// Returns true while the domain counts as silent.
+    /// Returns `true` while the domain is silent.
     #[must_use]
     pub fn is_silent(&self, now: TimePoint) -> bool {
         now < self.silent_until
--- a/alderhaven-policy/src/drain.rs
+++ b/alderhaven-policy/src/drain.rs
@@ -1,10 +1,8 @@
-//! The sequence in which a process stops as planned.
+//! Graceful shutdown of a process.
 //!
-//! Load pattern: 890 restarts a day under load. A process that simply ended would cut its requests
-//! in flight, and callers who hold its address would find it closed. The order is: announce that it
-//! leaves, serve on until nobody names it any more and the answers that did have lapsed, take
-//! nothing new, finish what is in flight, end. A second signal or the limit ends it at once, and
-//! the report then says how many requests were cut.
+//! The process announces that it leaves, and serves on until other nodes no longer name it and the answers
+//! that name it have expired. Then it accepts nothing new, finishes the requests in flight and ends. A
+//! second stop request or the time limit ends it at once; the report says how many requests that aborts.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
@@ -12,17 +10,17 @@
 
 use crate::drain_lifecycle::{DrainLifecycle, DrainPhase};
 
-/// A `DrainOptions` holds the spans of a stop.
+/// Time spans of a graceful shutdown.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DrainOptions {
-    /// The time until every node has heard that the process leaves.
+    /// The time until every other node knows that the process is leaving.
     #[serde(rename = "heard_within")]
     pub leave_propagation_time: TimeSpan,
-    /// The time for which answers that name the process are kept; zero for a relay.
+    /// How long callers keep answers that name the process; zero for a relay.
     #[serde(rename = "address_life")]
     pub directory_lifetime: TimeSpan,
-    /// The longest time from the signal to the end.
+    /// The maximum time from the stop request to the end.
     pub limit: TimeSpan,
 }
 
@@ -36,71 +34,71 @@
     }
 }
 
-/// A `DrainState` says how far a stop has come.
+/// The progress of a shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainState {
-    /// No stop was asked for.
+    /// No stop has been requested.
     Serving,
-    /// Leaving is announced; the process is absent from new answers and serves what arrives.
+    /// The process has announced that it leaves; new answers don't name it, and it serves what arrives.
     Leaving,
-    /// Nothing new is taken; requests in flight finish.
+    /// The process accepts nothing new and finishes the requests in flight.
     Finishing,
     /// The process may end.
     Stopped,
 }
 
-/// A `DrainEvent` is what happens to a process that may stop.
+/// An input of the shutdown sequence.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainEvent {
-    /// A signal or an operator asks the process to stop; the second time it must end at once.
+    /// A signal or an operator asks the process to stop; a second request ends it at once.
     StopRequested {
-        /// When it was asked.
+        /// The time of the request.
         now: TimePoint,
-        /// The requests in flight.
+        /// The number of requests in flight.
         in_flight: usize,
     },
     /// Time has passed.
     Ticked {
-        /// The time.
+        /// The present time.
         now: TimePoint,
-        /// The requests in flight.
+        /// The number of requests in flight.
         in_flight: usize,
     },
 }
 
-/// A `StopReason` says why a process ended.
+/// Why a process ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopReason {
-    /// All requests were finished.
+    /// All requests in flight were finished.
     Finished,
-    /// It was asked a second time.
+    /// A second stop was requested.
     AskedTwice,
-    /// The limit was reached.
+    /// The time limit was reached.
     LimitReached,
 }
 
-/// A `StopReport` says how a stop ended.
+/// The result of a shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct StopReport {
     /// Why the process ended.
     pub reason: StopReason,
-    /// How many requests in flight were cut.
+    /// The number of requests in flight that were aborted.
     #[serde(rename = "cut")]
     pub aborted_requests: usize,
-    /// The time from the signal to the end.
+    /// The time from the stop request to the end.
     #[serde(rename = "took")]
     pub elapsed: TimeSpan,
 }
 
-/// A `DrainSequence` runs the stop of one process.
+/// The shutdown of one process.
 pub struct DrainSequence {
     machine: StateMachine<DrainLifecycle>,
 }
 
 impl DrainSequence {
-    /// Returns the sequence of a process that serves.
+    /// Creates the sequence of a process that is serving.
     #[must_use]
     pub fn new(options: DrainOptions) -> Self {
         let mut machine = DrainLifecycle::new(options).state_machine();
@@ -113,7 +111,7 @@
         self.machine.handle(&event);
     }
 
-    /// Gets how far the stop has come.
+    /// Returns the progress of the shutdown.
     #[must_use]
     pub fn state(&self) -> DrainState {
         match self.machine.state() {
@@ -124,13 +122,13 @@
         }
     }
 
-    /// Returns true while requests that arrive are served.
+    /// Returns `true` while arriving requests are served.
     #[must_use]
     pub fn takes_requests(&self) -> bool {
         matches!(self.state(), DrainState::Serving | DrainState::Leaving)
     }
 
-    /// Gets the report; none before the process may end.
+    /// Returns the result, or `None` before the process may end.
     #[must_use]
     pub fn report(&self) -> Option<StopReport> {
         self.machine.inner().report()
--- a/alderhaven-policy/src/drain_lifecycle.rs
+++ b/alderhaven-policy/src/drain_lifecycle.rs
@@ -1,11 +1,11 @@
-//! The lifecycle of a process that stops, as a state machine.
+//! State machine of a graceful shutdown ([`crate::drain`]).
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use statig::prelude::*;
 
 use crate::drain::{DrainEvent, DrainOptions, StopReason, StopReport};
 
-/// A `DrainLifecycle` is the state machine's storage.
+/// The state machine's storage.
 #[derive(Clone, Debug)]
 pub(crate) struct DrainLifecycle {
     options: DrainOptions,
@@ -86,8 +86,8 @@
         self.report
     }
 
-    /// Others name the process until they hear that it leaves, and what they named is kept for the
-    /// address life after that.
+    /// Returns how long the process serves after the announcement: other nodes name it until they hear that
+    /// it leaves, and callers keep such an answer for `address_life`.
     fn served_for(&self) -> TimeSpan {
         self.options.leave_propagation_time + self.options.directory_lifetime
     }
--- a/alderhaven-policy/src/group_start.rs
+++ b/alderhaven-policy/src/group_start.rs
@@ -1,20 +1,11 @@
-//! How long a node that starts waits for its peers to tell it all, before it asks the store.
+//! How long a starting node waits for its peers to send it the configuration before it lists the store.
 //!
-//! Load pattern: all nodes of a group start within some tenths of a second, and each would list the
-//! whole store, page by page, before it knows of any other.
-//!
-//! Without it: the calls before the first request grow with the nodes and the targets; the store's rate
-//! grows more slowly.
-//!
-//! The rules:
-//! - a group that starts for the first time has no callers yet. The nodes that all know by address ask,
-//!   and the others wait for them;
-//! - a node that starts again has callers who wait. It asks after a moment in which near peers answer,
-//!   unless others that are alive go before it. One that knows of no other gives those that all know
-//!   by address a little longer: its whole group may start again;
-//! - where a node has said that the store does not answer it, another one may have more luck: it asks;
-//! - a store that does not answer is asked again at short intervals by the first nodes, who tell the
-//!   others, and seldom by those.
+//! Nodes of a group often start together, and each would otherwise list the whole store, page by page.
+//! The group's seed nodes, whose addresses all nodes are given, list it first, and the others wait for
+//! them. A node that restarts has callers waiting: it lists the store after a short wait for peers,
+//! unless other live nodes come before it in the group's order. A node also lists the store at once if a
+//! peer reports that it can't reach the store. While the store does not answer, the first nodes retry at
+//! short intervals and the others rarely.
 
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
@@ -24,56 +15,55 @@
 /// The time in which peers in the same failure domain answer.
 const NEAR_PEER_WAIT: TimeSpan = TimeSpan::from_millis(20);
 
-/// The time that the first nodes of a group that starts again need: their tries of the store, and the
-/// way of what they learn.
+/// The time that the first nodes of a restarting group need to list the store and pass on the result.
 const GROUP_RESTART_WAIT: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// The time that the nodes which all know by address have to tell one that knows of no other. Callers of
-/// a group that starts again as a whole wait as long.
+/// The time that seed nodes have to answer a restarting node that knows no other node. The callers of a
+/// group that restarts as a whole wait as long.
 const SEED_WAIT: TimeSpan = TimeSpan::from_millis(200);
 
-/// The same where the group starts for the first time: there are no callers yet.
+/// The wait for the seed nodes in a first start, when there are no callers yet.
 const FIRST_START_WAIT: TimeSpan = TimeSpan::from_millis(3_000);
 
-/// The pause between two tries of the first nodes in the order: until one is answered, each request is
-/// refused.
+/// The pause between two attempts of the first nodes to list the store; until one is answered, every
+/// request is refused.
 const LEADING_RETRY_PAUSE: TimeSpan = TimeSpan::from_millis(100);
 
-/// The same of the other nodes, on average.
+/// The mean pause between two attempts of the other nodes.
 const MEAN_RETRY_PAUSE: TimeSpan = TimeSpan::from_millis(800);
 
-/// Gets the pause after a try that the store did not answer. `is_ahead` says that the node is among the
-/// first, and `random`, 0 to 1, spreads the others.
+/// Returns the pause after an attempt that the store did not answer. `lists_store_first` says that the
+/// node is among the first to ask; `random`, from 0 to 1, spreads the others.
 #[must_use]
-pub fn retry_pause(is_ahead: bool, random: f64) -> TimeSpan {
-    if is_ahead {
+pub fn retry_pause(lists_store_first: bool, random: f64) -> TimeSpan {
+    if lists_store_first {
         LEADING_RETRY_PAUSE
     } else {
         MEAN_RETRY_PAUSE.mul_f64(0.5 + random)
     }
 }
 
-/// A `GroupStart` is the way in which a node starts.
+/// The circumstances in which a node starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupStart {
-    /// Its group may be running, with callers.
+    /// The group may be running and have callers.
     #[default]
     #[serde(rename = "again")]
     Restart,
-    /// The same of a node that all know by address.
+    /// The group may be running and have callers, and this is one of its seed nodes.
     #[serde(rename = "again_known")]
     SeedRestart,
-    /// Its group starts for the first time, and this is one of the nodes that all know by address.
+    /// The group starts for the first time, and this is one of its seed nodes.
     #[serde(rename = "first_known")]
     SeedFirstStart,
-    /// Its group starts for the first time.
+    /// The group starts for the first time, and this is not a seed node.
     #[serde(rename = "first")]
     FirstStart,
 }
 
 impl GroupStart {
-    /// Returns true where the node is among those that ask the store for all.
+    /// Returns `true` if the node is among those that list the whole store.
     #[must_use]
     pub const fn lists_store_first(self, view: StartView) -> bool {
         match self {
@@ -83,7 +73,7 @@
         }
     }
 
-    /// Gets how long peers have to tell all.
+    /// Returns how long to wait for peers before listing the store.
     #[must_use]
     pub const fn peer_wait(self, view: StartView) -> TimeSpan {
         match self {
--- a/alderhaven-policy/src/health_machine.rs
+++ b/alderhaven-policy/src/health_machine.rs
@@ -1,10 +1,10 @@
-//! The state machine of connection health; its rules are told in [`crate::connection_health`].
+//! State machine of [`crate::connection_health`].
 
 use statig::prelude::*;
 
 use crate::connection_health::{HealthAction, HealthEvent};
 
-/// A `HealthMachine` is the state machine's storage: what is to be done after the last event.
+/// The state machine's storage: the action to take after the last event.
 #[derive(Debug)]
 pub(crate) struct HealthMachine {
     action: HealthAction,
--- a/alderhaven-policy/src/leaving_targets.rs
+++ b/alderhaven-policy/src/leaving_targets.rs
@@ -1,18 +1,10 @@
-//! Which targets get no new work because they leave.
+//! Targets that get no new work because they are about to stop.
 //!
-//! Load pattern: a target is about to stop. Operators publish a drain, the host list says
-//! "leaving" some seconds late, and the target's own replies say that it drains.
-//!
-//! Without it: each query goes on to try the leaving target, costs a round trip and a retry, and
-//! is cut when the target stops.
-//!
-//! The rules: the earliest word of any source wins. A published drain holds until it is taken
-//! back. The host list's word holds until a later reading of the list says "live". A reply's word
-//! holds until a reading of the list that was begun after it no longer knows the target as leaving
-//! and [`LeavingOptions::reply_hold`] has passed: a list that lags still says "live" for a while.
-//!
-//! Grounds for the figure: the list is known to lag by seconds; 30 s is several times that, and a
-//! target that was restarted in place is missed for no longer.
+//! There are three sources: drains that operators publish, the host list, which lags by some seconds, and
+//! replies in which a target says that it is draining. A target counts as leaving as soon as one source
+//! says so. A published drain holds until it is withdrawn, and an entry of the host list until a later
+//! reading shows the target as live. A reply holds for at least [`LeavingOptions::reply_hold`], and then
+//! until the next reading of the list.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -20,11 +12,11 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// A `LeavingOptions` holds the settings.
+/// Settings of [`LeavingTargets`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeavingOptions {
-    /// How long a reply's word holds at least.
+    /// The minimum time for which a target's reply holds.
     pub reply_hold: TimeSpan,
 }
 
@@ -36,7 +28,7 @@
     }
 }
 
-/// A `LeavingTargets` collects the words of all sources.
+/// The leaving targets by source.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingTargets {
     options: LeavingOptions,
@@ -47,7 +39,7 @@
 }
 
 impl LeavingTargets {
-    /// Returns an empty collection.
+    /// Creates an empty collection.
     #[must_use]
     pub fn new(options: LeavingOptions) -> Self {
         Self {
@@ -56,15 +48,15 @@
         }
     }
 
-    /// Takes over the drains that are published.
+    /// Replaces the published drains.
     pub fn set_drained(&mut self, targets: BTreeSet<String>) {
         self.drained = targets;
     }
 
-    /// Takes over a reading of the host list: its revision and the targets that leave.
+    /// Applies a reading of the host list: its revision and the targets that are leaving.
     ///
-    /// A reading of an older revision than one seen before is passed over, so that a lagging copy
-    /// of the list does not bring a leaving target back.
+    /// A reading with an older revision than a previous one is ignored, so that a lagging copy of the list
+    /// does not bring a leaving target back.
     pub fn set_listed(&mut self, revision: u64, leaving: BTreeSet<String>, now: TimePoint) {
         if revision < self.list_revision {
             return;
@@ -75,18 +67,18 @@
         self.replied_at.retain(|_, since| now.since(*since) < hold);
     }
 
-    /// Notes that a reply of a target says that it drains.
+    /// Records a reply in which a target says that it is draining.
     pub fn record_reply(&mut self, target: &TargetId, now: TimePoint) {
         self.replied_at.insert(target.to_string(), now);
     }
 
-    /// Returns true where the target itself has said that it drains.
+    /// Returns `true` if the target itself has reported that it is draining.
     #[must_use]
     pub fn has_reported_drain(&self, target: &TargetId) -> bool {
         self.replied_at.contains_key(target.as_str())
     }
 
-    /// Gets the names of all targets that get no new work.
+    /// Returns the names of all targets that get no new work.
     #[must_use]
     pub fn names(&self) -> BTreeSet<String> {
         self.drained
--- a/alderhaven-policy/src/quarantine.rs
+++ b/alderhaven-policy/src/quarantine.rs
@@ -1,41 +1,15 @@
-//! Quarantine: a request that crashes targets is refused for a while.
+//! Quarantine of requests that crash targets ("queries of death").
 //!
-//! Load pattern: a request makes the process of its target die. The caller sees a failure and sends
-//! it again, through another entry too, and retries and hedges bring it to further replicas.
+//! A crash of a target with a request in flight is a strike against that request. A request with a
+//! strike runs with no other request at its target, so that the next crash has one possible cause. It
+//! is refused after strikes at several targets, at one of which it was alone. An answer from a replica
+//! of the shard clears the strikes of that shard. A refusal expires; after that one more strike is
+//! enough, and each refusal lasts twice as long as the one before.
 //!
-//! Without it: one request takes down every replica of its shard, and each resend does so again.
-//!
-//! The rules:
-//! - A *strike* is a crash of a target with the request in flight. Only the death of the process
-//!   counts, not a cut path: the caller of this module decides that.
-//! - A request with a strike is a *suspect*: it is run with no other request at its target, so that
-//!   the next crash has one cause. Of two requests that were in flight together, the innocent one
-//!   is answered then, and the guilty one is found with its second target.
-//! - A request is refused after strikes at two different targets, at one of them alone. Strikes
-//!   weigh nothing for a refusal while others were always in flight too.
-//! - An answer from a replica of the shard clears the strikes for that shard: replicas hold the same
-//!   data, so what one of them answers did not crash another.
-//! - Targets of different shards that are lost at once count as one: they may have shared a host, and
-//!   a query over many shards is in flight at all of them. A second replica of one of the shards is
-//!   what tells; [`crate::crash_strike`] carries the shard for that.
-//! - Many targets of one failure domain lost at once are no request's doing, where the request was
-//!   not in flight at all of them: such strikes count for nothing.
-//! - A refusal lapses. One more strike is then enough, and each refusal is twice as long.
-//!
-//! What it can't bound: the first wave of a query over many shards reaches several targets before
-//! the first crash is known (the rest of it is refused in the queues, and one shard alone is tried
-//! again first, so that the wave costs one further target); copies sent at the same moment do too; a
-//! request that crashes targets only now and then is cleared by its answers; and requests that each
-//! differ share no strikes.
-//!
-//! Strikes from several processes merge by union, in any order and any number of times, and every
-//! judgement is computed from the strikes alone, so all processes come to the same one.
-//!
-//! Grounds for the figures: two targets are the fewest that tell a request from a failing host. A
-//! crashed target is back within a minute or so, so 30 s spares it one more crash, and six refusals
-//! reach 16 minutes. Two crashes of different causes within 10 minutes with the same request alone
-//! are rare: at 890 restarts a day over 3,400 targets, 6 happen in that time, nearly all planned.
-//! Four targets of one domain within 2 s is far above that rate.
+//! Targets of different shards that crash together count as one, since they may share a host. Strikes
+//! from the failure of a whole domain don't count, unless the request was in flight at every target that
+//! crashed. Strikes of several processes merge by union, and all decisions are computed from the strikes
+//! alone, so that every process comes to the same result.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -48,37 +22,35 @@
 use crate::crash_strike::{CrashStrike, StrikeUpdate, TargetCrash};
 use crate::policy_kind::PolicyKind;
 
-/// The most strikes that are kept of one request; the newest stay.
-///
-/// It holds the first wave of a query over 130 shards, about 20 KB.
+/// Strikes kept per request; the oldest are dropped.
 const MAX_STRIKES_PER_REQUEST: usize = 160;
-/// The most crashes that are remembered for the judgement of whole domains.
+/// Crashes kept to detect the failure of a whole domain; the oldest are dropped.
 const MAX_RECENT_CRASHES: usize = 512;
 
-/// The most requests that may be allowed; each holds up to 20 KB of strikes.
+/// Upper limit of the setting `max_requests`.
 const MAX_TRACKED_REQUESTS: usize = 1024;
 
-/// A `QuarantineOptions` holds the settings of the quarantine.
+/// Settings of [`CrashQuarantine`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct QuarantineOptions {
     /// Whether requests are refused at all.
     pub enabled: bool,
-    /// The different targets after which a request is refused.
+    /// The number of different targets that a request crashes before it is refused.
     pub targets: usize,
-    /// The time within which those targets were lost.
+    /// The time span in which those crashes happen.
     pub window: TimeSpan,
-    /// How long the first refusal holds; each further one holds twice as long.
+    /// The length of the first refusal; each further one is twice as long.
     pub hold: TimeSpan,
-    /// The longest that a refusal holds.
+    /// The longest refusal.
     pub max_hold: TimeSpan,
     /// How long a strike is remembered.
     pub memory: TimeSpan,
-    /// The targets of one domain whose loss at once is no request's doing.
+    /// The number of targets of one failure domain that crash together in a domain failure.
     pub domain_losses: usize,
-    /// What counts as at once.
+    /// The time span in which crashes count as simultaneous.
     pub domain_window: TimeSpan,
-    /// The most requests with strikes that are remembered.
+    /// The maximum number of requests with strikes that are remembered.
     pub max_requests: usize,
 }
 
@@ -99,7 +71,7 @@
 }
 
 impl QuarantineOptions {
-    /// Checks the values; fields are named below `quarantine`.
+    /// Checks the values; fields are reported below `quarantine`.
     pub fn check(&self, check: &mut ValueCheck) {
         check.within(
             "quarantine.targets",
@@ -114,16 +86,16 @@
     }
 }
 
-/// A `QuarantineEntry` is the state of one request for the dump.
+/// The state of one request, as it is dumped for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct QuarantineEntry {
-    /// The request.
+    /// The request's fingerprint.
     pub fingerprint: RequestFingerprint,
-    /// How often it was refused.
+    /// The number of refusals so far.
     pub refusals: u32,
-    /// How long it stays refused, in milliseconds; zero where it is a suspect only.
+    /// The time left of the present refusal, in milliseconds; zero if the request is not refused.
     pub refused_ms: u64,
-    /// Its strikes.
+    /// The strikes against the request.
     pub strikes: Vec<CrashStrike>,
 }
 
@@ -141,7 +113,7 @@
     at: TimePoint,
 }
 
-/// A `CrashQuarantine` judges requests by the crashes they were part of.
+/// Decides from crashes which requests are refused and which run alone.
 #[derive(Clone, Debug)]
 pub struct CrashQuarantine {
     options: QuarantineOptions,
@@ -150,7 +122,7 @@
 }
 
 impl CrashQuarantine {
-    /// Returns an empty quarantine; the baseline policy has none.
+    /// Creates an empty quarantine; it refuses nothing under the baseline policy.
     #[must_use]
     pub fn new(policy: PolicyKind, mut options: QuarantineOptions) -> Self {
         options.enabled &= policy == PolicyKind::Current;
@@ -161,11 +133,11 @@
         }
     }
 
-    /// Notes a crash: one strike for each request that was in flight. Returns the new strikes.
+    /// Records a crash as a strike against each request in flight. Returns the new strikes.
     pub fn record_crash(&mut self, crash: &TargetCrash, now: TimePoint) -> Vec<StrikeUpdate> {
-        let different: BTreeSet<_> = crash.in_flight.iter().map(|(request, _)| request).collect();
-        let in_flight = u32::try_from(different.len()).unwrap_or(u32::MAX);
-        let news: Vec<StrikeUpdate> = crash
+        let distinct: BTreeSet<_> = crash.in_flight.iter().map(|(request, _)| request).collect();
+        let in_flight = u32::try_from(distinct.len()).unwrap_or(u32::MAX);
+        let updates: Vec<StrikeUpdate> = crash
             .in_flight
             .iter()
             .map(|(fingerprint, shard)| StrikeUpdate {
@@ -183,20 +155,20 @@
             })
             .collect();
         self.record_recent_crash(crash.id, &crash.target, &crash.domain, now);
-        let fresh = self.merge(&news, now);
-        // A target that was lost idle tells of its domain.
+        let fresh = self.merge(&updates, now);
+        // A crash without requests in flight may still complete a domain failure.
         self.reevaluate_requests();
         fresh
     }
 
-    /// Takes over strikes of another process; returns those that told something new.
-    pub fn merge(&mut self, news: &[StrikeUpdate], now: TimePoint) -> Vec<StrikeUpdate> {
+    /// Merges strikes from another process. Returns those that were new or newly cleared.
+    pub fn merge(&mut self, updates: &[StrikeUpdate], now: TimePoint) -> Vec<StrikeUpdate> {
         if !self.options.enabled {
             return Vec::new();
         }
         let mut fresh = Vec::new();
         let memory = self.options.memory;
-        for item in news.iter().filter(|item| item.age < memory) {
+        for item in updates.iter().filter(|item| item.age < memory) {
             let strike = CrashStrike {
                 at: now - item.age,
                 ..item.strike.clone()
@@ -213,7 +185,7 @@
         fresh
     }
 
-    /// Notes an answer to a request by a replica of a shard; returns the strikes that it cleared.
+    /// Records an answer from a replica of a shard. Returns the strikes that it cleared.
     pub fn record_answer(
         &mut self,
         fingerprint: &RequestFingerprint,
@@ -236,7 +208,7 @@
         cleared
     }
 
-    /// Gets how long a request stays refused, or none where it is not.
+    /// Returns how long a request stays refused, or `None` if it is not refused.
     #[must_use]
     pub fn refused_for(
         &self,
@@ -247,7 +219,7 @@
         (record.refused_until > now).then(|| now.until(record.refused_until))
     }
 
-    /// Returns true where a request has a strike that counts still, so that it is run alone.
+    /// Returns `true` if a request has a strike that still counts and therefore must run alone.
     #[must_use]
     pub fn is_suspect(&self, fingerprint: &RequestFingerprint, now: TimePoint) -> bool {
         let window = self.options.window;
@@ -261,7 +233,7 @@
         })
     }
 
-    /// Gets all strikes, for another process.
+    /// Returns all strikes, to be sent to another process.
     #[must_use]
     pub fn strikes(&self, now: TimePoint) -> Vec<StrikeUpdate> {
         let of_record = |(fingerprint, record): (&RequestFingerprint, &RequestRecord)| {
@@ -275,19 +247,19 @@
         self.requests.iter().flat_map(of_record).collect()
     }
 
-    /// Gets the number of requests with strikes.
+    /// Returns the number of requests with strikes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns true where no request has a strike.
+    /// Returns `true` if no request has a strike.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Gets the state of all requests with strikes, for the dump.
+    /// Returns the state of all requests with strikes, for the dump.
     #[must_use]
     pub fn entries(&self, now: TimePoint) -> Vec<QuarantineEntry> {
         self.requests
@@ -303,35 +275,38 @@
 
     fn record_recent_crash(
         &mut self,
-        crash: u64,
+        crash_id: u64,
         target: &TargetId,
         domain: &FailureDomain,
         at: TimePoint,
     ) {
-        let loss = self
+        let recent = self
             .recent_crashes
-            .entry(crash)
+            .entry(crash_id)
             .or_insert_with(|| RecentCrash {
                 target: target.clone(),
                 domain: domain.clone(),
                 at,
             });
-        loss.at = loss.at.min(at);
+        recent.at = recent.at.min(at);
         if self.recent_crashes.len() > MAX_RECENT_CRASHES {
-            let oldest = self.recent_crashes.iter().min_by_key(|(_, loss)| loss.at);
-            if let Some(oldest) = oldest.map(|(crash, _)| *crash) {
+            let oldest = self
+                .recent_crashes
+                .iter()
+                .min_by_key(|(_, recent)| recent.at);
+            if let Some(oldest) = oldest.map(|(crash_id, _)| *crash_id) {
                 self.recent_crashes.remove(&oldest);
             }
         }
     }
 
-    /// Adds a strike; returns true where that told something new.
+    /// Adds a strike. Returns `true` if it was unknown or newly cleared.
     fn add_strike(&mut self, fingerprint: RequestFingerprint, strike: CrashStrike) -> bool {
         let strikes = &mut self.requests.entry(fingerprint).or_default().strikes;
         if let Some(known) = strikes.get_mut(&strike.crash_id) {
             let was_cleared = known.cleared;
             known.merge(&strike);
-            // A time that is earlier by the delay of a message is not worth passing on.
+            // An earlier time alone is only message delay and is not passed on.
             return known.cleared != was_cleared;
         }
         strikes.insert(strike.crash_id, strike);
@@ -346,11 +321,11 @@
         true
     }
 
-    /// Forgets old strikes and, beyond the bound, the requests that were struck longest ago.
+    /// Removes expired strikes and, above `max_requests`, the requests whose latest strike is oldest.
     fn prune(&mut self, now: TimePoint) {
         let memory = self.options.memory;
         self.recent_crashes
-            .retain(|_, loss| now.since(loss.at) < memory);
+            .retain(|_, recent| now.since(recent.at) < memory);
         self.requests.retain(|_, record| {
             record
                 .strikes
@@ -358,12 +333,12 @@
             !record.strikes.is_empty()
         });
         while self.requests.len() > self.options.max_requests {
-            let last_struck =
+            let latest_strike =
                 |record: &RequestRecord| record.strikes.values().map(|strike| strike.at).max();
             let oldest = self
                 .requests
                 .iter()
-                .min_by_key(|(fingerprint, record)| (last_struck(record), **fingerprint));
+                .min_by_key(|(fingerprint, record)| (latest_strike(record), **fingerprint));
             let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) else {
                 return;
             };
@@ -371,7 +346,7 @@
         }
     }
 
-    /// Judges all requests anew: a domain that turns out to be lost changes what older strikes say.
+    /// Recomputes the refusals of all requests: a domain failure detected later discounts older strikes.
     fn reevaluate_requests(&mut self) {
         let mut requests = std::mem::take(&mut self.requests);
         for record in requests.values_mut() {
@@ -380,7 +355,7 @@
         self.requests = requests;
     }
 
-    /// Walks through a request's strikes in their order, and counts the refusals they led to.
+    /// Replays a request's strikes in time order. Returns the number of refusals and the end of the last.
     fn evaluate(&self, record: &RequestRecord) -> (u32, TimePoint) {
         let mut strikes: Vec<&CrashStrike> = record
             .strikes
@@ -391,7 +366,7 @@
         let (mut refusals, mut until) = (0, TimePoint::START);
         let mut counted: Vec<&CrashStrike> = Vec::new();
         for strike in strikes {
-            // What was in flight as a refusal began belongs to the same wave.
+            // Attempts in flight when a refusal began belong to the crashes that caused it.
             if refusals > 0 && strike.at < until {
                 continue;
             }
@@ -406,7 +381,7 @@
         (refusals, until)
     }
 
-    /// Judges the newest of the strikes together with those before it.
+    /// Returns `true` if the strikes, the newest one included, justify a refusal.
     fn has_enough_strikes(&self, strikes: &[&CrashStrike], refusals: u32) -> bool {
         let needed = if refusals == 0 {
             self.options.targets
@@ -416,41 +391,46 @@
         self.count_independent(strikes) >= needed && strikes.iter().any(|strike| strike.is_alone())
     }
 
-    /// Counts the strikes that have no cause in common but the request.
+    /// Counts the strikes whose only common cause can be the request.
     ///
-    /// Targets that are lost at once may have shared a host, whatever is known of their domains. A
-    /// host holds a shard once, though, and a shard's replicas are tried one after the other.
+    /// Targets that crash together may share a host, whatever their domains. Strikes of the same shard are
+    /// independent all the same: a host holds a shard once, and its replicas are tried one after another.
     fn count_independent(&self, strikes: &[&CrashStrike]) -> usize {
         let window = self.options.domain_window;
-        let is_apart = |one: &CrashStrike, other: &CrashStrike| {
+        let are_independent = |one: &CrashStrike, other: &CrashStrike| {
             let is_later = one.at.since(other.at) >= window || other.at.since(one.at) >= window;
             one.target != other.target && (one.shard == other.shard || is_later)
         };
-        // What did not tell without the newest strike does not tell now, so it is the first.
+        // Without the newest strike there was no refusal, so it must be among those counted.
         let mut counted: Vec<&CrashStrike> = Vec::new();
         for strike in strikes.iter().rev() {
-            if counted.iter().all(|other| is_apart(other, strike)) {
+            if counted.iter().all(|other| are_independent(other, strike)) {
                 counted.push(strike);
             }
         }
         counted.len()
     }
 
-    /// Returns true where many targets of the strike's domain were lost around that time, also such
-    /// at which the request was not in flight: then it is not what they had in common.
+    /// Returns `true` if many targets of the strike's domain crashed at about that time, at least one of
+    /// them without the request in flight.
     fn is_domain_failure(&self, strike: &CrashStrike, record: &RequestRecord) -> bool {
         let window = self.options.domain_window;
-        let around: Vec<(&u64, &RecentCrash)> = self
+        let simultaneous: Vec<(&u64, &RecentCrash)> = self
             .recent_crashes
             .iter()
-            .filter(|(_, loss)| loss.domain == strike.domain)
-            .filter(|(_, loss)| loss.at.since(strike.at) < window)
-            .filter(|(_, loss)| strike.at.since(loss.at) < window)
+            .filter(|(_, recent)| recent.domain == strike.domain)
+            .filter(|(_, recent)| recent.at.since(strike.at) < window)
+            .filter(|(_, recent)| strike.at.since(recent.at) < window)
+            .collect();
+        let targets: BTreeSet<&TargetId> = simultaneous
+            .iter()
+            .map(|(_, recent)| &recent.target)
             .collect();
-        let targets: BTreeSet<&TargetId> = around.iter().map(|(_, loss)| &loss.target).collect();
-        let is_elsewhere = |crash: &u64| !record.strikes.contains_key(crash);
+        let is_without_request = |crash_id: &u64| !record.strikes.contains_key(crash_id);
         targets.len() >= self.options.domain_losses
-            && around.iter().any(|(crash, _)| is_elsewhere(crash))
+            && simultaneous
+                .iter()
+                .any(|(crash_id, _)| is_without_request(crash_id))
     }
 
     fn refusal_span(&self, refusals: u32) -> TimeSpan {
--- a/alderhaven-policy/src/replica_choice.rs
+++ b/alderhaven-policy/src/replica_choice.rs
@@ -1,28 +1,15 @@
-//! The choice of the replica that an attempt goes to.
+//! Choice of the replica that an attempt is sent to.
 //!
-//! Load pattern: replicas of one shard differ: one is slow, cold, far, failing or about to leave.
+//! Of two random candidates the one with the lower expected time is taken ("power of two choices"), so
+//! that nodes with the same information don't all pick the same replica. The expected time is the wait
+//! that a relay reported, less the time since, plus the expected service time multiplied by the target's
+//! slowness and its attempts in flight per slot. A target in another failure domain costs
+//! [`ReplicaOptions::far_penalty`] more.
 //!
-//! Without it (a random replica): with one slow replica in ten, most queries of 20 shards meet a
-//! slow one, and a target at a tenth of its speed is offered five times what it can run, so its
-//! queue grows without bound.
-//!
-//! The rules:
-//! - Two candidates are drawn and the better one is taken (Mitzenmacher, "The power of two choices",
-//!   2001): nearly as good as the best of all, and nodes that know the same don't all choose the
-//!   same one.
-//! - Better is the lower expected time: the wait that a relay reported, less the time since, plus
-//!   the expected service times the target's slowness times what is on its way from here per slot.
-//!   Leaving the own failure domain costs [`ReplicaOptions::far_penalty`].
-//! - A target that fails several times in a row is ejected for a while, each time for longer; one
-//!   whose connections are in doubt is set aside likewise. Never are more than half of a shard's
-//!   replicas left out: if more would be, all that don't drain are candidates again, since many
-//!   targets that look bad at once mean that the cause is elsewhere, and the rest could not carry
-//!   the load.
-//! - A draining target gets no new work, whatever the others are like.
-//!
-//! Grounds for the figures: 2 ms is a round trip between failure domains (0.5 to 1 ms one way).
-//! Five failures in a row are a matter of chance once in 10^5 for a target that fails one attempt in
-//! ten. An ejection of 5 s costs at most one failing attempt in 5 s per node, doubled up to a minute.
+//! Targets that fail several times in a row are ejected for a growing time, and targets whose
+//! connections are suspect are left out. If that affects more than half of a shard's replicas, all but
+//! the draining ones are candidates again: the cause is then likely elsewhere, and the rest could not
+//! carry the load. A draining target gets no new work.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
@@ -31,21 +18,21 @@
 use crate::policy_kind::PolicyKind;
 use crate::replica_table::{ReplicaTable, TargetEntry, TargetIndex};
 
-/// The service time that is assumed while none is known.
+/// The service time assumed while none is known.
 const DEFAULT_SERVICE_TIME: TimeSpan = TimeSpan::from_millis(10);
 
-/// A `ReplicaOptions` holds the settings of the choice.
+/// Settings of [`ReplicaChooser`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReplicaOptions {
-    /// What a target in another failure domain costs.
+    /// The cost added for a target in another failure domain.
     #[serde(rename = "far_penalty")]
     pub cross_domain_penalty: TimeSpan,
-    /// The failures in a row after which a target is ejected.
+    /// The number of consecutive failures after which a target is ejected.
     pub eject_after: u32,
-    /// How long the first ejection lasts.
+    /// The length of the first ejection; each further one is twice as long.
     pub first_ejection: TimeSpan,
-    /// How long an ejection lasts at most.
+    /// The longest ejection.
     pub longest_ejection: TimeSpan,
 }
 
@@ -60,30 +47,30 @@
     }
 }
 
-/// An `AttemptSample` is what an ended attempt says of its target.
+/// What a finished attempt shows about its target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptSample {
-    /// It answered.
+    /// The target answered.
     Answered {
-        /// The time at the target.
+        /// The time spent at the target.
         service: TimeSpan,
-        /// The time that any target is expected to take.
+        /// The service time expected of any target.
         expected: TimeSpan,
     },
-    /// It failed, or did not answer in time although it had been sent.
+    /// The target failed, or did not answer in time although the attempt had been sent.
     Failed,
-    /// It had run for this long when it was cancelled or given up on: it is at least as slow.
+    /// The attempt was cancelled while it ran; the target is at least this slow.
     Unfinished {
-        /// The time since it was sent to the target.
+        /// The time since the attempt was sent to the target.
         elapsed: TimeSpan,
-        /// The time that any target is expected to take.
+        /// The service time expected of any target.
         expected: TimeSpan,
     },
-    /// It did not run, which says nothing of the target's health.
+    /// The attempt did not run, which shows nothing about the target's health.
     NotRun,
 }
 
-/// A `ReplicaChooser` chooses replicas; its state is in the table's gauges.
+/// Chooses replicas. Its state is in the [`ReplicaTable`].
 #[derive(Clone, Debug)]
 pub struct ReplicaChooser {
     options: ReplicaOptions,
@@ -93,16 +80,15 @@
 type Candidates = SmallVec<[TargetIndex; 8]>;
 
 impl ReplicaChooser {
-    /// Returns a chooser.
+    /// Creates a chooser; the baseline policy chooses at random.
     #[must_use]
     pub const fn new(policy: PolicyKind, options: ReplicaOptions) -> Self {
         Self { options, policy }
     }
 
-    /// Chooses one of a shard's replicas that is not among `tried`, or none where all are tried or
-    /// drain.
+    /// Chooses one of a shard's replicas that is not in `tried`, or `None` if all are tried or draining.
     ///
-    /// `expected` is the service time expected of any target; `random` is any number.
+    /// `expected` is the service time expected of any target; `random` is a uniformly random number.
     #[must_use]
     pub fn choose(
         &self,
@@ -143,9 +129,9 @@
         }
     }
 
-    /// Takes an attempt back, with what it says of its target and the wait that the relay reported.
+    /// Ends an attempt that was counted as sent, with its result and the wait that the relay reported.
     ///
-    /// Returns true where the target was ejected by it.
+    /// Returns `true` if this ejects the target.
     #[must_use]
     pub fn record_finished(
         &self,
@@ -154,26 +140,26 @@
         wait: Option<TimeSpan>,
         now: TimePoint,
     ) -> bool {
-        let gauge = &entry.stats;
-        gauge.record_ended();
+        let stats = &entry.stats;
+        stats.record_ended();
         if let Some(wait) = wait {
-            gauge.record_wait(wait, now);
+            stats.record_wait(wait, now);
         }
         match sample {
             AttemptSample::Answered { service, expected } => {
-                gauge.record_success();
-                gauge.record_service_time(service, expected, now);
+                stats.record_success();
+                stats.record_service_time(service, expected, now);
                 false
             }
             AttemptSample::Unfinished { elapsed, expected } => {
-                // Only what is slower than what is known tells something.
-                let known = expected.mul_f64(gauge.slowness(now));
+                // A lower bound adds information only above the slowness known so far.
+                let known = expected.mul_f64(stats.slowness(now));
                 if elapsed > known {
-                    gauge.record_service_time(elapsed, expected, now);
+                    stats.record_service_time(elapsed, expected, now);
                 }
                 false
             }
-            AttemptSample::Failed => gauge.record_failure(
+            AttemptSample::Failed => stats.record_failure(
                 self.options.eject_after,
                 self.options.first_ejection,
                 self.options.longest_ejection,
@@ -195,23 +181,26 @@
             .filter_map(|index| Some((*index, table.get(*index)?)))
             .filter(|(_, entry)| !entry.is_draining)
             .map(|(index, entry)| {
-                let gauge = &entry.stats;
-                (index, gauge.is_ejected(now) || gauge.is_suspect())
+                let stats = &entry.stats;
+                (index, stats.is_ejected(now) || stats.is_suspect())
             })
             .collect();
-        let set_aside = serving.iter().filter(|(_, aside)| *aside).count();
-        let uses_all = self.policy == PolicyKind::Baseline || set_aside * 2 > serving.len();
+        let excluded_count = serving
+            .iter()
+            .filter(|(_, is_excluded)| *is_excluded)
+            .count();
+        let uses_all = self.policy == PolicyKind::Baseline || excluded_count * 2 > serving.len();
         let untried = |index: &TargetIndex| !tried.contains(index);
         let usable: Candidates = serving
             .iter()
-            .filter(|(_, aside)| uses_all || !*aside)
+            .filter(|(_, is_excluded)| uses_all || !*is_excluded)
             .map(|(index, _)| *index)
             .filter(untried)
             .collect();
         if !usable.is_empty() {
             return usable;
         }
-        // A doubtful replica is better than a shard that is not covered.
+        // A suspect replica is better than leaving the shard out of the answer.
         serving
             .iter()
             .map(|(index, _)| *index)
@@ -219,23 +208,23 @@
             .collect()
     }
 
-    /// Estimates the time in microseconds that an attempt at the target would take.
+    /// Estimates the duration of an attempt at the target, in microseconds.
     fn cost(&self, entry: &TargetEntry, expected: TimeSpan, now: TimePoint) -> f64 {
-        let gauge = &entry.stats;
-        let service = expected.as_micros() as f64 * gauge.slowness(now);
-        let ahead = f64::from(gauge.outstanding()) / f64::from(entry.slots);
-        let far = if entry.is_in_own_domain {
+        let stats = &entry.stats;
+        let service = expected.as_micros() as f64 * stats.slowness(now);
+        let attempts_per_slot = f64::from(stats.outstanding()) / f64::from(entry.slots);
+        let penalty = if entry.is_in_own_domain {
             0
         } else {
             self.options.cross_domain_penalty.as_micros()
         };
-        let wait = gauge.wait(now).as_micros();
-        (wait + far) as f64 + service * (1.0 + ahead)
+        let wait = stats.wait(now).as_micros();
+        (wait + penalty) as f64 + service * (1.0 + attempts_per_slot)
     }
 }
 
-/// Draws two different places below `count`, or the same where there is one; none where there is
-/// none.
+/// Draws two different positions below `count`, or the same one twice if there is only one. Returns
+/// `None` if `count` is zero.
 fn draw_two(count: usize, random: u64) -> Option<(usize, usize)> {
     if count == 0 {
         return None;
--- a/alderhaven-policy/src/replica_stats.rs
+++ b/alderhaven-policy/src/replica_stats.rs
@@ -1,61 +1,51 @@
-//! What one node has seen of one replica, and what it expects of the next attempt there.
+//! Statistics of one replica as seen from one node, and the expected cost of the next attempt.
 //!
-//! Load pattern: a shard has two or three replicas. Some are slow for seconds, some fail part of
-//! what they are sent while their health check is good, some are silent, and each pauses now and
-//! then for a tenth of a second.
-//!
-//! Without it: every second or third attempt meets the bad replica, and the hedges that save them
-//! use up the budget that is meant for pauses.
-//!
-//! The rules:
-//! - slowness is measured against the kind of request: the ratio of an attempt's time to the usual
-//!   time of its kind, averaged. It fades, so that a slow replica is tried again after some seconds;
-//! - an attempt that is out for much longer than usual says at once that the replica is stuck;
-//! - failures add to what is expected, so that a replica which fails or refuses a part of its
-//!   requests is second choice, the more so the larger that part;
-//! - one that can't be reached some times in a row is set aside for a time that doubles. One that is
-//!   reached never is: half of its answers are better than none.
+//! Slowness is the averaged ratio of an attempt's time to the typical latency of its kind of request. It
+//! decays, so that a slow replica is tried again after some seconds. An attempt that is in flight for
+//! much longer than typical marks the replica as stuck. Failures add to the expected cost. A replica
+//! that repeatedly can't be reached is ejected for a time that doubles; one that can be reached is never
+//! ejected, however often it fails, since some answers are better than none.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use smallvec::SmallVec;
 
-/// The weight of the newest ratio in the average.
+/// The weight of the newest sample in the averages.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// The time in which what is known of slowness and failures halves.
+/// The half-life of slowness and failure rate.
 const HALF_LIFE: TimeSpan = TimeSpan::from_millis(2_500);
-/// The largest ratio that is kept, so that one lost answer does not shut a replica out for long.
+/// The largest ratio recorded, so that one lost answer doesn't keep a replica out of use for long.
 const MAX_RATIO: f64 = 40.0;
-/// The attempts in a row that could not reach a replica after which it is set aside. A single one may be
-/// a connection above the replica's cap.
+/// The consecutive unreachable attempts that eject a replica. A single one may be a connection above the
+/// replica's limit.
 const EJECT_AFTER: u32 = 2;
-/// The first time for which a replica is set aside.
+/// The length of the first ejection.
 const FIRST_EJECTION: TimeSpan = TimeSpan::from_millis(300);
-/// The longest time for which a replica is set aside; a process is restarted within seconds.
+/// The longest ejection.
 const MAX_EJECTION: TimeSpan = TimeSpan::from_millis(2_400);
-/// How many times the usual time an attempt is out before the replica counts as stuck.
+/// The multiple of the typical latency after which an attempt in flight marks the replica as stuck.
 const STUCK_FACTOR: f64 = 3.0;
-/// The shortest time after which a replica counts as stuck, above the jitter of the network.
+/// The shortest time after which a replica counts as stuck, above network jitter.
 const MIN_STUCK_TIME: TimeSpan = TimeSpan::from_millis(12);
-/// What a stuck replica is expected to need still.
+/// The time that a stuck replica is expected to stay stuck.
 const STUCK_COST: TimeSpan = TimeSpan::from_millis(60);
-/// What a replica that fails all it gets is expected to cost, by the square of the share that it fails: a
-/// rare failure is mended by one repeat, frequent ones use up the repeats that all nodes share.
+/// The expected cost of a replica that fails every attempt, multiplied by the square of the failure rate:
+/// one retry covers a rare failure, while frequent ones use up the repeat budget that all nodes share.
 const FAILURE_COST: TimeSpan = TimeSpan::from_millis(250);
 
-/// An `AttemptResult` is how an attempt at a replica ended, as far as the replica is concerned.
+/// How an attempt at a replica ended, as far as the replica is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// It answered.
+    /// The replica answered.
     Answered,
-    /// It failed or refused, though it was reached.
+    /// The replica was reached and failed or refused the request.
     Failed,
-    /// It could not be reached.
+    /// The replica could not be reached.
     Unreachable,
-    /// It was called off, which says nothing but how long it had been out.
+    /// The attempt was cancelled; only the time it had been in flight is known.
     Cancelled,
 }
 
-/// A `ReplicaGauge` is the state of one replica.
+/// Latency and failure statistics of one replica.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaStats {
     excess_ratio: f64,
@@ -67,23 +57,23 @@
 }
 
 impl ReplicaStats {
-    /// Notes that an attempt was sent.
+    /// Counts an attempt as sent at `now`.
     pub fn begin_attempt(&mut self, now: TimePoint) {
         self.in_flight.push(now);
     }
 
-    /// Notes the end of an attempt that was sent at `sent`; `usual` is the usual time of its kind.
+    /// Ends the attempt that was sent at `sent`; `typical_latency` is the typical latency of its kind.
     pub fn end_attempt(
         &mut self,
         sent: TimePoint,
-        usual: TimeSpan,
+        typical_latency: TimeSpan,
         result: AttemptResult,
         now: TimePoint,
     ) {
         if let Some(place) = self.in_flight.iter().position(|point| *point == sent) {
             self.in_flight.swap_remove(place);
         }
-        let ratio = ratio_of(now.since(sent), usual);
+        let ratio = ratio_of(now.since(sent), typical_latency);
         match result {
             AttemptResult::Answered => {
                 self.add_sample(ratio, 0.0, now);
@@ -105,40 +95,40 @@
         }
     }
 
-    /// Gets the number of attempts that are out.
+    /// Returns the number of attempts in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Gets the averaged ratio of times to the usual ones, 1 where nothing is known.
+    /// Returns the averaged ratio of latency to typical latency, or 1 if nothing is known.
     #[must_use]
     pub fn slowness(&self, now: TimePoint) -> f64 {
         self.decayed_ratio(now)
     }
 
-    /// Returns true while the replica is set aside.
+    /// Returns `true` while the replica is ejected.
     #[must_use]
     pub fn is_ejected(&self, now: TimePoint) -> bool {
         now < self.ejected_until
     }
 
-    /// Returns true where an attempt is out for much longer than usual.
+    /// Returns `true` if an attempt has been in flight for much longer than typical.
     #[must_use]
-    pub fn is_stuck(&self, usual: TimeSpan, now: TimePoint) -> bool {
-        let bound = usual.mul_f64(STUCK_FACTOR).max(MIN_STUCK_TIME);
+    pub fn is_stuck(&self, typical_latency: TimeSpan, now: TimePoint) -> bool {
+        let bound = typical_latency.mul_f64(STUCK_FACTOR).max(MIN_STUCK_TIME);
         self.oldest_age(now) > bound
     }
 
-    /// Gets the time that the next attempt is expected to take, with what a failure would cost.
+    /// Returns the expected duration of the next attempt plus the expected cost of a failure.
     #[must_use]
-    pub fn expected_cost(&self, usual: TimeSpan, slots: u32, now: TimePoint) -> TimeSpan {
+    pub fn expected_cost(&self, typical_latency: TimeSpan, slots: u32, now: TimePoint) -> TimeSpan {
         let ratio = self.decayed_ratio(now);
-        let own = usual.mul_f64(ratio);
+        let own = typical_latency.mul_f64(ratio);
         let queue = own.mul_f64(self.in_flight.len() as f64 / f64::from(slots.max(1)));
         let rate = self.failure_rate * self.decay_factor(now);
         let failure = FAILURE_COST.mul_f64(rate * rate);
-        let stuck = if self.is_stuck(usual, now) {
+        let stuck = if self.is_stuck(typical_latency, now) {
             STUCK_COST
         } else {
             TimeSpan::ZERO
@@ -173,8 +163,8 @@
     }
 
     fn decay_factor(&self, now: TimePoint) -> f64 {
-        let halves = now.since(self.updated_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        0.5_f64.powf(halves)
+        let half_lives = now.since(self.updated_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        0.5_f64.powf(half_lives)
     }
 
     fn oldest_age(&self, now: TimePoint) -> TimeSpan {
@@ -186,7 +176,7 @@
     }
 }
 
-fn ratio_of(time: TimeSpan, usual: TimeSpan) -> f64 {
-    let usual = usual.as_secs_f64().max(1e-6);
-    (time.as_secs_f64() / usual).min(MAX_RATIO)
+fn ratio_of(time: TimeSpan, typical_latency: TimeSpan) -> f64 {
+    let typical_latency = typical_latency.as_secs_f64().max(1e-6);
+    (time.as_secs_f64() / typical_latency).min(MAX_RATIO)
 }
--- a/alderhaven-policy/src/replica_table.rs
+++ b/alderhaven-policy/src/replica_table.rs
@@ -1,7 +1,7 @@
-//! The targets of the present manifests, by dense index.
+//! The targets of the current manifests, addressed by dense index.
 //!
-//! Readers hold the table through an `Arc` while a new one takes its place (read-copy-update); the
-//! gauges of targets that stay are carried over, so that no count is lost.
+//! Readers hold a table through an `Arc` while a new one replaces it. Targets that remain keep their
+//! statistics, so that no count is lost.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,39 +10,39 @@
 
 use crate::target_stats::TargetStats;
 
-/// A `TargetIndex` is the place of a target in its table.
+/// The position of a target in its table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash)]
 pub struct TargetIndex(pub u32);
 
-/// A `TargetEntry` is one target of a table.
+/// One target of a table.
 #[derive(Clone, Debug)]
 pub struct TargetEntry {
-    /// The target.
+    /// The target's identifier.
     pub target: TargetId,
-    /// Its declared slots.
+    /// The number of requests that the target declares to run at a time, at least 1.
     pub slots: u32,
-    /// Whether it runs in the failure domain of this process.
+    /// Whether the target is in this process's failure domain.
     pub is_in_own_domain: bool,
-    /// Whether it drains, and gets no new work.
+    /// Whether the target is draining and gets no new work.
     pub is_draining: bool,
-    /// Its load as it is seen from here.
+    /// The target's load as seen from this process.
     pub stats: Arc<TargetStats>,
 }
 
-/// A `TargetListing` is what is declared of one target.
+/// The declared properties of one target.
 #[derive(Clone, Debug)]
 pub struct TargetListing {
-    /// The target.
+    /// The target's identifier.
     pub target: TargetId,
-    /// The failure domain that it runs in.
+    /// The failure domain that the target runs in.
     pub domain: FailureDomain,
-    /// Its declared slots.
+    /// The number of requests that the target declares to run at a time.
     pub slots: u32,
-    /// Whether it drains.
+    /// Whether the target is draining.
     pub is_draining: bool,
 }
 
-/// A `ReplicaTable` holds the targets of the present manifests.
+/// An immutable set of targets with shared statistics.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaTable {
     entries: Vec<TargetEntry>,
@@ -50,7 +50,7 @@
 }
 
 impl ReplicaTable {
-    /// Builds the table of these targets, with the gauges of `before` for those that stay.
+    /// Builds a table of `listings`; targets that are in `before` keep their statistics.
     #[must_use]
     pub fn build(
         before: &Self,
@@ -65,7 +65,7 @@
             let known = before
                 .index_of(&listing.target)
                 .and_then(|index| before.get(index));
-            let gauge = known.map(|entry| Arc::clone(&entry.stats));
+            let stats = known.map(|entry| Arc::clone(&entry.stats));
             let index = TargetIndex(u32::try_from(table.entries.len()).unwrap_or(u32::MAX));
             table.indexes.insert(listing.target.clone(), index);
             table.entries.push(TargetEntry {
@@ -73,25 +73,25 @@
                 target: listing.target,
                 slots: listing.slots.max(1),
                 is_draining: listing.is_draining,
-                stats: gauge.unwrap_or_default(),
+                stats: stats.unwrap_or_default(),
             });
         }
         table
     }
 
-    /// Gets the index of a target.
+    /// Returns the index of a target.
     #[must_use]
     pub fn index_of(&self, target: &TargetId) -> Option<TargetIndex> {
         self.indexes.get(target).copied()
     }
 
-    /// Gets a target by its index.
+    /// Returns the target at an index.
     #[must_use]
     pub fn get(&self, index: TargetIndex) -> Option<&TargetEntry> {
         self.entries.get(index.0 as usize)
     }
 
-    /// Gets all targets.
+    /// Returns all targets, in index order.
     #[must_use]
     pub fn entries(&self) -> &[TargetEntry] {
         &self.entries
--- a/alderhaven-policy/src/start_view.rs
+++ b/alderhaven-policy/src/start_view.rs
@@ -1,12 +1,12 @@
-//! What a node that starts knows of its group.
+//! What a starting node knows of its group.
 
-/// A `StartView` is what a node that starts knows of the others.
+/// What a starting node knows of the other nodes of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartView {
-    /// Whether it knows of any other that is alive.
+    /// Whether the node knows another node that is alive.
     pub knows_peers: bool,
-    /// Whether it is among the first in the order of those that it knows.
+    /// Whether the node is among the first of the known nodes in the group's order.
     pub is_among_first: bool,
-    /// Whether one of them has said that the store does not answer it.
+    /// Whether a known node reports that the store does not answer it.
     pub has_peer_lost_store: bool,
 }
--- a/alderhaven-policy/src/store_budget.rs
+++ b/alderhaven-policy/src/store_budget.rs
@@ -1,29 +1,26 @@
-//! The budget of calls that one process makes to the platform's object API.
+//! Rate limit of one process's calls to the platform's object API.
 //!
-//! Load pattern: the API takes several hundred writes and about two thousand reads a second for the
-//! whole fleet, and it refuses what is above. After an outage or a burst of changes every process
-//! has calls to catch up with at once. Without a budget a few busy processes use up the rate, and
-//! the calls of all others are refused; retries of the refused calls then keep the rate used up.
-//! With a token bucket for each process the fleet stays below the rate whatever single processes
-//! want. Tokens that were not used are kept for a short while only, so that an idle fleet can't
-//! spend its savings in one moment.
+//! The API has a rate limit for all processes together. When they have calls to catch up with, a few of
+//! them could use up that rate, and retries of refused calls would keep it used up. A token bucket per
+//! process keeps the sum below the limit. The bucket holds little, so that processes that were idle can't
+//! all spend saved tokens at once.
 
 use alderhaven_core::quantities::RatePerSecond;
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// The default reads a second: 0.8 of the API's 2,000, shared by the 16 processes of 8 hosts.
+/// The default rate of reads.
 const DEFAULT_READ_RATE: &str = "100/s";
-/// The default writes a second: 0.8 of 300, shared by the 16 processes of 8 hosts.
+/// The default rate of writes.
 const DEFAULT_WRITE_RATE: &str = "15/s";
 /// The default time for which unused tokens are kept.
 const DEFAULT_BURST: TimeSpan = TimeSpan::from_secs(2);
 /// The cost of a call in tokens.
 const CALL_COST: f64 = 1.0;
-/// A missing part of a token that is taken as rounding, since times are whole microseconds.
+/// The tolerated shortfall of tokens, for rounding: times are whole microseconds.
 const TOKEN_TOLERANCE: f64 = 1e-6;
 
-/// A `StoreCall` is the kind of a call, as the API counts it.
+/// The kind of a call, as the API counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreCall {
@@ -33,15 +30,15 @@
     Write,
 }
 
-/// `BudgetOptions` bound the calls of one process.
+/// Settings of [`StoreBudget`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreBudgetOptions {
-    /// The sustained reads a second.
+    /// The sustained rate of reads.
     pub reads: RatePerSecond,
-    /// The sustained writes a second.
+    /// The sustained rate of writes.
     pub writes: RatePerSecond,
-    /// How long unused tokens are kept; at least one token always is.
+    /// How long unused tokens are kept; a bucket holds at least one token unless its rate is zero.
     pub burst: TimeSpan,
 }
 
@@ -55,7 +52,7 @@
     }
 }
 
-/// A `StoreBudget` grants or refuses calls so that their rate stays within the options.
+/// The rate limit of one process, with separate tokens for reads and writes.
 #[derive(Clone, Debug, Serialize)]
 pub struct StoreBudget {
     options: StoreBudgetOptions,
@@ -63,7 +60,7 @@
     writes: CallBucket,
 }
 
-/// A `TokenBucket` holds the tokens of one kind of call.
+/// The tokens of one kind of call.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct CallBucket {
     tokens: f64,
@@ -71,7 +68,7 @@
 }
 
 impl StoreBudget {
-    /// Returns a budget that is full at `now`.
+    /// Creates a budget that is full at `now`.
     #[must_use]
     pub fn new(options: StoreBudgetOptions, now: TimePoint) -> Self {
         let full = |rate| CallBucket {
@@ -85,10 +82,10 @@
         }
     }
 
-    /// Takes the token of one call.
+    /// Takes the token for one call.
     ///
     /// # Errors
-    /// The time until there is a token, where there is none now; nothing is taken then.
+    /// The time until a token is available, if there is none now; nothing is taken then.
     pub fn take(&mut self, call: StoreCall, now: TimePoint) -> Result<(), TimeSpan> {
         let burst = self.options.burst;
         let (bucket, rate) = match call {
@@ -103,7 +100,7 @@
         Err(bucket.wait(rate))
     }
 
-    /// Gets the options.
+    /// Returns the settings.
     #[must_use]
     pub const fn options(&self) -> &StoreBudgetOptions {
         &self.options
--- a/alderhaven-policy/src/store_watch_plan.rs
+++ b/alderhaven-policy/src/store_watch_plan.rs
@@ -1,15 +1,10 @@
-//! Which nodes watch the platform's store, so that the others need not.
+//! Choice of the few nodes that watch the platform's store on behalf of all.
 //!
-//! Load pattern: hundreds of nodes and a store whose rate of calls grows more slowly than the fleet.
-//! Every change wakes every watch, so that each change costs one call a node.
-//!
-//! Without it: the calls grow with the nodes times the changes.
-//!
-//! The rules: the first few nodes in an order that all know watch, and pass the news on. A node that
-//! can't reach the store says so, and the next one in the order takes its place. That it answers is
-//! no news of its own: headers of gossip say how long ago it did. A node that has heard of no answer for a
-//! while watches itself, since it may be cut off from its peers while its own path to the store is
-//! whole.
+//! Every change wakes every watch, so the number of watches must not grow with the group. The first nodes
+//! in an order that all nodes compute alike watch, and pass changes on. A node that can't reach the store
+//! reports it, and the next one in the order takes its place. Gossip headers carry the time since the
+//! store last answered any node. A node that has not heard of an answer for a while watches by itself,
+//! since it may be cut off from its peers but not from the store.
 
 use alderhaven_core::ids::NodeId;
 use alderhaven_core::time::{TimePoint, TimeSpan};
@@ -17,27 +12,27 @@
 
 use crate::hashing;
 
-/// A `WatchOptions` holds the settings of the plan.
+/// Settings of the choice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WatchOptions {
-    /// How many nodes watch. Two of three may be lost in the same moment without a gap.
+    /// The number of nodes that watch; with three, two may fail at the same time without a gap.
     pub watchers: usize,
-    /// The age of the latest contact after which a node watches itself: the longest that a watch
-    /// waits and the time that its news takes, with as much again for one that is late.
+    /// The age of the latest known answer of the store after which a node watches by itself. It covers the
+    /// longest wait of a watch and the propagation of its result, with a reserve.
     pub stale_after: TimeSpan,
-    /// How long a node's word that it can't reach the store keeps it out of the order.
+    /// How long a node's report that it can't reach the store keeps it from being chosen.
     #[serde(rename = "lost_for")]
     pub store_loss_timeout: TimeSpan,
 }
 
-/// The pause between two calls of a whole group to a store that answers nobody.
+/// The mean pause between two calls of a whole group to a store that answers no node.
 const GROUP_RETRY_PAUSE: TimeSpan = TimeSpan::from_millis(100);
 
-/// Gets the pause before a node asks again that is not among the first of `nodes`, where the store answers
-/// none of them. `random`, 0 to 1, spreads them.
+/// Returns the pause before a node that is not among the first of `nodes` asks again, while the store
+/// answers none of them. `random`, from 0 to 1, spreads the nodes.
 ///
-/// All together ask as often whatever their number: one of many that is answered is enough.
+/// The pause grows with the number of nodes, so that the group's call rate does not.
 #[must_use]
 pub fn group_retry_pause(nodes: usize, random: f64) -> TimeSpan {
     GROUP_RETRY_PAUSE.mul_f64(nodes as f64 * (0.5 + random))
@@ -53,32 +48,32 @@
     }
 }
 
-/// A `StoreContact` is the latest that is known of a node's path to the store.
+/// A node's latest report of whether it reaches the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreContact {
-    /// The node.
+    /// The reporting node.
     pub node: NodeId,
-    /// Whether the store answered it.
+    /// Whether the store answered the node.
     pub is_reached: bool,
-    /// When this was heard.
+    /// When the report was received.
     pub reported_at: TimePoint,
 }
 
-/// A `WatchPlan` is what a node knows when it decides whether it watches.
+/// The information from which a node decides whether it watches.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchPlan<'a> {
-    /// The node.
+    /// The deciding node.
     pub own: &'a NodeId,
     /// The other live nodes.
     pub others: &'a [NodeId],
-    /// The nodes' own words on their way to the store.
+    /// The latest reports of the nodes on whether they reach the store.
     pub contacts: &'a [StoreContact],
-    /// The time since the store answered another node; none where nobody said so.
+    /// The time since the store answered another node, or `None` if that was never reported.
     pub answered_age: Option<TimeSpan>,
 }
 
 impl WatchPlan<'_> {
-    /// Returns true where the node should watch.
+    /// Returns `true` if the node should watch.
     #[must_use]
     pub fn should_watch(&self, options: &WatchOptions, now: TimePoint) -> bool {
         if !self.hears_from_store(options, now) {
@@ -93,7 +88,7 @@
         is_among_first(self.own, &others, options.watchers)
     }
 
-    /// Returns true where another node was answered by the store not long ago.
+    /// Returns `true` if the store answered another node recently.
     fn hears_from_store(&self, options: &WatchOptions, now: TimePoint) -> bool {
         let has_answered = self
             .answered_age
@@ -106,7 +101,7 @@
         has_answered || self.contacts.iter().any(is_fresh)
     }
 
-    /// Returns true where the node has said not long ago that the store does not answer it.
+    /// Returns `true` if the node reported recently that the store does not answer it.
     fn has_lost_store(&self, node: &NodeId, options: &WatchOptions, now: TimePoint) -> bool {
         self.contacts.iter().any(|contact| {
             contact.node == *node
@@ -116,7 +111,7 @@
     }
 }
 
-/// Returns true where the node is among the first `count` in the order.
+/// Returns `true` if the node is among the first `count` in the order.
 #[must_use]
 pub fn is_among_first(own: &NodeId, nodes: &[NodeId], count: usize) -> bool {
     let own_place = order_of(own);
--- a/alderhaven-policy/src/subset.rs
+++ b/alderhaven-policy/src/subset.rs
@@ -1,15 +1,13 @@
-//! Which relays reach which target.
+//! Assignment of relays to targets (subsetting).
 //!
-//! Load pattern: a target takes about 25 connections, and 290 relays exist. If each relay connected
-//! to each target, most connections would be refused; if relays were drawn at random, a target could
-//! end up behind one failure domain, and each restart would move everything. Rendezvous hashing
-//! gives each target a short list of candidates that changes only where one of them comes or goes.
-//! Among its candidates a target prefers relays that are not full and lie in different domains.
+//! A target accepts only a few connections, far fewer than there are relays. Rendezvous hashing gives each
+//! target a short list of candidate relays that changes only if one of them joins or leaves. Of these
+//! candidates it takes relays in different failure domains first, and then relays below their load cap.
 //!
-//! Connections stay within the target's limit while nodes disagree: every view takes relays only
-//! from its first `2 * replicas` candidates, and each relay opens at most
-//! `limit / (2 * replicas + VIEW_MARGIN)`. Views that differ by up to `VIEW_MARGIN` relays together
-//! name at most that many candidates.
+//! Connections stay within a target's limit while the nodes' views differ: every view takes relays only
+//! from the first `2 * replicas` candidates, and each relay opens at most
+//! `limit / (2 * replicas + VIEW_MARGIN)` connections. Views that differ by up to `VIEW_MARGIN` relays
+//! together name at most that many candidates.
 
 use std::collections::BTreeMap;
 
@@ -19,17 +17,16 @@
 
 use crate::hashing;
 
-/// By how many relays two nodes' views may differ without a target's limit being exceeded: the
-/// restarts that fall into the 2 s which news takes, with 890 a day, are less than one.
+/// The number of relays by which the views of two nodes may differ without exceeding a target's limit.
 pub const VIEW_MARGIN: usize = 2;
 
-/// A `SubsetOptions` holds the settings of the choice.
+/// Settings of the assignment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SubsetOptions {
-    /// How many relays reach a target: one that is used and the others to fall back to.
+    /// The number of relays per target: one primary, and the others as fallback.
     pub replicas: usize,
-    /// How far a relay's number of targets may exceed the mean.
+    /// The maximum number of targets per relay, as a multiple of the mean.
     pub load_factor: f64,
 }
 
@@ -42,25 +39,25 @@
     }
 }
 
-/// A `RelayCandidate` is a relay that takes work.
+/// A relay that accepts work.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RelayCandidate {
-    /// The relay.
+    /// The relay's node.
     pub node: NodeId,
-    /// Its failure domain.
+    /// The relay's failure domain.
     pub domain: FailureDomain,
 }
 
-/// A `SubsetTarget` is a target to be reached.
+/// A target that relays connect to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SubsetTarget {
-    /// The target.
+    /// The target's identifier.
     pub target: TargetId,
-    /// The connections that it takes in all.
+    /// The number of connections that the target accepts in total.
     pub max_connections: u32,
 }
 
-/// A `RelaySubsets` is the choice for all targets in one view of the relays.
+/// The relays of all targets for one view of the group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelaySubsets {
     choices: BTreeMap<TargetId, TargetChoice>,
@@ -74,7 +71,7 @@
 }
 
 impl RelaySubsets {
-    /// Chooses relays for all targets.
+    /// Assigns relays to all targets.
     #[must_use]
     pub fn choose(
         targets: &[SubsetTarget],
@@ -82,7 +79,7 @@
         options: &SubsetOptions,
     ) -> Self {
         let mut ranking = RelayLoads::new(relays, targets.len(), options);
-        // Every node goes through the targets in the same order, so equal views choose alike.
+        // The order is the same on every node, so that equal views give equal assignments.
         let ordered: BTreeMap<&TargetId, &SubsetTarget> = targets
             .iter()
             .map(|target| (&target.target, target))
@@ -94,7 +91,7 @@
         Self { choices }
     }
 
-    /// Gets the relays of a target, the one to use first.
+    /// Returns the relays of a target, the primary first.
     #[must_use]
     pub fn relays_of(&self, target: &TargetId) -> &[NodeId] {
         self.choices
@@ -102,7 +99,7 @@
             .map_or(&[], |choice| choice.relays.as_slice())
     }
 
-    /// Gets the targets that a relay should hold connections to, with its rank at each.
+    /// Returns the targets that a relay connects to, with the relay's rank at each; rank 0 is the primary.
     pub fn targets_of<'a>(
         &'a self,
         relay: &'a NodeId,
@@ -113,8 +110,8 @@
         })
     }
 
-    /// Gets how many connections a relay may open to a target: none where it is no candidate, even
-    /// if another node's view sends it work for the target.
+    /// Returns the number of connections that a relay may open to a target. It is zero unless the relay is
+    /// a candidate, even if another node's view sends it work for the target.
     #[must_use]
     pub fn connection_share_of(&self, target: &TargetId, relay: &NodeId) -> u32 {
         self.choices
@@ -124,7 +121,7 @@
     }
 }
 
-/// A `RelayRanking` holds the relays with what they were given so far.
+/// The relays with the load assigned to them so far.
 struct RelayLoads<'a> {
     relays: Vec<RelayLoad<'a>>,
     replicas: usize,
@@ -174,7 +171,7 @@
         }
     }
 
-    /// Gets the first relays in the target's rendezvous order.
+    /// Returns the first `count` relays in the target's rendezvous order.
     fn candidates(&self, target: &TargetId, count: usize) -> SmallVec<[usize; 8]> {
         let target_hash = hashing::hash_name(target.as_str());
         let mut best: SmallVec<[(u64, usize); 9]> = SmallVec::new();
@@ -189,8 +186,8 @@
         best.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// Gets the best candidate that is left: in a new failure domain, then not full, then first in
-    /// rendezvous order.
+    /// Returns the best candidate not yet chosen: in a new failure domain, then below its load cap, then
+    /// first in rendezvous order.
     fn best_candidate(&self, candidates: &[usize], chosen: &[usize]) -> usize {
         let cost = |index: usize| {
             let relay = &self.relays[index];
@@ -222,15 +219,16 @@
     (total as f64 * load_factor / relays.max(1) as f64).ceil() as usize
 }
 
-/// Gets how many relays reach a target that takes `limit` connections.
+/// Returns the number of relays for a target that accepts `limit` connections.
 fn replicas_within(limit: u32, replicas: usize) -> usize {
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     replicas.min(limit.saturating_sub(VIEW_MARGIN) / 2).max(1)
 }
 
-/// Gets how many connections one relay may open to a target that takes `limit` of them.
+/// Returns the number of connections that one relay may open to a target that accepts `limit`.
 ///
-/// A target that takes fewer than four can't be kept within its limit while views differ.
+/// The result is at least 1, so a target that accepts fewer than four can exceed its limit while views
+/// differ.
 #[must_use]
 pub fn connection_share(limit: u32, replicas: usize) -> u32 {
     let sharers = u32::try_from(2 * replicas + VIEW_MARGIN).unwrap_or(u32::MAX);
--- a/alderhaven-policy/src/target_stats.rs
+++ b/alderhaven-policy/src/target_stats.rs
@@ -1,29 +1,27 @@
-//! What this process knows of one target's load, shared by all threads through atomics.
+//! Load and health of one target as seen from this process, shared by all threads through atomics.
 //!
-//! The counts of what was sent from here come first. A relay's word on the wait at the target is
-//! the next best, and fades as time passes, as the queue that it tells of is worked off. Reports of
-//! the target itself don't enter.
+//! The load is made up of the attempts sent from here and the wait that a relay last reported, less the
+//! time since. The target's own reports are not used.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-/// Slowness is kept in thousandths, so that it fits an atomic integer.
+/// The fixed-point scale of slowness: thousandths fit an atomic integer.
 const SLOWNESS_UNIT: f64 = 1000.0;
-/// The weight of a sample that is slower than what is known: a slow target shows in few replies.
+/// The weight of a sample above the known slowness; high, since a slow target gives few samples.
 const RISE_WEIGHT: f64 = 0.3;
-/// The weight of a sample that is faster: one quick reply is no recovery.
+/// The weight of a sample below the known slowness; low, since one fast reply is no recovery.
 const FALL_WEIGHT: f64 = 0.1;
-/// The time in which slowness without new samples fades to 37%: a target that was ten times slower
-/// is tried again after some twenty seconds, which costs one slow attempt.
+/// The time constant of the exponential decay of slowness, so that a slow target is tried again.
 const SLOWNESS_DECAY_TIME: TimeSpan = TimeSpan::from_secs(10);
-/// The greatest slowness that is told apart.
+/// The largest slowness recorded.
 const MAX_SLOWNESS: f64 = 100.0;
 
-/// A `TargetGauge` holds the load of one target as it is seen from here.
+/// Load and health counters of one target.
 ///
-/// Its fields are read one by one while other threads write. A choice made on values of slightly
-/// different times is still one of two replicas; nothing that must hold depends on it.
+/// The fields are read one by one while other threads write, so that a decision may mix values of slightly
+/// different times. No invariant depends on their consistency.
 #[derive(Debug, Default)]
 pub struct TargetStats {
     outstanding: AtomicU32,
@@ -38,12 +36,12 @@
 }
 
 impl TargetStats {
-    /// Counts an attempt that was sent.
+    /// Counts an attempt as sent.
     pub fn record_sent(&self) {
         self.outstanding.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes back an attempt that was sent.
+    /// Ends an attempt that was counted as sent.
     pub fn record_ended(&self) {
         let _ = self
             .outstanding
@@ -52,13 +50,13 @@
             });
     }
 
-    /// Gets how many attempts from here are on their way.
+    /// Returns the number of attempts from here in flight.
     #[must_use]
     pub fn outstanding(&self) -> u32 {
         self.outstanding.load(Ordering::Relaxed)
     }
 
-    /// Adds a service time against the one that is expected of any target.
+    /// Adds a service time as a sample of slowness; `expected` is the service time expected of any target.
     pub fn record_service_time(&self, service: TimeSpan, expected: TimeSpan, now: TimePoint) {
         if expected == TimeSpan::ZERO {
             return;
@@ -76,29 +74,29 @@
         self.sampled_at.store(now.as_micros(), Ordering::Relaxed);
     }
 
-    /// Notes the wait that a relay reports for a new attempt at the target.
+    /// Records the wait that a relay reports for a new attempt at the target.
     pub fn record_wait(&self, wait: TimeSpan, now: TimePoint) {
         self.wait.store(wait.as_micros(), Ordering::Relaxed);
         self.wait_at.store(now.as_micros(), Ordering::Relaxed);
     }
 
-    /// Gets how many times slower than expected the target is; above 1 it fades with time.
+    /// Returns the ratio of service time to expected service time; above 1 it decays with time.
     #[must_use]
     pub fn slowness(&self, now: TimePoint) -> f64 {
-        let kept = self.slowness.load(Ordering::Relaxed);
-        if kept == 0 {
+        let stored = self.slowness.load(Ordering::Relaxed);
+        if stored == 0 {
             return 1.0;
         }
-        let kept = kept as f64 / SLOWNESS_UNIT;
-        if kept <= 1.0 {
-            return kept;
+        let stored = stored as f64 / SLOWNESS_UNIT;
+        if stored <= 1.0 {
+            return stored;
         }
         let sampled_at = TimePoint::from_micros(self.sampled_at.load(Ordering::Relaxed));
         let age = now.since(sampled_at).as_secs_f64();
-        1.0 + (kept - 1.0) * (-age / SLOWNESS_DECAY_TIME.as_secs_f64()).exp()
+        1.0 + (stored - 1.0) * (-age / SLOWNESS_DECAY_TIME.as_secs_f64()).exp()
     }
 
-    /// Gets the wait at the target by the last report, less the time since then.
+    /// Returns the wait that was last reported, less the time since then.
     #[must_use]
     pub fn wait(&self, now: TimePoint) -> TimeSpan {
         let wait = TimeSpan::from_micros(self.wait.load(Ordering::Relaxed));
@@ -106,51 +104,51 @@
         wait.saturating_sub(now.since(at))
     }
 
-    /// Notes an answer; the target is no longer a candidate for ejection.
+    /// Records an answer, which resets the count of consecutive failures.
     pub fn record_success(&self) {
         self.consecutive_failures.store(0, Ordering::Relaxed);
     }
 
-    /// Notes a failure; after `most` in a row the target is ejected, each time for longer.
+    /// Records a failure. After `threshold` in a row the target is ejected, each time for longer.
     ///
-    /// Returns true where it was ejected by this one.
+    /// Returns `true` if this failure ejects it.
     pub fn record_failure(
         &self,
-        most: u32,
+        threshold: u32,
         first: TimeSpan,
         longest: TimeSpan,
         now: TimePoint,
     ) -> bool {
         let failures = self.consecutive_failures.fetch_add(1, Ordering::Relaxed) + 1;
-        if failures < most || self.is_ejected(now) {
+        if failures < threshold || self.is_ejected(now) {
             return false;
         }
         self.consecutive_failures.store(0, Ordering::Relaxed);
         let ended_at = TimePoint::from_micros(self.ejected_until.load(Ordering::Relaxed));
-        // A target that held out for as long as the longest ejection begins anew.
+        // A target that served for longer than the longest ejection starts again with the first one.
         if now.since(ended_at) > longest {
             self.ejections.store(0, Ordering::Relaxed);
         }
-        let before = self.ejections.fetch_add(1, Ordering::Relaxed).min(16);
-        let span = first.mul_f64(f64::from(1_u32 << before)).min(longest);
+        let doublings = self.ejections.fetch_add(1, Ordering::Relaxed).min(16);
+        let span = first.mul_f64(f64::from(1_u32 << doublings)).min(longest);
         self.ejected_until
             .store((now + span).as_micros(), Ordering::Relaxed);
         true
     }
 
-    /// Returns true while the target is ejected.
+    /// Returns `true` while the target is ejected.
     #[must_use]
     pub fn is_ejected(&self, now: TimePoint) -> bool {
         now.as_micros() < self.ejected_until.load(Ordering::Relaxed)
     }
 
-    /// Notes whether the target's connections are in doubt.
+    /// Sets whether the target's connections are suspect.
     pub fn set_suspect(&self, is_suspect: bool) {
         self.is_suspect
             .store(u32::from(is_suspect), Ordering::Relaxed);
     }
 
-    /// Returns true while the target's connections are in doubt.
+    /// Returns `true` while the target's connections are suspect.
     #[must_use]
     pub fn is_suspect(&self) -> bool {
         self.is_suspect.load(Ordering::Relaxed) != 0
--- a/alderhaven-policy/src/warmup_bound.rs
+++ b/alderhaven-policy/src/warmup_bound.rs
@@ -1,14 +1,14 @@
-//! The bound on what all nodes together send to a cold target.
+//! Bound on the requests that all nodes together send to a cold target.
 
 use serde::{Deserialize, Serialize};
 
-/// A `WarmupBound` is how far all nodes together may exceed what a cold target tolerates.
+/// How far all nodes together may exceed the request rate that a cold target tolerates.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WarmupBound {
-    /// The factor by which they may exceed the rate.
+    /// The factor by which the rate may be exceeded.
     pub overshoot: f64,
-    /// The requests in a second that they may send beyond that.
+    /// The requests per second that may be sent in addition.
     pub slack: f64,
 }
 
--- a/alderhaven-policy/src/warmup_limit.rs
+++ b/alderhaven-policy/src/warmup_limit.rs
@@ -1,13 +1,10 @@
-//! How much a node sends to a target that is warming up.
+//! Limit on the requests that a node sends to a target that is warming up.
 //!
-//! Load pattern: a target starts, or a failure domain returns, amid the traffic of many nodes. A cold
-//! target tolerates a few requests a second and crashes well above that.
-//!
-//! Without it: every node sends the returned target its share at once, and it crashes again.
-//!
-//! The rules: the nodes on large hosts order themselves for each target by a hash that all compute
-//! alike, and the first two send to it, each half of what it tolerates. The others use warm replicas.
-//! Half of the bound at most is used, so that two nodes which disagree on who is alive keep it too.
+//! A cold target tolerates a few requests per second and may crash above that, so the nodes must not all
+//! send it their usual share. The nodes on large hosts are ranked for each target by a hash that all of
+//! them compute alike, and the first two send to it, half of the tolerated rate each. The other nodes use
+//! warm replicas. At most half of the bound is used, so that two parts of a group with different views
+//! of who is alive keep it together.
 
 use std::collections::VecDeque;
 
@@ -18,17 +15,17 @@
 use crate::hashing;
 use crate::warmup_bound::WarmupBound;
 
-/// The nodes that send to a cold target: one may be lost.
+/// The number of nodes that send to a cold target; with two, one may fail.
 const SENDERS_PER_TARGET: usize = 2;
 
 /// The window in which requests are counted.
 const RATE_WINDOW: TimeSpan = TimeSpan::from_secs(1);
 
-/// The longest warm-up that is believed.
+/// The longest warm-up that is accepted from a target.
 const MAX_WARMUP: TimeSpan = TimeSpan::from_secs(120);
 
-/// Gets the requests in any second that node `own` may send to a cold target which tolerates `rate`;
-/// `nodes` are those on large hosts, `own` among them or not.
+/// Returns how many requests node `own` may send in any second to a cold target that tolerates `rate`.
+/// `nodes` are those on large hosts, whether `own` is among them or not.
 #[must_use]
 #[expect(
     clippy::cast_possible_truncation,
@@ -42,20 +39,20 @@
     rate: RatePerSecond,
     bound: WarmupBound,
 ) -> usize {
-    let most = rate.per_second() * bound.overshoot + bound.slack;
-    let all = rate.per_second().min(most / 2.0) as usize;
-    let Some(place) = rank_of(own, nodes, target) else {
+    let max_rate = rate.per_second() * bound.overshoot + bound.slack;
+    let total = rate.per_second().min(max_rate / 2.0) as usize;
+    let Some(rank) = rank_of(own, nodes, target) else {
         return 0;
     };
-    if place >= SENDERS_PER_TARGET {
+    if rank >= SENDERS_PER_TARGET {
         return 0;
     }
     let senders = SENDERS_PER_TARGET.min(nodes.len());
-    // The first takes what can't be halved.
-    all / senders + usize::from(place < all % senders)
+    // The first node takes the remainder.
+    total / senders + usize::from(rank < total % senders)
 }
 
-/// Gets the place of a node in the order of those that send to the target; none where it is not among them.
+/// Returns the rank of a node among those that may send to the target, or `None` if it is not one of them.
 fn rank_of(own: &NodeId, nodes: &[NodeId], target: &str) -> Option<usize> {
     let target_hash = hashing::hash_name(target);
     let order = |node: &NodeId| hashing::mix_hashes(target_hash, hashing::hash_name(node.as_str()));
@@ -63,7 +60,7 @@
     Some(nodes.iter().filter(|node| order(node) < own_order).count())
 }
 
-/// A `WarmupLimit` holds back what a node sends to one target while that is cold.
+/// Limits what a node sends to one target while that target is cold.
 #[derive(Clone, Debug, Default)]
 pub struct WarmupLimit {
     cold_until: TimePoint,
@@ -72,23 +69,23 @@
 }
 
 impl WarmupLimit {
-    /// Sets the requests in any second that the node may send while the target is cold; none where it
-    /// tolerates any number.
+    /// Sets the number of requests that may be sent in any second while the target is cold; `None` means no
+    /// limit.
     pub const fn set_allowance(&mut self, allowance: Option<usize>) {
         self.allowance = allowance;
     }
 
-    /// Notes that the target says it is cold for `left`.
+    /// Records the target's report that it stays cold for `left`; it replaces any earlier report.
     pub fn record_cold(&mut self, left: TimeSpan, now: TimePoint) {
         self.cold_until = now + left.min(MAX_WARMUP);
     }
 
-    /// Notes that the target may be cold for `left`, whatever it said before.
+    /// Assumes that the target stays cold for `left`, without shortening an earlier report.
     pub fn presume_cold(&mut self, left: TimeSpan, now: TimePoint) {
         self.cold_until = self.cold_until.max(now + left.min(MAX_WARMUP));
     }
 
-    /// Returns true where one more request may be sent now.
+    /// Returns `true` if one more request may be sent now.
     #[must_use]
     pub fn allows_request(&self, now: TimePoint) -> bool {
         let Some(allowance) = self.allowance else {
@@ -104,7 +101,7 @@
         recent.count() < allowance
     }
 
-    /// Notes a request that is sent.
+    /// Records a request that is sent now.
     pub fn record_sent(&mut self, now: TimePoint) {
         if self.allowance.is_none() {
             return;
--- a/alderhaven-policy/tests/claim_ledger/bucket.rs
+++ b/alderhaven-policy/tests/claim_ledger/bucket.rs
@@ -1,4 +1,4 @@
-//! Tests of a single bucket and of keys.
+//! Tests of claim buckets and idempotency keys.
 
 use alderhaven_policy::claim_bucket::{BucketVerdict, ClaimBucket, ClaimWriter, MAX_BUCKET_CLAIMS};
 use alderhaven_policy::claim_id::ClaimId;
--- a/alderhaven-policy/tests/claim_ledger/ledger_simulation.rs
+++ b/alderhaven-policy/tests/claim_ledger/ledger_simulation.rs
@@ -1,5 +1,5 @@
-//! Several entries, one store and a network between them that loses, delays, doubles and reorders;
-//! the oracle knows which request ran and asserts what must hold.
+//! Simulation of several entries, one store, and a network between them that loses, delays, duplicates and
+//! reorders messages. It records which requests ran and asserts the ledger's guarantees.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,13 +15,13 @@
 use alderhaven_policy::claim_slot::{ClaimSlot, SLICE_MILLIS, SLOT_COUNT, slice_of};
 use alderhaven_policy::claim_verdict::{ClaimTicket, ClaimVerdict};
 
-/// The most rounds in which a healthy ledger must come to rest.
+/// The maximum number of rounds until a fault-free ledger is idle.
 const MAX_SETTLE_ROUNDS: usize = 400;
 
-/// A `LedgerOp` is one thing that happens.
+/// One step of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum LedgerOp {
-    /// A caller sends a key to a node; `other` with another request.
+    /// A caller sends a key to a node; `other` selects a different request.
     Send {
         node: usize,
         key: usize,
@@ -29,23 +29,23 @@
     },
     /// A call reaches the store.
     Serve(usize),
-    /// A call reaches the store, and does so once more later.
+    /// A call reaches the store, and is delivered once more later.
     ServeTwice(usize),
     /// A reply reaches its node.
     Reply(usize),
     /// A reply is lost.
     LoseReply(usize),
-    /// A node gives up on a call that is still on its way.
+    /// A node gives up on a call that may still reach the store.
     Delay(usize),
     /// A call is lost.
     LoseCall(usize),
-    /// A node dispatches a granted request: it runs, or certainly did not.
+    /// A node dispatches a granted request, which runs or certainly does not.
     Dispatch { pick: usize, runs: bool },
-    /// Milliseconds pass.
+    /// Time passes, in milliseconds.
     Advance(u64),
-    /// A node restarts with nothing kept.
+    /// A node restarts without any stored state.
     Crash(usize),
-    /// The store goes out of service or comes back.
+    /// The store goes out of service (`true`) or returns (`false`).
     Outage(bool),
 }
 
@@ -85,7 +85,7 @@
     runs: HashMap<ClaimKey, usize>,
 }
 
-/// Gets one of five keys: two share a slice, two more the slot in the next round of the ring.
+/// Returns one of five keys: 0 and 1 share a slice, and 2 and 3 share their slot one ring later.
 pub fn sample_key(number: usize) -> ClaimKey {
     let round = SLICE_MILLIS * SLOT_COUNT;
     let millis = [0, 1, round, round + 1, SLICE_MILLIS][number];
@@ -98,7 +98,7 @@
 
 impl LedgerSimulation {
     pub fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: TimePoint::START,
             start_count: 0,
             nodes: Vec::new(),
@@ -112,10 +112,10 @@
             runs: HashMap::new(),
         };
         for _ in 0..3 {
-            let node = world.start_node();
-            world.nodes.push(node);
+            let node = simulation.start_node();
+            simulation.nodes.push(node);
         }
-        world
+        simulation
     }
 
     fn start_node(&mut self) -> (u64, ClaimBatcher) {
@@ -169,18 +169,18 @@
         self.sent[&ticket].verdict.as_ref()
     }
 
-    /// Copies the store, to be restored later.
+    /// Returns a copy of the store for [`Self::restore_store`].
     pub fn copy_store(&self) -> (BTreeMap<ClaimSlot, StoredObject>, u64) {
         (self.store.clone(), self.version)
     }
 
-    /// Puts an older copy of the store in place.
+    /// Replaces the store by an older copy.
     pub fn restore_store(&mut self, (store, version): (BTreeMap<ClaimSlot, StoredObject>, u64)) {
         self.store = store;
         self.version = version;
     }
 
-    /// Lets every node make its calls and give its verdicts.
+    /// Lets every node make its calls, and checks the verdicts.
     pub fn step(&mut self) {
         for node in 0..self.nodes.len() {
             let (start, batcher) = &mut self.nodes[node];
@@ -209,7 +209,10 @@
                 assert!(others.filter(|sent| sent.other == other).count() > 1);
             }
             ClaimVerdict::Conflict => assert!(others.any(|sent| sent.other != other)),
-            ClaimVerdict::TooOld => assert!(self.is_behind_horizon(key), "{key} too old too early"),
+            ClaimVerdict::TooOld => assert!(
+                self.is_behind_horizon(key),
+                "{key} is too old although no newer slice was claimed in its slot"
+            ),
             ClaimVerdict::Refused { .. } => {}
         }
         let sent = self.sent.get_mut(&ticket).unwrap();
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Gets the granted requests that nodes still up have yet to dispatch.
+    /// Returns the granted requests that live nodes have yet to dispatch.
     fn ready(&self) -> impl Iterator<Item = ClaimTicket> + '_ {
         self.order.iter().copied().filter(|ticket| {
             let sent = &self.sent[ticket];
@@ -251,13 +254,13 @@
         })
     }
 
-    fn serve(&mut self, pick: usize, again: bool) {
+    fn serve(&mut self, pick: usize, is_duplicated: bool) {
         if self.calls.is_empty() {
             return;
         }
-        let place = pick % self.calls.len();
-        let reply = self.store_reply(self.calls[place].call.clone());
-        let message = &mut self.calls[place];
+        let index = pick % self.calls.len();
+        let reply = self.store_reply(self.calls[index].call.clone());
+        let message = &mut self.calls[index];
         if message.is_awaited {
             self.replies.push(PendingReply {
                 node: message.node,
@@ -267,9 +270,9 @@
             });
         }
         message.is_awaited = false;
-        // A store that answers that it did nothing does nothing later either.
-        if !again || self.is_store_down {
-            self.calls.remove(place);
+        // A call that the store reported as not done must not take effect later.
+        if !is_duplicated || self.is_store_down {
+            self.calls.remove(index);
         }
     }
 
@@ -283,7 +286,7 @@
         };
         let version = current
             .as_ref()
-            .map_or(StoreVersion(0), |held| held.version);
+            .map_or(StoreVersion(0), |object| object.version);
         if version != expected {
             return ClaimReply::Conflict(current);
         }
@@ -302,26 +305,26 @@
         if self.replies.is_empty() {
             return;
         }
-        let place = pick % self.replies.len();
-        let reply = self.replies.remove(place);
-        let heard = if is_lost {
+        let index = pick % self.replies.len();
+        let reply = self.replies.remove(index);
+        let delivered = if is_lost {
             ClaimReply::Lost
         } else {
             reply.content
         };
-        self.deliver_reply(reply.node, reply.start, reply.slot, heard);
+        self.deliver_reply(reply.node, reply.start, reply.slot, delivered);
     }
 
-    fn give_up_call(&mut self, pick: usize, is_gone: bool) {
+    fn give_up_call(&mut self, pick: usize, is_lost: bool) {
         if self.calls.is_empty() {
             return;
         }
-        let place = pick % self.calls.len();
-        let message = &mut self.calls[place];
+        let index = pick % self.calls.len();
+        let message = &mut self.calls[index];
         let (node, start, slot) = (message.node, message.start, message.call.slot);
         let was_awaited = std::mem::replace(&mut message.is_awaited, false);
-        if is_gone {
-            self.calls.remove(place);
+        if is_lost {
+            self.calls.remove(index);
         }
         if was_awaited {
             self.deliver_reply(node, start, slot, ClaimReply::Lost);
@@ -335,18 +338,21 @@
         }
     }
 
-    /// Ends all faults, lets everything come to rest, and asserts that free keys can be claimed.
+    /// Ends all faults, waits until the ledger is idle, and asserts that free keys can be claimed.
     pub fn recover_and_check(&mut self) {
         self.is_store_down = false;
         self.settle();
-        // The ledger may refuse until its longest pause is over.
+        // The ledger may refuse claims until its longest pause is over.
         self.now = self.now + ClaimOptions::default().longest_pause;
         let ready: Vec<ClaimTicket> = self.ready().collect();
         for ticket in ready {
             self.sent.get_mut(&ticket).unwrap().dispatched = Some(true);
             *self.runs.entry(ticket.key).or_default() += 1;
         }
-        assert!(self.runs.values().all(|count| *count == 1), "ran twice");
+        assert!(
+            self.runs.values().all(|count| *count == 1),
+            "a key ran twice"
+        );
         for key in (0..5).map(sample_key) {
             let is_held = self
                 .sent
@@ -360,19 +366,19 @@
             let verdict = self.verdict(ticket);
             assert!(
                 matches!(verdict, Some(ClaimVerdict::Granted(_))),
-                "{key} is free and was answered {verdict:?}"
+                "free key {key} got the verdict {verdict:?}"
             );
         }
     }
 
-    /// Returns true where the claim of a send stands, or may do so since its node is gone.
+    /// Returns `true` if the claim of a send is in force, or may be since its node is gone.
     fn is_held(&self, sent: &SentClaim) -> bool {
         let is_up = self.nodes.iter().any(|node| node.0 == sent.start);
         let is_granted = matches!(sent.verdict, Some(ClaimVerdict::Granted(_)));
         !is_up || (is_granted && sent.dispatched != Some(false))
     }
 
-    /// Serves all calls until nothing is under way.
+    /// Serves all calls until the ledger is idle.
     pub fn settle(&mut self) {
         for _ in 0..MAX_SETTLE_ROUNDS {
             self.now = self.now + TimeSpan::from_millis(50);
@@ -391,6 +397,6 @@
                 return;
             }
         }
-        panic!("the ledger does not come to rest");
+        panic!("the ledger is not idle after {MAX_SETTLE_ROUNDS} rounds");
     }
 }
--- a/alderhaven-policy/tests/claim_ledger/main.rs
+++ b/alderhaven-policy/tests/claim_ledger/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the claim ledger: buckets by cases, and the whole by stateful fuzzing against an oracle.
+//! Tests of the claim ledger: buckets by example, and the whole ledger by stateful fuzzing.
 
 mod bucket;
 mod ledger_simulation;
@@ -8,9 +8,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The cases of a plain run; `PROPTEST_CASES` raises them.
+/// The number of cases unless `PROPTEST_CASES` is set.
 const DEFAULT_CASES: u32 = 256;
-/// The seed of a plain run; `LEDGER_SEED` gives another.
+/// The seed unless `LEDGER_SEED` is set.
 const CI_SEED: u64 = 20_261_202;
 
 fn fuzz_config() -> ProptestConfig {
@@ -53,16 +53,14 @@
 proptest! {
     #![proptest_config(fuzz_config())]
 
-    /// Callers send keys to several entries, again and at once, while calls to the store are lost,
-    /// late, doubled and out of order, entries crash or pause between claim and dispatch, and the
-    /// store goes out of service. A key must run at most once, "refused" must stay true, and once
-    /// all is well again a key that nobody ran or holds can be claimed.
+    /// Runs the ledger under lost, late, duplicated and reordered calls, crashes and store outages. A key
+    /// runs at most once, a refused request does not run, and afterwards every free key can be claimed.
     #[test]
     fn ledger_any_order_of_events(ops in prop::collection::vec(ledger_op(), 0..160)) {
-        let mut world = LedgerSimulation::new();
+        let mut simulation = LedgerSimulation::new();
         for op in ops {
-            world.apply(op);
+            simulation.apply(op);
         }
-        world.recover_and_check();
+        simulation.recover_and_check();
     }
 }
--- a/alderhaven-policy/tests/claim_ledger/scenarios.rs
+++ b/alderhaven-policy/tests/claim_ledger/scenarios.rs
@@ -1,24 +1,23 @@
-//! Scenarios of the ledger that are worth a name.
+//! Scenarios of the claim ledger.
 
 use alderhaven_policy::claim_verdict::{ClaimRefusal, ClaimVerdict};
 
 use crate::ledger_simulation::{LedgerOp, LedgerSimulation, sample_key};
 
-fn apply_all(world: &mut LedgerSimulation, ops: &[LedgerOp]) {
+fn apply_all(simulation: &mut LedgerSimulation, ops: &[LedgerOp]) {
     for op in ops {
-        world.apply(*op);
+        simulation.apply(*op);
     }
 }
 
-/// A caller sends a request; the store takes the entry's write and the answer to it is lost. The
-/// entry reads back, finds its own claim and runs the request, once.
+/// Guards against losing a claim, or running its request twice, when the reply to its write is lost.
 #[test]
 fn ledger_lost_reply_is_read_back() {
-    let mut world = LedgerSimulation::new();
-    let ticket = world.send(0, sample_key(0), false);
-    world.step();
+    let mut simulation = LedgerSimulation::new();
+    let ticket = simulation.send(0, sample_key(0), false);
+    simulation.step();
     apply_all(
-        &mut world,
+        &mut simulation,
         &[
             LedgerOp::Serve(0),
             LedgerOp::Reply(0),
@@ -29,20 +28,22 @@
             LedgerOp::Reply(0),
         ],
     );
-    assert_eq!(world.verdict(ticket), Some(&ClaimVerdict::Granted(ticket)));
-    world.recover_and_check();
+    assert_eq!(
+        simulation.verdict(ticket),
+        Some(&ClaimVerdict::Granted(ticket))
+    );
+    simulation.recover_and_check();
 }
 
-/// A write is late and its entry gives up: the caller hears "not run". A read shows nothing, and
-/// only then the write takes effect. A resend must not be answered "unknown" for good, so that the
-/// entry has to write the claim out instead of trusting the read.
+/// Guards against a write that takes effect after its entry has refused the claim and read the bucket: the
+/// key would stay claimed, and a resend could never learn whether the request ran.
 #[test]
 fn ledger_write_takes_effect_after_the_read() {
-    let mut world = LedgerSimulation::new();
-    let ticket = world.send(0, sample_key(0), false);
-    world.step();
+    let mut simulation = LedgerSimulation::new();
+    let ticket = simulation.send(0, sample_key(0), false);
+    simulation.step();
     apply_all(
-        &mut world,
+        &mut simulation,
         &[
             LedgerOp::Serve(0),
             LedgerOp::Reply(0),
@@ -58,33 +59,35 @@
         ],
     );
     let refused = matches!(
-        world.verdict(ticket),
+        simulation.verdict(ticket),
         Some(ClaimVerdict::Refused {
             reason: ClaimRefusal::StoreSlow,
             ..
         })
     );
-    assert!(refused, "{:?}", world.verdict(ticket));
-    world.recover_and_check();
+    assert!(refused, "{:?}", simulation.verdict(ticket));
+    simulation.recover_and_check();
 }
 
-/// A request ran, its caller missed the answer, and the store goes out of service. The caller asks
-/// an entry that has seen the claim: it must not hear "not run" of a request that ran.
+/// Guards against refusing, as not run, a resend of a request that ran before the store went out of service.
 #[test]
-fn ledger_outage_does_not_deny_a_claim_that_was_seen() {
-    let mut world = LedgerSimulation::new();
-    let first = world.send(0, sample_key(0), false);
-    world.settle();
-    assert_eq!(world.verdict(first), Some(&ClaimVerdict::Granted(first)));
-    let seen = world.send(1, sample_key(1), false);
-    world.settle();
-    assert_eq!(world.verdict(seen), Some(&ClaimVerdict::Granted(seen)));
-    apply_all(&mut world, &[LedgerOp::Outage(true)]);
+fn ledger_outage_does_not_refuse_a_claim_that_was_seen() {
+    let mut simulation = LedgerSimulation::new();
+    let first = simulation.send(0, sample_key(0), false);
+    simulation.settle();
+    assert_eq!(
+        simulation.verdict(first),
+        Some(&ClaimVerdict::Granted(first))
+    );
+    let seen = simulation.send(1, sample_key(1), false);
+    simulation.settle();
+    assert_eq!(simulation.verdict(seen), Some(&ClaimVerdict::Granted(seen)));
+    apply_all(&mut simulation, &[LedgerOp::Outage(true)]);
     for _ in 0..2 {
-        let again = world.send(1, sample_key(0), false);
-        world.step();
-        apply_all(&mut world, &[LedgerOp::Serve(0), LedgerOp::Reply(0)]);
-        let verdict = world.verdict(again);
+        let again = simulation.send(1, sample_key(0), false);
+        simulation.step();
+        apply_all(&mut simulation, &[LedgerOp::Serve(0), LedgerOp::Reply(0)]);
+        let verdict = simulation.verdict(again);
         assert!(
             matches!(verdict, Some(ClaimVerdict::Taken(_))),
             "{verdict:?}"
@@ -92,32 +95,34 @@
     }
 }
 
-/// An operator restores the store from a copy that is older than a granted claim. An entry that saw
-/// a later version must claim nothing any more, whether in the same bucket or in another.
+/// Guards against granting claims from a store that was restored from an older copy, in any bucket.
 #[test]
 fn ledger_restored_store_grants_nothing() {
     for later_key in [1, 4] {
-        let mut world = LedgerSimulation::new();
-        let older = world.copy_store();
-        let ticket = world.send(0, sample_key(0), false);
-        world.settle();
-        assert_eq!(world.verdict(ticket), Some(&ClaimVerdict::Granted(ticket)));
-        world.restore_store(older);
+        let mut simulation = LedgerSimulation::new();
+        let older = simulation.copy_store();
+        let ticket = simulation.send(0, sample_key(0), false);
+        simulation.settle();
+        assert_eq!(
+            simulation.verdict(ticket),
+            Some(&ClaimVerdict::Granted(ticket))
+        );
+        simulation.restore_store(older);
         for _ in 0..2 {
-            let later = world.send(0, sample_key(later_key), false);
-            world.settle();
+            let later = simulation.send(0, sample_key(later_key), false);
+            simulation.settle();
             let refused = matches!(
-                world.verdict(later),
+                simulation.verdict(later),
                 Some(ClaimVerdict::Refused {
                     reason: ClaimRefusal::LedgerBroken,
                     ..
                 })
             );
-            assert!(refused, "{:?}", world.verdict(later));
+            assert!(refused, "{:?}", simulation.verdict(later));
         }
-        let again = world.send(0, sample_key(0), false);
-        world.settle();
-        let verdict = world.verdict(again);
+        let again = simulation.send(0, sample_key(0), false);
+        simulation.settle();
+        let verdict = simulation.verdict(again);
         assert!(
             matches!(verdict, Some(ClaimVerdict::Taken(_))),
             "{verdict:?}"
@@ -125,16 +130,15 @@
     }
 }
 
-/// Two entries write the same bucket while the store takes seconds for a call. The one whose write
-/// came too late waits before its next try; it must not wait as long as that call took.
+/// Guards against a backoff as long as the slow call whose write was in conflict.
 #[test]
-fn ledger_conflict_of_a_slow_call_holds_up_briefly() {
-    let mut world = LedgerSimulation::new();
-    world.send(0, sample_key(0), false);
-    world.send(1, sample_key(1), false);
-    world.step();
+fn ledger_conflict_of_a_slow_call_backs_off_briefly() {
+    let mut simulation = LedgerSimulation::new();
+    simulation.send(0, sample_key(0), false);
+    simulation.send(1, sample_key(1), false);
+    simulation.step();
     apply_all(
-        &mut world,
+        &mut simulation,
         &[
             LedgerOp::Serve(0),
             LedgerOp::Serve(0),
@@ -148,37 +152,39 @@
             LedgerOp::Advance(500),
         ],
     );
-    let ticket = world.send(1, sample_key(1), false);
-    world.settle();
-    assert_eq!(world.verdict(ticket), Some(&ClaimVerdict::Granted(ticket)));
+    let ticket = simulation.send(1, sample_key(1), false);
+    simulation.settle();
+    assert_eq!(
+        simulation.verdict(ticket),
+        Some(&ClaimVerdict::Granted(ticket))
+    );
 }
 
-/// The store is out of service: the first request finds that out and is refused at once, and so is
-/// the next one without a call.
+/// Guards against claims waiting for, or calling, a store that is known to be out of service.
 #[test]
 fn ledger_outage_refuses_at_once() {
-    let mut world = LedgerSimulation::new();
-    let first = world.send(0, sample_key(0), false);
-    world.step();
+    let mut simulation = LedgerSimulation::new();
+    let first = simulation.send(0, sample_key(0), false);
+    simulation.step();
     apply_all(
-        &mut world,
+        &mut simulation,
         &[
             LedgerOp::Outage(true),
             LedgerOp::Serve(0),
             LedgerOp::Reply(0),
         ],
     );
-    let second = world.send(0, sample_key(1), false);
-    world.step();
+    let second = simulation.send(0, sample_key(1), false);
+    simulation.step();
     for ticket in [first, second] {
         let refused = matches!(
-            world.verdict(ticket),
+            simulation.verdict(ticket),
             Some(ClaimVerdict::Refused {
                 reason: ClaimRefusal::StoreDown,
                 ..
             })
         );
-        assert!(refused, "{:?}", world.verdict(ticket));
+        assert!(refused, "{:?}", simulation.verdict(ticket));
     }
-    world.recover_and_check();
+    simulation.recover_and_check();
 }
--- a/alderhaven-policy/tests/connection_health.rs
+++ b/alderhaven-policy/tests/connection_health.rs
@@ -1,4 +1,4 @@
-//! Tests of connection health: every edge of its machine, and who is judged silent.
+//! Tests of the connection health's state machine, and of which attempts count as lost.
 
 mod common;
 
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn health_every_edge() {
-    let edges = [
+fn health_every_transition() {
+    let transitions = [
         (Trusted, Silent, Probing, Probe),
         (Trusted, Replied, Trusted, Nothing),
         (Trusted, ProbeAnswered, Trusted, Nothing),
@@ -50,7 +50,7 @@
         (Down, ProbeRefused, Down, Nothing),
         (Down, ProbeSilent, Down, Nothing),
     ];
-    for (from, event, to, action) in edges {
+    for (from, event, to, action) in transitions {
         let mut health = health_in(from);
         assert_eq!(health.handle(event), action, "{from:?} on {event:?}");
         assert_eq!(health.state(), to, "{from:?} on {event:?}");
@@ -58,8 +58,8 @@
     }
 }
 
-/// A target turns ten times as slow. Its attempts exceed the usual time, a probe is answered, and
-/// the connections look like lost ones. Ending the attempts would only add load to a slow target.
+/// Guards against attempts at a slow target being ended as lost: the target answers the probe, and
+/// retries would only add load to it.
 #[test]
 fn health_slow_target_is_not_silent() {
     let attempt = SilentAttempt {
@@ -70,8 +70,8 @@
     assert!(!health().is_silent(&attempt));
 }
 
-/// The path forgets connections that were idle. The first attempt on one gets no reply, while
-/// attempts that were sent later on other connections are answered.
+/// Guards against waiting on a connection that was lost while idle, or that attempts sent later on other
+/// connections have overtaken.
 #[test]
 fn health_overtaken_or_idle_connection_is_silent() {
     let overtaken = SilentAttempt {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn health_bound_follows_the_expected_time() {
+fn silence_bound_follows_the_expected_time() {
     assert_eq!(health().silence_bound(ms(1)), Some(ms(200)));
     assert_eq!(health().silence_bound(ms(100)), Some(ms(800)));
     let options = HealthOptions {
--- a/alderhaven-policy/tests/domain_silence.rs
+++ b/alderhaven-policy/tests/domain_silence.rs
@@ -1,4 +1,4 @@
-//! When a failure domain counts as silent.
+//! Tests of the detection of failure domains that no longer answer.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::domain_silence::{self, DomainSilence};
@@ -7,25 +7,28 @@
     TimePoint::START + TimeSpan::from_millis(millis)
 }
 
-/// Guards against attempts that are sent to a lost domain one target after the other.
+/// Guards against attempts being sent to the targets of a lost domain one after another.
 #[test]
-fn domain_that_answers_nobody_is_silent() {
+fn domain_without_answers_is_silent() {
     let mut silence = DomainSilence::default();
     silence.record_answer(at(100));
     assert!(!silence.record_overdue(at(101), at(170)));
     assert!(!silence.record_overdue(at(102), at(171)));
     assert!(!silence.is_silent(at(171)));
-    assert!(silence.record_overdue(at(103), at(172)), "it begins here");
+    assert!(
+        silence.record_overdue(at(103), at(172)),
+        "the third overdue source starts the silence"
+    );
     assert!(
         !silence.record_overdue(at(104), at(173)),
-        "and is told once"
+        "a silence starts once"
     );
     assert!(silence.is_silent(at(173)));
 }
 
-/// Guards against a domain that is left because some of its targets pause while others answer.
+/// Guards against leaving a domain because some of its targets pause while others answer.
 #[test]
-fn domain_of_which_something_is_heard_is_not_silent() {
+fn domain_with_some_answers_is_not_silent() {
     let mut silence = DomainSilence::default();
     for round in 0..50 {
         let sent = at(round * 100 + 1);
@@ -37,7 +40,7 @@
     }
 }
 
-/// Guards against a domain that is back and not used.
+/// Guards against a domain that answers again and is not used.
 #[test]
 fn silence_ends_with_the_first_answer() {
     let mut silence = DomainSilence::default();
@@ -51,10 +54,10 @@
     assert!(!silence.record_answer(at(91)));
 }
 
-/// Nobody asks a silent domain while others answer: it is tried again after a while, and one source that
-/// still says nothing is enough then.
+/// Guards against a silent domain never being tried again. After the silence expires, a single overdue
+/// source renews it.
 #[test]
-fn silence_ends_by_itself_and_returns_quickly() {
+fn silence_expires_and_is_renewed_by_one_source() {
     let mut silence = DomainSilence::default();
     silence.record_answer(at(0));
     for source in 0..3 {
@@ -65,19 +68,19 @@
     assert!(silence.is_silent(at(5_061)));
 }
 
-/// A source that works long by nature is waited for longer.
+/// Guards against slow kinds of requests being taken for silence.
 #[test]
-fn wait_follows_the_usual_time() {
+fn source_timeout_follows_the_typical_latency() {
     let quick = domain_silence::source_timeout(TimeSpan::from_millis(5));
     let slow = domain_silence::source_timeout(TimeSpan::from_millis(120));
     assert!(quick >= TimeSpan::from_millis(50));
     assert!(slow >= TimeSpan::from_millis(360));
 }
 
-/// Guards against a node that has just started, whose first attempts all wait for their connections, and that
-/// asks more replicas than a route allows.
+/// Guards against a node that has just started, whose first attempts wait for connections, taking the
+/// domain for silent and sending more attempts than its route allows.
 #[test]
-fn domain_that_was_never_heard_is_not_silent() {
+fn domain_without_any_answer_yet_is_not_silent() {
     let mut silence = DomainSilence::default();
     for source in 0..9 {
         assert!(!silence.record_overdue(at(1 + source), at(300)));
@@ -85,9 +88,9 @@
     assert!(!silence.is_silent(at(300)));
 }
 
-/// Guards against targets that are slow all together and run what was taken for cut off.
+/// Guards against a domain whose targets are all slow being taken for lost while it runs its requests.
 #[test]
-fn silent_domain_is_lost_only_after_a_while() {
+fn silent_domain_is_lost_only_after_a_delay() {
     let mut silence = DomainSilence::default();
     silence.record_answer(at(0));
     for source in 0..3 {
--- a/alderhaven-policy/tests/drain.rs
+++ b/alderhaven-policy/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Every edge of a planned stop.
+//! Tests of every transition of a graceful shutdown.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::drain::DrainState::{Finishing, Leaving, Serving, Stopped};
@@ -30,25 +30,25 @@
     sequence
 }
 
-fn report(reason: StopReason, cut: usize, secs: u64) -> StopReport {
+fn report(reason: StopReason, aborted: usize, secs: u64) -> StopReport {
     StopReport {
         reason,
-        aborted_requests: cut,
+        aborted_requests: aborted,
         elapsed: TimeSpan::from_secs(secs),
     }
 }
 
 #[test]
-fn handle_serves_until_asked() {
+fn handle_serves_until_a_stop_is_requested() {
     let sequence = sequence_after(&[ticked(100, 0)]);
     assert_eq!(sequence.state(), Serving);
     assert!(sequence.takes_requests());
 }
 
 #[test]
-fn handle_serves_for_the_address_life() {
-    // Others name the process for 3 s more, and callers keep that for 10 s: a process that ended
-    // when it was idle would be a closed door for them.
+fn handle_serves_for_the_directory_lifetime() {
+    // Other nodes name the process for up to 3 s more, and callers keep that answer for 10 s: until then
+    // they must not find the process closed.
     let sequence = sequence_after(&[stop_requested(100, 0), ticked(112, 0)]);
     assert_eq!(sequence.state(), Leaving);
     assert!(sequence.takes_requests());
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn handle_says_what_a_second_signal_cut() {
+fn handle_reports_requests_aborted_by_a_second_request() {
     let sequence = sequence_after(&[stop_requested(100, 9), stop_requested(101, 7)]);
     assert_eq!(
         sequence.report(),
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn handle_says_what_the_limit_cut() {
+fn handle_reports_requests_aborted_by_the_limit() {
     let sequence = sequence_after(&[stop_requested(100, 9), ticked(160, 5)]);
     assert_eq!(
         sequence.report(),
