--- a/alderhaven-policy/tests/front_decisions.rs
+++ b/alderhaven-policy/tests/front_decisions.rs
@@ -1,5 +1,5 @@
-//! Small decisions of a front: splits by weight, waits that callers had, late deliveries, and which
-//! fronts a caller is told of.
+//! Tests of small decisions of a front: weighted splits, callers' waits, late deliveries, and the fronts
+//! that a caller is told to connect to.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
     TimePoint::START + millis(point)
 }
 
-fn offer(port: u16, domain: &str, size: f64) -> FrontCandidate {
+fn candidate(port: u16, domain: &str, size: f64) -> FrontCandidate {
     FrontCandidate {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         domain: domain.parse().expect("a domain"),
@@ -30,34 +30,33 @@
 }
 
 proptest! {
-    /// An operator moves a part of the requests. After any number of them each service has its share
-    /// within one request for each part of the split.
+    /// After any number of requests each service has its share, within one request per part of the split.
     #[test]
     fn split_keeps_its_weights(weights in prop::collection::vec(1u32..50, 1..5), requests in 1u32..500) {
         let weights: Vec<f64> = weights.into_iter().map(f64::from).collect();
         let sum: f64 = weights.iter().sum();
         let mut split = WeightedRoundRobin::default();
-        let mut dealt = vec![0.0; weights.len()];
+        let mut selected = vec![0.0; weights.len()];
         for _ in 0..requests {
-            dealt[split.next(&weights).expect("a service")] += 1.0;
+            selected[split.next(&weights).expect("a service")] += 1.0;
         }
-        for (dealt, weight) in dealt.iter().zip(&weights) {
+        for (selected, weight) in selected.iter().zip(&weights) {
             let due = f64::from(requests) * weight / sum;
-            prop_assert!((dealt - due).abs() <= weights.len() as f64);
+            prop_assert!((selected - due).abs() <= weights.len() as f64);
         }
     }
 }
 
 #[test]
-fn split_without_weights_deals_nothing() {
+fn split_without_weights_selects_nothing() {
     assert_eq!(WeightedRoundRobin::default().next(&[0.0, 0.0]), None);
     assert_eq!(WeightedRoundRobin::default().next(&[]), None);
 }
 
-/// A caller asked for fronts and opened a connection before its first request, 23 ms in all. A front
-/// that counts from the request's arrival answers after the target, though it had enough in time.
+/// Guards against ignoring the time that a caller spent before its request arrived, for example for
+/// connecting; the answer would then miss the target.
 #[test]
-fn wait_before_the_arrival_is_known_from_what_is_left() {
+fn caller_delay_is_known_from_the_time_left() {
     let mut wait = CallerDelayEstimator::default();
     let first = wait.record_time_left(millis(800), at(0));
     assert_eq!(first.consumed_time(millis(60)), TimeSpan::ZERO);
@@ -67,7 +66,7 @@
 }
 
 #[test]
-fn wait_beyond_the_target_is_not_hurried() {
+fn caller_delay_beyond_the_target_is_late() {
     let mut wait = CallerDelayEstimator::default();
     wait.record_time_left(millis(800), at(0));
     let delay = wait.record_time_left(millis(300), at(10));
@@ -76,7 +75,7 @@
 }
 
 #[test]
-fn wait_forgets_an_old_patience() {
+fn caller_delay_forgets_an_old_timeout() {
     let mut wait = CallerDelayEstimator::default();
     wait.record_time_left(millis(830), at(0));
     wait.record_time_left(millis(800), at(12_000));
@@ -84,8 +83,8 @@
     assert_eq!(delay.consumed_time(millis(60)), TimeSpan::ZERO);
 }
 
-/// A path between two fronts is cut for three seconds. The asks that were written into it arrive when
-/// it heals, and their callers have left: without their age they would be run with old deadlines.
+/// Guards against running requests that were delivered late, after a path was cut and healed, with
+/// deadlines that have passed.
 #[test]
 fn delivery_after_a_cut_shows_its_age() {
     let mut age = DeliveryAge::default();
@@ -96,80 +95,86 @@
 
 #[test]
 fn choice_prefers_the_own_domain_among_equals() {
-    let offers = [
-        offer(1, "far", 1.0),
-        offer(2, "own", 1.0),
-        offer(3, "own", 1.0),
+    let candidates = [
+        candidate(1, "far", 1.0),
+        candidate(2, "own", 1.0),
+        candidate(3, "own", 1.0),
     ];
     let own = "own".parse().ok();
-    let chosen = choose_fronts(&offers, own.as_ref(), &FrontChoiceOptions::default(), 0);
-    assert_eq!(chosen.as_slice(), [offers[1].address, offers[2].address]);
+    let chosen = choose_fronts(&candidates, own.as_ref(), &FrontChoiceOptions::default(), 0);
+    assert_eq!(
+        chosen.as_slice(),
+        [candidates[1].address, candidates[2].address]
+    );
 }
 
-/// Some hosts are much larger than others. Callers on a small one wait for its processor alone.
+/// Guards against sending callers to small hosts in their own domain, which are slower than large ones.
 #[test]
 fn choice_prefers_large_hosts() {
-    let offers = [
-        offer(1, "own", 0.24),
-        offer(2, "far", 1.0),
-        offer(3, "far", 1.0),
+    let candidates = [
+        candidate(1, "own", 0.24),
+        candidate(2, "far", 1.0),
+        candidate(3, "far", 1.0),
     ];
     let own = "own".parse().ok();
-    let chosen = choose_fronts(&offers, own.as_ref(), &FrontChoiceOptions::default(), 0);
-    assert_eq!(chosen.as_slice(), [offers[1].address, offers[2].address]);
+    let chosen = choose_fronts(&candidates, own.as_ref(), &FrontChoiceOptions::default(), 0);
+    assert_eq!(
+        chosen.as_slice(),
+        [candidates[1].address, candidates[2].address]
+    );
 }
 
 #[test]
-fn choice_names_the_last_front_that_lives() {
-    let offers = [offer(1, "far", 0.1)];
+fn choice_names_the_last_live_front() {
+    let candidates = [candidate(1, "far", 0.1)];
     assert_eq!(
-        choose_fronts(&offers, None, &FrontChoiceOptions::default(), 0).len(),
+        choose_fronts(&candidates, None, &FrontChoiceOptions::default(), 0).len(),
         1
     );
 }
 
-/// A large front restarts in the midst of load. It has no configuration yet, and callers who are sent there
-/// wait or are refused; the others are named until it had the time to start.
+/// Guards against naming a front that restarts under load, which has no configuration yet and makes callers
+/// wait or refuses them.
 #[test]
 fn choose_passes_over_a_front_that_starts() {
     let options = FrontChoiceOptions::default();
-    let mut starting = offer(1, "a", 1.0);
+    let mut starting = candidate(1, "a", 1.0);
     starting.is_started = is_presumed_started(false, millis(300));
-    let small = [offer(2, "a", 0.2), offer(3, "b", 0.2)];
-    let offers = [starting.clone(), small[0].clone(), small[1].clone()];
+    let small = [candidate(2, "a", 0.2), candidate(3, "b", 0.2)];
+    let candidates = [starting.clone(), small[0].clone(), small[1].clone()];
     let domain = "a".parse().ok();
-    let chosen = choose_fronts(&offers, domain.as_ref(), &options, 0);
+    let chosen = choose_fronts(&candidates, domain.as_ref(), &options, 0);
     assert!(!chosen.contains(&starting.address), "{chosen:?}");
     starting.is_started =
         is_presumed_started(false, millis(1_500)) && is_presumed_started(true, millis(0));
-    let offers = [starting.clone(), small[0].clone(), small[1].clone()];
-    let chosen = choose_fronts(&offers, domain.as_ref(), &options, 0);
+    let candidates = [starting.clone(), small[0].clone(), small[1].clone()];
+    let chosen = choose_fronts(&candidates, domain.as_ref(), &options, 0);
     assert_eq!(chosen[0], starting.address);
 }
 
-/// All fronts lose power and start at once. None has a configuration, and some must be named all the same.
+/// Guards against naming no front at all while the whole group starts.
 #[test]
 fn choose_names_starting_fronts_where_there_are_no_others() {
-    let mut offers = [offer(1, "a", 1.0), offer(2, "b", 1.0)];
-    for offer in &mut offers {
-        offer.is_started = false;
+    let mut candidates = [candidate(1, "a", 1.0), candidate(2, "b", 1.0)];
+    for candidate in &mut candidates {
+        candidate.is_started = false;
     }
-    let chosen = choose_fronts(&offers, None, &FrontChoiceOptions::default(), 0);
+    let chosen = choose_fronts(&candidates, None, &FrontChoiceOptions::default(), 0);
     assert_eq!(chosen.len(), 2);
 }
 
-/// Eight large fronts, two in each of four domains, and two small ones in each.
+/// Returns four domains with two large and two small fronts each.
 fn four_domains() -> Vec<FrontCandidate> {
     let domains = ["a", "b", "c", "d"];
     let sizes = [1.0, 1.0, 0.24, 0.24];
     let fronts = domains.iter().zip(0_u16..).flat_map(|(domain, place)| {
-        let of_size = move |(size, number)| offer(place * 10 + number, domain, size);
+        let of_size = move |(size, number)| candidate(place * 10 + number, domain, size);
         sizes.into_iter().zip(0_u16..).map(of_size)
     });
     fronts.collect()
 }
 
-/// Guards against callers who know no front outside their own failure domain when that is lost.
+/// Guards against callers that know no front outside their failure domain when it is lost.
 #[test]
 fn choice_names_fronts_of_another_domain() {
     let options = FrontChoiceOptions {
@@ -189,15 +194,15 @@
     assert_eq!(others.len(), 3, "callers are spread over the other domains");
 }
 
-/// A deployment with one domain, or one of which only one is alive, names what there is.
+/// Asking for more domains than there are names the fronts of those that exist.
 #[test]
 fn choice_of_more_domains_than_there_are() {
     let options = FrontChoiceOptions {
         min_domains: 3,
         ..FrontChoiceOptions::default()
     };
-    let offers: Vec<FrontCandidate> = four_domains().into_iter().take(4).collect();
-    assert_eq!(choose_fronts(&offers, None, &options, 7).len(), 2);
-    let offers: Vec<FrontCandidate> = four_domains().into_iter().take(8).collect();
-    assert_eq!(choose_fronts(&offers, None, &options, 7).len(), 4);
+    let candidates: Vec<FrontCandidate> = four_domains().into_iter().take(4).collect();
+    assert_eq!(choose_fronts(&candidates, None, &options, 7).len(), 2);
+    let candidates: Vec<FrontCandidate> = four_domains().into_iter().take(8).collect();
+    assert_eq!(choose_fronts(&candidates, None, &options, 7).len(), 4);
 }
--- a/alderhaven-policy/tests/group_share.rs
+++ b/alderhaven-policy/tests/group_share.rs
@@ -1,10 +1,10 @@
-//! The parts that nodes take of what all share.
+//! Tests of the shares that nodes take of the group's limits.
 
 use alderhaven_policy::group_share::GroupShare;
 use alderhaven_policy::membership::member_record::CpuCapacity;
 use proptest::prelude::*;
 
-/// Eight large hosts carry the load of 63.
+/// Returns a group of 8 large and 55 small hosts.
 fn fleet() -> Vec<CpuCapacity> {
     let sizes = std::iter::repeat_n(500, 8).chain(std::iter::repeat_n(120, 55));
     sizes.map(CpuCapacity).collect()
@@ -18,10 +18,9 @@
     share
 }
 
-/// Guards against repeats that lie unused on small hosts while the large ones, which carry the load, have
-/// none left.
+/// Guards against repeats that go unused on small hosts while large ones, which carry the load, run out.
 #[test]
-fn repeat_part_follows_the_load() {
+fn repeat_share_follows_the_load() {
     let fleet = fleet();
     let large = share_of(fleet[0], &[&fleet]).repeat_share();
     let small = share_of(fleet[62], &[&fleet]).repeat_share();
@@ -32,16 +31,16 @@
 
 /// A group of equal hosts divides the repeats evenly.
 #[test]
-fn repeat_part_of_equal_hosts_is_even() {
+fn repeat_share_of_equal_hosts_is_even() {
     let fleet = [CpuCapacity(250); 8];
     let part = share_of(fleet[0], &[&fleet]).repeat_share();
     assert!((part - 0.125).abs() < 1e-9, "{part}");
 }
 
 proptest! {
-    /// Guards against nodes that are cut off and take over the parts of those that they no longer see.
+    /// Guards against nodes that are cut off taking over the shares of those that they no longer see.
     #[test]
-    fn repeat_parts_stay_below_one_in_any_cut(
+    fn repeat_shares_stay_below_one_in_any_partition(
         sizes in prop::collection::vec(prop::sample::select(vec![120_u32, 250, 500]), 2..70),
         seen in prop::collection::vec(any::<bool>(), 70),
     ) {
--- a/alderhaven-policy/tests/leaving_targets.rs
+++ b/alderhaven-policy/tests/leaving_targets.rs
@@ -14,8 +14,8 @@
     TimePoint::START + TimeSpan::from_secs(count)
 }
 
-/// A target drains and its reply says so; the host list lags and shows it as live.
-/// A node that believed the list would send it work again and see it cut when the target stops.
+/// Guards against a host list that lags behind a target's own reply: the node would send new work that is
+/// lost when the target stops.
 #[test]
 fn leaving_reply_outlives_lagging_list() {
     let target: TargetId = "desk-0-0".parse().expect("a name");
@@ -31,8 +31,7 @@
     assert_eq!(targets.names(), names(&[]));
 }
 
-/// Two copies of the host list answer in turn, and one of them lags behind.
-/// The older reading shows the target as live after the newer one called it leaving.
+/// Guards against a lagging copy of the host list bringing a leaving target back.
 #[test]
 fn leaving_list_does_not_go_back() {
     let mut targets = LeavingTargets::new(LeavingOptions::default());
@@ -42,7 +41,7 @@
 }
 
 #[test]
-fn leaving_drain_holds_until_taken_back() {
+fn leaving_drain_holds_until_withdrawn() {
     let mut targets = LeavingTargets::new(LeavingOptions::default());
     targets.set_drained(names(&["desk-1-1"]));
     targets.set_listed(1, names(&[]), at_second(100));
--- a/alderhaven-policy/tests/quarantine.rs
+++ b/alderhaven-policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Tests of the quarantine, judged by how many targets a request takes down and who is refused.
+//! Tests of the quarantine: which requests are refused, and after how many crashed targets.
 
 mod common;
 
@@ -20,7 +20,7 @@
     CrashQuarantine::new(PolicyKind::Current, QuarantineOptions::default())
 }
 
-/// A crash of replica `replica` of shard 0, which lies in a domain of its own.
+/// Returns a crash of replica `replica` of shard 0, which is in a domain of its own.
 fn crash(id: u64, replica: u32, names: &[&str]) -> TargetCrash {
     crash_in(id, replica, &format!("domain-{replica}"), names)
 }
@@ -41,11 +41,9 @@
     quarantine.refused_for(&request(name), now).is_some()
 }
 
-/// A request kills its target while a harmless one runs beside it. Both are tried again. If both
-/// counted alike, the next crash would have the harmless one refused as well; run by itself it is
-/// answered, and only the guilty one loses a second target.
+/// Guards against refusing a harmless request that was in flight beside the one that crashed the target.
 #[test]
-fn quarantine_neighbour_is_not_refused() {
+fn quarantine_innocent_request_is_not_refused() {
     let mut quarantine = quarantine();
     quarantine.record_crash(&crash(1, 0, &["poison", "harmless"]), at(0));
     assert!(quarantine.is_suspect(&request("harmless"), at(1)));
@@ -58,8 +56,7 @@
     assert!(!is_refused(&quarantine, "harmless", at(4)));
 }
 
-/// A popular request is in flight wherever a target dies for reasons of its own, always beside
-/// others. It was never alone, so no number of crashes makes it the culprit.
+/// Guards against refusing a popular request that is in flight, among others, whenever a target crashes.
 #[test]
 fn quarantine_shared_strikes_never_refuse() {
     let mut quarantine = quarantine();
@@ -79,46 +76,42 @@
     assert!(!is_refused(&quarantine, "poison", at(101)));
 }
 
-/// A failure domain loses power. A query over several shards loses its targets there, is tried
-/// again by itself at another host of the domain, and loses that one a moment later. A target where
-/// it never was dies as well. It did not do it, and its callers must not be refused on top.
+/// Guards against refusing a request that was in flight while its targets' failure domain failed.
 #[test]
-fn quarantine_lost_domain_blames_nobody() {
+fn quarantine_domain_failure_refuses_nobody() {
     let mut quarantine = quarantine();
     for (id, shard) in [(0, 0), (1, 1), (2, 2), (3, 0)] {
         let target = u32::try_from(id).expect("small");
-        let mut lost = crash_in(id, target, "accra-a", &["search"]);
-        lost.in_flight[0].1 = ShardId(shard);
-        quarantine.record_crash(&lost, at(id * 10));
+        let mut crash = crash_in(id, target, "accra-a", &["search"]);
+        crash.in_flight[0].1 = ShardId(shard);
+        quarantine.record_crash(&crash, at(id * 10));
     }
     quarantine.record_crash(&crash_in(4, 4, "accra-a", &["other"]), at(40));
     assert!(!is_refused(&quarantine, "search", at(50)));
     assert!(!is_refused(&quarantine, "other", at(50)));
-    // Two targets of other domains later on are its own doing.
+    // Crashes of two targets in other domains are the request's doing.
     quarantine.record_crash(&crash_in(5, 5, "accra-b", &["search"]), at(60));
     quarantine.record_crash(&crash_in(6, 6, "accra-c", &["search"]), at(80));
     assert!(is_refused(&quarantine, "search", at(90)));
 }
 
-/// A host dies with a replica of each of two shards. A query over all shards is the only work at
-/// both. Blamed for two targets it was refused, and its caller lost the shards that another host
-/// could have answered.
+/// Guards against refusing a query over several shards because one host with replicas of two of them died.
 #[test]
 fn quarantine_lost_host_is_one_target() {
     let mut quarantine = quarantine();
     for shard in [1, 0] {
-        let mut lost = crash(u64::from(shard), shard, &["sweep"]);
-        lost.in_flight[0].1 = ShardId(shard);
-        quarantine.record_crash(&lost, at(u64::from(1 - shard)));
+        let mut crash = crash(u64::from(shard), shard, &["sweep"]);
+        crash.in_flight[0].1 = ShardId(shard);
+        quarantine.record_crash(&crash, at(u64::from(1 - shard)));
     }
     assert!(!is_refused(&quarantine, "sweep", at(2)));
-    // A replica of one of the shards, tried next, is another matter.
+    // A second replica of the same shard is an independent crash.
     quarantine.record_crash(&crash(2, 2, &["sweep"]), at(20));
     assert!(is_refused(&quarantine, "sweep", at(21)));
 }
 
 #[test]
-fn quarantine_lapses_and_grows() {
+fn quarantine_refusal_expires_and_doubles() {
     let mut quarantine = quarantine();
     quarantine.record_crash(&crash(1, 0, &["poison"]), at(0));
     quarantine.record_crash(&crash(2, 1, &["poison"]), at(0));
@@ -137,7 +130,7 @@
     assert!(!is_refused(&quarantine, "poison", at(1)));
 }
 
-/// The sizes of the drawn histories: crash number, target, two requests, milliseconds.
+/// A generated crash: target, two requests in flight, and time in milliseconds.
 type DrawnCrash = (u32, usize, usize, u64);
 
 const NAMES: [&str; 4] = ["one", "two", "three", "four"];
@@ -156,9 +149,9 @@
 proptest! {
     #![proptest_config(proptest_config(64))]
 
-    /// Strikes that travel in any split, order and repetition lead all processes to one judgement.
+    /// Strikes that are merged in any split, order and repetition lead all processes to the same decision.
     #[test]
-    fn quarantine_merges_alike(
+    fn quarantine_merge_is_order_independent(
         drawn in collection::vec((0..6_u32, 0..4_usize, 0..4_usize, 0..60_000_u64), 1..12),
         swap in 0..12_usize,
     ) {
@@ -168,23 +161,23 @@
             let (crash, time) = drawn_crash(index, item);
             parts[usize::from(index % 3 == swap % 3)].record_crash(&crash, time);
         }
-        let news: Vec<_> = parts.iter().flat_map(|part| part.strikes(now)).collect();
+        let updates: Vec<_> = parts.iter().flat_map(|part| part.strikes(now)).collect();
         let mut forward = quarantine();
-        forward.merge(&news, now);
+        forward.merge(&updates, now);
         let mut backward = quarantine();
-        for item in news.iter().rev().chain(&news) {
+        for item in updates.iter().rev().chain(&updates) {
             backward.merge(std::slice::from_ref(item), now);
         }
-        prop_assert!(forward.merge(&news, now).is_empty());
+        prop_assert!(forward.merge(&updates, now).is_empty());
         for name in NAMES {
             let refused = forward.refused_for(&request(name), now);
             prop_assert_eq!(refused, backward.refused_for(&request(name), now));
         }
     }
 
-    /// Who was never alone at a crashed target, or lost fewer than two targets, is not refused.
+    /// A request that was never alone at a crashed target, or crashed fewer than two targets, is not refused.
     #[test]
-    fn quarantine_refuses_on_grounds_only(
+    fn quarantine_refuses_only_with_evidence(
         drawn in collection::vec((0..6_u32, 0..4_usize, 0..4_usize, 0..60_000_u64), 1..12),
     ) {
         let mut quarantine = quarantine();
@@ -211,7 +204,7 @@
             quarantine.record_crash(&crash(index as u64, target, &[&name]), at(index as u64));
         }
         prop_assert!(quarantine.len() <= 8);
-        // The latest are the ones that stay.
+        // The newest requests are kept.
         let last = format!("request-{}", count - 1);
         prop_assert!(quarantine.is_suspect(&request(&last), at(count as u64)));
     }
--- a/alderhaven-policy/tests/replica_choice.rs
+++ b/alderhaven-policy/tests/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of replicas, judged by how long attempts take.
+//! Tests of the choice of replicas, measured by the duration of attempts.
 
 mod common;
 
@@ -36,8 +36,8 @@
     (0..count).map(TargetIndex).collect()
 }
 
-/// Sends attempts to `targets` replicas of 2 slots of which the first is `factor` times slower, and
-/// gets the times that the attempts took.
+/// Simulates attempts at `targets` replicas with 2 slots each, of which the first is `factor` times slower,
+/// and returns the durations of the attempts.
 fn simulate(policy: PolicyKind, targets: u32, factor: f64, rate: f64) -> Vec<TimeSpan> {
     let (table, chooser) = (table(targets as usize), chooser(policy));
     let replicas = indexes(targets);
@@ -82,11 +82,10 @@
     times
 }
 
-/// One of four replicas turns ten times slower. A random choice offers it five times what it can
-/// run, and every query with an attempt there waits for its growing queue.
+/// Guards against a slow replica getting an equal share of the attempts, more than it can run.
 #[test]
 fn slow_target_gets_little_work() {
-    // 4 replicas of 2 slots carry 800/s; half of that arrives.
+    // 4 replicas of 2 slots have a capacity of 800/s; half of that arrives.
     let plain = quantile(&mut simulate(PolicyKind::Baseline, 4, 10.0, 400.0), 0.99);
     let chosen = quantile(&mut simulate(PolicyKind::Current, 4, 10.0, 400.0), 0.99);
     assert!(chosen <= plain.mul_f64(0.1), "{chosen} against {plain}");
@@ -101,7 +100,7 @@
     assert!(chosen <= plain.mul_f64(0.8), "{chosen} against {plain}");
 }
 
-/// A burst goes to the replicas before any of them has replied: the own count alone must spread it.
+/// Guards against a burst going to one replica because no reply has reported its load yet.
 #[test]
 fn burst_is_spread_by_what_was_sent() {
     let (table, chooser) = (table(2), chooser(PolicyKind::Current));
@@ -127,13 +126,13 @@
     let (table, chooser) = (table(2), chooser(PolicyKind::Current));
     let choose = |random| chooser.choose(&table, &indexes(2), &[], ms(10), at(1), random);
     assert!((0..20).all(|random| choose(random) == Some(TargetIndex(0))));
-    let near = &table.entries()[0].stats;
-    near.record_wait(ms(8), at(1));
+    let stats = &table.entries()[0].stats;
+    stats.record_wait(ms(8), at(1));
     assert!((0..20).all(|random| choose(random) == Some(TargetIndex(1))));
 }
 
-/// A target that was slow for a while has recovered. Without attempts there is no news of it, so
-/// what is known must fade, or it would never be used again.
+/// Guards against a replica that was slow once never being used again, since only attempts update its
+/// statistics.
 #[test]
 fn slow_target_is_tried_again_after_a_while() {
     let (table, chooser) = (table(2), chooser(PolicyKind::Current));
@@ -174,8 +173,7 @@
     assert_eq!(spans, vec![ms(5000), ms(10_000), ms(20_000)]);
 }
 
-/// A switch between this process and most targets fails for a while, and all of them look broken.
-/// If they were all left out, the few others would get the whole load and break in truth.
+/// Guards against ejecting most replicas for a fault of the network, which would overload the others.
 #[test]
 fn many_failing_targets_are_used_all_the_same() {
     let (table, chooser) = (table(4), chooser(PolicyKind::Current));
@@ -205,10 +203,12 @@
     let listings = [listing(2, false), listing(1, true)];
     let after = ReplicaTable::build(&before, listings, &own);
     let index = after.index_of(&"t1".parse().expect("a name"));
-    let entry = after.get(index.expect("it stays")).expect("it stays");
+    let entry = after
+        .get(index.expect("t1 is in the new table"))
+        .expect("t1 is in the new table");
     assert_eq!(entry.stats.outstanding(), 1);
     assert!(entry.is_draining);
-    let draining = [index.expect("it stays")];
+    let draining = [index.expect("t1 is in the new table")];
     let chooser = chooser(PolicyKind::Current);
     assert_eq!(
         chooser.choose(&after, &draining, &[], ms(10), at(1), 5),
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn gauges_count_right_from_several_threads() {
+fn stats_count_correctly_from_several_threads() {
     let table = Arc::new(table(2));
     let chooser = chooser(PolicyKind::Current);
     let handles: Vec<_> = (0..4)
@@ -255,9 +255,8 @@
 proptest! {
     #![proptest_config(proptest_config(256))]
 
-    /// Whatever the targets' states, a choice is made exactly where one that neither drains nor was
-    /// tried is left, and it is one of those; a target set aside is chosen only where the floor
-    /// asks for it.
+    /// A replica is chosen exactly if there is one that is neither draining nor tried. A suspect replica is
+    /// chosen only if most replicas are suspect or no other is left.
     #[test]
     fn choice_is_a_replica_that_may_be_used(
         states in collection::vec((any::<bool>(), any::<bool>(), any::<bool>()), 1..7),
@@ -284,9 +283,9 @@
             let state = states[index.0 as usize];
             prop_assert!(usable(&state));
             let serving = states.iter().filter(|state| !state.0).count();
-            let aside = states.iter().filter(|state| !state.0 && state.1).count();
+            let suspects = states.iter().filter(|state| !state.0 && state.1).count();
             let others = states.iter().any(|state| usable(state) && !state.1);
-            prop_assert!(!state.1 || aside * 2 > serving || !others);
+            prop_assert!(!state.1 || suspects * 2 > serving || !others);
         }
     }
 }
--- a/alderhaven-policy/tests/store_budget.rs
+++ b/alderhaven-policy/tests/store_budget.rs
@@ -1,4 +1,4 @@
-//! Tests of the budget of calls to the object API.
+//! Tests of the rate limit of calls to the object API.
 
 use alderhaven_core::quantities::RatePerSecond;
 use alderhaven_core::time::{TimePoint, TimeSpan};
@@ -21,8 +21,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// After an outage every process has calls to catch up with. Each asks as fast as it can, and
-    /// is still granted no more than its rate and one burst.
+    /// A process that calls as fast as it can is granted no more than its rate and one burst.
     #[test]
     fn take_never_exceeds_rate_and_burst(
         rate in 1_u32..200,
@@ -59,8 +58,7 @@
     assert!(budget.take(StoreCall::Read, TimePoint::START).is_ok());
 }
 
-/// A fleet is idle over night; in the morning every process wants its calls at once. What was not
-/// used is not saved beyond one burst.
+/// Guards against tokens saved in idle hours being spent all at once.
 #[test]
 fn take_after_idle_time_grants_one_burst() {
     let mut budget = StoreBudget::new(options(10.0), TimePoint::START);
--- a/alderhaven-policy/tests/store_watch_plan.rs
+++ b/alderhaven-policy/tests/store_watch_plan.rs
@@ -1,4 +1,4 @@
-//! Which nodes watch the platform's store.
+//! Tests of the choice of nodes that watch the platform's store.
 
 use alderhaven_core::ids::NodeId;
 use alderhaven_core::time::{TimePoint, TimeSpan};
@@ -22,7 +22,7 @@
     }
 }
 
-/// Gets the nodes that watch, where all know the same.
+/// Returns the nodes that watch if all have the same information.
 fn watchers(nodes: &[NodeId], contacts: &[StoreContact], now: TimePoint) -> Vec<NodeId> {
     let watches = |own: &&NodeId| {
         let others: Vec<NodeId> = nodes.iter().filter(|node| node != own).cloned().collect();
@@ -37,8 +37,7 @@
     nodes.iter().filter(watches).cloned().collect()
 }
 
-/// Sixty-five nodes with a watch each make thousands of calls a minute, all of them paid for. Three
-/// are enough, however many nodes there are.
+/// Guards against a number of watches that grows with the group.
 #[test]
 fn large_group_has_three_watchers() {
     let nodes = nodes(65);
@@ -49,10 +48,9 @@
     assert_eq!(watchers(&nodes, &contacts, at(100)).len(), 3);
 }
 
-/// The store turns the three watchers away and serves the others. Each says so, and others take
-/// their places: without that no node would hear of a new configuration.
+/// Guards against no node getting changes because the store refuses all watchers.
 #[test]
-fn watchers_that_are_turned_away_are_replaced() {
+fn watchers_that_the_store_refuses_are_replaced() {
     let nodes = nodes(8);
     let healthy = contact(&nodes[0], true, at(0));
     let first = watchers(&nodes, std::slice::from_ref(&healthy), at(0));
@@ -67,10 +65,9 @@
     assert!(second.iter().all(|node| !first.contains(node)));
 }
 
-/// A node is cut off from its peers while its own path to the store is whole. After some seconds
-/// without any word it watches by itself, or it would go on with an old configuration.
+/// Guards against a node that is cut off from its peers keeping an old configuration.
 #[test]
-fn node_without_news_watches_itself() {
+fn node_without_reports_watches_by_itself() {
     let nodes = nodes(65);
     let contacts: Vec<_> = nodes[..3]
         .iter()
@@ -80,13 +77,13 @@
 }
 
 #[test]
-fn starting_group_asks_by_itself() {
+fn starting_group_watches_without_reports() {
     let nodes = nodes(3);
     assert_eq!(watchers(&nodes, &[], at(0)).len(), 3);
 }
 
 #[test]
-fn lost_node_is_asked_again_after_a_while() {
+fn node_that_lost_the_store_is_chosen_again_later() {
     let nodes = nodes(8);
     let healthy = contact(&nodes[0], true, at(0));
     let first = watchers(&nodes, std::slice::from_ref(&healthy), at(0));
@@ -98,10 +95,10 @@
     assert_eq!(watchers(&nodes, &contacts, at(7_000)), first);
 }
 
-/// The watchers say nothing while the store answers them; the others see by the headers of gossip that it
-/// does. Once nobody has said so for some seconds, each node watches itself.
+/// Guards against further watchers while gossip headers show that the store answers, and against none
+/// once they no longer do.
 #[test]
-fn store_that_answers_others_needs_no_further_watcher() {
+fn no_further_watcher_while_the_store_answers_others() {
     let nodes = nodes(65);
     let watches = |own: &NodeId, answered: Option<TimeSpan>| {
         let others: Vec<NodeId> = nodes.iter().filter(|node| *node != own).cloned().collect();
@@ -119,10 +116,9 @@
     assert_eq!(count(None), 65);
 }
 
-/// A whole group loses power and starts at once. The first ones in the order ask the store, and all
-/// others have it from them.
+/// Guards against all nodes of a starting group asking the store at once.
 #[test]
-fn starting_group_has_few_that_ask_first() {
+fn starting_group_has_few_first_nodes() {
     let nodes = nodes(65);
     let first = nodes.iter().filter(|own| {
         let others: Vec<NodeId> = nodes.iter().filter(|node| node != own).cloned().collect();
@@ -131,9 +127,9 @@
     assert_eq!(first.count(), 3);
 }
 
-/// Guards against a store that is down for long and is asked by each of hundreds of nodes.
+/// Guards against the group's call rate to a store that is down growing with the number of nodes.
 #[test]
-fn pauses_of_a_group_grow_with_it() {
+fn group_retry_pause_grows_with_the_group() {
     for nodes in [8_u32, 63, 580] {
         let count = usize::try_from(nodes).expect("a small number");
         let calls: f64 = (0..nodes)
--- a/alderhaven-policy/tests/subset.rs
+++ b/alderhaven-policy/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of relays for targets.
+//! Tests of the assignment of relays to targets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -52,7 +52,7 @@
             .collect();
         assert!(
             domains.len() >= 2,
-            "one failure domain may take the target along"
+            "a target needs relays in at least two failure domains"
         );
     }
     let mean = 470.0 / 40.0;
@@ -61,34 +61,45 @@
             .targets_of(&relay.node)
             .filter(|(_, rank)| *rank == 0)
             .count();
-        assert!(firsts as f64 <= 1.4 * mean, "{} gets {firsts}", relay.node);
+        assert!(
+            firsts as f64 <= 1.4 * mean,
+            "{} is the primary of {firsts} targets",
+            relay.node
+        );
     }
 }
 
 #[test]
-fn choose_moves_little_when_a_relay_goes() {
-    // A relay restarts. Targets that it had no part in must keep their relays, or every restart
+fn choose_keeps_most_assignments_when_a_relay_leaves() {
+    // Targets that the removed relay was not assigned to must keep their relays; otherwise every restart
     // would open new connections everywhere.
     let all = relays(40, 7);
     let targets = targets(470, 25);
     let before = choose(&targets, &all);
     let mut moved = 0;
-    for gone in &all {
-        let left: Vec<_> = all.iter().filter(|relay| *relay != gone).cloned().collect();
+    for removed in &all {
+        let left: Vec<_> = all
+            .iter()
+            .filter(|relay| *relay != removed)
+            .cloned()
+            .collect();
         let after = choose(&targets, &left);
         let is_moved = |index: &usize| {
             let target = target(*index);
             before.relays_of(&target).first() != after.relays_of(&target).first()
-                && before.relays_of(&target).first() != Some(&gone.node)
+                && before.relays_of(&target).first() != Some(&removed.node)
         };
         moved += (0..470).filter(is_moved).count();
     }
     let share = moved as f64 / (470.0 * 40.0);
-    assert!(share < 0.03, "{share} of all targets move without need");
+    assert!(
+        share < 0.03,
+        "{share} of all targets change their primary relay without need"
+    );
 }
 
 #[test]
-fn choose_copes_with_few_relays() {
+fn choose_with_few_relays() {
     let targets = targets(5, 25);
     assert!(choose(&targets, &[]).relays_of(&target(0)).is_empty());
     assert_eq!(
@@ -105,8 +116,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Nodes whose views differ by up to `VIEW_MARGIN` relays never open more connections to a
-    /// target together than it takes.
+    /// Nodes whose views differ by up to `VIEW_MARGIN` relays together stay within a target's limit.
     #[test]
     fn connections_of_stays_within_the_limit(
         missing in proptest::collection::vec((0..20_usize, any::<bool>()), 12),
@@ -114,13 +124,13 @@
     ) {
         let all = relays(20, 4);
         let targets = targets(30, connections);
-        // Every view lacks some of the relays that are in doubt; these are the same for all.
-        let doubted = [missing[0].0, missing[1].0];
-        assert!(doubted.len() <= VIEW_MARGIN);
+        // The views differ only in these relays.
+        let uncertain = [missing[0].0, missing[1].0];
+        assert!(uncertain.len() <= VIEW_MARGIN);
         let mut opened: BTreeMap<TargetId, BTreeMap<NodeId, u32>> = BTreeMap::new();
         for pair in missing.windows(2) {
             let lacks = |index: usize| {
-                (index == doubted[0] && pair[0].1) || (index == doubted[1] && pair[1].1)
+                (index == uncertain[0] && pair[0].1) || (index == uncertain[1] && pair[1].1)
             };
             let view: Vec<_> = all
                 .iter()
--- a/alderhaven-policy/tests/warmup_limit.rs
+++ b/alderhaven-policy/tests/warmup_limit.rs
@@ -1,4 +1,4 @@
-//! What a cold target gets from many nodes that do not ask each other.
+//! Tests of the load that a cold target gets from many uncoordinated nodes.
 
 use alderhaven_core::ids::NodeId;
 use alderhaven_core::quantities::RatePerSecond;
@@ -31,7 +31,7 @@
         .sum()
 }
 
-/// Guards against a target that crashes again because each of many nodes sends it a little.
+/// Guards against a cold target being overloaded by many nodes that each send a little.
 #[test]
 fn allowance_of_all_nodes_is_what_the_target_tolerates() {
     for count in [1, 2, 8, 63, 580] {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Guards against a small host's node, or one that is unknown to the others, that sends beside them.
+/// Guards against nodes outside the ranking, such as those on small hosts, sending to a cold target.
 #[test]
 fn allowance_of_other_nodes_is_none() {
     let stranger: NodeId = "stranger".parse().expect("a node's name");
@@ -47,7 +47,7 @@
     assert_eq!(none, 0);
 }
 
-/// Targets that return together are warmed by different nodes, so that none of them carries all.
+/// Guards against one node warming up all targets that return together.
 #[test]
 fn allowance_spreads_targets_over_nodes() {
     let nodes = nodes(8);
@@ -63,9 +63,9 @@
 }
 
 proptest! {
-    /// Guards against two halves of a fleet that do not know of each other and warm the same target.
+    /// Guards against two parts of a group with different views together exceeding a target's bound.
     #[test]
-    fn allowance_of_disagreeing_nodes_keeps_the_bound(
+    fn allowance_with_different_views_keeps_the_bound(
         per_second in 0.5_f64..60.0,
         split in 1_usize..62,
         target in "[a-z]{1,8}",
@@ -76,7 +76,7 @@
         prop_assert!(sent as f64 <= per_second * BOUND.overshoot + BOUND.slack);
     }
 
-    /// In no second more is sent than allowed, whatever the moments at which requests come.
+    /// In any second no more requests are sent than allowed.
     #[test]
     fn limit_holds_in_any_second(gaps in prop::collection::vec(0_u64..400, 1..200)) {
         let mut limit = WarmupLimit::default();
@@ -98,23 +98,23 @@
     }
 }
 
-/// A target that is warm takes any load, and one that says nothing of what it tolerates always does.
+/// The limit applies only to a cold target that declares what it tolerates.
 #[test]
 fn limit_ends_with_the_warmup() {
     let mut limit = WarmupLimit::default();
     limit.record_cold(TimeSpan::from_secs(3), at(0));
     assert!(
         limit.allows_request(at(0)),
-        "nothing is said of what it tolerates"
+        "there is no limit without an allowance"
     );
     limit.set_allowance(Some(0));
     assert!(!limit.allows_request(at(2_999)));
     assert!(limit.allows_request(at(3_000)));
 }
 
-/// Guards against a domain that returns cold before its targets have said so.
+/// Guards against overloading targets of a returning domain before they report that they are cold.
 #[test]
-fn limit_presumes_cold_until_told() {
+fn limit_presumes_cold_until_the_target_reports() {
     let mut limit = WarmupLimit::default();
     limit.set_allowance(Some(0));
     limit.presume_cold(TimeSpan::from_secs(3), at(0));
