--- a/alderhaven-policy/src/admission.rs
+++ b/alderhaven-policy/src/admission.rs
@@ -57,12 +57,14 @@
     /// The same for queries of lower classes, whose wait higher ones may prolong.
     pub lower_wait_share: f64,
     /// The share of its time after which a waiting query is given up on.
+    #[serde(rename = "give_up_share")]
     pub queue_timeout_share: f64,
     /// The longest wait for admission.
     pub max_wait: TimeSpan,
     /// The least time after which a refused caller is asked to come back.
     pub min_retry_after: TimeSpan,
     /// The greatest lag of the order of a team or key above its share.
+    #[serde(rename = "max_order_lag")]
     pub max_order_penalty: TimeSpan,
     /// The most queries that wait, a bound on memory only.
     pub max_waiting: usize,
--- a/alderhaven-policy/src/entry_answer.rs
+++ b/alderhaven-policy/src/entry_answer.rs
@@ -30,8 +30,10 @@
     /// How long a caller may keep an answer; an entry that leaves serves on for that long.
     pub ttl: TimeSpan,
     /// The most entries of the nearest failure domain in an answer.
+    #[serde(rename = "near")]
     pub max_in_own_domain: usize,
     /// The most entries of other failure domains in an answer.
+    #[serde(rename = "far")]
     pub max_in_other_domains: usize,
 }
 
--- a/alderhaven-policy/src/hedging.rs
+++ b/alderhaven-policy/src/hedging.rs
@@ -51,6 +51,7 @@
     /// The least delay.
     pub min_delay: TimeSpan,
     /// The share of refused hedges above which none are sent.
+    #[serde(rename = "max_refused")]
     pub max_refused_share: f64,
 }
 
--- a/alderhaven-policy/src/relay_queue.rs
+++ b/alderhaven-policy/src/relay_queue.rs
@@ -57,10 +57,13 @@
     /// The most waiting attempts, a bound on memory only.
     pub max_jobs: usize,
     /// The wait after which a lower class's first job may be started before a higher class.
+    #[serde(rename = "aging_step")]
     pub aging_threshold: TimeSpan,
     /// One start in this many may go to an aged job of a lower class.
+    #[serde(rename = "aged_every")]
     pub aged_start_interval: u32,
     /// How many times the shortest template's mean makes a template long.
+    #[serde(rename = "long_factor")]
     pub long_job_factor: f64,
 }
 
--- a/alderhaven-policy/src/repeat_budget.rs
+++ b/alderhaven-policy/src/repeat_budget.rs
@@ -35,6 +35,7 @@
     /// The repeats that each request adds.
     pub ratio: f64,
     /// The repeats that come free in each window, for all nodes together.
+    #[serde(rename = "extra")]
     pub free_per_window: f64,
     /// The length of the window.
     pub window: TimeSpan,
--- a/alderhaven-policy/src/retry_budget.rs
+++ b/alderhaven-policy/src/retry_budget.rs
@@ -23,6 +23,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct RetryOptions {
     /// The retries that each first attempt adds.
+    #[serde(rename = "budget")]
     pub retries_per_attempt: f64,
     /// The most retries that can be saved up.
     pub burst: f64,
--- a/alderhaven-policy/src/service_capacity.rs
+++ b/alderhaven-policy/src/service_capacity.rs
@@ -53,10 +53,13 @@
     /// The greatest limit, times all slots of a shard.
     pub max_factor: f64,
     /// The greatest rise a round, as a share of an even part.
+    #[serde(rename = "rise")]
     pub additive_increase: f64,
     /// The greatest fall a round, as a share of the limit.
+    #[serde(rename = "fall")]
     pub multiplicative_decrease: f64,
     /// The latency that is assumed before the first query has ended.
+    #[serde(rename = "first_latency")]
     pub initial_latency: TimeSpan,
 }
 
--- a/alderhaven-policy/src/target_limit.rs
+++ b/alderhaven-policy/src/target_limit.rs
@@ -27,20 +27,28 @@
 #[serde(default, deny_unknown_fields)]
 pub struct TargetLimitOptions {
     /// What the limit is multiplied with when it falls.
+    #[serde(rename = "fall_factor")]
     pub decrease_factor: f64,
     /// The growth of the service time over the expected one at which the limit falls.
+    #[serde(rename = "growth_factor")]
     pub slowdown_factor: f64,
     /// The least time between two falls, so that one event counts once.
+    #[serde(rename = "fall_gap")]
     pub min_decrease_interval: TimeSpan,
     /// The quiet time before the limit is probed up by one slot.
+    #[serde(rename = "probe_gap")]
     pub probe_interval: TimeSpan,
     /// The longest quiet time, after probes that failed.
+    #[serde(rename = "max_probe_gap")]
     pub max_probe_interval: TimeSpan,
     /// The time in which a cold target's limit rises from one slot to all.
+    #[serde(rename = "slow_start")]
     pub slow_start_window: TimeSpan,
     /// Whether the target's own report of used slots counts where it says more than was sent.
+    #[serde(rename = "reported_slots")]
     pub uses_reported_slots: bool,
     /// How long a report counts.
+    #[serde(rename = "report_life")]
     pub report_ttl: TimeSpan,
 }
 
@@ -91,7 +99,7 @@
     last_decrease: Option<TimePoint>,
     last_probe: Option<TimePoint>,
     last_change: TimePoint,
-    probe_gap: TimeSpan,
+    probe_interval: TimeSpan,
     cold_since: Option<TimePoint>,
 }
 
@@ -101,7 +109,7 @@
     pub fn new(policy: PolicyKind, options: TargetLimitOptions, slots: u32) -> Self {
         let slots = slots.max(1);
         Self {
-            probe_gap: options.probe_interval,
+            probe_interval: options.probe_interval,
             options,
             policy,
             slots,
@@ -120,7 +128,7 @@
     pub fn mark_cold(&mut self, now: TimePoint) {
         self.cold_since = Some(now);
         self.slowdown = 1.0;
-        self.probe_gap = self.options.probe_interval;
+        self.probe_interval = self.options.probe_interval;
         self.limit = f64::from(self.slots);
     }
 
@@ -213,8 +221,8 @@
         let is_failed_probe = self
             .last_probe
             .is_some_and(|at| now.since(at) < self.options.probe_interval);
-        self.probe_gap = if is_failed_probe {
-            self.probe_gap
+        self.probe_interval = if is_failed_probe {
+            self.probe_interval
                 .mul_f64(2.0)
                 .min(self.options.max_probe_interval)
         } else {
@@ -228,7 +236,7 @@
 
     fn probe(&mut self, now: TimePoint) {
         let ceiling = f64::from(self.slots);
-        if self.limit >= ceiling || now.since(self.last_change) < self.probe_gap {
+        if self.limit >= ceiling || now.since(self.last_change) < self.probe_interval {
             return;
         }
         self.limit = (self.limit + 1.0).min(ceiling);
