--- a/alderhaven-policy/src/exchange/exchange_options.rs
+++ b/alderhaven-policy/src/exchange/exchange_options.rs
@@ -12,8 +12,10 @@
     /// nodes; the others notice by the digests on gossip.
     pub fanout: usize,
     /// How many peers of other failure domains a node announces to what it has from the store.
+    #[serde(rename = "far_fanout")]
     pub cross_domain_fanout: usize,
     /// How long a node that hears of news waits for it to come from its own failure domain.
+    #[serde(rename = "near_patience")]
     pub own_domain_wait: TimeSpan,
     /// How many times news is announced on; above the logarithm of any fleet's size.
     pub max_hops: u32,
--- a/alderhaven-policy/src/membership/member_entry.rs
+++ b/alderhaven-policy/src/membership/member_entry.rs
@@ -117,10 +117,12 @@
     /// The load that the member last said itself.
     pub load: LoadLevel,
     /// When the member last spoke to this process; none where it never did.
+    #[serde(rename = "heard_at")]
     pub last_contact_at: Option<TimePoint>,
     /// The configuration that the member has in force; none where it has not reported.
     pub config: Option<ConfigDigest>,
     /// When the member's process was first heard of; for this process, its own start.
+    #[serde(rename = "met_at")]
     pub discovered_at: TimePoint,
 }
 
--- a/alderhaven-policy/src/membership/member_record.rs
+++ b/alderhaven-policy/src/membership/member_record.rs
@@ -45,6 +45,7 @@
 )]
 pub struct MemberVersion {
     /// The incarnation of the process; a restart has a higher one.
+    #[serde(rename = "start")]
     pub incarnation: IncarnationNumber,
     /// How often the process has refuted news of its own death.
     pub refutation: u32,
@@ -82,6 +83,7 @@
     pub highest: StoreVersion,
     /// The sum of all store versions, wrapping. Versions only rise, so the sum of one process only
     /// rises and tells its newer digest from its older one.
+    #[serde(rename = "progress")]
     pub version_sum: u64,
     /// The exclusive or of the hashes of all objects' keys and versions.
     pub hash: u64,
