--- a/alderhaven-front/src/front_context.rs
+++ b/alderhaven-front/src/front_context.rs
@@ -43,13 +43,16 @@
 #[serde(default, deny_unknown_fields)]
 pub struct RequestOptions {
     /// The one-way latency to callers.
+    #[serde(rename = "caller_path")]
     pub caller_latency: TimeSpan,
     /// What an answer takes beside its way: merging, writing, and waking up on a busy host.
+    #[serde(rename = "answer_work")]
     pub answer_overhead: TimeSpan,
     /// How long a caller is waited for that does not say how long it waits.
     pub default_deadline: TimeSpan,
     /// How long an attempt goes on after its request was answered without it: long enough for the
     /// reply of a server that pauses, so that its connection can be kept.
+    #[serde(rename = "linger")]
     pub drain_timeout: TimeSpan,
 }
 
--- a/alderhaven-front/src/front_event.rs
+++ b/alderhaven-front/src/front_event.rs
@@ -31,6 +31,7 @@
         error: Option<String>,
     },
     /// A configuration came into force.
+    #[serde(rename = "config_taken")]
     ConfigApplied {
         /// Its version.
         version: u64,
@@ -40,6 +41,7 @@
         routes: usize,
     },
     /// A configuration can't be read; the one before it stays in force.
+    #[serde(rename = "config_refused")]
     ConfigRejected {
         /// The store's version of the object.
         revision: u64,
@@ -54,6 +56,7 @@
         reason: String,
     },
     /// A registration has gone.
+    #[serde(rename = "target_gone")]
     TargetDeregistered {
         /// The target.
         target: String,
@@ -63,6 +66,7 @@
         was_leaving: bool,
     },
     /// A target could not be reached some times in a row, and gets no attempts for a while.
+    #[serde(rename = "target_aside")]
     TargetEjected {
         /// The target.
         target: String,
@@ -140,6 +144,7 @@
         reason: String,
     },
     /// The store is reached again.
+    #[serde(rename = "store_back")]
     StoreRecovered,
     /// A request was not answered as its caller wanted.
     RequestEnded {
@@ -174,6 +179,7 @@
         reason: RefusalReason,
     },
     /// A request was at fault itself.
+    #[serde(rename = "request_bad")]
     RequestInvalid {
         /// The caller's id of this attempt.
         request: String,
@@ -222,6 +228,7 @@
     /// The target.
     pub target: String,
     /// What became of it.
+    #[serde(rename = "fate")]
     pub reason: UnansweredReason,
     /// The status that the target answered with, where it failed and the answer came to this front.
     #[serde(skip_serializing_if = "Option::is_none")]
