--- a/alderhaven-policy/src/claim_batcher.rs
+++ b/alderhaven-policy/src/claim_batcher.rs
@@ -1,14 +1,14 @@
 //! Batching of one process's idempotency claims into calls to the store.
 //!
-//! Claims may arrive much faster than the store accepts writes, so many claims share a write. The first
-//! claim after a quiet time is written at once; at higher rates the next write waits for its token and
-//! takes along all claims that arrived meanwhile. Entries write the same buckets, because new keys carry
-//! nearly the same time, so writes and retries after conflicts are spread at random.
+//! Claims may arrive much faster than the store accepts writes, so many claims share a write. The
+//! first claim after a quiet time is written at once; at higher rates the next write waits for its
+//! token and takes along all claims that arrived meanwhile. Entries write the same buckets, because
+//! new keys carry nearly the same time, so writes and retries after conflicts are spread at random.
 //!
-//! A store restored from an older copy lacks claims that were granted. Its versions otherwise only grow,
-//! so a version below one seen before reveals the restore; from then on the process grants no claims
-//! until it is restarted. While the store is out of service claims are refused at once, and after each
-//! pause one claim tests whether the store is back.
+//! A store restored from an older copy lacks claims that were granted. Its versions otherwise only
+//! grow, so a version below one seen before reveals the restore; from then on the process grants no
+//! claims until it is restarted. While the store is out of service claims are refused at once, and
+//! after each pause one claim tests whether the store is back.
 
 use std::collections::BTreeMap;
 
@@ -30,8 +30,8 @@
 use crate::pending_claim::PendingClaim;
 use crate::token_bucket::TokenBucket;
 
-/// The number of idle queues that are kept; their buckets are likely to be claimed in again, and a known
-/// bucket saves a read.
+/// The number of idle queues that are kept; their buckets are likely to be claimed in again, and a
+/// known bucket saves a read.
 const MAX_IDLE_QUEUES: usize = 8;
 
 /// Turns claims into calls to the store, and replies of the store into verdicts.
@@ -90,8 +90,8 @@
 }
 
 impl ClaimBatcher {
-    /// Creates a batcher. The writer's origin must be random, so that claim ids never recur; the seed only
-    /// spreads calls over time.
+    /// Creates a batcher. The writer's origin must be random, so that claim ids never recur; the
+    /// seed only spreads calls over time.
     #[must_use]
     pub fn new(writer: ClaimWriter, options: ClaimOptions, seed: u64, now: TimePoint) -> Self {
         Self {
@@ -156,8 +156,8 @@
             self.verdicts.push(verdict);
             return ticket;
         }
-        let claim_by = deadline.min(now + self.options.claim_timeout);
-        let claim = PendingClaim::new(ticket, fingerprint, claim_by);
+        let claim_deadline = deadline.min(now + self.options.claim_timeout);
+        let claim = PendingClaim::new(ticket, fingerprint, claim_deadline);
         self.queue(ClaimSlot::of(&key)).offer(claim, now);
         ticket
     }
@@ -170,15 +170,16 @@
     /// Returns the next call to make now. To be repeated until it returns `None`.
     pub fn poll(&mut self, now: TimePoint) -> Option<ClaimCall> {
         let retry = self.options.least_pause;
-        // After a regression nothing is written, so that an operator finds the store as it was restored.
+        // After a regression nothing is written, so that an operator finds the store as it was
+        // restored.
         let is_paused =
             self.has_store_regressed || self.pause.is_some_and(|pause| now < pause.until);
         let mut call = None;
         for (slot, queue) in &mut self.queues {
             queue.expire_claims(now, retry, &mut self.verdicts);
             let needed = queue.needed_call(now, retry, &mut self.verdicts);
-            let is_held = is_paused || queue.is_backing_off(now);
-            if needed == NeededCall::Nothing || is_held || call.is_some() {
+            let is_blocked = is_paused || queue.is_backing_off(now);
+            if needed == NeededCall::Nothing || is_blocked || call.is_some() {
                 continue;
             }
             if !queue.has_write_token() {
@@ -212,9 +213,9 @@
         let Some(queue) = self.queues.get_mut(&slot) else {
             return;
         };
-        let end = queue.handle_reply(reply, now, &mut self.verdicts);
+        let outcome = queue.handle_reply(reply, now, &mut self.verdicts);
         self.highest_version = self.highest_version.max(queue.seen_version());
-        match end {
+        match outcome {
             CallOutcome::Answered => self.pause = None,
             CallOutcome::Conflict => {
                 self.pause = None;
@@ -273,21 +274,21 @@
     /// Returns the time at which [`Self::poll`] may have more to do without another event.
     #[must_use]
     pub fn next_wake(&self, now: TimePoint) -> Option<TimePoint> {
-        let give_up = self
+        let expiry = self
             .queues
             .values()
             .filter_map(ClaimQueue::next_expiry)
             .min();
         let has_work = self.queues.values().any(|queue| !queue.is_idle());
         let paused = self.pause.map(|pause| pause.until);
-        let held = self.queues.values().map(ClaimQueue::backoff_until);
-        let turn = [Some(self.next_write_at), paused]
+        let backoffs = self.queues.values().map(ClaimQueue::backoff_until);
+        let next_call_at = [Some(self.next_write_at), paused]
             .into_iter()
             .flatten()
-            .chain(held)
+            .chain(backoffs)
             .filter(|point| has_work && *point > now)
             .min();
-        [give_up, turn].into_iter().flatten().min()
+        [expiry, next_call_at].into_iter().flatten().min()
     }
 
     const fn count_call(&mut self, call: Option<&ClaimCall>) {
--- a/alderhaven-policy/src/claim_bucket.rs
+++ b/alderhaven-policy/src/claim_bucket.rs
@@ -1,10 +1,10 @@
 //! One bucket of the claim ledger: the claimed keys of a time slice, and who claimed them.
 //!
-//! The bucket is the record that the entries share, so that a request sent to several of them runs at most
-//! once. Only the store's conditional update protects it; no clock is involved. A bucket stores its
-//! slice, and keys of earlier slices are behind its horizon and refused. A claim of a newer slice drops
-//! the older claims in the same conditional update that moves the horizon, so there is no moment at which
-//! an old claim is gone and its key is still accepted.
+//! The bucket is the record that the entries share, so that a request sent to several of them runs
+//! at most once. Only the store's conditional update protects it; no clock is involved. A bucket
+//! stores its slice, and keys of earlier slices are behind its horizon and refused. A claim of a
+//! newer slice drops the older claims in the same conditional update that moves the horizon, so
+//! there is no moment at which an old claim is gone and its key is still accepted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -106,7 +106,7 @@
 
     /// Compares a claim with the bucket, without changing it.
     #[must_use]
-    pub fn judge(
+    pub fn check_claim(
         &self,
         key: &ClaimKey,
         fingerprint: ClaimFingerprint,
@@ -148,7 +148,7 @@
             origin: writer.origin,
             sequence,
         };
-        let verdict = self.judge(&key, fingerprint, id);
+        let verdict = self.check_claim(&key, fingerprint, id);
         if verdict == BucketVerdict::Free {
             self.advance(claim_slot::slice_of(&key));
             let position = self.writer_position(writer);
--- a/alderhaven-policy/src/claim_fingerprint.rs
+++ b/alderhaven-policy/src/claim_fingerprint.rs
@@ -10,8 +10,8 @@
 
 /// A hash of template, canonical parameters and team.
 ///
-/// It detects a key that a caller reuses by mistake. 64 bits are enough for that: a caller that searches
-/// for a collision can only prevent a run of its own request.
+/// It detects a key that a caller reuses by mistake. 64 bits are enough for that: a caller that
+/// searches for a collision can only prevent a run of its own request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ClaimFingerprint(u64);
--- a/alderhaven-policy/src/claim_queue.rs
+++ b/alderhaven-policy/src/claim_queue.rs
@@ -2,11 +2,11 @@
 //!
 //! One call is in flight at a time, and all claims that arrive meanwhile share the next write.
 //!
-//! A write whose reply is lost may have taken effect, may do so later, or never. A read can prove only the
-//! first: a claim that the read shows is granted. Any other claim is written again over the version that
-//! was read, so that the store decides between the old write and the new one. A claim that expires in
-//! that state is removed from the bucket by a write, and that is complete only once the bucket's version
-//! has moved past the one that the lost write expected.
+//! A write whose reply is lost may have taken effect, may do so later, or never. A read can prove
+//! only the first: a claim that the read shows is granted. Any other claim is written again over
+//! the version that was read, so that the store decides between the old write and the new one. A
+//! claim that expires in that state is removed from the bucket by a write, and that is complete
+//! only once the bucket's version has moved past the one that the lost write expected.
 
 use std::mem;
 
@@ -36,7 +36,7 @@
     Write {
         expected: StoreVersion,
         /// The highest version that the process had seen; the write must create a higher one.
-        floor: StoreVersion,
+        highest_version: StoreVersion,
         bucket: ClaimBucket,
         claims: Vec<PendingClaim>,
         releases: Vec<PendingRelease>,
@@ -72,11 +72,11 @@
 
 /// The maximum number of doublings of the backoff after conflicts.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// The longest backoff after a conflict. The duration of one slow call must not delay claims beyond their
-/// deadline.
+/// The longest backoff after a conflict. The duration of one slow call must not delay claims beyond
+/// their deadline.
 const MAX_BACKOFF: TimeSpan = TimeSpan::from_millis(500);
-/// How long a bucket that was seen is written over without another read. Other entries write it too, and a
-/// read costs less than a write that ends in a conflict.
+/// How long a bucket that was seen is written over without another read. Other entries write it
+/// too, and a read costs less than a write that ends in a conflict.
 const MAX_SEEN_BUCKET_AGE: TimeSpan = TimeSpan::from_millis(10);
 
 /// Verdicts with the tickets of their claims.
@@ -90,10 +90,10 @@
     }
 
     pub(crate) fn release(&mut self, ticket: ClaimTicket) {
-        let lost_at = None;
+        let lost_version = None;
         self.releases.push(PendingRelease {
             ticket,
-            lost_write_version: lost_at,
+            lost_write_version: lost_version,
         });
     }
 
@@ -124,7 +124,8 @@
         self.backoff_until
     }
 
-    /// Waits after a conflict for a random `share` of the time that the conflicting writers need in turn.
+    /// Waits after a conflict for a random `share` of the time that the conflicting writers need in
+    /// turn.
     pub(crate) fn back_off(&mut self, share: f64, now: TimePoint) {
         let turns = 1_u32 << self.consecutive_conflicts.min(MAX_BACKOFF_DOUBLINGS);
         let span = now
@@ -191,8 +192,8 @@
 
     /// Returns the verdict on a claim that ends without being made.
     ///
-    /// "Refused" tells a caller that its request did not run. So the verdict is `Taken` if the bucket, as
-    /// last seen, shows that an earlier send claimed the key and may have run.
+    /// "Refused" tells a caller that its request did not run. So the verdict is `Taken` if the
+    /// bucket, as last seen, shows that an earlier send claimed the key and may have run.
     pub(crate) fn refuse(
         &self,
         claim: &PendingClaim,
@@ -200,11 +201,11 @@
         retry_after: TimeSpan,
     ) -> (ClaimTicket, ClaimVerdict) {
         let ticket = claim.ticket;
-        let judged = self
-            .seen
-            .as_ref()
-            .map(|seen| seen.bucket.judge(&ticket.key, claim.fingerprint, ticket.id));
-        let verdict = match judged {
+        let bucket_verdict = self.seen.as_ref().map(|seen| {
+            seen.bucket
+                .check_claim(&ticket.key, claim.fingerprint, ticket.id)
+        });
+        let verdict = match bucket_verdict {
             Some(BucketVerdict::Taken(holder)) => ClaimVerdict::Taken(holder),
             _ => ClaimVerdict::Refused {
                 reason,
@@ -252,7 +253,7 @@
         &mut self,
         needed: NeededCall,
         writer: &ClaimWriter,
-        floor: StoreVersion,
+        highest_version: StoreVersion,
         now: TimePoint,
     ) -> Option<ClaimAction> {
         self.call_count += 1;
@@ -292,7 +293,7 @@
         let body = bucket.encode();
         self.in_flight = Some(InFlightCall::Write {
             expected,
-            floor: floor.max(expected),
+            highest_version: highest_version.max(expected),
             bucket,
             claims,
             releases: mem::take(&mut self.releases),
@@ -333,7 +334,7 @@
     ) -> CallOutcome {
         let InFlightCall::Write {
             expected,
-            floor,
+            highest_version,
             bucket,
             claims,
             releases,
@@ -342,7 +343,7 @@
             return CallOutcome::Answered;
         };
         match reply {
-            ClaimReply::Written(version) if version > floor => {
+            ClaimReply::Written(version) if version > highest_version => {
                 let call = self.call_count;
                 self.seen = Some(SeenBucket {
                     version,
@@ -433,17 +434,17 @@
     /// Clears the uncertainty about lost writes that the bucket's version has moved past.
     fn resolve_lost_writes(&mut self) {
         let Some(seen) = &self.seen else { return };
-        let has_passed = |lost_at: StoreVersion| seen.version > lost_at;
+        let has_passed = |lost_version: StoreVersion| seen.version > lost_version;
         for claim in &mut self.waiting {
             let holds = seen.bucket.holds(&claim.ticket.key, claim.ticket.id);
             claim.lost_write_version = claim
                 .lost_write_version
-                .filter(|lost_at| holds || !has_passed(*lost_at));
+                .filter(|lost_version| holds || !has_passed(*lost_version));
         }
         self.releases.retain(|release| {
             let may_take_effect = release
                 .lost_write_version
-                .is_some_and(|lost_at| !has_passed(lost_at));
+                .is_some_and(|lost_version| !has_passed(lost_version));
             may_take_effect || seen.bucket.holds(&release.ticket.key, release.ticket.id)
         });
     }
@@ -460,9 +461,11 @@
         let mut waiting = Vec::new();
         for claim in mem::take(&mut self.waiting) {
             let ticket = claim.ticket;
-            let verdict = seen.bucket.judge(&ticket.key, claim.fingerprint, ticket.id);
-            // The holder may have released its claim since, so only a bucket that was requested after the
-            // offer proves that the key is taken.
+            let verdict = seen
+                .bucket
+                .check_claim(&ticket.key, claim.fingerprint, ticket.id);
+            // The holder may have released its claim since, so only a bucket that was requested
+            // after the offer proves that the key is taken.
             let is_fresh = seen.shown_by_call > claim.offered_after_call;
             match verdict {
                 BucketVerdict::Free => waiting.push(claim),
--- a/alderhaven-policy/src/config_registry.rs
+++ b/alderhaven-policy/src/config_registry.rs
@@ -1,8 +1,9 @@
 //! The configuration in force on a node.
 //!
-//! Objects arrive from the store's watch, from full lists and from peers, possibly late, twice or out of
-//! order. For each key the highest store version wins, tombstones included, so that the result does not
-//! depend on the order of arrival and a lagging source can't bring back an older version.
+//! Objects arrive from the store's watch, from full lists and from peers, possibly late, twice or
+//! out of order. For each key the highest store version wins, tombstones included, so that the
+//! result does not depend on the order of arrival and a lagging source can't bring back an older
+//! version.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/alderhaven-policy/src/connection_health.rs
+++ b/alderhaven-policy/src/connection_health.rs
@@ -1,11 +1,11 @@
 //! Detection of connections that were lost without notice, as opposed to slow or failed targets.
 //!
-//! A network path may drop the state of an old connection: what is sent on it is lost without an error,
-//! while a new connection works. An attempt without a reply for several times the expected service time
-//! leads to a probe, a cheap request on a new connection; meanwhile idle connections are not used. If the
-//! probe is answered, older silent connections are replaced and their attempts end as unknown, without
-//! blame on the target. If it is refused or not answered, the target is down. Any reply on an old
-//! connection shows that the path works.
+//! A network path may drop the state of an old connection: what is sent on it is lost without an
+//! error, while a new connection works. An attempt without a reply for several times the expected
+//! service time leads to a probe, a cheap request on a new connection; meanwhile idle connections
+//! are not used. If the probe is answered, older silent connections are replaced and their attempts
+//! end as unknown, without blame on the target. If it is refused or not answered, the target is
+//! down. Any reply on an old connection shows that the path works.
 //!
 //! A slow target answers the probe as well. So an attempt is ended only if its connection had been idle
 //! before ([`HealthOptions::idle_suspect`]) or attempts sent later have been answered meanwhile.
@@ -140,8 +140,8 @@
         self.state() == HealthState::Trusted
     }
 
-    /// Decides about an attempt that has no reply after a probe was answered: `true` if its connection is
-    /// lost, `false` if the target may only be slow.
+    /// Decides about an attempt that has no reply after a probe was answered: `true` if its
+    /// connection is lost, `false` if the target may only be slow.
     #[must_use]
     pub fn is_silent(&self, attempt: &SilentAttempt) -> bool {
         let overtaken = attempt
--- a/alderhaven-policy/src/delivery_age.rs
+++ b/alderhaven-policy/src/delivery_age.rs
@@ -1,8 +1,9 @@
 //! Delay of messages between two clocks that can't be compared.
 //!
 //! When a path is cut and heals, what was written into it is delivered late and all at once, with
-//! deadlines that have passed. The smallest difference between the receiver's and the sender's clock seen
-//! on a connection stands for a delivery without delay; any excess over it is the age of a message.
+//! deadlines that have passed. The smallest difference between the receiver's and the sender's
+//! clock seen on a connection stands for a delivery without delay; any excess over it is the age of
+//! a message.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
--- a/alderhaven-policy/src/domain_peers.rs
+++ b/alderhaven-policy/src/domain_peers.rs
@@ -10,9 +10,9 @@
 /// The number of known peers inside and outside a node's failure domain.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct DomainPeers {
-    /// The peers in the node's own domain.
+    /// The number of peers in the node's own domain.
     pub own_domain: usize,
-    /// The peers in all other domains.
+    /// The number of peers in all other domains.
     pub other_domains: usize,
 }
 
--- a/alderhaven-policy/src/domain_silence.rs
+++ b/alderhaven-policy/src/domain_silence.rs
@@ -1,12 +1,12 @@
 //! Detection of a failure domain that no longer answers.
 //!
-//! If a domain loses power or is cut off, all its replicas become silent at once; waiting for each of
-//! them delays every query. A domain is silent once several of its sources (targets, or connections to
-//! fronts) were asked and none of the domain has answered since. Only a domain that has answered before can
-//! become silent, since the first attempts of a starting node wait for their connections. A domain that is
-//! silent for longer is lost, and what was sent there has probably not run; before that, its targets may
-//! all just be slow. The silence ends with the first answer, or by itself after a while; a single overdue
-//! source then renews it.
+//! If a domain loses power or is cut off, all its replicas become silent at once; waiting for each
+//! of them delays every query. A domain is silent once several of its sources (targets, or
+//! connections to fronts) were asked and none of the domain has answered since. Only a domain that
+//! has answered before can become silent, since the first attempts of a starting node wait for
+//! their connections. A domain that is silent for longer is lost, and what was sent there has
+//! probably not run; before that, its targets may all just be slow. The silence ends with the first
+//! answer, or by itself after a while; a single overdue source then renews it.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
@@ -52,9 +52,13 @@
         was_silent
     }
 
-    /// Records that a source that was asked at `sent` is overdue. Returns `true` if that starts a silence.
+    /// Records that a source that was asked at `sent` is overdue. Returns `true` if that starts a
+    /// silence.
     pub fn record_overdue(&mut self, sent: TimePoint, now: TimePoint) -> bool {
-        if self.last_answer_at.is_none_or(|heard_at| sent <= heard_at) {
+        if self
+            .last_answer_at
+            .is_none_or(|last_answer_at| sent <= last_answer_at)
+        {
             return false;
         }
         let was_silent = self.is_silent(now);
@@ -68,8 +72,8 @@
     /// Returns `true` while the domain is lost.
     #[must_use]
     pub fn is_lost(&self, now: TimePoint) -> bool {
-        let heard_at = self.last_answer_at.unwrap_or(now);
-        self.is_silent(now) && now.since(heard_at) >= LOST_AFTER
+        let last_answer_at = self.last_answer_at.unwrap_or(now);
+        self.is_silent(now) && now.since(last_answer_at) >= LOST_AFTER
     }
 
     /// Returns `true` while the domain is silent.
--- a/alderhaven-policy/src/drain.rs
+++ b/alderhaven-policy/src/drain.rs
@@ -1,8 +1,9 @@
 //! Graceful shutdown of a process.
 //!
-//! The process announces that it leaves, and serves on until other nodes no longer name it and the answers
-//! that name it have expired. Then it accepts nothing new, finishes the requests in flight and ends. A
-//! second stop request or the time limit ends it at once; the report says how many requests that aborts.
+//! The process announces that it leaves, and serves on until other nodes no longer name it and the
+//! answers that name it have expired. Then it accepts nothing new, finishes the requests in flight
+//! and ends. A second stop request or the time limit ends it at once; the report says how many
+//! requests that aborts.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
--- a/alderhaven-policy/src/drain_lifecycle.rs
+++ b/alderhaven-policy/src/drain_lifecycle.rs
@@ -86,8 +86,8 @@
         self.report
     }
 
-    /// Returns how long the process serves after the announcement: other nodes name it until they hear that
-    /// it leaves, and callers keep such an answer for `address_life`.
+    /// Returns how long the process serves after the announcement: other nodes name it until they
+    /// hear that it leaves, and callers keep such an answer for `address_life`.
     fn served_for(&self) -> TimeSpan {
         self.options.leave_propagation_time + self.options.directory_lifetime
     }
--- a/alderhaven-policy/src/front_choice.rs
+++ b/alderhaven-policy/src/front_choice.rs
@@ -1,8 +1,9 @@
 //! Choice of the fronts that a caller is told to connect to.
 //!
-//! Callers keep the answer for some seconds and connect by themselves. A front scores by the relative size
-//! of its host plus a bonus for the caller's own failure domain. All fronts close to the best score are
-//! named, and fronts of further domains as well if callers must survive the loss of a domain.
+//! Callers keep the answer for some seconds and connect by themselves. A front scores by the
+//! relative size of its host plus a bonus for the caller's own failure domain. All fronts close to
+//! the best score are named, and fronts of further domains as well if callers must survive the loss
+//! of a domain.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,7 +17,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FrontChoiceOptions {
-    /// The score added for a front in the caller's domain; a front on the largest host scores 1 without it.
+    /// The score added for a front in the caller's domain; a front on the largest host scores 1
+    /// without it.
     #[serde(rename = "near_bonus")]
     pub own_domain_bonus: f64,
     /// The minimum number of fronts named, as far as there are that many.
@@ -62,8 +64,8 @@
 /// callers wait or refuses them.
 const STARTUP_TIME: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// Returns `true` if a front that was discovered `known_for` ago may be named. `has_config` says that it
-/// reported a configuration; one that did not may have obtained one since.
+/// Returns `true` if a front that was discovered `known_for` ago may be named. `has_config` says
+/// that it reported a configuration; one that did not may have obtained one since.
 #[must_use]
 pub fn is_presumed_started(has_config: bool, known_for: TimeSpan) -> bool {
     has_config || known_for >= STARTUP_TIME
@@ -115,8 +117,8 @@
     addresses.take(options.max_fronts).collect()
 }
 
-/// Adds fronts of other failure domains until `domains` are named. Each added domain gets as many fronts
-/// as the domains already named have on average.
+/// Adds fronts of other failure domains until `domains` are named. Each added domain gets as many
+/// fronts as the domains already named have on average.
 fn add_other_domains<'a>(
     chosen: &mut SmallVec<[&'a FrontCandidate; 8]>,
     scored: &[(f64, &'a FrontCandidate)],
--- a/alderhaven-policy/src/group_share.rs
+++ b/alderhaven-policy/src/group_share.rs
@@ -27,8 +27,8 @@
     largest_alive: f64,
     #[serde(rename = "all")]
     total_capacity: f64,
-    /// The capacity of the largest host ever seen. A node that no longer sees it must not take over the share
-    /// of the nodes on such hosts.
+    /// The capacity of the largest host ever seen. A node that no longer sees it must not take over
+    /// the share of the nodes on such hosts.
     largest_known: f64,
     /// The largest total capacity seen of the hosts that count as large.
     #[serde(rename = "all_large")]
@@ -113,8 +113,8 @@
         capacity_of(capacity) / self.largest_alive.max(1.0)
     }
 
-    /// Returns how many connections the node may open to a target that accepts `max_connections`, if all nodes together
-    /// may use one of `parts` equal parts of them. The result is at least 1.
+    /// Returns how many connections the node may open to a target that accepts `max_connections`,
+    /// if all nodes together may use one of `parts` equal parts of them. The result is at least 1.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
--- a/alderhaven-policy/src/group_start.rs
+++ b/alderhaven-policy/src/group_start.rs
@@ -3,8 +3,8 @@
 //! Nodes of a group often start together, and each would otherwise list the whole store, page by page.
 //! The group's seed nodes, whose addresses all nodes are given, list it first, and the others wait for
 //! them. A node that restarts has callers waiting: it lists the store after a short wait for peers,
-//! unless other live nodes come before it in the group's order. A node also lists the store at once if a
-//! peer reports that it can't reach the store. While the store does not answer, the first nodes retry at
+//! unless other live nodes come before it in the group's order. A node also stops waiting if a peer
+//! reports that it can't reach the store. While the store does not answer, the first nodes retry at
 //! short intervals and the others rarely.
 
 use alderhaven_core::time::TimeSpan;
--- a/alderhaven-policy/src/leaving_targets.rs
+++ b/alderhaven-policy/src/leaving_targets.rs
@@ -1,10 +1,10 @@
 //! Targets that get no new work because they are about to stop.
 //!
-//! There are three sources: drains that operators publish, the host list, which lags by some seconds, and
-//! replies in which a target says that it is draining. A target counts as leaving as soon as one source
-//! says so. A published drain holds until it is withdrawn, and an entry of the host list until a later
-//! reading shows the target as live. A reply holds for at least [`LeavingOptions::reply_hold`], and then
-//! until the next reading of the list.
+//! There are three sources: drains that operators publish, the host list, which lags by some
+//! seconds, and replies in which a target says that it is draining. A target counts as leaving as
+//! soon as one source says so. A published drain holds until it is withdrawn, and an entry of the
+//! host list until a later reading shows the target as live. A reply holds for at least
+//! [`LeavingOptions::reply_hold`], and then until the next reading of the list.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -55,8 +55,8 @@
 
     /// Applies a reading of the host list: its revision and the targets that are leaving.
     ///
-    /// A reading with an older revision than a previous one is ignored, so that a lagging copy of the list
-    /// does not bring a leaving target back.
+    /// A reading with an older revision than a previous one is ignored, so that a lagging copy of
+    /// the list does not bring a leaving target back.
     pub fn set_listed(&mut self, revision: u64, leaving: BTreeSet<String>, now: TimePoint) {
         if revision < self.list_revision {
             return;
--- a/alderhaven-policy/src/pending_claim.rs
+++ b/alderhaven-policy/src/pending_claim.rs
@@ -15,8 +15,8 @@
     pub deadline: TimePoint,
     /// The number of the queue's last call before the claim was offered.
     pub offered_after_call: u64,
-    /// The version that a lost write of this claim expected; that write may still take effect as long as the
-    /// bucket has this version.
+    /// The version that a lost write of this claim expected; that write may still take effect as
+    /// long as the bucket has this version.
     pub lost_write_version: Option<StoreVersion>,
     /// Whether the claim was refused while a write with it was in flight.
     pub is_abandoned: bool,
--- a/alderhaven-policy/src/quarantine.rs
+++ b/alderhaven-policy/src/quarantine.rs
@@ -6,10 +6,10 @@
 //! of the shard clears the strikes of that shard. A refusal expires; after that one more strike is
 //! enough, and each refusal lasts twice as long as the one before.
 //!
-//! Targets of different shards that crash together count as one, since they may share a host. Strikes
-//! from the failure of a whole domain don't count, unless the request was in flight at every target that
-//! crashed. Strikes of several processes merge by union, and all decisions are computed from the strikes
-//! alone, so that every process comes to the same result.
+//! Targets of different shards that crash together count as one, since they may share a host.
+//! Strikes from the failure of a whole domain don't count, unless the request was in flight at
+//! every target that crashed. Strikes of several processes merge by union, and all decisions are
+//! computed from the strikes alone, so that every process comes to the same result.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -346,7 +346,8 @@
         }
     }
 
-    /// Recomputes the refusals of all requests: a domain failure detected later discounts older strikes.
+    /// Recomputes the refusals of all requests: a domain failure detected later discounts older
+    /// strikes.
     fn reevaluate_requests(&mut self) {
         let mut requests = std::mem::take(&mut self.requests);
         for record in requests.values_mut() {
@@ -355,7 +356,8 @@
         self.requests = requests;
     }
 
-    /// Replays a request's strikes in time order. Returns the number of refusals and the end of the last.
+    /// Replays a request's strikes in time order. Returns the number of refusals and the end of the
+    /// last.
     fn evaluate(&self, record: &RequestRecord) -> (u32, TimePoint) {
         let mut strikes: Vec<&CrashStrike> = record
             .strikes
@@ -393,8 +395,9 @@
 
     /// Counts the strikes whose only common cause can be the request.
     ///
-    /// Targets that crash together may share a host, whatever their domains. Strikes of the same shard are
-    /// independent all the same: a host holds a shard once, and its replicas are tried one after another.
+    /// Targets that crash together may share a host, whatever their domains. Strikes of the same
+    /// shard are independent all the same: a host holds a shard once, and its replicas are tried
+    /// one after another.
     fn count_independent(&self, strikes: &[&CrashStrike]) -> usize {
         let window = self.options.domain_window;
         let are_independent = |one: &CrashStrike, other: &CrashStrike| {
@@ -411,8 +414,8 @@
         counted.len()
     }
 
-    /// Returns `true` if many targets of the strike's domain crashed at about that time, at least one of
-    /// them without the request in flight.
+    /// Returns `true` if many targets of the strike's domain crashed at about that time, at least
+    /// one of them without the request in flight.
     fn is_domain_failure(&self, strike: &CrashStrike, record: &RequestRecord) -> bool {
         let window = self.options.domain_window;
         let simultaneous: Vec<(&u64, &RecentCrash)> = self
--- a/alderhaven-policy/src/replica_choice.rs
+++ b/alderhaven-policy/src/replica_choice.rs
@@ -1,10 +1,10 @@
 //! Choice of the replica that an attempt is sent to.
 //!
-//! Of two random candidates the one with the lower expected time is taken ("power of two choices"), so
-//! that nodes with the same information don't all pick the same replica. The expected time is the wait
-//! that a relay reported, less the time since, plus the expected service time multiplied by the target's
-//! slowness and its attempts in flight per slot. A target in another failure domain costs
-//! [`ReplicaOptions::far_penalty`] more.
+//! Of two random candidates the one with the lower expected time is taken ("power of two choices"),
+//! so that nodes with the same information don't all pick the same replica. The expected time is
+//! the wait that a relay reported, less the time since, plus the expected service time multiplied
+//! by the target's slowness and its attempts in flight per slot. A target in another failure domain
+//! costs [`ReplicaOptions::far_penalty`] more.
 //!
 //! Targets that fail several times in a row are ejected for a growing time, and targets whose
 //! connections are suspect are left out. If that affects more than half of a shard's replicas, all but
@@ -86,7 +86,8 @@
         Self { options, policy }
     }
 
-    /// Chooses one of a shard's replicas that is not in `tried`, or `None` if all are tried or draining.
+    /// Chooses one of a shard's replicas that is not in `tried`, or `None` if all are tried or
+    /// draining.
     ///
     /// `expected` is the service time expected of any target; `random` is a uniformly random number.
     #[must_use]
--- a/alderhaven-policy/src/replica_stats.rs
+++ b/alderhaven-policy/src/replica_stats.rs
@@ -1,10 +1,11 @@
 //! Statistics of one replica as seen from one node, and the expected cost of the next attempt.
 //!
-//! Slowness is the averaged ratio of an attempt's time to the typical latency of its kind of request. It
-//! decays, so that a slow replica is tried again after some seconds. An attempt that is in flight for
-//! much longer than typical marks the replica as stuck. Failures add to the expected cost. A replica
-//! that repeatedly can't be reached is ejected for a time that doubles; one that can be reached is never
-//! ejected, however often it fails, since some answers are better than none.
+//! Slowness is the averaged ratio of an attempt's time to the typical latency of its kind of
+//! request. It decays, so that a slow replica is tried again after some seconds. An attempt that is
+//! in flight for much longer than typical marks the replica as stuck. Failures add to the expected
+//! cost. A replica that repeatedly can't be reached is ejected for a time that doubles; one that
+//! can be reached is never ejected, however often it fails, since some answers are better than
+//! none.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use smallvec::SmallVec;
@@ -15,8 +16,8 @@
 const HALF_LIFE: TimeSpan = TimeSpan::from_millis(2_500);
 /// The largest ratio recorded, so that one lost answer doesn't keep a replica out of use for long.
 const MAX_RATIO: f64 = 40.0;
-/// The consecutive unreachable attempts that eject a replica. A single one may be a connection above the
-/// replica's limit.
+/// The consecutive unreachable attempts that eject a replica. A single one may be a connection
+/// above the replica's limit.
 const EJECT_AFTER: u32 = 2;
 /// The length of the first ejection.
 const FIRST_EJECTION: TimeSpan = TimeSpan::from_millis(300);
@@ -28,8 +29,9 @@
 const MIN_STUCK_TIME: TimeSpan = TimeSpan::from_millis(12);
 /// The time that a stuck replica is expected to stay stuck.
 const STUCK_COST: TimeSpan = TimeSpan::from_millis(60);
-/// The expected cost of a replica that fails every attempt, multiplied by the square of the failure rate:
-/// one retry covers a rare failure, while frequent ones use up the repeat budget that all nodes share.
+/// The expected cost of a replica that fails every attempt, multiplied by the square of the failure
+/// rate: one retry covers a rare failure, while frequent ones use up the repeat budget that all
+/// nodes share.
 const FAILURE_COST: TimeSpan = TimeSpan::from_millis(250);
 
 /// How an attempt at a replica ended, as far as the replica is concerned.
@@ -70,8 +72,8 @@
         result: AttemptResult,
         now: TimePoint,
     ) {
-        if let Some(place) = self.in_flight.iter().position(|point| *point == sent) {
-            self.in_flight.swap_remove(place);
+        if let Some(index) = self.in_flight.iter().position(|point| *point == sent) {
+            self.in_flight.swap_remove(index);
         }
         let ratio = ratio_of(now.since(sent), typical_latency);
         match result {
--- a/alderhaven-policy/src/store_budget.rs
+++ b/alderhaven-policy/src/store_budget.rs
@@ -1,9 +1,9 @@
 //! Rate limit of one process's calls to the platform's object API.
 //!
-//! The API has a rate limit for all processes together. When they have calls to catch up with, a few of
-//! them could use up that rate, and retries of refused calls would keep it used up. A token bucket per
-//! process keeps the sum below the limit. The bucket holds little, so that processes that were idle can't
-//! all spend saved tokens at once.
+//! The API has a rate limit for all processes together. When they have calls to catch up with, a
+//! few of them could use up that rate, and retries of refused calls would keep it used up. A token
+//! bucket per process keeps the sum below the limit. The bucket holds little, so that processes
+//! that were idle can't all spend saved tokens at once.
 
 use alderhaven_core::quantities::RatePerSecond;
 use alderhaven_core::time::{TimePoint, TimeSpan};
--- a/alderhaven-policy/src/store_watch_plan.rs
+++ b/alderhaven-policy/src/store_watch_plan.rs
@@ -1,10 +1,10 @@
 //! Choice of the few nodes that watch the platform's store on behalf of all.
 //!
-//! Every change wakes every watch, so the number of watches must not grow with the group. The first nodes
-//! in an order that all nodes compute alike watch, and pass changes on. A node that can't reach the store
-//! reports it, and the next one in the order takes its place. Gossip headers carry the time since the
-//! store last answered any node. A node that has not heard of an answer for a while watches by itself,
-//! since it may be cut off from its peers but not from the store.
+//! Every change wakes every watch, so the number of watches must not grow with the group. The first
+//! nodes in an order that all nodes compute alike watch, and pass changes on. A node that can't
+//! reach the store reports it, and the next one in the order takes its place. Gossip headers carry
+//! the time since the store last answered any node. A node that has not heard of an answer for a
+//! while watches by itself, since it may be cut off from its peers but not from the store.
 
 use alderhaven_core::ids::NodeId;
 use alderhaven_core::time::{TimePoint, TimeSpan};
@@ -18,8 +18,8 @@
 pub struct WatchOptions {
     /// The number of nodes that watch; with three, two may fail at the same time without a gap.
     pub watchers: usize,
-    /// The age of the latest known answer of the store after which a node watches by itself. It covers the
-    /// longest wait of a watch and the propagation of its result, with a reserve.
+    /// The age of the latest known answer of the store after which a node watches by itself. It
+    /// covers the longest wait of a watch and the propagation of its result, with a reserve.
     pub stale_after: TimeSpan,
     /// How long a node's report that it can't reach the store keeps it from being chosen.
     #[serde(rename = "lost_for")]
@@ -114,8 +114,8 @@
 /// Returns `true` if the node is among the first `count` in the order.
 #[must_use]
 pub fn is_among_first(own: &NodeId, nodes: &[NodeId], count: usize) -> bool {
-    let own_place = order_of(own);
-    let before = nodes.iter().filter(|node| order_of(node) < own_place);
+    let own_order = order_of(own);
+    let before = nodes.iter().filter(|node| order_of(node) < own_order);
     before.count() < count
 }
 
--- a/alderhaven-policy/src/subset.rs
+++ b/alderhaven-policy/src/subset.rs
@@ -1,8 +1,9 @@
 //! Assignment of relays to targets (subsetting).
 //!
-//! A target accepts only a few connections, far fewer than there are relays. Rendezvous hashing gives each
-//! target a short list of candidate relays that changes only if one of them joins or leaves. Of these
-//! candidates it takes relays in different failure domains first, and then relays below their load cap.
+//! A target accepts only a few connections, far fewer than there are relays. Rendezvous hashing
+//! gives each target a short list of candidate relays that changes only if one of them joins or
+//! leaves. Of these candidates it takes relays in different failure domains first, and then relays
+//! below their load cap.
 //!
 //! Connections stay within a target's limit while the nodes' views differ: every view takes relays only
 //! from the first `2 * replicas` candidates, and each relay opens at most
@@ -78,7 +79,7 @@
         relays: &[RelayCandidate],
         options: &SubsetOptions,
     ) -> Self {
-        let mut ranking = RelayLoads::new(relays, targets.len(), options);
+        let mut loads = RelayLoads::new(relays, targets.len(), options);
         // The order is the same on every node, so that equal views give equal assignments.
         let ordered: BTreeMap<&TargetId, &SubsetTarget> = targets
             .iter()
@@ -86,7 +87,7 @@
             .collect();
         let choices = ordered
             .into_values()
-            .map(|target| (target.target.clone(), ranking.choose(target)))
+            .map(|target| (target.target.clone(), loads.choose(target)))
             .collect();
         Self { choices }
     }
@@ -99,7 +100,8 @@
             .map_or(&[], |choice| choice.relays.as_slice())
     }
 
-    /// Returns the targets that a relay connects to, with the relay's rank at each; rank 0 is the primary.
+    /// Returns the targets that a relay connects to, with the relay's rank at each; rank 0 is the
+    /// primary.
     pub fn targets_of<'a>(
         &'a self,
         relay: &'a NodeId,
@@ -110,8 +112,8 @@
         })
     }
 
-    /// Returns the number of connections that a relay may open to a target. It is zero unless the relay is
-    /// a candidate, even if another node's view sends it work for the target.
+    /// Returns the number of connections that a relay may open to a target. It is zero unless the
+    /// relay is a candidate, even if another node's view sends it work for the target.
     #[must_use]
     pub fn connection_share_of(&self, target: &TargetId, relay: &NodeId) -> u32 {
         self.choices
@@ -138,7 +140,7 @@
 
 impl<'a> RelayLoads<'a> {
     fn new(relays: &'a [RelayCandidate], targets: usize, options: &SubsetOptions) -> Self {
-        let rank = |candidate: &'a RelayCandidate| RelayLoad {
+        let load = |candidate: &'a RelayCandidate| RelayLoad {
             candidate,
             hash: hashing::hash_name(candidate.node.as_str()),
             primary_count: 0,
@@ -146,7 +148,7 @@
         };
         let replicas = options.replicas.max(1);
         Self {
-            relays: relays.iter().map(rank).collect(),
+            relays: relays.iter().map(load).collect(),
             replicas,
             primary_cap: load_cap(targets, relays.len(), options.load_factor),
             target_cap: load_cap(targets * replicas, relays.len(), options.load_factor),
@@ -177,17 +179,17 @@
         let mut best: SmallVec<[(u64, usize); 9]> = SmallVec::new();
         for (index, relay) in self.relays.iter().enumerate() {
             let score = hashing::mix_hashes(target_hash, relay.hash);
-            let place = best.partition_point(|(other, _)| *other > score);
-            if place < count {
-                best.insert(place, (score, index));
+            let position = best.partition_point(|(other, _)| *other > score);
+            if position < count {
+                best.insert(position, (score, index));
                 best.truncate(count);
             }
         }
         best.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// Returns the best candidate not yet chosen: in a new failure domain, then below its load cap, then
-    /// first in rendezvous order.
+    /// Returns the best candidate not yet chosen: in a new failure domain, then below its load cap,
+    /// then first in rendezvous order.
     fn best_candidate(&self, candidates: &[usize], chosen: &[usize]) -> usize {
         let cost = |index: usize| {
             let relay = &self.relays[index];
--- a/alderhaven-policy/src/target_stats.rs
+++ b/alderhaven-policy/src/target_stats.rs
@@ -20,8 +20,8 @@
 
 /// Load and health counters of one target.
 ///
-/// The fields are read one by one while other threads write, so that a decision may mix values of slightly
-/// different times. No invariant depends on their consistency.
+/// The fields are read one by one while other threads write, so that a decision may mix values of
+/// slightly different times. No invariant depends on their consistency.
 #[derive(Debug, Default)]
 pub struct TargetStats {
     outstanding: AtomicU32,
@@ -56,7 +56,8 @@
         self.outstanding.load(Ordering::Relaxed)
     }
 
-    /// Adds a service time as a sample of slowness; `expected` is the service time expected of any target.
+    /// Adds a service time as a sample of slowness; `expected` is the service time expected of any
+    /// target.
     pub fn record_service_time(&self, service: TimeSpan, expected: TimeSpan, now: TimePoint) {
         if expected == TimeSpan::ZERO {
             return;
--- a/alderhaven-policy/src/warmup_limit.rs
+++ b/alderhaven-policy/src/warmup_limit.rs
@@ -1,10 +1,10 @@
 //! Limit on the requests that a node sends to a target that is warming up.
 //!
-//! A cold target tolerates a few requests per second and may crash above that, so the nodes must not all
-//! send it their usual share. The nodes on large hosts are ranked for each target by a hash that all of
-//! them compute alike, and the first two send to it, half of the tolerated rate each. The other nodes use
-//! warm replicas. At most half of the bound is used, so that two parts of a group with different views
-//! of who is alive keep it together.
+//! A cold target tolerates a few requests per second and may crash above that, so the nodes must
+//! not all send it their usual share. The nodes on large hosts are ranked for each target by a hash
+//! that all of them compute alike, and the first two send to it, half of the tolerated rate each.
+//! The other nodes use warm replicas. At most half of the bound is used, so that two parts of a
+//! group with different views of who is alive keep it together.
 
 use std::collections::VecDeque;
 
@@ -52,7 +52,8 @@
     total / senders + usize::from(rank < total % senders)
 }
 
-/// Returns the rank of a node among those that may send to the target, or `None` if it is not one of them.
+/// Returns the rank of a node among those that may send to the target, or `None` if it is not one
+/// of them.
 fn rank_of(own: &NodeId, nodes: &[NodeId], target: &str) -> Option<usize> {
     let target_hash = hashing::hash_name(target);
     let order = |node: &NodeId| hashing::mix_hashes(target_hash, hashing::hash_name(node.as_str()));
@@ -69,8 +70,8 @@
 }
 
 impl WarmupLimit {
-    /// Sets the number of requests that may be sent in any second while the target is cold; `None` means no
-    /// limit.
+    /// Sets the number of requests that may be sent in any second while the target is cold; `None`
+    /// means no limit.
     pub const fn set_allowance(&mut self, allowance: Option<usize>) {
         self.allowance = allowance;
     }
--- a/alderhaven-policy/tests/claim_ledger/ledger_simulation.rs
+++ b/alderhaven-policy/tests/claim_ledger/ledger_simulation.rs
@@ -1,5 +1,6 @@
-//! Simulation of several entries, one store, and a network between them that loses, delays, duplicates and
-//! reorders messages. It records which requests ran and asserts the ledger's guarantees.
+//! Simulation of several entries, one store, and a network between them that loses, delays,
+//! duplicates and reorders messages. It records which requests ran and asserts the ledger's
+//! guarantees.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/alderhaven-policy/tests/claim_ledger/main.rs
+++ b/alderhaven-policy/tests/claim_ledger/main.rs
@@ -53,8 +53,9 @@
 proptest! {
     #![proptest_config(fuzz_config())]
 
-    /// Runs the ledger under lost, late, duplicated and reordered calls, crashes and store outages. A key
-    /// runs at most once, a refused request does not run, and afterwards every free key can be claimed.
+    /// Runs the ledger under lost, late, duplicated and reordered calls, crashes and store outages.
+    /// A key runs at most once, a refused request does not run, and afterwards every free key can
+    /// be claimed.
     #[test]
     fn ledger_any_order_of_events(ops in prop::collection::vec(ledger_op(), 0..160)) {
         let mut simulation = LedgerSimulation::new();
--- a/alderhaven-policy/tests/claim_ledger/scenarios.rs
+++ b/alderhaven-policy/tests/claim_ledger/scenarios.rs
@@ -35,8 +35,8 @@
     simulation.recover_and_check();
 }
 
-/// Guards against a write that takes effect after its entry has refused the claim and read the bucket: the
-/// key would stay claimed, and a resend could never learn whether the request ran.
+/// Guards against a write that takes effect after its entry has refused the claim and read the
+/// bucket: the key would stay claimed, and a resend could never learn whether the request ran.
 #[test]
 fn ledger_write_takes_effect_after_the_read() {
     let mut simulation = LedgerSimulation::new();
@@ -69,7 +69,8 @@
     simulation.recover_and_check();
 }
 
-/// Guards against refusing, as not run, a resend of a request that ran before the store went out of service.
+/// Guards against refusing, as not run, a resend of a request that ran before the store went out of
+/// service.
 #[test]
 fn ledger_outage_does_not_refuse_a_claim_that_was_seen() {
     let mut simulation = LedgerSimulation::new();
--- a/alderhaven-policy/tests/connection_health.rs
+++ b/alderhaven-policy/tests/connection_health.rs
@@ -70,8 +70,8 @@
     assert!(!health().is_silent(&attempt));
 }
 
-/// Guards against waiting on a connection that was lost while idle, or that attempts sent later on other
-/// connections have overtaken.
+/// Guards against waiting on a connection that was lost while idle, or that attempts sent later on
+/// other connections have overtaken.
 #[test]
 fn health_overtaken_or_idle_connection_is_silent() {
     let overtaken = SilentAttempt {
--- a/alderhaven-policy/tests/drain.rs
+++ b/alderhaven-policy/tests/drain.rs
@@ -47,8 +47,8 @@
 
 #[test]
 fn handle_serves_for_the_directory_lifetime() {
-    // Other nodes name the process for up to 3 s more, and callers keep that answer for 10 s: until then
-    // they must not find the process closed.
+    // Other nodes name the process for up to 3 s more, and callers keep that answer for 10 s: until
+    // then they must not find the process closed.
     let sequence = sequence_after(&[stop_requested(100, 0), ticked(112, 0)]);
     assert_eq!(sequence.state(), Leaving);
     assert!(sequence.takes_requests());
--- a/alderhaven-policy/tests/front_decisions.rs
+++ b/alderhaven-policy/tests/front_decisions.rs
@@ -1,5 +1,5 @@
-//! Tests of small decisions of a front: weighted splits, callers' waits, late deliveries, and the fronts
-//! that a caller is told to connect to.
+//! Tests of small decisions of a front: weighted splits, callers' waits, late deliveries, and the
+//! fronts that a caller is told to connect to.
 
 use std::net::SocketAddr;
 
@@ -30,7 +30,8 @@
 }
 
 proptest! {
-    /// After any number of requests each service has its share, within one request per part of the split.
+    /// After any number of requests each service has its share, within one request per part of the
+    /// split.
     #[test]
     fn split_keeps_its_weights(weights in prop::collection::vec(1u32..50, 1..5), requests in 1u32..500) {
         let weights: Vec<f64> = weights.into_iter().map(f64::from).collect();
@@ -133,8 +134,8 @@
     );
 }
 
-/// Guards against naming a front that restarts under load, which has no configuration yet and makes callers
-/// wait or refuses them.
+/// Guards against naming a front that restarts under load, which has no configuration yet and makes
+/// callers wait or refuses them.
 #[test]
 fn choose_passes_over_a_front_that_starts() {
     let options = FrontChoiceOptions::default();
--- a/alderhaven-policy/tests/group_share.rs
+++ b/alderhaven-policy/tests/group_share.rs
@@ -18,7 +18,8 @@
     share
 }
 
-/// Guards against repeats that go unused on small hosts while large ones, which carry the load, run out.
+/// Guards against repeats that go unused on small hosts while large ones, which carry the load, run
+/// out.
 #[test]
 fn repeat_share_follows_the_load() {
     let fleet = fleet();
--- a/alderhaven-policy/tests/group_start.rs
+++ b/alderhaven-policy/tests/group_start.rs
@@ -8,7 +8,8 @@
 /// The number of nodes in a group that starts for the first time.
 const NODES: usize = 76;
 
-/// Returns the view of a node that knows peers; `is_among_first` says whether it comes first in the order.
+/// Returns the view of a node that knows peers; `is_among_first` says whether it comes first in the
+/// order.
 const fn knowing_peers(is_first: bool, has_failed: bool) -> StartView {
     StartView {
         knows_peers: true,
@@ -76,7 +77,8 @@
     assert_eq!(calls(true, 0.9), 41, "a first node retries every 100 ms");
 }
 
-/// Guards against every node of a restarting group listing the whole store because it knows no peer yet.
+/// Guards against every node of a restarting group listing the whole store because it knows no peer
+/// yet.
 #[test]
 fn peer_wait_lets_few_of_a_restarting_group_list_the_store() {
     let peer_answer_time = TimeSpan::from_millis(150);
--- a/alderhaven-policy/tests/leaving_targets.rs
+++ b/alderhaven-policy/tests/leaving_targets.rs
@@ -14,8 +14,8 @@
     TimePoint::START + TimeSpan::from_secs(count)
 }
 
-/// Guards against a host list that lags behind a target's own reply: the node would send new work that is
-/// lost when the target stops.
+/// Guards against a host list that lags behind a target's own reply: the node would send new work
+/// that is lost when the target stops.
 #[test]
 fn leaving_reply_outlives_lagging_list() {
     let target: TargetId = "desk-0-0".parse().expect("a name");
--- a/alderhaven-policy/tests/quarantine.rs
+++ b/alderhaven-policy/tests/quarantine.rs
@@ -41,7 +41,8 @@
     quarantine.refused_for(&request(name), now).is_some()
 }
 
-/// Guards against refusing a harmless request that was in flight beside the one that crashed the target.
+/// Guards against refusing a harmless request that was in flight beside the one that crashed the
+/// target.
 #[test]
 fn quarantine_innocent_request_is_not_refused() {
     let mut quarantine = quarantine();
@@ -56,7 +57,8 @@
     assert!(!is_refused(&quarantine, "harmless", at(4)));
 }
 
-/// Guards against refusing a popular request that is in flight, among others, whenever a target crashes.
+/// Guards against refusing a popular request that is in flight, among others, whenever a target
+/// crashes.
 #[test]
 fn quarantine_shared_strikes_never_refuse() {
     let mut quarantine = quarantine();
@@ -95,7 +97,8 @@
     assert!(is_refused(&quarantine, "search", at(90)));
 }
 
-/// Guards against refusing a query over several shards because one host with replicas of two of them died.
+/// Guards against refusing a query over several shards because one host with replicas of two of
+/// them died.
 #[test]
 fn quarantine_lost_host_is_one_target() {
     let mut quarantine = quarantine();
@@ -149,7 +152,8 @@
 proptest! {
     #![proptest_config(proptest_config(64))]
 
-    /// Strikes that are merged in any split, order and repetition lead all processes to the same decision.
+    /// Strikes that are merged in any split, order and repetition lead all processes to the same
+    /// decision.
     #[test]
     fn quarantine_merge_is_order_independent(
         drawn in collection::vec((0..6_u32, 0..4_usize, 0..4_usize, 0..60_000_u64), 1..12),
@@ -175,7 +179,8 @@
         }
     }
 
-    /// A request that was never alone at a crashed target, or crashed fewer than two targets, is not refused.
+    /// A request that was never alone at a crashed target, or crashed fewer than two targets, is
+    /// not refused.
     #[test]
     fn quarantine_refuses_only_with_evidence(
         drawn in collection::vec((0..6_u32, 0..4_usize, 0..4_usize, 0..60_000_u64), 1..12),
--- a/alderhaven-policy/tests/replica_choice.rs
+++ b/alderhaven-policy/tests/replica_choice.rs
@@ -36,8 +36,8 @@
     (0..count).map(TargetIndex).collect()
 }
 
-/// Simulates attempts at `targets` replicas with 2 slots each, of which the first is `factor` times slower,
-/// and returns the durations of the attempts.
+/// Simulates attempts at `targets` replicas with 2 slots each, of which the first is `factor` times
+/// slower, and returns the durations of the attempts.
 fn simulate(policy: PolicyKind, targets: u32, factor: f64, rate: f64) -> Vec<TimeSpan> {
     let (table, chooser) = (table(targets as usize), chooser(policy));
     let replicas = indexes(targets);
@@ -255,8 +255,8 @@
 proptest! {
     #![proptest_config(proptest_config(256))]
 
-    /// A replica is chosen exactly if there is one that is neither draining nor tried. A suspect replica is
-    /// chosen only if most replicas are suspect or no other is left.
+    /// A replica is chosen exactly if there is one that is neither draining nor tried. A suspect
+    /// replica is chosen only if most replicas are suspect or no other is left.
     #[test]
     fn choice_is_a_replica_that_may_be_used(
         states in collection::vec((any::<bool>(), any::<bool>(), any::<bool>()), 1..7),
--- a/alderhaven-policy/tests/replica_stats.rs
+++ b/alderhaven-policy/tests/replica_stats.rs
@@ -26,7 +26,8 @@
     now
 }
 
-/// Guards against staying with a replica that is slow for some seconds, and against not returning to it.
+/// Guards against staying with a replica that is slow for some seconds, and against not returning
+/// to it.
 #[test]
 fn slow_replica_is_avoided_and_tried_again() {
     let mut stats = ReplicaStats::default();
@@ -49,8 +50,8 @@
     assert!(!stats.is_stuck(TYPICAL_LATENCY, at(201)));
 }
 
-/// Guards against preferring a replica that refuses many requests, and against excluding it: some answers
-/// are better than none.
+/// Guards against preferring a replica that refuses many requests, and against excluding it: some
+/// answers are better than none.
 #[test]
 fn refusing_replica_is_second_choice_but_never_ejected() {
     let mut stats = ReplicaStats::default();
@@ -94,8 +95,8 @@
     assert_eq!(stats.in_flight(), 0);
 }
 
-/// Guards against replicas that refuse most requests using up a node's share of the repeats because they are
-/// faster than the others.
+/// Guards against replicas that refuse most requests using up a node's share of the repeats because
+/// they are faster than the others.
 #[test]
 fn refusing_replica_leaves_repeats_to_others() {
     const REPEATS: usize = 24;
--- a/alderhaven-policy/tests/subset.rs
+++ b/alderhaven-policy/tests/subset.rs
@@ -71,8 +71,8 @@
 
 #[test]
 fn choose_keeps_most_assignments_when_a_relay_leaves() {
-    // Targets that the removed relay was not assigned to must keep their relays; otherwise every restart
-    // would open new connections everywhere.
+    // Targets that the removed relay was not assigned to must keep their relays; otherwise every
+    // restart would open new connections everywhere.
     let all = relays(40, 7);
     let targets = targets(470, 25);
     let before = choose(&targets, &all);
