--- a/alderhaven-policy/src/claim_bucket.rs
+++ b/alderhaven-policy/src/claim_bucket.rs
@@ -106,7 +106,7 @@
 
     /// Compares a claim with the bucket, without changing it.
     #[must_use]
-    pub fn check_claim(
+    pub fn check(
         &self,
         key: &ClaimKey,
         fingerprint: ClaimFingerprint,
@@ -148,7 +148,7 @@
             origin: writer.origin,
             sequence,
         };
-        let verdict = self.check_claim(&key, fingerprint, id);
+        let verdict = self.check(&key, fingerprint, id);
         if verdict == BucketVerdict::Free {
             self.advance(claim_slot::slice_of(&key));
             let position = self.writer_position(writer);
--- a/alderhaven-policy/src/claim_queue.rs
+++ b/alderhaven-policy/src/claim_queue.rs
@@ -201,10 +201,10 @@
         retry_after: TimeSpan,
     ) -> (ClaimTicket, ClaimVerdict) {
         let ticket = claim.ticket;
-        let bucket_verdict = self.seen.as_ref().map(|seen| {
-            seen.bucket
-                .check_claim(&ticket.key, claim.fingerprint, ticket.id)
-        });
+        let bucket_verdict = self
+            .seen
+            .as_ref()
+            .map(|seen| seen.bucket.check(&ticket.key, claim.fingerprint, ticket.id));
         let verdict = match bucket_verdict {
             Some(BucketVerdict::Taken(holder)) => ClaimVerdict::Taken(holder),
             _ => ClaimVerdict::Refused {
@@ -461,9 +461,7 @@
         let mut waiting = Vec::new();
         for claim in mem::take(&mut self.waiting) {
             let ticket = claim.ticket;
-            let verdict = seen
-                .bucket
-                .check_claim(&ticket.key, claim.fingerprint, ticket.id);
+            let verdict = seen.bucket.check(&ticket.key, claim.fingerprint, ticket.id);
             // The holder may have released its claim since, so only a bucket that was requested
             // after the offer proves that the key is taken.
             let is_fresh = seen.shown_by_call > claim.offered_after_call;
