--- a/alderhaven-policy/src/drain_lifecycle.rs
+++ b/alderhaven-policy/src/drain_lifecycle.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns how long the process serves after the announcement: other nodes name it until they
-    /// hear that it leaves, and callers keep such an answer for `address_life`.
+    /// hear that it leaves, and callers keep such an answer for `directory_lifetime`.
     fn served_for(&self) -> TimeSpan {
         self.options.leave_propagation_time + self.options.directory_lifetime
     }
--- a/alderhaven-policy/src/replica_choice.rs
+++ b/alderhaven-policy/src/replica_choice.rs
@@ -4,7 +4,7 @@
 //! so that nodes with the same information don't all pick the same replica. The expected time is
 //! the wait that a relay reported, less the time since, plus the expected service time multiplied
 //! by the target's slowness and its attempts in flight per slot. A target in another failure domain
-//! costs [`ReplicaOptions::far_penalty`] more.
+//! costs [`ReplicaOptions::cross_domain_penalty`] more.
 //!
 //! Targets that fail several times in a row are ejected for a growing time, and targets whose
 //! connections are suspect are left out. If that affects more than half of a shard's replicas, all but
--- a/alderhaven-policy/tests/group_start.rs
+++ b/alderhaven-policy/tests/group_start.rs
@@ -10,11 +10,11 @@
 
 /// Returns the view of a node that knows peers; `is_among_first` says whether it comes first in the
 /// order.
-const fn knowing_peers(is_first: bool, has_failed: bool) -> StartView {
+const fn knowing_peers(is_among_first: bool, has_peer_lost_store: bool) -> StartView {
     StartView {
         knows_peers: true,
-        is_among_first: is_first,
-        has_peer_lost_store: has_failed,
+        is_among_first,
+        has_peer_lost_store,
     }
 }
 
