--- a/alderhaven-policy/src/admission.rs
+++ b/alderhaven-policy/src/admission.rs
@@ -119,9 +119,9 @@
             quota.set_entries(self.entries, now);
         }
         let entries = self.entries;
-        for lane in self.services.values_mut() {
-            let size = lane.capacity.size();
-            lane.capacity.set_size(ServiceSize { entries, ..size });
+        for admission in self.services.values_mut() {
+            let size = admission.capacity.size();
+            admission.capacity.set_size(ServiceSize { entries, ..size });
         }
     }
 
@@ -156,7 +156,7 @@
         }
         let weight = quota.weight();
         let service = request.service.clone();
-        let lane = self.services.entry(service.clone()).or_insert_with(|| {
+        let admission = self.services.entry(service.clone()).or_insert_with(|| {
             let size = ServiceSize {
                 shards: request.fan_out,
                 slots: request.fan_out,
@@ -165,24 +165,25 @@
             ServiceAdmission::new(self.options.capacity.clone(), size)
         });
         if self.policy == PolicyKind::Baseline {
-            return AdmitDecision::Admit(lane.admit(request, weight, TimeSpan::ZERO, now));
+            return AdmitDecision::Admit(admission.admit(request, weight, TimeSpan::ZERO, now));
         }
-        lane.offered_cost
+        admission
+            .offered_cost
             .add(&request.class, 1, f64::from(request.fan_out), now);
-        let estimate = lane.estimate(&request, weight, now);
-        let verdict = self.options.check_estimate(&request, estimate, now);
-        let may_start = lane.may_start(&request, weight, now);
-        if may_start && (verdict.is_ok() || lane.capacity.in_flight() == 0) {
-            lane.record_admitted(&request, weight, now);
-            let longest_lag = self.options.max_order_penalty;
-            return AdmitDecision::Admit(lane.admit(request, weight, longest_lag, now));
+        let estimate = admission.estimate(&request, weight, now);
+        let wait_check = self.options.check_estimate(&request, estimate, now);
+        let may_start = admission.may_start(&request, weight, now);
+        if may_start && (wait_check.is_ok() || admission.capacity.in_flight() == 0) {
+            admission.record_admitted(&request, weight, now);
+            let max_penalty = self.options.max_order_penalty;
+            return AdmitDecision::Admit(admission.admit(request, weight, max_penalty, now));
         }
-        let verdict = if lane.queue.len() >= self.options.max_waiting {
+        let wait_check = if admission.queue.len() >= self.options.max_waiting {
             Err(RefusalReason::Overloaded)
         } else {
-            verdict
+            wait_check
         };
-        if let Err(reason) = verdict {
+        if let Err(reason) = wait_check {
             if let Some(quota) = self.quotas.get_mut(&request.team) {
                 quota.release_refused();
             }
@@ -193,8 +194,8 @@
             }));
         }
         let query = self.options.waiting_query(&request, weight, estimate, now);
-        lane.queue.push(query);
-        lane.waiting_requests.insert(request.id, request);
+        admission.queue.push(query);
+        admission.waiting_requests.insert(request.id, request);
         AdmitDecision::Queue
     }
 
@@ -205,13 +206,13 @@
         if let Some(refused) = self.refused.pop() {
             return Some(refused);
         }
-        for lane in self.services.values_mut() {
-            if let Some((request, class)) = lane.pop(now) {
+        for admission in self.services.values_mut() {
+            if let Some((request, class)) = admission.pop(now) {
                 let weight = self.quotas.get(&request.team).map_or(1, TeamQuota::weight);
-                let longest_lag = self.options.max_order_penalty;
+                let max_penalty = self.options.max_order_penalty;
                 let ticket = AdmitTicket {
                     class,
-                    ..lane.admit(request, weight, longest_lag, now)
+                    ..admission.admit(request, weight, max_penalty, now)
                 };
                 return Some(ReadyQuery::Admit(ticket));
             }
@@ -224,7 +225,7 @@
     pub fn next_expiry(&self) -> Option<TimePoint> {
         self.services
             .values()
-            .filter_map(|lane| lane.queue.next_expiry())
+            .filter_map(|admission| admission.queue.next_expiry())
             .min()
     }
 
@@ -235,8 +236,8 @@
             return;
         }
         ticket.replied += 1;
-        if let Some(lane) = self.services.get_mut(&ticket.request.service) {
-            lane.capacity.record_replies(1);
+        if let Some(admission) = self.services.get_mut(&ticket.request.service) {
+            admission.capacity.record_replies(1);
         }
     }
 
@@ -246,20 +247,20 @@
         if let Some(quota) = self.quotas.get_mut(&request.team) {
             quota.release();
         }
-        if let Some(lane) = self.services.get_mut(&request.service) {
-            lane.record_finished(ticket, report, now);
+        if let Some(admission) = self.services.get_mut(&request.service) {
+            admission.record_finished(ticket, report, now);
         }
     }
 
     /// Takes out a waiting query whose caller has gone; returns false where it does not wait.
     pub fn cancel(&mut self, service: &ServiceName, id: u64) -> bool {
-        let Some(lane) = self.services.get_mut(service) else {
+        let Some(admission) = self.services.get_mut(service) else {
             return false;
         };
-        let Some(query) = lane.queue.cancel(id) else {
+        let Some(query) = admission.queue.cancel(id) else {
             return false;
         };
-        lane.waiting_requests.remove(&id);
+        admission.waiting_requests.remove(&id);
         if let Some(quota) = self.quotas.get_mut(&query.team) {
             quota.release();
         }
@@ -269,19 +270,19 @@
     /// Gets the load of a service as the gate sees it.
     #[must_use]
     pub fn service_load(&self, service: &ServiceName) -> Option<ServiceLoad> {
-        let lane = self.services.get(service)?;
+        let admission = self.services.get(service)?;
         Some(ServiceLoad {
-            limit: lane.capacity.limit(),
-            in_flight: lane.capacity.in_flight(),
-            waiting: lane.queue.len(),
+            limit: admission.capacity.limit(),
+            in_flight: admission.capacity.in_flight(),
+            waiting: admission.queue.len(),
         })
     }
 
     fn refuse_expired(&mut self, now: TimePoint) {
         let mut expired = Vec::new();
-        for lane in self.services.values_mut() {
-            for query in lane.queue.take_expired(now) {
-                lane.waiting_requests.remove(&query.id);
+        for admission in self.services.values_mut() {
+            for query in admission.queue.take_expired(now) {
+                admission.waiting_requests.remove(&query.id);
                 expired.push(query);
             }
         }
@@ -320,11 +321,11 @@
     ) -> WaitingQuery {
         // Some times the wait that was accepted: a query that others hold back for longer than was
         // estimated is told so while it can still go elsewhere.
-        let longest = now
+        let timeout = now
             .until(request.deadline)
             .mul_f64(self.queue_timeout_share)
             .min(self.max_wait.mul_f64(2.0));
-        let give_up_at = (now + longest).min(request.deadline - estimate.latency);
+        let expires_at = (now + timeout).min(request.deadline - estimate.latency);
         WaitingQuery {
             id: request.id,
             class: request.class,
@@ -333,7 +334,7 @@
             key: request.key,
             cost: request.fan_out,
             arrived_at: now,
-            expires_at: give_up_at.max(now),
+            expires_at: expires_at.max(now),
         }
     }
 
--- a/alderhaven-policy/src/answer_time.rs
+++ b/alderhaven-policy/src/answer_time.rs
@@ -57,10 +57,10 @@
 
 /// Gets the part of a latency target that a query may use where the answer needs `reserve` of it.
 #[must_use]
-pub fn usable_time(target: TimeSpan, reserve: TimeSpan) -> TimeSpan {
-    target
+pub fn usable_time(latency_target: TimeSpan, reserve: TimeSpan) -> TimeSpan {
+    latency_target
         .saturating_sub(reserve)
-        .max(target.mul_f64(MIN_USABLE_SHARE))
+        .max(latency_target.mul_f64(MIN_USABLE_SHARE))
 }
 
 impl AnswerTime {
@@ -69,12 +69,17 @@
     /// `target` is the latency target, `reserve` the part of it that the answer needs on its way,
     /// and `limit` the longest that the caller waits.
     #[must_use]
-    pub fn new(arrived: TimePoint, target: TimeSpan, reserve: TimeSpan, limit: TimeSpan) -> Self {
-        let ends_at = arrived + limit;
-        let usable = usable_time(target, reserve);
+    pub fn new(
+        arrived_at: TimePoint,
+        latency_target: TimeSpan,
+        reserve: TimeSpan,
+        timeout: TimeSpan,
+    ) -> Self {
+        let deadline = arrived_at + timeout;
+        let usable_time = usable_time(latency_target, reserve);
         Self {
-            partial_at: (arrived + usable).min(ends_at),
-            deadline: ends_at,
+            partial_at: (arrived_at + usable_time).min(deadline),
+            deadline,
         }
     }
 
--- a/alderhaven-policy/src/caller_delay.rs
+++ b/alderhaven-policy/src/caller_delay.rs
@@ -26,8 +26,8 @@
     /// A wait of more than `target` is taken for another patience or for a late attempt: its answer
     /// can't be in time, so that it is not hurried.
     #[must_use]
-    pub fn consumed_time(self, target: TimeSpan) -> TimeSpan {
-        if self.0 > target {
+    pub fn consumed_time(self, latency_target: TimeSpan) -> TimeSpan {
+        if self.0 > latency_target {
             return TimeSpan::ZERO;
         }
         self.0
@@ -35,8 +35,8 @@
 
     /// Returns true where the answer will be late under load, whatever is done.
     #[must_use]
-    pub fn is_late(self, target: TimeSpan) -> bool {
-        self.0 > target.mul_f64(LATE_DELAY_SHARE)
+    pub fn is_late(self, latency_target: TimeSpan) -> bool {
+        self.0 > latency_target.mul_f64(LATE_DELAY_SHARE)
     }
 }
 
@@ -51,16 +51,16 @@
 impl CallerDelayEstimator {
     /// Notes the time that a caller has left, and gets how long it has waited already.
     pub fn record_time_left(&mut self, time_left: TimeSpan, now: TimePoint) -> CallerDelay {
-        let turn = now.as_micros() / ESTIMATE_WINDOW.as_micros();
-        if turn != self.window_number {
-            let is_next = turn == self.window_number + 1;
+        let window_number = now.as_micros() / ESTIMATE_WINDOW.as_micros();
+        if window_number != self.window_number {
+            let is_next = window_number == self.window_number + 1;
             self.longest_in_previous = if is_next {
                 self.longest_in_window
             } else {
                 TimeSpan::ZERO
             };
             self.longest_in_window = TimeSpan::ZERO;
-            self.window_number = turn;
+            self.window_number = window_number;
         }
         self.longest_in_window = self.longest_in_window.max(time_left);
         CallerDelay(
--- a/alderhaven-policy/src/concurrency_limit.rs
+++ b/alderhaven-policy/src/concurrency_limit.rs
@@ -81,20 +81,20 @@
     }
 
     /// Notes a query that ended while `in_flight` were in flight, itself included.
-    pub fn record_finished(&mut self, need: QuerySignal, in_flight: usize) {
-        let spare = match need {
-            QuerySignal::EnoughShards(part) => {
-                ((DESIRED_TIME_SHARE - part) / DESIRED_TIME_SHARE).clamp(-1.0, 1.0)
+    pub fn record_finished(&mut self, signal: QuerySignal, in_flight: usize) {
+        let adjustment = match signal {
+            QuerySignal::EnoughShards(time_share) => {
+                ((DESIRED_TIME_SHARE - time_share) / DESIRED_TIME_SHARE).clamp(-1.0, 1.0)
             }
             QuerySignal::TimedOut => -1.0,
             QuerySignal::Uninformative => return,
         };
         let is_used = in_flight as f64 >= MIN_USED_SHARE * self.limit;
         // Of a round of `limit` queries each moves it by its part.
-        let step = if spare < 0.0 {
-            spare * MAX_DECREASE_SHARE
+        let step = if adjustment < 0.0 {
+            adjustment * MAX_DECREASE_SHARE
         } else if is_used {
-            spare * MAX_INCREASE_QUERIES / self.limit
+            adjustment * MAX_INCREASE_QUERIES / self.limit
         } else {
             0.0
         };
--- a/alderhaven-policy/src/entry_answer.rs
+++ b/alderhaven-policy/src/entry_answer.rs
@@ -75,7 +75,7 @@
     #[must_use]
     pub fn choose(
         members: &[MemberView],
-        order: &[FailureDomain],
+        domains_by_distance: &[FailureDomain],
         options: &AnswerOptions,
         rng: &mut impl Rng,
     ) -> Self {
@@ -84,15 +84,17 @@
             entries = entries_in_state(members, MemberState::Suspect);
         }
         let distance = |entry: &EntryAddress| {
-            let place = order.iter().position(|domain| *domain == entry.domain);
-            place.unwrap_or(order.len())
+            let position = domains_by_distance
+                .iter()
+                .position(|domain| *domain == entry.domain);
+            position.unwrap_or(domains_by_distance.len())
         };
         let nearest = entries.iter().map(distance).min();
-        let (near, far): (Vec<_>, Vec<_>) = entries
+        let (nearest_entries, other_entries): (Vec<_>, Vec<_>) = entries
             .into_iter()
             .partition(|entry| Some(distance(entry)) == nearest);
-        let mut chosen = draw(near, options.max_in_own_domain, rng);
-        let mut fallbacks = draw(far, options.max_in_other_domains, rng);
+        let mut chosen = draw(nearest_entries, options.max_in_own_domain, rng);
+        let mut fallbacks = draw(other_entries, options.max_in_other_domains, rng);
         fallbacks.sort_by_key(distance);
         chosen.extend(fallbacks);
         Self {
@@ -103,11 +105,11 @@
 }
 
 fn entries_in_state(members: &[MemberView], state: MemberState) -> Vec<EntryAddress> {
-    let is_meant =
+    let is_match =
         |member: &&MemberView| member.record.role == MemberRole::Entry && member.state == state;
     members
         .iter()
-        .filter(is_meant)
+        .filter(is_match)
         .filter_map(|member| {
             Some(EntryAddress {
                 address: member.record.caller_address?,
@@ -132,12 +134,12 @@
     while drawn.len() < count && !entries.is_empty() {
         let total: u32 = entries.iter().map(|entry| entry.weight).sum();
         let mut point = rng.random_range(0..total);
-        let place = entries.iter().position(|entry| {
+        let index = entries.iter().position(|entry| {
             let is_hit = point < entry.weight;
             point = point.saturating_sub(entry.weight);
             is_hit
         });
-        drawn.push(entries.swap_remove(place.unwrap_or_default()));
+        drawn.push(entries.swap_remove(index.unwrap_or_default()));
     }
     drawn
 }
--- a/alderhaven-policy/src/fair_queue.rs
+++ b/alderhaven-policy/src/fair_queue.rs
@@ -235,17 +235,17 @@
         let Some(team) = self.classes[usize::from(class.rank())].teams.get(team) else {
             return 0;
         };
-        let own = team.keys.get(&key).map_or(0, |flow| flow.queued_cost);
+        let own_cost = team.keys.get(&key).map_or(0, |flow| flow.queued_cost);
         // The keys take turns: of each other key, as much goes first as waits of this one with the
         // new query.
-        let turns = own + u64::from(cost);
-        let others = team
+        let own_turns = own_cost + u64::from(cost);
+        let other_cost = team
             .keys
             .iter()
             .filter(|(other, _)| **other != key)
-            .map(|(_, flow)| flow.queued_cost.min(turns))
+            .map(|(_, flow)| flow.queued_cost.min(own_turns))
             .sum::<u64>();
-        own + others
+        own_cost + other_cost
     }
 
     /// Gets the number of waiting queries of a key within a team and class.
@@ -278,15 +278,15 @@
         now: TimePoint,
     ) -> f64 {
         let own_weight = f64::from(weight.max(1));
-        let own = self.usage_per_second(class, team, now) / own_weight;
-        let rivals = self.classes[usize::from(class.rank())]
+        let own_usage = self.usage_per_second(class, team, now) / own_weight;
+        let other_weight = self.classes[usize::from(class.rank())]
             .teams
             .iter()
             .filter(|(name, flow)| *name != team && flow.queued_cost > 0)
-            .filter(|(_, flow)| flow.weighted_usage(now) <= 2.0 * own)
+            .filter(|(_, flow)| flow.weighted_usage(now) <= 2.0 * own_usage)
             .map(|(_, flow)| f64::from(flow.weight))
             .sum::<f64>();
-        rivals + own_weight
+        other_weight + own_weight
     }
 
     /// Gets the number of waiting queries.
@@ -322,7 +322,7 @@
             .filter(|(_, team)| team.queued_cost > 0)
             .filter_map(|(name, team)| Some((name, team, team.first(now, may_run)?)))
             .map(|(name, team, first)| (team.weighted_usage(now), name, first))
-            .min_by(|one, other| one.0.total_cmp(&other.0))
+            .min_by(|left, right| left.0.total_cmp(&right.0))
             .map(|(_, name, (key, since))| (name.clone(), key, since))
     }
 
@@ -354,9 +354,9 @@
     fn evict_idle(&mut self, now: TimePoint) {
         for team in self.teams.values_mut() {
             if team.keys.len() > IDLE_FLOW_EVICTION_THRESHOLD {
-                let least = team.usage.per_second(now) * HOT_KEY_SHARE / 2.0;
+                let floor = team.usage.per_second(now) * HOT_KEY_SHARE / 2.0;
                 team.keys
-                    .retain(|_, flow| flow.queued_cost > 0 || flow.usage.per_second(now) > least);
+                    .retain(|_, flow| flow.queued_cost > 0 || flow.usage.per_second(now) > floor);
             }
         }
         if self.teams.len() > IDLE_FLOW_EVICTION_THRESHOLD {
@@ -398,16 +398,16 @@
         now: TimePoint,
         may_run: &impl Fn(&WaitingQuery) -> bool,
     ) -> Option<(u64, TimePoint)> {
-        let hot = self.usage.per_second(now) * HOT_KEY_SHARE;
+        let hot_threshold = self.usage.per_second(now) * HOT_KEY_SHARE;
         self.keys
             .iter()
             .filter_map(|(key, flow)| Some((*key, flow, flow.queries.front()?)))
             .filter(|(_, _, query)| may_run(query))
             .map(|(key, flow, query)| {
-                let excess = (flow.usage.per_second(now) - hot).max(0.0);
+                let excess = (flow.usage.per_second(now) - hot_threshold).max(0.0);
                 (excess, query.arrived_at, key)
             })
-            .min_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)))
+            .min_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)))
             .map(|(_, since, key)| (key, since))
     }
 }
--- a/alderhaven-policy/src/hedge_timing.rs
+++ b/alderhaven-policy/src/hedge_timing.rs
@@ -45,12 +45,17 @@
     /// Gets when an attempt that is sent now should be hedged.
     #[must_use]
     pub fn hedge_at(&self, now: TimePoint) -> TimePoint {
-        let left = self.answer_at.since(now);
-        let latest = left.saturating_sub(self.late_threshold.mul_f64(LATE_THRESHOLD_FACTOR));
-        let last = left
+        let remaining = self.answer_at.since(now);
+        let unhurried_delay =
+            remaining.saturating_sub(self.late_threshold.mul_f64(LATE_THRESHOLD_FACTOR));
+        let max_delay = remaining
             .saturating_sub(self.typical_latency.mul_f64(TYPICAL_LATENCY_FACTOR) + HEDGE_OVERHEAD);
-        let soonest = self.typical_latency.mul_f64(MIN_DELAY_FACTOR);
-        now + self.late_threshold.max(latest).min(last).max(soonest)
+        let min_delay = self.typical_latency.mul_f64(MIN_DELAY_FACTOR);
+        now + self
+            .late_threshold
+            .max(unhurried_delay)
+            .min(max_delay)
+            .max(min_delay)
     }
 
     /// Returns true where a hedge that is sent now to a replica that is expected to take so long can be
@@ -66,9 +71,13 @@
 /// Past the moment of the answer an attempt is one that the query still lacks: it may take all the time
 /// that is left.
 #[must_use]
-pub fn attempt_deadline(time: &AnswerTime, target: TimeSpan, now: TimePoint) -> TimePoint {
-    if now >= time.partial_at {
-        return time.deadline;
+pub fn attempt_deadline(
+    answer_time: &AnswerTime,
+    latency_target: TimeSpan,
+    now: TimePoint,
+) -> TimePoint {
+    if now >= answer_time.partial_at {
+        return answer_time.deadline;
     }
-    (time.partial_at + target.mul_f64(ATTEMPT_GRACE_SHARE)).min(time.deadline)
+    (answer_time.partial_at + latency_target.mul_f64(ATTEMPT_GRACE_SHARE)).min(answer_time.deadline)
 }
--- a/alderhaven-policy/src/hedging.rs
+++ b/alderhaven-policy/src/hedging.rs
@@ -108,23 +108,23 @@
 
     /// Notes first attempts that were sent: each adds its share to the budget.
     pub fn record_sent(&mut self, attempts: u32) {
-        let gained = f64::from(attempts) * self.options.budget;
-        self.tokens = (self.tokens + gained).min(self.options.burst);
+        let earned = f64::from(attempts) * self.options.budget;
+        self.tokens = (self.tokens + earned).min(self.options.burst);
         self.refused_share *=
             REFUSAL_DECAY_PER_ATTEMPT.powi(i32::try_from(attempts).unwrap_or(i32::MAX));
     }
 
     /// Adds the latency of an attempt from its sending to its reply, and its time at the target.
-    pub fn record_answer(&mut self, group: &HedgeGroup, latency: TimeSpan, service: TimeSpan) {
+    pub fn record_answer(&mut self, group: &HedgeGroup, latency: TimeSpan, service_time: TimeSpan) {
         if !self.groups.contains_key(group) {
             if self.groups.len() >= MAX_GROUPS {
                 self.groups.clear();
             }
             self.groups.insert(group.clone(), GroupLatency::default());
         }
-        if let Some(known) = self.groups.get_mut(group) {
-            known.window.add(latency);
-            known.service_time.add(service, MEAN_WINDOW);
+        if let Some(latencies) = self.groups.get_mut(group) {
+            latencies.window.add(latency);
+            latencies.service_time.add(service_time, MEAN_WINDOW);
         }
     }
 
--- a/alderhaven-policy/src/query_gate.rs
+++ b/alderhaven-policy/src/query_gate.rs
@@ -126,18 +126,18 @@
             self.admit(query.rank, now);
             return GateDecision::Admit;
         }
-        let longest = query.latency_target.mul_f64(MAX_WAIT_SHARE);
-        let newcomer = WaitingQuery {
+        let max_wait = query.latency_target.mul_f64(MAX_WAIT_SHARE);
+        let arrival = WaitingQuery {
             query,
             arrived_at: now,
         };
-        let place = self.queue_position(&newcomer, now);
-        if self.expected_wait(&query, place) > longest {
+        let position = self.queue_position(&arrival, now);
+        if self.expected_wait(&query, position) > max_wait {
             return GateDecision::Refuse(self.refusal(GateReason::NoRoom, now));
         }
-        self.waiting.insert(place, newcomer);
+        self.waiting.insert(position, arrival);
         GateDecision::Wait {
-            until: now + longest,
+            until: now + max_wait,
             outranked: self.displace_last(now),
         }
     }
@@ -145,7 +145,7 @@
     /// Gets the next waiting query that goes now; call it until there is none, after each end.
     pub fn next_ready(&mut self, now: TimePoint) -> Option<u64> {
         let first = (0..self.waiting.len())
-            .min_by_key(|place| self.order_key(&self.waiting[*place], now))?;
+            .min_by_key(|position| self.order_key(&self.waiting[*position], now))?;
         if !self.fits(&self.waiting[first].query) {
             return None;
         }
@@ -167,9 +167,9 @@
     }
 
     /// Notes the end of a query that stayed for `stay`.
-    pub fn record_finished(&mut self, stay: TimeSpan, need: QuerySignal) {
-        self.limit.record_finished(need, self.in_flight);
-        self.run_time.add(stay, RUN_TIME_WINDOW);
+    pub fn record_finished(&mut self, run_time: TimeSpan, signal: QuerySignal) {
+        self.limit.record_finished(signal, self.in_flight);
+        self.run_time.add(run_time, RUN_TIME_WINDOW);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
@@ -195,24 +195,24 @@
     }
 
     /// Gets the place of a newcomer among those that wait.
-    fn queue_position(&self, newcomer: &WaitingQuery, now: TimePoint) -> usize {
-        let order = self.order_key(newcomer, now);
+    fn queue_position(&self, arrival: &WaitingQuery, now: TimePoint) -> usize {
+        let arrival_key = self.order_key(arrival, now);
         let before = self.waiting.iter();
         before
-            .filter(|waiting| self.order_key(waiting, now) <= order)
+            .filter(|waiting| self.order_key(waiting, now) <= arrival_key)
             .count()
     }
 
     /// Takes out the last in line where its wait has become too long by a newcomer before it.
     fn displace_last(&mut self, now: TimePoint) -> Option<u64> {
-        let last_place = self.waiting.len() - 1;
-        let last = self.waiting[last_place];
-        let left = last
+        let last_position = self.waiting.len() - 1;
+        let last = self.waiting[last_position];
+        let remaining_wait = last
             .query
             .latency_target
             .mul_f64(MAX_WAIT_SHARE)
             .saturating_sub(now.since(last.arrived_at));
-        if last_place == 0 || self.expected_wait(&last.query, last_place) <= left {
+        if last_position == 0 || self.expected_wait(&last.query, last_position) <= remaining_wait {
             return None;
         }
         self.waiting.pop();
@@ -233,8 +233,8 @@
 
     /// Returns true where a rank is served less than its part of what the best rank is.
     fn is_underserved(&self, rank: u32, now: TimePoint) -> bool {
-        let best = self.ranks.iter().min_by_key(|known| known.rank);
-        let own = self.ranks.iter().find(|known| known.rank == rank);
+        let best = self.ranks.iter().min_by_key(|rates| rates.rank);
+        let own = self.ranks.iter().find(|rates| rates.rank == rank);
         match (best, own) {
             (Some(best), Some(own)) if best.rank != rank => {
                 own.served_share(now) < best.served_share(now) * MIN_SERVED_SHARE_RATIO
@@ -244,21 +244,21 @@
     }
 
     /// Estimates the wait of a query with `before` others before it, by Little's law.
-    fn expected_wait(&self, query: &GateQuery, before: usize) -> TimeSpan {
+    fn expected_wait(&self, query: &GateQuery, ahead: usize) -> TimeSpan {
         // Before the first query has ended it may take all its time.
-        let stay = self.run_time.get().unwrap_or(query.latency_target);
-        stay.mul_f64((before + 1) as f64 / self.limit.get())
+        let run_time = self.run_time.get().unwrap_or(query.latency_target);
+        run_time.mul_f64((ahead + 1) as f64 / self.limit.get())
     }
 
     fn refusal(&self, reason: GateReason, now: TimePoint) -> GateRefusal {
         let rate = |meter: fn(&RankRates) -> &RateMeter| -> f64 {
             self.ranks
                 .iter()
-                .map(|known| meter(known).per_second(now))
+                .map(|rates| meter(rates).per_second(now))
                 .sum()
         };
-        let offered = rate(|known| &known.offered);
-        let admitted = rate(|known| &known.admitted).max(1.0);
+        let offered = rate(|rates| &rates.offered);
+        let admitted = rate(|rates| &rates.admitted).max(1.0);
         let excess = (offered / admitted).max(1.0);
         GateRefusal {
             reason,
@@ -267,8 +267,8 @@
     }
 
     fn rank_rates(&mut self, rank: u32) -> &mut RankRates {
-        let place = self.ranks.iter().position(|known| known.rank == rank);
-        let place = place.unwrap_or_else(|| {
+        let index = self.ranks.iter().position(|rates| rates.rank == rank);
+        let index = index.unwrap_or_else(|| {
             self.ranks.push(RankRates {
                 rank,
                 offered: RateMeter::new(RANK_RATE_TIME_CONSTANT),
@@ -276,7 +276,7 @@
             });
             self.ranks.len() - 1
         });
-        &mut self.ranks[place]
+        &mut self.ranks[index]
     }
 }
 
--- a/alderhaven-policy/src/query_gather.rs
+++ b/alderhaven-policy/src/query_gather.rs
@@ -186,7 +186,7 @@
     /// Notes that an attempt at a replica begins.
     pub fn begin_attempt(&mut self, slot: usize, replica: usize, sequence: u64) {
         let attempts = &mut self.shards[slot].attempts;
-        let place = AttemptPosition {
+        let position = AttemptPosition {
             slot,
             index: attempts.len(),
         };
@@ -195,34 +195,36 @@
             replica,
             outcome: None,
         });
-        self.attempts.insert(sequence, place);
+        self.attempts.insert(sequence, position);
     }
 
     /// Takes what was heard of an attempt.
     pub fn accept(&mut self, sequence: u64, result: AttemptResult) -> GatherEvent {
-        let Some(place) = self.attempts.get(&sequence).copied() else {
+        let Some(position) = self.attempts.get(&sequence).copied() else {
             return GatherEvent::Ignored;
         };
-        if self.shards[place.slot].attempts[place.index]
+        if self.shards[position.slot].attempts[position.index]
             .outcome
             .is_some()
         {
             return GatherEvent::Ignored;
         }
-        let outcome = self.verify(place.slot, &result);
+        let outcome = self.verify(position.slot, &result);
         self.may_have_run |= !is_not_run(outcome);
-        let shard = &mut self.shards[place.slot];
-        shard.attempts[place.index].outcome = Some(outcome);
+        let shard = &mut self.shards[position.slot];
+        shard.attempts[position.index].outcome = Some(outcome);
         if !matches!(shard.state, ShardState::Open) {
             return GatherEvent::Ignored;
         }
         if outcome == AttemptOutcome::Answered {
             shard.state = ShardState::Answered(result.rows);
             self.open_shards -= 1;
-            return GatherEvent::ShardAnswered { slot: place.slot };
+            return GatherEvent::ShardAnswered {
+                slot: position.slot,
+            };
         }
         GatherEvent::AttemptEnded {
-            slot: place.slot,
+            slot: position.slot,
             outcome,
             others_in_flight: shard.attempts.iter().any(|other| other.outcome.is_none()),
         }
--- a/alderhaven-policy/src/relay_queue.rs
+++ b/alderhaven-policy/src/relay_queue.rs
@@ -176,11 +176,11 @@
     ///
     /// Jobs that the new one displaces are among [`Self::take_dropped`].
     pub fn offer(&mut self, job: QueueJob, now: TimePoint, slots: u32) -> OfferOutcome {
-        let expected = self.means.expected_service_time(&job.template);
-        if let Some(reason) = self.refusal_reason(&job, expected, now, slots) {
+        let expected_service_time = self.means.expected_service_time(&job.template);
+        if let Some(reason) = self.refusal_reason(&job, expected_service_time, now, slots) {
             return OfferOutcome::Refused(reason);
         }
-        self.insert(job, expected, now);
+        self.insert(job, expected_service_time, now);
         if self.policy == PolicyKind::Current {
             self.shed_displaced(now, slots);
         }
@@ -207,12 +207,17 @@
     }
 
     /// Frees the slot of a job; `service` is its time at the target where that was measured.
-    pub fn record_finished(&mut self, id: AttemptId, service: Option<TimeSpan>, now: TimePoint) {
+    pub fn record_finished(
+        &mut self,
+        id: AttemptId,
+        service_time: Option<TimeSpan>,
+        now: TimePoint,
+    ) {
         let Some(template) = self.running.remove(&id) else {
             return;
         };
-        if let Some(service) = service {
-            self.means.add(&template, service, now);
+        if let Some(service_time) = service_time {
+            self.means.add(&template, service_time, now);
         }
     }
 
@@ -226,8 +231,8 @@
 
     /// Drops the jobs that can no longer finish in time; they are among [`Self::take_dropped`].
     pub fn drop_expired(&mut self, now: TimePoint) {
-        while let Some((give_up_at, id)) = self.expiries.first().copied() {
-            if give_up_at > now {
+        while let Some((expires_at, id)) = self.expiries.first().copied() {
+            if expires_at > now {
                 return;
             }
             let Some((rank, key)) = self.positions.get(&id).copied() else {
@@ -236,10 +241,10 @@
             };
             let deadline = self.waiting[rank]
                 .get(&key)
-                .map_or(give_up_at, |job| job.job.deadline);
+                .map_or(expires_at, |job| job.job.deadline);
             // The mean may be out of date: while the target is idle, only the deadline itself counts.
             if self.running.is_empty() && now < deadline {
-                self.expiries.remove(&(give_up_at, id));
+                self.expiries.remove(&(expires_at, id));
                 self.expiries.insert((deadline, id));
                 if let Some(job) = self.waiting[rank].get_mut(&key) {
                     job.expires_at = deadline;
@@ -303,7 +308,7 @@
     fn refusal_reason(
         &self,
         job: &QueueJob,
-        expected: TimeSpan,
+        expected_service_time: TimeSpan,
         now: TimePoint,
         slots: u32,
     ) -> Option<NotRunReason> {
@@ -319,7 +324,7 @@
         }
         let remaining = now.until(job.deadline);
         let is_tried_anyway = self.running.is_empty() && is_free;
-        if remaining == TimeSpan::ZERO || (expected > remaining && !is_tried_anyway) {
+        if remaining == TimeSpan::ZERO || (expected_service_time > remaining && !is_tried_anyway) {
             return Some(NotRunReason::Expired);
         }
         let rank = self.class_rank(job.class);
@@ -333,7 +338,7 @@
         } else {
             self.wait_behind(rank, own_ahead, now, slots)
         };
-        let is_too_long = wait > self.options.max_wait || wait + expected > remaining;
+        let is_too_long = wait > self.options.max_wait || wait + expected_service_time > remaining;
         (is_too_long && !is_tried_anyway).then_some(NotRunReason::QueueFull)
     }
 
@@ -347,33 +352,32 @@
         slots: u32,
     ) -> TimeSpan {
         let slots = f64::from(slots.max(1));
-        let arriving: f64 = self.arriving_work[..rank]
+        let higher_rate: f64 = self.arriving_work[..rank]
             .iter()
             .map(|meter| meter.per_second(now))
             .sum();
         // What higher classes leave over, and by aging no less than its share of the starts.
-        let least_share = 1.0 / f64::from(self.options.aged_start_interval.max(1));
-        let left_share = (1.0 - arriving / slots).max(least_share);
+        let min_share = 1.0 / f64::from(self.options.aged_start_interval.max(1));
+        let remaining_share = (1.0 - higher_rate / slots).max(min_share);
         // Until the first of the running jobs ends takes about one mean over the slots.
-        let first_end = self.means.overall_mean().unwrap_or_default();
-        let higher = self.queued_work[..rank]
+        let first_slot_wait = self.means.overall_mean().unwrap_or_default();
+        let higher_work = self.queued_work[..rank]
             .iter()
-            .fold(first_end, |sum, work| sum + *work);
-        let by_class = (higher + own_ahead).mul_f64(1.0 / (slots * left_share));
+            .fold(first_slot_wait, |sum, work| sum + *work);
+        let by_class = (higher_work + own_ahead).mul_f64(1.0 / (slots * remaining_share));
         if rank == 0 {
             return by_class;
         }
-        let by_aging =
-            self.options.aging_threshold + own_ahead.mul_f64(1.0 / (slots * least_share));
+        let by_aging = self.options.aging_threshold + own_ahead.mul_f64(1.0 / (slots * min_share));
         by_class.min(by_aging)
     }
 
-    fn insert(&mut self, job: QueueJob, expected: TimeSpan, now: TimePoint) {
+    fn insert(&mut self, job: QueueJob, expected_service_time: TimeSpan, now: TimePoint) {
         let rank = self.class_rank(job.class);
         let is_short = !self.is_long(&job.template, now);
         self.arrival_count += 1;
-        let (order, give_up_at) = match self.policy {
-            PolicyKind::Current => (job.order, (job.deadline - expected).max(now)),
+        let (order, expires_at) = match self.policy {
+            PolicyKind::Current => (job.order, (job.deadline - expected_service_time).max(now)),
             PolicyKind::Baseline => (self.arrival_count, job.deadline),
         };
         let key = (order, job.id);
@@ -381,17 +385,18 @@
         let waiting = WaitingJob {
             job,
             queued_at: now,
-            expected_service_time: expected,
-            expires_at: give_up_at,
+            expected_service_time,
+            expires_at,
         };
-        self.queued_work[rank] = self.queued_work[rank] + expected;
-        self.arriving_work[rank].add(expected.as_secs_f64(), now);
+        self.queued_work[rank] = self.queued_work[rank] + expected_service_time;
+        self.arriving_work[rank].add(expected_service_time.as_secs_f64(), now);
         if is_short {
-            self.short_work.add(expected.as_secs_f64(), now);
+            self.short_work
+                .add(expected_service_time.as_secs_f64(), now);
         }
         self.waiting[rank].insert(key, waiting);
         self.positions.insert(id, (rank, key));
-        self.expiries.insert((give_up_at, id));
+        self.expiries.insert((expires_at, id));
     }
 
     fn remove(&mut self, rank: usize, key: QueueKey) -> Option<WaitingJob> {
@@ -468,11 +473,11 @@
     /// Gets how many slots long jobs may hold: what the load of short ones leaves, at least one,
     /// and never all.
     fn long_job_slots(&self, now: TimePoint, slots: u32) -> usize {
-        let needed = (self.short_work.per_second(now) * SHORT_WORK_HEADROOM).ceil();
-        let left = f64::from(slots) - needed.max(1.0);
+        let short_job_slots = (self.short_work.per_second(now) * SHORT_WORK_HEADROOM).ceil();
+        let available = f64::from(slots) - short_job_slots.max(1.0);
         (1..slots)
             .rev()
-            .find(|count| f64::from(*count) <= left)
+            .find(|count| f64::from(*count) <= available)
             .unwrap_or(1) as usize
     }
 
--- a/alderhaven-policy/src/repeat_budget.rs
+++ b/alderhaven-policy/src/repeat_budget.rs
@@ -103,14 +103,14 @@
     /// Takes one repeat; returns false where it would break the rule.
     ///
     /// `part` is the node's part of the fixed number of repeats.
-    pub fn take(&mut self, reason: RepeatReason, part: f64, now: TimePoint) -> bool {
+    pub fn take(&mut self, reason: RepeatReason, node_share: f64, now: TimePoint) -> bool {
         self.evict_expired(now);
-        let allowed = self.allowance(part);
-        let kept_back = match reason {
-            RepeatReason::Hedge => allowed * RETRY_RESERVE_SHARE,
+        let allowance = self.allowance(node_share);
+        let reserve = match reason {
+            RepeatReason::Hedge => allowance * RETRY_RESERVE_SHARE,
             RepeatReason::Retry => 0.0,
         };
-        if f64::from(self.repeats) + 1.0 > allowed - kept_back {
+        if f64::from(self.repeats) + 1.0 > allowance - reserve {
             return false;
         }
         self.current_bucket(now).repeats += 1;
@@ -118,9 +118,9 @@
         true
     }
 
-    fn allowance(&self, part: f64) -> f64 {
-        let shared = self.options.free_per_window * part;
-        (f64::from(self.requests) * self.options.ratio + shared) * USED_ALLOWANCE_SHARE
+    fn allowance(&self, node_share: f64) -> f64 {
+        let free_repeats = self.options.free_per_window * node_share;
+        (f64::from(self.requests) * self.options.ratio + free_repeats) * USED_ALLOWANCE_SHARE
     }
 
     fn current_bucket(&mut self, now: TimePoint) -> &mut WindowBucket {
@@ -129,7 +129,7 @@
         if self
             .buckets
             .back()
-            .is_none_or(|piece| piece.number < number)
+            .is_none_or(|bucket| bucket.number < number)
         {
             self.buckets.push_back(WindowBucket {
                 number,
@@ -143,18 +143,18 @@
 
     fn evict_expired(&mut self, now: TimePoint) {
         let number = self.bucket_number(now);
-        while let Some(piece) = self.buckets.front().copied() {
-            if piece.number + WINDOW_BUCKETS >= number {
+        while let Some(bucket) = self.buckets.front().copied() {
+            if bucket.number + WINDOW_BUCKETS >= number {
                 return;
             }
-            self.requests -= piece.requests;
-            self.repeats -= piece.repeats;
+            self.requests -= bucket.requests;
+            self.repeats -= bucket.repeats;
             self.buckets.pop_front();
         }
     }
 
     fn bucket_number(&self, now: TimePoint) -> u64 {
-        let piece = (self.options.window.as_micros() / WINDOW_BUCKETS).max(1);
-        now.as_micros() / piece
+        let bucket_micros = (self.options.window.as_micros() / WINDOW_BUCKETS).max(1);
+        now.as_micros() / bucket_micros
     }
 }
--- a/alderhaven-policy/src/row_merge.rs
+++ b/alderhaven-policy/src/row_merge.rs
@@ -76,19 +76,19 @@
 }
 
 fn sum_rows<'a>(field: &str, shards: impl Iterator<Item = &'a Bytes>) -> String {
-    let mut whole: i128 = 0;
-    let mut fraction = 0.0;
+    let mut integer_sum: i128 = 0;
+    let mut fraction_sum = 0.0;
     for row in parse_rows(shards) {
         match row.get(field).and_then(Value::as_i64) {
-            Some(number) => whole += i128::from(number),
-            None => fraction += numeric_field(&row, field),
+            Some(number) => integer_sum += i128::from(number),
+            None => fraction_sum += numeric_field(&row, field),
         }
     }
     // Whole numbers are added exactly; only fractions go through floating point.
-    let total = if fraction == 0.0 {
-        i64::try_from(whole).map_or_else(|_| Value::from(whole as f64), Value::from)
+    let total = if fraction_sum == 0.0 {
+        i64::try_from(integer_sum).map_or_else(|_| Value::from(integer_sum as f64), Value::from)
     } else {
-        Value::from(whole as f64 + fraction)
+        Value::from(integer_sum as f64 + fraction_sum)
     };
     serde_json::json!([{ field: total }]).to_string()
 }
--- a/alderhaven-policy/src/service_admission.rs
+++ b/alderhaven-policy/src/service_admission.rs
@@ -91,19 +91,21 @@
             .get(&request.template)
             .map_or(TimeSpan::ZERO, TemplateLatency::likely_latency);
         let (class, team, key) = (request.class, &request.team, request.key);
-        let (left, aging) = self.class_rate(class, now);
+        let (rate, aging_wait) = self.class_rate(class, now);
         // A class that gets turns by aging alone would wait for them in the relays' queues.
         let starts_now = self.queue.is_empty() && self.may_start(request, weight, now);
-        if starts_now && aging == 0.0 {
+        if starts_now && aging_wait == 0.0 {
             let wait = TimeSpan::ZERO;
             return WaitEstimate { wait, latency };
         }
-        let above = self.queue.cost_above(class) as f64 / left;
+        let wait_for_higher = self.queue.cost_above(class) as f64 / rate;
         let own_cost = f64::from(request.fan_out);
-        let before = self.queue.cost_before(class, team, key, request.fan_out) as f64 + own_cost;
+        let cost_to_own_turn =
+            self.queue.cost_before(class, team, key, request.fan_out) as f64 + own_cost;
         // The due part is the least; what other teams leave over shows in what was admitted.
-        let wait = above + before / self.team_rate(class, team, weight, left, now);
-        let wait = (aging + wait).max(self.key_wait(request));
+        let wait =
+            wait_for_higher + cost_to_own_turn / self.team_rate(class, team, weight, rate, now);
+        let wait = (aging_wait + wait).max(self.key_wait(request));
         let wait = TimeSpan::from_secs(1).mul_f64(wait);
         WaitEstimate { wait, latency }
     }
@@ -115,41 +117,44 @@
         class: QueryClass,
         team: &TeamId,
         weight: u32,
-        left: f64,
+        class_rate: f64,
         now: TimePoint,
     ) -> f64 {
-        let due = left * self.team_share.fair_share(team, weight, now);
-        let taken = self.queue.usage_per_second(class, team, now);
-        if taken > due {
+        let fair_rate = class_rate * self.team_share.fair_share(team, weight, now);
+        let usage = self.queue.usage_per_second(class, team, now);
+        if usage > fair_rate {
             // It lives on what others leave over, and that shows in what was admitted.
-            return taken.min(left);
+            return usage.min(class_rate);
         }
         // Below its due, it shares with the waiting teams that have used about as little.
-        let rivals = self.queue.competing_weight(class, team, weight, now);
-        (left * f64::from(weight) / rivals).max(due)
+        let competing_weight = self.queue.competing_weight(class, team, weight, now);
+        (class_rate * f64::from(weight) / competing_weight).max(fair_rate)
     }
 
     /// Estimates the attempts per second that the service ends for a class, and the wait in seconds
     /// before its first turn.
     fn class_rate(&self, class: QueryClass, now: TimePoint) -> (f64, f64) {
-        let drain = self.capacity.completion_rate();
-        let arriving: f64 = QueryClass::ALL[..usize::from(class.rank())]
+        let total_rate = self.capacity.completion_rate();
+        let higher_rate: f64 = QueryClass::ALL[..usize::from(class.rank())]
             .iter()
             .map(|higher| self.offered_cost.per_second(higher, now))
             .sum();
-        let left_share = 1.0 - arriving / drain;
+        let remaining_share = 1.0 - higher_rate / total_rate;
         // A class that higher ones leave nothing gets turns by aging alone.
-        if left_share < MIN_CLASS_SHARE {
-            return (drain * MIN_CLASS_SHARE, AGING_THRESHOLD.as_secs_f64());
+        if remaining_share < MIN_CLASS_SHARE {
+            return (total_rate * MIN_CLASS_SHARE, AGING_THRESHOLD.as_secs_f64());
         }
-        let left = drain * left_share;
-        if self.queue.cost_in(class) == 0 || arriving < drain * NEGLIGIBLE_SHARE {
-            return (left, 0.0);
+        let remaining_rate = total_rate * remaining_share;
+        if self.queue.cost_in(class) == 0 || higher_rate < total_rate * NEGLIGIBLE_SHARE {
+            return (remaining_rate, 0.0);
         }
         // A difference of two estimates is uncertain: while the class has a backlog, what was admitted
         // of it says what it really gets.
         let admitted = self.admitted_cost.per_second(&class, now);
-        (admitted.clamp(left * MIN_RATE_SHARE, left), 0.0)
+        (
+            admitted.clamp(remaining_rate * MIN_RATE_SHARE, remaining_rate),
+            0.0,
+        )
     }
 
     /// Estimates the wait that the bound of the key causes, in seconds.
@@ -205,7 +210,7 @@
         &mut self,
         request: AdmitRequest,
         weight: u32,
-        longest_lag: TimeSpan,
+        max_penalty: TimeSpan,
         now: TimePoint,
     ) -> AdmitTicket {
         let cost = f64::from(request.fan_out);
@@ -216,7 +221,7 @@
         self.key_share.add(&request.key, 1, cost, now);
         AdmitTicket {
             class: request.class,
-            order_at: now + longest_lag.mul_f64(self.excess(&request, now)),
+            order_at: now + max_penalty.mul_f64(self.excess(&request, now)),
             request,
             admitted_at: now,
             replied: 0,
@@ -231,22 +236,22 @@
     ) {
         let request = &ticket.request;
         let latency = now.since(ticket.admitted_at);
-        let left = request.fan_out.saturating_sub(ticket.replied);
+        let unreplied = request.fan_out.saturating_sub(ticket.replied);
         let has_backlog = !self.queue.is_empty();
         self.capacity
-            .record_finished(request.fan_out, left, latency, report, has_backlog);
+            .record_finished(request.fan_out, unreplied, latency, report, has_backlog);
         if let Some(count) = self.keys_in_flight.get_mut(&request.key) {
             *count -= 1;
             if *count == 0 {
                 self.keys_in_flight.remove(&request.key);
             }
         }
-        if let Some(known) = self.latencies.get_mut(&request.template) {
-            known.add(latency);
+        if let Some(latencies) = self.latencies.get_mut(&request.template) {
+            latencies.add(latency);
         } else {
-            let mut known = TemplateLatency::default();
-            known.add(latency);
-            self.latencies.insert(request.template.clone(), known);
+            let mut latencies = TemplateLatency::default();
+            latencies.add(latency);
+            self.latencies.insert(request.template.clone(), latencies);
         }
     }
 
@@ -261,13 +266,13 @@
 impl TemplateLatency {
     fn add(&mut self, latency: TimeSpan) {
         let mean = self.mean.get().unwrap_or(latency);
-        let distance = if latency > mean {
+        let deviation = if latency > mean {
             latency.saturating_sub(mean)
         } else {
             mean.saturating_sub(latency)
         };
         self.mean.add(latency, LATENCY_WINDOW);
-        self.deviation.add(distance, LATENCY_WINDOW);
+        self.deviation.add(deviation, LATENCY_WINDOW);
     }
 
     /// Gets the latency that most queries stay below.
--- a/alderhaven-policy/src/service_capacity.rs
+++ b/alderhaven-policy/src/service_capacity.rs
@@ -137,9 +137,10 @@
         if size == self.size {
             return;
         }
-        let before = self.initial_limit();
+        let initial_before = self.initial_limit();
         self.size = size;
-        self.limit = (self.limit * self.initial_limit() / before).clamp(1.0, self.max_limit());
+        self.limit =
+            (self.limit * self.initial_limit() / initial_before).clamp(1.0, self.max_limit());
     }
 
     /// Gets the size.
@@ -164,18 +165,18 @@
     pub fn record_finished(
         &mut self,
         fan_out: u32,
-        left: u32,
+        unreplied: u32,
         latency: TimeSpan,
         report: QueryReport,
         has_backlog: bool,
     ) {
         let is_used_up =
             has_backlog || self.in_flight as f64 >= USED_UP_SHARE * self.limit_in_attempts();
-        self.in_flight = self.in_flight.saturating_sub(u64::from(left));
+        self.in_flight = self.in_flight.saturating_sub(u64::from(unreplied));
         self.latency.add(latency, MEAN_WINDOW);
         // A round is as many queries as are open, those that only wait for their slowest shard
         // included: what the limit is now shows in reports only after that many.
-        let part_of_round = f64::from(fan_out) / self.open_attempts.max(1) as f64;
+        let round_share = f64::from(fan_out) / self.open_attempts.max(1) as f64;
         self.open_attempts = self.open_attempts.saturating_sub(u64::from(fan_out));
         if report.attempts == 0 {
             return;
@@ -184,7 +185,7 @@
             self.queue_wait.add(report.queue_wait, MEAN_WINDOW);
             self.service_time.add(report.service_time, MEAN_WINDOW);
         }
-        self.adapt(part_of_round.min(1.0), report, is_used_up);
+        self.adapt(round_share.min(1.0), report, is_used_up);
     }
 
     /// Gets the limit in queries per shard.
@@ -214,8 +215,8 @@
         } else {
             1.0
         };
-        let reached = self.in_flight as f64 + f64::from(fan_out) / 2.0;
-        self.in_flight == 0 || reached <= self.limit_in_attempts() * factor
+        let expected_in_flight = self.in_flight as f64 + f64::from(fan_out) / 2.0;
+        self.in_flight == 0 || expected_in_flight <= self.limit_in_attempts() * factor
     }
 
     /// Gets the mean latency of a query from its admission to its end.
@@ -228,15 +229,15 @@
     /// may be in flight over the mean time of an attempt from its sending to its reply.
     #[must_use]
     pub fn completion_rate(&self) -> f64 {
-        let attempt = match (self.queue_wait.get(), self.service_time.get()) {
+        let attempt_time = match (self.queue_wait.get(), self.service_time.get()) {
             (Some(wait), Some(service)) => wait + service,
             _ => self.options.initial_latency,
         };
-        self.limit_in_attempts() / attempt.as_secs_f64().max(1e-4)
+        self.limit_in_attempts() / attempt_time.as_secs_f64().max(1e-4)
     }
 
     /// Moves the limit by a query's part of one round.
-    fn adapt(&mut self, part_of_round: f64, report: QueryReport, is_used_up: bool) {
+    fn adapt(&mut self, round_share: f64, report: QueryReport, is_used_up: bool) {
         let wait = self.queue_wait.get().unwrap_or_default().as_micros() as f64;
         let service = self
             .service_time
@@ -246,31 +247,31 @@
             .max(1) as f64;
         // The more an entry has above its even part, the more it gives way, so that entries that
         // see the same waits end up with like limits.
-        let above_part = (self.limit / self.fair_limit()).clamp(0.5, 2.0);
-        let by_wait = 1.0 - wait / service / self.options.target_wait * above_part;
-        let not_run = f64::from(report.not_run) / f64::from(report.attempts);
-        let pressure = (by_wait - 4.0 * not_run).clamp(-1.0, 1.0);
+        let fair_limit_ratio = (self.limit / self.fair_limit()).clamp(0.5, 2.0);
+        let wait_headroom = 1.0 - wait / service / self.options.target_wait * fair_limit_ratio;
+        let not_run_share = f64::from(report.not_run) / f64::from(report.attempts);
+        let adjustment = (wait_headroom - 4.0 * not_run_share).clamp(-1.0, 1.0);
         // Up by an amount, down by a share, by which the limits of several entries draw level.
-        let step = if pressure < 0.0 {
-            pressure * self.options.multiplicative_decrease * self.limit
+        let step = if adjustment < 0.0 {
+            adjustment * self.options.multiplicative_decrease * self.limit
         } else if is_used_up {
-            pressure * self.options.additive_increase * self.fair_limit()
+            adjustment * self.options.additive_increase * self.fair_limit()
         } else {
             0.0
         };
-        self.limit = (self.limit + step * part_of_round).clamp(1.0, self.max_limit());
+        self.limit = (self.limit + step * round_share).clamp(1.0, self.max_limit());
     }
 
     /// Gets the limit that keeps this entry's part of the slots busy, one attempt a slot running and
     /// one waiting.
     fn fair_limit(&self) -> f64 {
-        let own_part = self.slots_per_shard() / f64::from(self.size.entries.max(1));
-        (own_part * ATTEMPTS_PER_SLOT).max(1.0)
+        let own_slots = self.slots_per_shard() / f64::from(self.size.entries.max(1));
+        (own_slots * ATTEMPTS_PER_SLOT).max(1.0)
     }
 
     fn initial_limit(&self) -> f64 {
-        let own_part = self.slots_per_shard() / f64::from(self.size.entries.max(1));
-        (own_part * self.options.start_factor).max(1.0)
+        let own_slots = self.slots_per_shard() / f64::from(self.size.entries.max(1));
+        (own_slots * self.options.start_factor).max(1.0)
     }
 
     fn max_limit(&self) -> f64 {
--- a/alderhaven-policy/src/service_times.rs
+++ b/alderhaven-policy/src/service_times.rs
@@ -31,10 +31,10 @@
 
 impl ServiceTimes {
     /// Adds the service time of one attempt.
-    pub fn add(&mut self, template: &TemplateName, service: TimeSpan, now: TimePoint) {
-        self.overall.add(service, MEAN_WINDOW);
+    pub fn add(&mut self, template: &TemplateName, service_time: TimeSpan, now: TimePoint) {
+        self.overall.add(service_time, MEAN_WINDOW);
         if let Some(entry) = self.templates.get_mut(template) {
-            entry.mean.add(service, MEAN_WINDOW);
+            entry.mean.add(service_time, MEAN_WINDOW);
             entry.last_sample_at = now;
             return;
         }
@@ -42,7 +42,7 @@
             self.evict_oldest();
         }
         let mut mean = RunningMean::default();
-        mean.add(service, MEAN_WINDOW);
+        mean.add(service_time, MEAN_WINDOW);
         let last_sample = now;
         self.templates.insert(
             template.clone(),
--- a/alderhaven-policy/src/share_meter.rs
+++ b/alderhaven-policy/src/share_meter.rs
@@ -66,42 +66,42 @@
     #[must_use]
     pub fn excess(&self, flow: &K, now: TimePoint) -> f64 {
         let total = self.total.per_second(now);
-        let own = self.per_second(flow, now);
-        if own < total * MIN_EXCESS_SHARE || total <= 0.0 {
+        let usage = self.per_second(flow, now);
+        if usage < total * MIN_EXCESS_SHARE || total <= 0.0 {
             return 0.0;
         }
         let weight = self.flows.get(flow).map_or(1, |(_, weight)| *weight);
-        let due = total * self.fair_share(flow, weight, now);
-        (own / due - 1.0).clamp(0.0, 1.0)
+        let fair_rate = total * self.fair_share(flow, weight, now);
+        (usage / fair_rate - 1.0).clamp(0.0, 1.0)
     }
 
     /// Returns true where a flow uses clearly less than its due.
     #[must_use]
     pub fn is_below_fair_share(&self, flow: &K, weight: u32, now: TimePoint) -> bool {
-        let due = self.total.per_second(now) * self.fair_share(flow, weight, now);
-        self.per_second(flow, now) < due * BELOW_SHARE_FACTOR
+        let fair_rate = self.total.per_second(now) * self.fair_share(flow, weight, now);
+        self.per_second(flow, now) < fair_rate * BELOW_SHARE_FACTOR
     }
 
     /// Gets the share that is due to a flow of this weight among those that compete.
     #[must_use]
     pub fn fair_share(&self, flow: &K, weight: u32, now: TimePoint) -> f64 {
-        let least = MIN_COMPETING_SHARE * self.total.per_second(now);
+        let min_competing_rate = MIN_COMPETING_SHARE * self.total.per_second(now);
         let weight = f64::from(weight);
-        let mut competing = weight;
-        let mut small = 0.0;
+        let mut competing_weight = weight;
+        let mut small_flows_rate = 0.0;
         for (_, (meter, weight)) in self.flows.iter().filter(|(other, _)| *other != flow) {
-            let used = meter.per_second(now);
-            if used >= least {
-                competing += f64::from(*weight);
+            let usage = meter.per_second(now);
+            if usage >= min_competing_rate {
+                competing_weight += f64::from(*weight);
             } else {
-                small += used;
+                small_flows_rate += usage;
             }
         }
         // Many small flows together compete as well, as flows of the least size that counts.
-        if least > 0.0 {
-            competing += small / least;
+        if min_competing_rate > 0.0 {
+            competing_weight += small_flows_rate / min_competing_rate;
         }
-        weight / competing
+        weight / competing_weight
     }
 
     fn evict_least_used(&mut self, now: TimePoint) {
--- a/alderhaven-policy/src/target_limit.rs
+++ b/alderhaven-policy/src/target_limit.rs
@@ -198,11 +198,16 @@
         self.in_flight
     }
 
-    fn record_service_time(&mut self, service: TimeSpan, expected: TimeSpan, now: TimePoint) {
-        if expected == TimeSpan::ZERO {
+    fn record_service_time(
+        &mut self,
+        service_time: TimeSpan,
+        expected_service_time: TimeSpan,
+        now: TimePoint,
+    ) {
+        if expected_service_time == TimeSpan::ZERO {
             return;
         }
-        let ratio = service.as_micros() as f64 / expected.as_micros() as f64;
+        let ratio = service_time.as_micros() as f64 / expected_service_time.as_micros() as f64;
         self.slowdown += (ratio - self.slowdown) / SLOWDOWN_WINDOW_ATTEMPTS;
         if self.slowdown > self.options.slowdown_factor {
             self.slowdown = 1.0;
@@ -228,8 +233,8 @@
         } else {
             self.options.probe_interval
         };
-        let stepped = (self.limit - 1.0).min(self.limit * self.options.decrease_factor);
-        self.limit = stepped.max(1.0);
+        let reduced = (self.limit - 1.0).min(self.limit * self.options.decrease_factor);
+        self.limit = reduced.max(1.0);
         self.last_decrease = Some(now);
         self.last_change = now;
     }
@@ -249,8 +254,8 @@
             return self.slots;
         };
         let span = self.options.slow_start_window.as_micros().max(1) as f64;
-        let part = (now.since(since).as_micros() as f64 / span).min(1.0);
-        1 + whole_slots(f64::from(self.slots - 1) * part)
+        let progress = (now.since(since).as_micros() as f64 / span).min(1.0);
+        1 + whole_slots(f64::from(self.slots - 1) * progress)
     }
 }
 
--- a/alderhaven-policy/src/team_quota.rs
+++ b/alderhaven-policy/src/team_quota.rs
@@ -30,9 +30,9 @@
     pub fn set_entries(&mut self, entries: u32, now: TimePoint) {
         let rate = self.policy.as_ref().and_then(|team| team.max_rate);
         self.bucket = rate.and_then(|rate| {
-            let part = rate.per_second() / f64::from(entries.max(1));
-            let rate = alderhaven_core::quantities::RatePerSecond::new(part).ok()?;
-            let burst = part.max(1.0);
+            let own_rate = rate.per_second() / f64::from(entries.max(1));
+            let rate = alderhaven_core::quantities::RatePerSecond::new(own_rate).ok()?;
+            let burst = own_rate.max(1.0);
             let mut bucket = self
                 .bucket
                 .unwrap_or_else(|| TokenBucket::new(rate, burst, now));
@@ -46,8 +46,8 @@
     /// # Errors
     /// The refusal where a limit is reached.
     pub fn acquire(&mut self, now: TimePoint) -> Result<(), Refusal> {
-        let most = self.policy.as_ref().and_then(|team| team.max_in_flight);
-        if most.is_some_and(|most| self.in_flight >= most) {
+        let max_in_flight = self.policy.as_ref().and_then(|team| team.max_in_flight);
+        if max_in_flight.is_some_and(|max_in_flight| self.in_flight >= max_in_flight) {
             return Err(Refusal {
                 reason: RefusalReason::TeamInFlight,
                 retry_after: TimeSpan::ZERO,
--- a/alderhaven-policy/src/weighted_round_robin.rs
+++ b/alderhaven-policy/src/weighted_round_robin.rs
@@ -20,18 +20,18 @@
         if self.credits.len() != weights.len() {
             self.credits = SmallVec::from_elem(0.0, weights.len());
         }
-        let sum: f64 = weights.iter().sum();
-        if sum <= 0.0 {
+        let total: f64 = weights.iter().sum();
+        if total <= 0.0 {
             return None;
         }
         let mut best = 0;
-        for (place, weight) in weights.iter().enumerate() {
-            self.credits[place] += weight;
-            if self.credits[place] > self.credits[best] {
-                best = place;
+        for (index, weight) in weights.iter().enumerate() {
+            self.credits[index] += weight;
+            if self.credits[index] > self.credits[best] {
+                best = index;
             }
         }
-        self.credits[best] -= sum;
+        self.credits[best] -= total;
         Some(best)
     }
 }
--- a/alderhaven-policy/tests/admission.rs
+++ b/alderhaven-policy/tests/admission.rs
@@ -36,18 +36,12 @@
 }
 
 /// Draws calls of three teams with as many urgent, ordinary and bulk ones.
-fn mixed_calls(draw: &mut SeededRng, load: f64, from: TimePoint, until: TimePoint) -> Vec<Call> {
-    poisson(
-        draw,
-        load * CAPACITY_PER_SECOND,
-        from,
-        until,
-        |draw, time| {
-            let team = ["desk", "portal", "inspectors"][usize::try_from(draw.next() % 3).unwrap()];
-            let class = QueryClass::ALL[usize::try_from(draw.next() % 3).unwrap()];
-            call(time, team, class, draw.next())
-        },
-    )
+fn mixed_calls(rng: &mut SeededRng, load: f64, from: TimePoint, until: TimePoint) -> Vec<Call> {
+    poisson(rng, load * CAPACITY_PER_SECOND, from, until, |rng, time| {
+        let team = ["desk", "portal", "inspectors"][usize::try_from(rng.next() % 3).unwrap()];
+        let class = QueryClass::ALL[usize::try_from(rng.next() % 3).unwrap()];
+        call(time, team, class, rng.next())
+    })
 }
 
 fn is_urgent(call: &Call) -> bool {
@@ -62,30 +56,30 @@
 }
 
 fn run_overload(policy: PolicyKind, entries: usize, seed: u64) -> OverloadResult {
-    let mut draw = SeededRng(seed);
-    let calls = mixed_calls(&mut draw, 2.0, at(0), at(10_000));
+    let mut rng = SeededRng(seed);
+    let calls = mixed_calls(&mut rng, 2.0, at(0), at(10_000));
     let run = ServiceSimulation::new(shape(policy, entries), &calls, seed).run();
     // The first second, in which the capacity is found, is left out.
-    let late = |call: &Call| call.time >= at(1000);
-    let whole = run.latencies(late).len() as f64;
+    let after_warmup = |call: &Call| call.time >= at(1000);
+    let complete = run.latencies(after_warmup).len() as f64;
     let mut refusals: Vec<TimeSpan> = run
-        .outcomes_of(late)
+        .outcomes_of(after_warmup)
         .filter_map(|fate| match fate {
             CallOutcome::Refused(after) => Some(after),
             _ => None,
         })
         .collect();
     let incomplete = run
-        .outcomes_of(late)
+        .outcomes_of(after_warmup)
         .filter(|fate| matches!(fate, CallOutcome::Incomplete(_)))
         .count();
     for class in QueryClass::ALL {
-        let described = run.summarize(|call| call.class == class && late(call));
-        eprintln!("{class}: {described}");
+        let summary = run.summarize(|call| call.class == class && after_warmup(call));
+        eprintln!("{class}: {summary}");
     }
     let overload = OverloadResult {
-        goodput: whole / 9.0 / CAPACITY_PER_SECOND,
-        urgent_in_time: run.complete_share(|call| is_urgent(call) && late(call)),
+        goodput: complete / 9.0 / CAPACITY_PER_SECOND,
+        urgent_in_time: run.complete_share(|call| is_urgent(call) && after_warmup(call)),
         refusal_p99: quantile(&mut refusals, 0.99),
         incomplete,
     };
@@ -113,15 +107,15 @@
 }
 
 #[test]
-fn baseline_under_overload_loses_its_goodput() {
+fn baseline_loses_goodput_under_overload() {
     let overload = run_overload(PolicyKind::Baseline, 1, 1);
     assert!(overload.goodput < 0.5, "{}", overload.goodput);
 }
 
 #[test]
 fn steady_load_is_not_refused() {
-    let mut draw = SeededRng(4);
-    let calls = mixed_calls(&mut draw, 0.5, at(0), at(5000));
+    let mut rng = SeededRng(4);
+    let calls = mixed_calls(&mut rng, 0.5, at(0), at(5000));
     let run = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 4).run();
     eprintln!(
         "limits {:?} whole {}",
@@ -134,58 +128,58 @@
 /// Five times the load arrives for one second. Afterwards callers must be served as before it, not
 /// behind what the burst left.
 #[test]
-fn burst_keeps_urgent_queries_and_ends() {
-    let mut draw = SeededRng(5);
-    let mut calls = mixed_calls(&mut draw, 0.5, at(0), at(3000));
-    calls.extend(mixed_calls(&mut draw, 2.5, at(3000), at(4000)));
-    calls.extend(mixed_calls(&mut draw, 0.5, at(4000), at(9000)));
+fn burst_keeps_urgent_queries_and_leaves_no_backlog() {
+    let mut rng = SeededRng(5);
+    let mut calls = mixed_calls(&mut rng, 0.5, at(0), at(3000));
+    calls.extend(mixed_calls(&mut rng, 2.5, at(3000), at(4000)));
+    calls.extend(mixed_calls(&mut rng, 0.5, at(4000), at(9000)));
     let run = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 5).run();
     let before = |call: &Call| (at(1000)..at(3000)).contains(&call.time);
     let during = |call: &Call| (at(3000)..at(4000)).contains(&call.time);
     let after = |call: &Call| call.time >= at(5000);
     let urgent = run.complete_share(|call| is_urgent(call) && during(call));
     let steady = quantile(&mut run.latencies(before), 0.99);
-    let again = quantile(&mut run.latencies(after), 0.99);
+    let recovered = quantile(&mut run.latencies(after), 0.99);
     eprintln!(
         "burst: {}",
         run.summarize(|call| is_urgent(call) && during(call))
     );
-    eprintln!("burst urgent {urgent:.4} before {steady} after {again}");
+    eprintln!("burst urgent {urgent:.4} before {steady} after {recovered}");
     assert!(urgent >= 0.99, "{urgent}");
-    assert!(again <= steady.mul_f64(1.2), "{steady} {again}");
+    assert!(recovered <= steady.mul_f64(1.2), "{steady} {recovered}");
     assert!(run.complete_share(after) >= 0.999);
 }
 
 /// One team offers ten times its share. The others must not see it: neither in what they get nor
 /// in how long it takes.
 #[test]
-fn hot_team_does_not_push_out_others() {
-    let quiet = |draw: &mut SeededRng| {
+fn hot_team_does_not_starve_others() {
+    let draw_base_calls = |rng: &mut SeededRng| {
         poisson(
-            draw,
+            rng,
             0.5 * CAPACITY_PER_SECOND,
             at(0),
             at(8000),
-            |draw, time| {
+            |rng, time| {
                 let team =
-                    ["desk", "portal", "inspectors"][usize::try_from(draw.next() % 3).unwrap()];
-                call(time, team, QueryClass::Ordinary, draw.next())
+                    ["desk", "portal", "inspectors"][usize::try_from(rng.next() % 3).unwrap()];
+                call(time, team, QueryClass::Ordinary, rng.next())
             },
         )
     };
-    let mut draw = SeededRng(6);
-    let alone = quiet(&mut draw);
-    let mut calls = alone.clone();
+    let mut rng = SeededRng(6);
+    let base_calls = draw_base_calls(&mut rng);
+    let mut calls = base_calls.clone();
     calls.extend(poisson(
-        &mut draw,
+        &mut rng,
         1.67 * CAPACITY_PER_SECOND,
         at(0),
         at(8000),
-        |draw, time| call(time, "flood", QueryClass::Ordinary, draw.next()),
+        |rng, time| call(time, "flood", QueryClass::Ordinary, rng.next()),
     ));
     calls.sort_by_key(|call| call.time);
     let others = |call: &Call| call.team != "flood" && call.time >= at(1000);
-    let without = ServiceSimulation::new(shape(PolicyKind::Current, 2), &alone, 6).run();
+    let without = ServiceSimulation::new(shape(PolicyKind::Current, 2), &base_calls, 6).run();
     let with = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 6).run();
     let p99_without = quantile(&mut without.latencies(others), 0.99);
     let p99_with = quantile(&mut with.latencies(others), 0.99);
@@ -203,27 +197,27 @@
 /// Everyone asks for the same number at once, which lives on one shard. Queries for other keys, on
 /// that shard and elsewhere, must not wait for it.
 #[test]
-fn hot_key_does_not_push_out_other_keys() {
+fn hot_key_does_not_starve_other_keys() {
     // Each shard carries 400 queries of one shard a second; the other keys fill half of that.
-    let spread = |draw: &mut SeededRng| {
-        poisson(draw, 20.0 * 0.5 * 400.0, at(0), at(3000), |draw, time| {
-            let key = 1000 + draw.next() % 100_000;
+    let draw_base_calls = |rng: &mut SeededRng| {
+        poisson(rng, 20.0 * 0.5 * 400.0, at(0), at(3000), |rng, time| {
+            let key = 1000 + rng.next() % 100_000;
             let mut call = call(time, "desk", QueryClass::Ordinary, key);
             call.shard = Some(usize::try_from(key % 20).unwrap());
             call
         })
     };
-    let mut draw = SeededRng(7);
-    let alone = spread(&mut draw);
-    let mut calls = alone.clone();
-    calls.extend(poisson(&mut draw, 2000.0, at(0), at(3000), |_, time| {
+    let mut rng = SeededRng(7);
+    let base_calls = draw_base_calls(&mut rng);
+    let mut calls = base_calls.clone();
+    calls.extend(poisson(&mut rng, 2000.0, at(0), at(3000), |_, time| {
         let mut call = call(time, "desk", QueryClass::Ordinary, 7);
         call.shard = Some(7);
         call
     }));
     calls.sort_by_key(|call| call.time);
     let others = |call: &Call| call.key != 7 && call.time >= at(1000);
-    let without = ServiceSimulation::new(shape(PolicyKind::Current, 2), &alone, 7).run();
+    let without = ServiceSimulation::new(shape(PolicyKind::Current, 2), &base_calls, 7).run();
     let with = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 7).run();
     let p99_without = quantile(&mut without.latencies(others), 0.99);
     let p99_with = quantile(&mut with.latencies(others), 0.99);
@@ -239,25 +233,25 @@
 
 /// Reports of 200 ms an attempt run among lookups of 10 ms.
 #[test]
-fn long_among_short_does_not_hold_up_short_ones() {
-    let mut draw = SeededRng(8);
-    let alone = poisson(
-        &mut draw,
+fn long_queries_do_not_delay_short_ones() {
+    let mut rng = SeededRng(8);
+    let base_calls = poisson(
+        &mut rng,
         0.4 * CAPACITY_PER_SECOND,
         at(0),
         at(8000),
-        |draw, time| call(time, "desk", QueryClass::Urgent, draw.next()),
+        |rng, time| call(time, "desk", QueryClass::Urgent, rng.next()),
     );
-    let mut calls = alone.clone();
-    calls.extend(poisson(&mut draw, 4.0, at(0), at(8000), |draw, time| {
-        let mut call = call(time, "statistics", QueryClass::Bulk, draw.next());
+    let mut calls = base_calls.clone();
+    calls.extend(poisson(&mut rng, 4.0, at(0), at(8000), |rng, time| {
+        let mut call = call(time, "statistics", QueryClass::Bulk, rng.next());
         call.time_limit = ms(20_000);
         call.mean_service_time = ms(200);
         call
     }));
     calls.sort_by_key(|call| call.time);
     let short = |call: &Call| call.team == "desk" && call.time >= at(1000);
-    let without = ServiceSimulation::new(shape(PolicyKind::Current, 2), &alone, 8).run();
+    let without = ServiceSimulation::new(shape(PolicyKind::Current, 2), &base_calls, 8).run();
     let with = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 8).run();
     let p99_without = quantile(&mut without.latencies(short), 0.99);
     let p99_with = quantile(&mut with.latencies(short), 0.99);
--- a/alderhaven-policy/tests/admission_rules.rs
+++ b/alderhaven-policy/tests/admission_rules.rs
@@ -35,7 +35,7 @@
         6 => (0_usize..3, class, 0_u64..4, proptest::bool::ANY, 1_u64..500)
             .prop_map(|(team, class, key, all, time)| Action::Offer(team, class, key, all, time)),
         4 => (0_usize..8, 0_u64..50, 0_u32..4)
-            .prop_map(|(place, wait, lost)| Action::Finish(place, wait, lost)),
+            .prop_map(|(index, wait, not_run)| Action::Finish(index, wait, not_run)),
         2 => (0_usize..8).prop_map(Action::Reply),
         1 => (0_u64..60).prop_map(Action::Cancel),
         3 => prop_oneof![Just(1_u64), 0_u64..300].prop_map(Action::Wait),
@@ -107,18 +107,18 @@
                         limited_in_flight.insert(count);
                     }
                 }
-                Action::Finish(place, wait, lost) if place < open.len() => {
-                    let ticket = open.swap_remove(place);
+                Action::Finish(index, wait, not_run) if index < open.len() => {
+                    let ticket = open.swap_remove(index);
                     let report = QueryReport {
                         queue_wait: ms(wait),
                         service_time: ms(10),
                         attempts: ticket.request.fan_out,
-                        not_run: lost.min(ticket.request.fan_out),
+                        not_run: not_run.min(ticket.request.fan_out),
                     };
                     gate.record_finished(&ticket, report, now);
                     limited_in_flight.remove(&ticket.request.id);
                 }
-                Action::Reply(place) if place < open.len() => gate.record_reply(&mut open[place]),
+                Action::Reply(index) if index < open.len() => gate.record_reply(&mut open[index]),
                 Action::Finish(..) | Action::Reply(_) => {}
                 Action::Cancel(id) => {
                     let cancelled = gate.cancel(&service, id);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn team_rate_is_cut_over_the_entries() {
+fn team_rate_is_divided_among_entries() {
     let mut gate = gate();
     gate.set_entries(5, at(0));
     let mut admitted = 0;
@@ -204,17 +204,20 @@
 /// Refused callers come back when they were told to. If all were told the same, the overload would
 /// return with them.
 #[test]
-fn refused_callers_are_spread() {
+fn retry_after_is_jittered() {
     let mut gate = gate();
-    let mut spans = BTreeSet::new();
+    let mut retry_times = BTreeSet::new();
     for id in 0..200 {
         let mut request = request(id, "desk", QueryClass::Ordinary, id, SHARDS);
         request.deadline = at(300);
         if let AdmitDecision::Refuse(refusal) = gate.offer(request, at(0)) {
-            spans.insert(refusal.retry_after);
+            retry_times.insert(refusal.retry_after);
         }
     }
-    assert!(spans.len() > 100);
-    let (first, last) = (spans.first().expect("one"), spans.last().expect("one"));
+    assert!(retry_times.len() > 100);
+    let (first, last) = (
+        retry_times.first().expect("one"),
+        retry_times.last().expect("one"),
+    );
     assert!(*last >= first.mul_f64(1.5), "{first} to {last}");
 }
--- a/alderhaven-policy/tests/answer_time.rs
+++ b/alderhaven-policy/tests/answer_time.rs
@@ -18,11 +18,11 @@
     )
 }
 
-const fn shard_count(present: usize, open: usize) -> ShardCount {
+const fn shard_count(answered: usize, pending: usize) -> ShardCount {
     ShardCount {
         total: 20,
-        answered: present,
-        pending: open,
+        answered,
+        pending,
         required: 18,
     }
 }
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn patience_that_is_used_up_ends_the_query() {
+fn elapsed_timeout_ends_the_query() {
     assert_eq!(
         answer_time().decide(shard_count(17, 3), at(1_500)),
         AnswerStep::TimeUp
@@ -84,7 +84,7 @@
 /// Enough shards are in 18 ms after its request, and an answer then is in time; one that uses half of
 /// the target, as if nothing had been used up, leaves after 30 ms and is late.
 #[test]
-fn enough_shards_are_an_answer_where_most_of_the_target_is_used_up() {
+fn mostly_consumed_target_still_allows_an_answer_in_time() {
     let target = TimeSpan::from_millis(60);
     let reserve = TimeSpan::from_millis(12 + 33);
     let time = AnswerTime::new(at(0), target, reserve, TimeSpan::from_millis(267));
@@ -107,13 +107,13 @@
 proptest! {
     /// No wait is open-ended, and no answer has fewer shards than the route demands.
     #[test]
-    fn any_step_is_bounded(present in 0usize..=20, open in 0usize..=20, now in 0u64..3_000) {
-        prop_assume!(present + open <= 20);
-        match answer_time().decide(shard_count(present, open), at(now)) {
+    fn any_step_is_bounded(answered in 0usize..=20, pending in 0usize..=20, now in 0u64..3_000) {
+        prop_assume!(answered + pending <= 20);
+        match answer_time().decide(shard_count(answered, pending), at(now)) {
             AnswerStep::Wait(until) => prop_assert!(until > at(now) && until <= at(1_500)),
-            AnswerStep::Answer => prop_assert!(present >= 18),
-            AnswerStep::GiveUp => prop_assert!(present + open < 18),
-            AnswerStep::TimeUp => prop_assert!(now >= 1_500 && present < 18),
+            AnswerStep::Answer => prop_assert!(answered >= 18),
+            AnswerStep::GiveUp => prop_assert!(answered + pending < 18),
+            AnswerStep::TimeUp => prop_assert!(now >= 1_500 && answered < 18),
         }
     }
 }
--- a/alderhaven-policy/tests/common/service_simulation.rs
+++ b/alderhaven-policy/tests/common/service_simulation.rs
@@ -144,7 +144,7 @@
             AdmitDecision::Admit(ticket) => self.scatter(entry, ticket, now),
             AdmitDecision::Queue => {}
             AdmitDecision::Refuse(_) => {
-                self.outcomes[index] = Some(CallOutcome::Refused(TimeSpan::ZERO))
+                self.outcomes[index] = Some(CallOutcome::Refused(TimeSpan::ZERO));
             }
         }
     }
@@ -272,8 +272,8 @@
         };
         self.gates[open.entry].record_finished(&open.ticket, report, now);
         let after = now.since(self.calls[open.call].time);
-        let is_whole = open.pending == 0 && open.not_run == 0;
-        self.outcomes[open.call] = Some(if is_whole {
+        let is_complete = open.pending == 0 && open.not_run == 0;
+        self.outcomes[open.call] = Some(if is_complete {
             CallOutcome::Complete(after)
         } else {
             CallOutcome::Incomplete(after)
@@ -289,9 +289,9 @@
     }
 
     /// Describes the fates of the calls that `keep` holds for.
-    pub fn summarize(&self, keep: impl Fn(&Call) -> bool) -> String {
+    pub fn summarize(&self, matches: impl Fn(&Call) -> bool) -> String {
         let (mut complete, mut incomplete, mut refused, mut late) = (0, 0, 0, 0);
-        for fate in self.outcomes_of(keep) {
+        for fate in self.outcomes_of(matches) {
             match fate {
                 CallOutcome::Complete(_) => complete += 1,
                 CallOutcome::Incomplete(_) => incomplete += 1,
@@ -306,8 +306,8 @@
     }
 
     /// Gets the latencies of the whole answers to the calls that `keep` holds for.
-    pub fn latencies(&self, keep: impl Fn(&Call) -> bool) -> Vec<TimeSpan> {
-        self.outcomes_of(keep)
+    pub fn latencies(&self, matches: impl Fn(&Call) -> bool) -> Vec<TimeSpan> {
+        self.outcomes_of(matches)
             .filter_map(|fate| match fate {
                 CallOutcome::Complete(after) => Some(after),
                 _ => None,
@@ -316,17 +316,20 @@
     }
 
     /// Gets the share of the calls that got a whole answer in time.
-    pub fn complete_share(&self, keep: impl Fn(&Call) -> bool + Copy) -> f64 {
-        let all = self.outcomes_of(keep).count();
-        self.latencies(keep).len() as f64 / all.max(1) as f64
+    pub fn complete_share(&self, matches: impl Fn(&Call) -> bool + Copy) -> f64 {
+        let all = self.outcomes_of(matches).count();
+        self.latencies(matches).len() as f64 / all.max(1) as f64
     }
 
     /// Gets the fates of the calls that `keep` holds for.
-    pub fn outcomes_of(&self, keep: impl Fn(&Call) -> bool) -> impl Iterator<Item = CallOutcome> {
+    pub fn outcomes_of(
+        &self,
+        matches: impl Fn(&Call) -> bool,
+    ) -> impl Iterator<Item = CallOutcome> {
         self.calls
             .iter()
             .zip(&self.outcomes)
-            .filter(move |(call, _)| keep(call))
+            .filter(move |(call, _)| matches(call))
             .map(|(_, fate)| fate.expect("every call has its answer"))
     }
 }
@@ -355,7 +358,7 @@
 
 /// Draws calls with exponential gaps at a rate per second from `from` until `until`.
 pub fn poisson(
-    draw: &mut SeededRng,
+    rng: &mut SeededRng,
     rate: f64,
     from: TimePoint,
     until: TimePoint,
@@ -364,11 +367,11 @@
     let mut calls = Vec::new();
     let mut time = from;
     loop {
-        time = time + draw.exponential(TimeSpan::from_secs(1).mul_f64(1.0 / rate));
+        time = time + rng.exponential(TimeSpan::from_secs(1).mul_f64(1.0 / rate));
         if time >= until {
             return calls;
         }
-        calls.push(build(draw, time));
+        calls.push(build(rng, time));
     }
 }
 
--- a/alderhaven-policy/tests/common/shard_simulation.rs
+++ b/alderhaven-policy/tests/common/shard_simulation.rs
@@ -98,8 +98,8 @@
 struct SimulatedQuery {
     front: usize,
     kind: usize,
-    arrived: TimePoint,
-    started: TimePoint,
+    arrived_at: TimePoint,
+    started_at: TimePoint,
     state: QueryState,
     answered_shards: usize,
     /// The replica that each shard was sent to, until it has refused and the other was asked.
@@ -140,7 +140,7 @@
     /// Runs a load to its end.
     pub fn run(options: ShardSimulationOptions) -> Self {
         let (fronts, shards) = (options.rates[0].1.len(), options.shards);
-        let mut field = Self {
+        let mut simulation = Self {
             rng: SeededRng(options.seed),
             options,
             now: TimePoint::START,
@@ -151,20 +151,20 @@
             tallies: Vec::new(),
         };
         for front in 0..fronts {
-            field.plan_arrival(front);
+            simulation.plan_arrival(front);
         }
-        while let Some((time, event)) = field.events.next() {
-            field.now = time;
-            field.handle(event);
+        while let Some((time, event)) = simulation.events.next() {
+            simulation.now = time;
+            simulation.handle(event);
         }
-        field
+        simulation
     }
 
     /// Adds up what was counted of queries that `is_meant` by kind, front and second of arrival.
-    pub fn tally(&self, is_meant: impl Fn(usize, usize, u64) -> bool) -> QueryTally {
+    pub fn tally(&self, matches: impl Fn(usize, usize, u64) -> bool) -> QueryTally {
         let mut sum = QueryTally::default();
         for (kind, front, second, tally) in &self.tallies {
-            if is_meant(*kind, *front, *second) {
+            if matches(*kind, *front, *second) {
                 sum.total += tally.total;
                 sum.in_time += tally.in_time;
                 sum.refused += tally.refused;
@@ -198,8 +198,8 @@
 
     fn plan_arrival(&mut self, front: usize) {
         let now = self.now;
-        let stretch = self.options.rates.iter().find(|(until, _)| now < *until);
-        if let Some((_, rates)) = stretch {
+        let phase = self.options.rates.iter().find(|(until, _)| now < *until);
+        if let Some((_, rates)) = phase {
             let mean = TimeSpan::from_secs(1).mul_f64(1.0 / rates[front]);
             let gap = self.rng.exponential(mean);
             self.events
@@ -214,8 +214,8 @@
         self.queries.push(SimulatedQuery {
             front,
             kind,
-            arrived: self.now,
-            started: self.now,
+            arrived_at: self.now,
+            started_at: self.now,
             state: QueryState::Waiting,
             answered_shards: 0,
             tried: vec![None; self.options.shards],
@@ -246,11 +246,11 @@
     }
 
     fn draw_kind(&mut self) -> usize {
-        let mut left = self.rng.unit();
+        let mut remaining = self.rng.unit();
         let kinds = &self.options.kinds;
         let found = kinds.iter().position(|kind| {
-            left -= kind.share;
-            left < 0.0
+            remaining -= kind.share;
+            remaining < 0.0
         });
         found.unwrap_or(0)
     }
@@ -265,12 +265,12 @@
     }
 
     fn refuse(&mut self, query: usize) {
-        let took = self.now.since(self.queries[query].arrived);
+        let elapsed = self.now.since(self.queries[query].arrived_at);
         self.queries[query].state = QueryState::Ended;
         let tally = QueryTally {
             total: 1.0,
             refused: 1.0,
-            slowest_refusal: took,
+            slowest_refusal: elapsed,
             ..QueryTally::default()
         };
         self.record(query, tally);
@@ -278,30 +278,30 @@
 
     fn start(&mut self, query: usize) {
         self.queries[query].state = QueryState::Running;
-        self.queries[query].started = self.now;
+        self.queries[query].started_at = self.now;
         for shard in 0..self.options.shards {
             self.send(query, shard);
         }
-        let due = self.queries[query].arrived + self.kind(query).latency_target;
+        let deadline = self.queries[query].arrived_at + self.kind(query).latency_target;
         self.events
-            .add(due, SimulationEvent::DeadlineReached { query });
+            .add(deadline, SimulationEvent::DeadlineReached { query });
     }
 
     /// Sends a part to the replica at which this front has fewest attempts out.
     fn send(&mut self, query: usize, shard: usize) {
         let front = self.queries[query].front;
-        let draw = usize::from(self.rng.unit() < 0.5);
-        let out = &mut self.fronts[front].attempts_in_flight[shard];
-        let replica = match out[0].cmp(&out[1]) {
+        let random_replica = usize::from(self.rng.unit() < 0.5);
+        let in_flight = &mut self.fronts[front].attempts_in_flight[shard];
+        let replica = match in_flight[0].cmp(&in_flight[1]) {
             std::cmp::Ordering::Less => 0,
-            std::cmp::Ordering::Equal => draw,
+            std::cmp::Ordering::Equal => random_replica,
             std::cmp::Ordering::Greater => 1,
         };
         let tried = &mut self.queries[query].tried[shard];
         // One that refused is not asked again.
         let replica = tried.map_or(replica, |first| 1 - first);
         *tried = Some(replica);
-        out[replica] += 1;
+        in_flight[replica] += 1;
         self.events.add(
             self.now + ONE_WAY_DELAY,
             SimulationEvent::AttemptArrived {
@@ -328,16 +328,16 @@
                 return;
             };
             // Work stops with the answer that it is for; what has waited for so long is not begun.
-            let ends = self.queries[query].arrived + self.kind(query).latency_target;
-            if self.now >= ends {
+            let deadline = self.queries[query].arrived_at + self.kind(query).latency_target;
+            if self.now >= deadline {
                 self.send_reply(query, shard, replica, self.now, false);
                 continue;
             }
             let done = self.now + self.draw_work(query, shard);
             self.shards[shard][replica].busy += 1;
             let event = SimulationEvent::WorkDone { shard, replica };
-            self.events.add(done.min(ends), event);
-            self.send_reply(query, shard, replica, done.min(ends), done <= ends);
+            self.events.add(done.min(deadline), event);
+            self.send_reply(query, shard, replica, done.min(deadline), done <= deadline);
         }
     }
 
@@ -383,15 +383,16 @@
     }
 
     fn end(&mut self, query: usize) {
-        let known = &mut self.queries[query];
-        if known.state != QueryState::Running {
+        let simulated = &mut self.queries[query];
+        if simulated.state != QueryState::Running {
             return;
         }
-        known.state = QueryState::Ended;
-        let (front, started, arrived) = (known.front, known.started, known.arrived);
+        simulated.state = QueryState::Ended;
+        let (front, started, arrived) =
+            (simulated.front, simulated.started_at, simulated.arrived_at);
         let kind = self.kind(query);
-        let is_enough = self.queries[query].answered_shards >= kind.required_shards;
-        let need = if is_enough {
+        let has_enough_shards = self.queries[query].answered_shards >= kind.required_shards;
+        let signal = if has_enough_shards {
             let passed = self.now.since(started).as_secs_f64();
             QuerySignal::EnoughShards(passed / kind.latency_target.as_secs_f64())
         } else {
@@ -400,14 +401,14 @@
         let tally = QueryTally {
             total: 1.0,
             in_time: f64::from(u8::from(
-                is_enough && self.now.since(arrived) < kind.latency_target,
+                has_enough_shards && self.now.since(arrived) < kind.latency_target,
             )),
             ..QueryTally::default()
         };
         self.record(query, tally);
         if self.options.is_gated {
             let gate = &mut self.fronts[front].gate;
-            gate.record_finished(self.now.since(started), need);
+            gate.record_finished(self.now.since(started), signal);
             while let Some(next) = self.fronts[front].gate.next_ready(self.now) {
                 self.start(usize::try_from(next).expect("a place"));
             }
@@ -419,9 +420,10 @@
     }
 
     fn record(&mut self, query: usize, tally: QueryTally) {
-        let known = &self.queries[query];
-        let second = known.arrived.as_micros() / ms(1_000).as_micros();
-        self.tallies.push((known.kind, known.front, second, tally));
+        let simulated = &self.queries[query];
+        let second = simulated.arrived_at.as_micros() / ms(1_000).as_micros();
+        self.tallies
+            .push((simulated.kind, simulated.front, second, tally));
     }
 }
 
--- a/alderhaven-policy/tests/hedging.rs
+++ b/alderhaven-policy/tests/hedging.rs
@@ -25,12 +25,12 @@
 fn run(kind: PolicyKind, slow_share: f64) -> (Vec<TimeSpan>, f64) {
     let mut policy = policy(kind);
     let group = group("search");
-    let mut draw = SeededRng(21);
+    let mut rng = SeededRng(21);
     let mut latencies = Vec::new();
     let mut ran = 0_u32;
-    let service = |draw: &mut SeededRng| {
-        let slow = if draw.unit() < slow_share { 10.0 } else { 1.0 };
-        (ms(5) + draw.exponential(ms(5))).mul_f64(slow)
+    let service = |rng: &mut SeededRng| {
+        let slow = if rng.unit() < slow_share { 10.0 } else { 1.0 };
+        (ms(5) + rng.exponential(ms(5))).mul_f64(slow)
     };
     for _ in 0..3000 {
         policy.record_sent(20);
@@ -38,13 +38,13 @@
         let mut slowest = TimeSpan::ZERO;
         for _ in 0..20 {
             ran += 1;
-            let mut latency = service(&mut draw);
+            let mut latency = service(&mut rng);
             if let Some(delay) = delay
                 && latency > delay
                 && policy.take(false)
             {
                 ran += 1;
-                latency = latency.min(delay + service(&mut draw));
+                latency = latency.min(delay + service(&mut rng));
                 policy.record_hedge_end(false);
             }
             policy.record_answer(&group, latency, latency);
@@ -59,10 +59,13 @@
 /// among its 20, so that what is rare for a target is common for callers.
 #[test]
 fn slow_target_is_hedged_within_the_budget() {
-    let (mut plain, _) = run(PolicyKind::Baseline, 0.01);
+    let (mut unhedged, _) = run(PolicyKind::Baseline, 0.01);
     let (mut hedged, load) = run(PolicyKind::Current, 0.01);
-    let (plain, hedged) = (quantile(&mut plain, 0.99), quantile(&mut hedged, 0.99));
-    assert!(hedged <= plain.mul_f64(0.35), "{hedged} against {plain}");
+    let (unhedged, hedged) = (quantile(&mut unhedged, 0.99), quantile(&mut hedged, 0.99));
+    assert!(
+        hedged <= unhedged.mul_f64(0.35),
+        "{hedged} against {unhedged}"
+    );
     assert!(load <= 1.06, "{load}");
 }
 
@@ -94,7 +97,7 @@
 /// Reports take a hundred times as long as lookups. With one delay for both, every report would be
 /// hedged and the budget spent on them.
 #[test]
-fn long_among_short_has_its_own_delay() {
+fn each_template_has_its_own_delay() {
     let mut policy = policy(PolicyKind::Current);
     for _ in 0..100 {
         policy.record_answer(&group("lookup"), ms(5), ms(5));
@@ -140,7 +143,7 @@
 
     /// The delay is at least the quantile's share of what was seen, whatever was seen.
     #[test]
-    fn delay_lies_within_what_was_seen(
+    fn delay_does_not_exceed_observed_latencies(
         latencies in collection::vec(1_u64..100_000_000, 20..2500),
     ) {
         let mut policy = policy(PolicyKind::Current);
@@ -150,7 +153,7 @@
             policy.record_answer(&group, latency, latency);
         }
         let delay = policy.hedge_delay(&group, true).expect("it is known");
-        let greatest = latencies.iter().max().expect("some");
-        prop_assert!(delay <= TimeSpan::from_micros(*greatest).mul_f64(1.02) + ms(1));
+        let max_latency = latencies.iter().max().expect("some");
+        prop_assert!(delay <= TimeSpan::from_micros(*max_latency).mul_f64(1.02) + ms(1));
     }
 }
--- a/alderhaven-policy/tests/log_limit.rs
+++ b/alderhaven-policy/tests/log_limit.rs
@@ -11,7 +11,7 @@
 /// An overload makes ten thousand requests in a second log that they were refused. The log gets the
 /// burst and the rate, and the line that tells of the cause gets through between them.
 #[test]
-fn flood_of_one_kind_leaves_room_for_others() {
+fn flood_of_one_kind_does_not_suppress_others() {
     let rate = RatePerSecond::new(10.0).expect("a rate");
     let mut limit = LogLimit::new(rate, 40.0);
     let taken: Vec<u64> = (0..10_000)
--- a/alderhaven-policy/tests/query_gate.rs
+++ b/alderhaven-policy/tests/query_gate.rs
@@ -21,9 +21,9 @@
 };
 
 /// Runs sweeps at this multiple of the capacity for ten seconds, spread over five fronts.
-fn run_steady(times: f64, is_gated: bool) -> ShardSimulation {
+fn run_steady(load_factor: f64, is_gated: bool) -> ShardSimulation {
     run(
-        vec![(at(10_000), vec![CAPACITY_PER_SECOND * times / 5.0; 5])],
+        vec![(at(10_000), vec![CAPACITY_PER_SECOND * load_factor / 5.0; 5])],
         is_gated,
     )
 }
@@ -40,43 +40,53 @@
 }
 
 /// Counts what arrived after the first second.
-fn tally_after_warmup(field: &ShardSimulation) -> QueryTally {
-    field.tally(|_, _, second| second >= 1)
+fn tally_after_warmup(simulation: &ShardSimulation) -> QueryTally {
+    simulation.tally(|_, _, second| second >= 1)
 }
 
 /// More sweeps arrive than the shards carry. Sent all, each gets most of its shards in time and hardly
 /// any enough: callers see their time pass while every target is busy. The gate sends as many as are
 /// answered, whatever the load.
 #[test]
-fn overload_keeps_what_is_answered_in_time() {
-    let most = tally_after_warmup(&run_steady(0.85, true)).in_time;
-    for times in [1.2, 1.6, 2.4] {
-        let gated = tally_after_warmup(&run_steady(times, true)).in_time;
-        assert!(gated >= 0.9 * most, "{times}: {gated} of {most}");
+fn overload_keeps_goodput() {
+    let best_in_time = tally_after_warmup(&run_steady(0.85, true)).in_time;
+    for load_factor in [1.2, 1.6, 2.4] {
+        let gated = tally_after_warmup(&run_steady(load_factor, true)).in_time;
+        assert!(
+            gated >= 0.9 * best_in_time,
+            "{load_factor}: {gated} of {best_in_time}"
+        );
     }
-    for times in [1.6, 2.4] {
-        let sent_all = tally_after_warmup(&run_steady(times, false)).in_time;
+    for load_factor in [1.6, 2.4] {
+        let sent_all = tally_after_warmup(&run_steady(load_factor, false)).in_time;
         assert!(
-            sent_all < 0.5 * most,
-            "{times}: {sent_all} of {most} without the gate"
+            sent_all < 0.5 * best_in_time,
+            "{load_factor}: {sent_all} of {best_in_time} without the gate"
         );
     }
 }
 
 /// A usual load must not be refused: the gate would cost callers what the shards can give.
 #[test]
-fn usual_load_is_not_refused() {
-    for times in [0.2, 0.5] {
-        let tally = tally_after_warmup(&run_steady(times, true));
-        assert!(tally.refused < 1.0, "{times}: {} refused", tally.refused);
-        assert!(tally.in_time >= 0.99 * tally.total, "{times}: {tally:?}");
+fn moderate_load_is_not_refused() {
+    for load_factor in [0.2, 0.5] {
+        let tally = tally_after_warmup(&run_steady(load_factor, true));
+        assert!(
+            tally.refused < 1.0,
+            "{load_factor}: {} refused",
+            tally.refused
+        );
+        assert!(
+            tally.in_time >= 0.99 * tally.total,
+            "{load_factor}: {tally:?}"
+        );
     }
 }
 
 /// A caller that won't be served hears of it while it can still go elsewhere: within the part of its
 /// target for which a query may wait, and a quarter of it at most.
 #[test]
-fn refusals_come_at_once() {
+fn refusals_are_prompt() {
     let tally = tally_after_warmup(&run_steady(2.4, true));
     assert!(tally.refused > 0.4 * tally.total, "{tally:?}");
     assert!(tally.slowest_refusal <= FAN_OUT_QUERY.latency_target.mul_f64(0.25));
@@ -85,28 +95,28 @@
 /// A burst of three times the capacity ends. What queues at targets is short, so that the next callers
 /// are served as if there had been none.
 #[test]
-fn burst_that_ends_leaves_nothing_behind() {
-    let usual = vec![CAPACITY_PER_SECOND * 0.4 / 5.0; 5];
+fn burst_leaves_no_backlog() {
+    let normal = vec![CAPACITY_PER_SECOND * 0.4 / 5.0; 5];
     let burst = vec![CAPACITY_PER_SECOND * 3.0 / 5.0; 5];
     let rates = vec![
-        (at(2_000), usual.clone()),
+        (at(2_000), normal.clone()),
         (at(6_000), burst),
-        (at(12_000), usual),
+        (at(12_000), normal),
     ];
-    let field = run(rates, true);
-    let after = field.tally(|_, _, second| second >= 7);
+    let simulation = run(rates, true);
+    let after = simulation.tally(|_, _, second| second >= 7);
     assert!(after.in_time >= 0.98 * after.total, "{after:?}");
 }
 
 /// One front has four times the callers of the others. All meet the same queues, so that its callers
 /// are served nearly as often as those of the others.
 #[test]
-fn fronts_of_unequal_load_serve_alike() {
+fn fronts_of_unequal_load_serve_similar_shares() {
     let unit = CAPACITY_PER_SECOND * 1.5 / 8.0;
     let rates = vec![(at(10_000), vec![4.0 * unit, unit, unit, unit, unit])];
-    let field = run(rates, true);
-    let share = |is_meant: fn(usize) -> bool| {
-        let tally = field.tally(|_, front, second| second >= 1 && is_meant(front));
+    let simulation = run(rates, true);
+    let share = |matches: fn(usize) -> bool| {
+        let tally = simulation.tally(|_, front, second| second >= 1 && matches(front));
         tally.in_time / tally.total
     };
     let (busy, others) = (share(|front| front == 0), share(|front| front > 0));
@@ -119,7 +129,7 @@
 /// Two shards of twenty are ten times as slow, and eighteen make an answer. Every query can do without
 /// the two: the gate must not close for them.
 #[test]
-fn shards_that_can_be_left_out_do_not_close_it() {
+fn dispensable_slow_shards_cause_no_refusals() {
     let run = |is_gated| {
         tally_after_warmup(&ShardSimulation::run(ShardSimulationOptions {
             rates: vec![(at(10_000), vec![CAPACITY_PER_SECOND * 0.5 / 5.0; 5])],
@@ -138,7 +148,7 @@
 /// Urgent sweeps and short lookups, at twice what the shards carry. The urgent ones go first, and the
 /// lookups keep a part of it: neither is shut out.
 #[test]
-fn better_rank_goes_first_and_none_is_shut_out() {
+fn better_rank_is_preferred_without_starvation() {
     let urgent = KindOptions {
         share: 0.6,
         ..FAN_OUT_QUERY
@@ -148,7 +158,7 @@
         share: 0.4,
         ..FAN_OUT_QUERY
     };
-    let field = ShardSimulation::run(ShardSimulationOptions {
+    let simulation = ShardSimulation::run(ShardSimulationOptions {
         rates: vec![(at(10_000), vec![CAPACITY_PER_SECOND * 2.0 / 5.0; 5])],
         shards: 20,
         kinds: vec![urgent, lookup],
@@ -157,7 +167,7 @@
         seed: 7,
     });
     let share = |kind: usize| {
-        let tally = field.tally(|of, _, second| second >= 1 && of == kind);
+        let tally = simulation.tally(|of, _, second| second >= 1 && of == kind);
         tally.in_time / tally.total
     };
     assert!(share(0) > share(1), "{} and {}", share(0), share(1));
@@ -191,7 +201,7 @@
 /// A caller that was refused comes back after its latency target. Its answer is late in any case, so it
 /// must not take the place of one that can still be in time.
 #[test]
-fn waiting_late_query_goes_after_one_in_time() {
+fn late_query_waits_behind_one_in_time() {
     let mut gate = full_gate(1);
     let late = gate.offer(query(1, 1, true), at(1));
     assert!(matches!(late, GateDecision::Wait { .. }), "{late:?}");
@@ -204,7 +214,7 @@
 /// The line is as long as its wait is worth it. A query of a better rank takes the place of the last
 /// one, whose caller hears at once.
 #[test]
-fn full_line_gives_way_to_a_better_rank() {
+fn full_queue_displaces_its_last_for_a_better_rank() {
     let mut gate = full_gate(2);
     let mut last = 0;
     while let GateDecision::Wait { outranked, .. } = gate.offer(query(last + 1, 2, false), at(1)) {
@@ -220,21 +230,21 @@
 }
 
 #[test]
-fn refusal_asks_for_a_longer_pause_the_more_are_refused() {
+fn retry_after_grows_with_refusals() {
     let mut gate = full_gate(1);
-    let mut pause = TimeSpan::ZERO;
+    let mut retry_after = TimeSpan::ZERO;
     for id in 0..400 {
         if let GateDecision::Refuse(refusal) = gate.offer(query(id, 1, false), at(1)) {
             assert_eq!(refusal.reason, GateReason::NoRoom);
-            assert!(refusal.retry_after >= pause);
-            pause = refusal.retry_after;
+            assert!(refusal.retry_after >= retry_after);
+            retry_after = refusal.retry_after;
         }
     }
-    assert!(pause >= ms(60), "{pause}");
+    assert!(retry_after >= ms(60), "{retry_after}");
 }
 
 #[test]
-fn limit_ignores_what_says_nothing_of_the_room() {
+fn limit_ignores_uninformative_signals() {
     let mut limit = ConcurrencyLimit::default();
     limit.record_finished(QuerySignal::Uninformative, 8);
     assert_eq!(limit, ConcurrencyLimit::default());
@@ -251,7 +261,7 @@
 }
 
 #[test]
-fn limit_falls_within_rounds_to_its_least() {
+fn limit_falls_to_its_minimum() {
     let mut limit = ConcurrencyLimit::default();
     for _ in 0..60 {
         limit.record_finished(QuerySignal::TimedOut, 8);
@@ -263,7 +273,7 @@
 /// the replicas' queues until most are late, and callers hear of it when their time is over. Admitted by
 /// the same rules, the replicas answer in time as many as they can, and the others hear at once.
 #[test]
-fn overload_of_one_service_keeps_what_is_answered_in_time() {
+fn overload_of_one_service_keeps_goodput() {
     const LOOKUP: KindOptions = KindOptions {
         rank: 2,
         share: 1.0,
@@ -271,24 +281,33 @@
         latency_target: ms(380),
         required_shards: 1,
     };
-    const CARRIED: f64 = 4.0 / 0.090 / 1.04;
-    let run = |times: f64, is_gated| {
-        let field = ShardSimulation::run(ShardSimulationOptions {
-            rates: vec![(at(20_000), vec![CARRIED * times / 5.0; 5])],
+    const CAPACITY: f64 = 4.0 / 0.090 / 1.04;
+    let run = |load_factor: f64, is_gated| {
+        let simulation = ShardSimulation::run(ShardSimulationOptions {
+            rates: vec![(at(20_000), vec![CAPACITY * load_factor / 5.0; 5])],
             shards: 1,
             kinds: vec![LOOKUP],
             is_gated,
             slow_shards: (0, 1.0),
             seed: 11,
         });
-        field.tally(|_, _, second| second >= 3)
+        simulation.tally(|_, _, second| second >= 3)
     };
-    let most = run(0.85, true);
-    assert!(most.refused <= 0.02 * most.total, "{most:?}");
-    for times in [2.0, 3.0] {
-        let (gated, all) = (run(times, true), run(times, false));
-        assert!(gated.in_time >= 0.85 * most.in_time, "{times}: {gated:?}");
-        assert!(all.in_time < 0.7 * most.in_time, "{times}: {all:?}");
+    let best_in_time = run(0.85, true);
+    assert!(
+        best_in_time.refused <= 0.02 * best_in_time.total,
+        "{best_in_time:?}"
+    );
+    for load_factor in [2.0, 3.0] {
+        let (gated, all) = (run(load_factor, true), run(load_factor, false));
+        assert!(
+            gated.in_time >= 0.85 * best_in_time.in_time,
+            "{load_factor}: {gated:?}"
+        );
+        assert!(
+            all.in_time < 0.7 * best_in_time.in_time,
+            "{load_factor}: {all:?}"
+        );
         assert!(gated.slowest_refusal <= LOOKUP.latency_target.mul_f64(0.25));
     }
 }
--- a/alderhaven-policy/tests/relay_queue.rs
+++ b/alderhaven-policy/tests/relay_queue.rs
@@ -63,7 +63,7 @@
 /// Runs the arrivals through a queue with a target of `slots` slots.
 fn run(mut queue: RelayQueue, slots: u32, arrivals: &[Arrival]) -> RunResult {
     let mut events = EventQueue::new();
-    let mut received = RunResult::default();
+    let mut result = RunResult::default();
     let mut wake = None;
     for (index, arrival) in arrivals.iter().enumerate() {
         events.add(arrival.time, Step::Arrive(index));
@@ -74,12 +74,12 @@
                 let job = arrivals[index].job.clone();
                 let sequence = job.id.sequence;
                 if let OfferOutcome::Refused(reason) = queue.offer(job, now, slots) {
-                    received.dropped.insert(sequence, (reason, now));
+                    result.dropped.insert(sequence, (reason, now));
                 }
             }
             Step::End(id, service) => {
                 queue.record_finished(id, Some(service), now);
-                received.finished_at.insert(id.sequence, now);
+                result.finished_at.insert(id.sequence, now);
             }
             Step::Expire => queue.drop_expired(now),
         }
@@ -96,7 +96,7 @@
             events.add(now + service, Step::End(started.job.id, service));
         }
         for dropped in queue.take_dropped() {
-            received
+            result
                 .dropped
                 .insert(dropped.id.sequence, (dropped.reason, now));
         }
@@ -107,7 +107,7 @@
             events.add(expiry.max(now + TimeSpan::from_micros(1)), Step::Expire);
         }
     }
-    received
+    result
 }
 
 fn steady_arrivals(
@@ -130,7 +130,7 @@
 /// lookup would see time-outs, since first-in-first-out serves whoever waited longest, which is
 /// whoever has the least time left.
 #[test]
-fn overload_serves_urgent_in_time_and_answers_the_rest_at_once() {
+fn overload_serves_urgent_in_time_and_refuses_the_rest_at_once() {
     // 2 slots of 10 ms run 200 attempts/s; 400 arrive.
     let arrivals = steady_arrivals(
         2000,
@@ -146,16 +146,16 @@
             job(number, class, "lookup", time + ms(100))
         },
     );
-    let received = run(queue(), 2, &arrivals);
+    let result = run(queue(), 2, &arrivals);
     let mut urgent = 0;
     let mut urgent_in_time = 0;
-    let mut done_late = 0;
+    let mut finished_late = 0;
     for arrival in &arrivals {
         let number = arrival.job.id.sequence;
-        let done = received.finished_at.get(&number);
-        let in_time = done.is_some_and(|end| *end <= arrival.job.deadline);
-        if done.is_some() && !in_time {
-            done_late += 1;
+        let finished = result.finished_at.get(&number);
+        let in_time = finished.is_some_and(|end| *end <= arrival.job.deadline);
+        if finished.is_some() && !in_time {
+            finished_late += 1;
         }
         if arrival.job.class == QueryClass::Urgent {
             urgent += 1;
@@ -167,16 +167,16 @@
         "{urgent_in_time} of {urgent}"
     );
     assert!(
-        done_late * 100 <= arrivals.len(),
-        "{done_late} ran for nobody"
+        finished_late * 100 <= arrivals.len(),
+        "{finished_late} ran for nobody"
     );
     // 5 s at 200/s; one in a hundred may be lost at the edges.
     assert!(
-        received.finished_at.len() >= 990,
+        result.finished_at.len() >= 990,
         "{} ran",
-        received.finished_at.len()
+        result.finished_at.len()
     );
-    let mut waits: Vec<TimeSpan> = received
+    let mut waits: Vec<TimeSpan> = result
         .dropped
         .iter()
         .map(|(number, (_, time))| {
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn baseline_under_the_same_overload_misses_urgent_work() {
+fn baseline_misses_urgent_deadlines_under_overload() {
     let arrivals = steady_arrivals(
         2000,
         0,
@@ -202,14 +202,14 @@
             job(number, class, "lookup", time + ms(100))
         },
     );
-    let plain = RelayQueue::new(PolicyKind::Baseline, RelayQueueOptions::default());
-    let received = run(plain, 2, &arrivals);
+    let baseline = RelayQueue::new(PolicyKind::Baseline, RelayQueueOptions::default());
+    let result = run(baseline, 2, &arrivals);
     let urgent_in_time = arrivals
         .iter()
         .filter(|arrival| arrival.job.class == QueryClass::Urgent)
         .filter(|arrival| {
-            let done = received.finished_at.get(&arrival.job.id.sequence);
-            done.is_some_and(|end| *end <= arrival.job.deadline)
+            let finished = result.finished_at.get(&arrival.job.id.sequence);
+            finished.is_some_and(|end| *end <= arrival.job.deadline)
         })
         .count();
     assert!(urgent_in_time < 300, "{urgent_in_time} of 667");
@@ -218,7 +218,7 @@
 /// Monthly reports of 200 ms arrive among lookups of 5 ms. A pharmacist would see a lookup take as
 /// long as a report: all slots run reports, and nothing tells the two apart.
 #[test]
-fn long_among_short_leaves_a_slot_for_short_work() {
+fn long_jobs_leave_a_slot_for_short_ones() {
     let mut arrivals = steady_arrivals(400, 0, ms(10), ms(5), |number, time| {
         job(number, QueryClass::Urgent, "lookup", time + ms(300))
     });
@@ -235,19 +235,19 @@
         Arrival { time, job, service }
     }));
     arrivals.sort_by_key(|arrival| arrival.time);
-    let received = run(queue(), 2, &arrivals);
+    let result = run(queue(), 2, &arrivals);
     let mut short: Vec<TimeSpan> = arrivals
         .iter()
         .filter(|arrival| arrival.job.id.sequence < 1000)
         .filter_map(|arrival| {
-            let end = received.finished_at.get(&arrival.job.id.sequence)?;
+            let end = result.finished_at.get(&arrival.job.id.sequence)?;
             Some(end.since(arrival.time))
         })
         .collect();
     assert_eq!(short.len(), 400, "every lookup ran");
     // Alone they take 5 ms; 1.5 times that is the bound.
     assert!(quantile(&mut short, 0.99) <= TimeSpan::from_micros(7500));
-    let long = received
+    let long = result
         .finished_at
         .keys()
         .filter(|number| **number >= 1000)
@@ -270,8 +270,8 @@
         |number, time| job(number, QueryClass::Bulk, "report", time + ms(5000)),
     ));
     arrivals.sort_by_key(|arrival| arrival.time);
-    let received = run(queue(), 2, &arrivals);
-    let bulk = received
+    let result = run(queue(), 2, &arrivals);
+    let bulk = result
         .finished_at
         .keys()
         .filter(|number| **number >= 5000)
@@ -282,7 +282,7 @@
 /// A burst of one second at five times the rate meets the queue; afterwards the wait must be gone,
 /// and nothing that had already been refused or expired may run.
 #[test]
-fn burst_is_over_when_it_is_over() {
+fn burst_leaves_no_backlog() {
     let mut arrivals = steady_arrivals(500, 0, ms(2), ms(10), |number, time| {
         job(number, QueryClass::Ordinary, "lookup", time + ms(150))
     });
@@ -300,15 +300,15 @@
             service: ms(10),
         }
     }));
-    let received = run(queue(), 2, &arrivals);
+    let result = run(queue(), 2, &arrivals);
     for arrival in arrivals.iter().filter(|arrival| arrival.time >= at(1200)) {
-        let end = received.finished_at.get(&arrival.job.id.sequence);
+        let end = result.finished_at.get(&arrival.job.id.sequence);
         let end = end.expect("work after the burst runs");
         assert!(end.since(arrival.time) <= ms(20));
     }
-    for number in received.finished_at.keys() {
+    for number in result.finished_at.keys() {
         assert!(
-            !received.dropped.contains_key(number),
+            !result.dropped.contains_key(number),
             "{number} ran and was dropped"
         );
     }
@@ -374,9 +374,9 @@
     assert_eq!(queue.offer(urgent, now, 2), OfferOutcome::Queued);
     assert!(queue.start_next(now, 2).is_some());
     // While that one runs, the next is refused rather than sent to its certain lateness.
-    let hopeless = job(51, QueryClass::Urgent, "lookup", now + ms(100));
+    let too_late = job(51, QueryClass::Urgent, "lookup", now + ms(100));
     assert_eq!(
-        queue.offer(hopeless, now, 2),
+        queue.offer(too_late, now, 2),
         OfferOutcome::Refused(NotRunReason::Expired)
     );
 }
@@ -398,7 +398,7 @@
 /// Urgent work arrives ahead of ordinary work that waits. The last of that can no longer finish; its
 /// callers must hear so now, while they can still ask elsewhere, rather than when their time is up.
 #[test]
-fn displaced_job_is_answered_at_once() {
+fn displaced_job_is_refused_at_once() {
     let mut queue = queue();
     queue.offer(job(1, QueryClass::Urgent, "lookup", at(900)), at(0), 1);
     queue.start_next(at(0), 1).expect("the first one starts");
@@ -474,13 +474,13 @@
     /// Whatever happens, each job has one fate, the slots are never exceeded, nothing starts after
     /// its deadline, and while short work may come, long work leaves it a slot.
     #[test]
-    fn every_job_has_one_fate(actions in collection::vec(action(), 1..120), slots in 1_u32..5) {
+    fn every_job_ends_exactly_once(actions in collection::vec(action(), 1..120), slots in 1_u32..5) {
         let mut queue = queue();
         let mut now = at(0);
         let mut offered = 0_u64;
         let mut taken = 0_usize;
         let mut started = BTreeMap::new();
-        let mut fates: BTreeMap<u64, u32> = BTreeMap::new();
+        let mut endings: BTreeMap<u64, u32> = BTreeMap::new();
         for action in actions {
             match action {
                 Action::Offer(class, order, time, long) => {
@@ -495,7 +495,7 @@
                 Action::Start => {
                     if let Some(start) = queue.start_next(now, slots) {
                         prop_assert!(now <= start.job.deadline);
-                        *fates.entry(start.job.id.sequence).or_default() += 1;
+                        *endings.entry(start.job.id.sequence).or_default() += 1;
                         started.insert(start.job.id.sequence, start.job.template);
                     }
                 }
@@ -507,18 +507,18 @@
                 }
                 Action::Cancel(number) => {
                     if queue.cancel(id(number)) {
-                        *fates.entry(number).or_default() += 1;
+                        *endings.entry(number).or_default() += 1;
                     }
                 }
                 Action::Wait(time) => now = now + ms(time),
             }
             for dropped in queue.take_dropped() {
-                *fates.entry(dropped.id.sequence).or_default() += 1;
+                *endings.entry(dropped.id.sequence).or_default() += 1;
             }
             prop_assert!(queue.running_count() <= slots as usize);
             prop_assert_eq!(queue.running_count(), started.len());
-            prop_assert_eq!(queue.waiting_count() + fates.len(), taken);
-            prop_assert!(fates.values().all(|count| *count == 1));
+            prop_assert_eq!(queue.waiting_count() + endings.len(), taken);
+            prop_assert!(endings.values().all(|count| *count == 1));
         }
     }
 }
--- a/alderhaven-policy/tests/repeat_budget.rs
+++ b/alderhaven-policy/tests/repeat_budget.rs
@@ -17,7 +17,7 @@
 /// A service's servers turn slow, so that all eight nodes want to hedge every request. What users
 /// would see without the budget: the service carries twice its load and all of its answers are late.
 #[test]
-fn slow_service_gets_no_more_than_the_rule_from_all_nodes() {
+fn all_nodes_together_stay_within_the_allowance() {
     let nodes = 8;
     let mut budgets: Vec<RepeatBudget> = vec![RepeatBudget::new(OPTIONS); nodes];
     let mut repeats = 0;
@@ -41,7 +41,7 @@
 /// Servers are slow and one of them crashes. Hedges have used what they may, and a retry after the
 /// crash is still sent: without the reserve its caller would get an answer without that shard.
 #[test]
-fn retry_after_hedges_is_still_sent() {
+fn hedges_leave_a_reserve_for_retries() {
     let mut budget = RepeatBudget::new(OPTIONS);
     for millis in 0..500 {
         budget.record_request(at(millis));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn old_repeats_are_forgotten_after_the_window() {
+fn repeats_expire_with_the_window() {
     let mut budget = RepeatBudget::new(OPTIONS);
     while budget.take(RepeatReason::Retry, 1.0, at(0)) {}
     assert!(!budget.take(RepeatReason::Retry, 1.0, at(9_000)));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn part_of_the_fixed_number_is_all_that_a_node_takes() {
+fn node_takes_only_its_share_of_free_repeats() {
     let mut budget = RepeatBudget::new(OPTIONS);
     let taken = (0..100).filter(|_| budget.take(RepeatReason::Retry, 0.125, at(0)));
     assert_eq!(taken.count(), 6, "nine tenths of an eighth of 56");
@@ -69,7 +69,7 @@
     /// Whatever the order of requests and repeats, no window holds more repeats than the rule allows
     /// for the requests in it and in the piece before it.
     #[test]
-    fn any_window_keeps_the_rule(steps in prop::collection::vec((0u64..400, any::<bool>()), 1..400)) {
+    fn every_window_stays_within_the_allowance(steps in prop::collection::vec((0u64..400, any::<bool>()), 1..400)) {
         let mut budget = RepeatBudget::new(OPTIONS);
         let mut now = 0;
         let mut requests: Vec<u64> = Vec::new();
--- a/alderhaven-policy/tests/retry.rs
+++ b/alderhaven-policy/tests/retry.rs
@@ -52,7 +52,7 @@
 /// The connection breaks while an assignment is under way. If it were sent again, the number would
 /// be issued twice and the fee charged twice.
 #[test]
-fn what_may_have_run_is_not_repeated() {
+fn attempt_that_may_have_run_is_retried_only_if_idempotent() {
     for outcome in [AttemptOutcome::Unknown, AttemptOutcome::Failed] {
         let mut ended = attempt(outcome);
         assert_eq!(decide(ended, &mut budget(), at(0)), RetryDecision::Retry);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn quarantined_request_is_not_repeated() {
+fn quarantined_request_is_not_retried() {
     let ended = attempt(AttemptOutcome::NotRun(NotRunReason::Quarantined));
     let given_up = RetryDecision::GiveUp(GiveUpReason::Final);
     assert_eq!(decide(ended, &mut budget(), at(0)), given_up);
@@ -71,7 +71,7 @@
 
 /// Every target sheds all it is sent. Retries must not double the load that causes it.
 #[test]
-fn overload_is_not_fed_by_retries() {
+fn retries_do_not_amplify_overload() {
     let mut budget = budget();
     let mut retries = 0;
     for step in 0..100_u64 {
@@ -93,27 +93,27 @@
 
     /// Whatever the attempt, it is repeated only where that does no harm and may still help.
     #[test]
-    fn retry_does_no_harm(
+    fn retry_is_safe_and_timely(
         outcome in sample::select(outcomes()),
         is_idempotent in any::<bool>(),
         retries in 0_u32..4,
-        untried in 0_usize..3,
-        expected in 0_u64..100,
+        untried_replicas in 0_usize..3,
+        expected_service_time in 0_u64..100,
         left in 0_u64..200,
     ) {
         let ended = EndedAttempt {
             outcome,
             is_idempotent,
             retries,
-            untried_replicas: untried,
-            expected_service_time: ms(expected),
+            untried_replicas,
+            expected_service_time: ms(expected_service_time),
             deadline: at(500 + left),
         };
         if decide(ended, &mut budget(), at(500)) == RetryDecision::Retry {
             let has_not_run = matches!(outcome, AttemptOutcome::NotRun(_));
             prop_assert!(has_not_run || is_idempotent);
             prop_assert!(outcome != AttemptOutcome::Answered);
-            prop_assert!(untried > 0 && left >= expected && left > 0);
+            prop_assert!(untried_replicas > 0 && left >= expected_service_time && left > 0);
         }
     }
 
@@ -132,8 +132,8 @@
                 taken += f64::from(u8::from(budget.take(now)));
             }
             let free = now.since(at(0)).as_secs_f64() * options.free_per_second;
-            let most = options.burst + sent * options.retries_per_attempt + free;
-            prop_assert!(taken <= most + 1e-6);
+            let max_taken = options.burst + sent * options.retries_per_attempt + free;
+            prop_assert!(taken <= max_taken + 1e-6);
         }
     }
 }
@@ -142,7 +142,7 @@
 /// all attempts end before a byte was sent. Callers would get partial answers once the budget is
 /// spent, although the other replicas are idle enough; what was shed still counts.
 #[test]
-fn lost_domain_does_not_spend_the_budget() {
+fn lost_domain_does_not_consume_the_budget() {
     let mut budget = budget();
     let not_sent = attempt(AttemptOutcome::NotRun(NotRunReason::NotSent));
     for _ in 0..10_000 {
--- a/alderhaven-policy/tests/target_limit.rs
+++ b/alderhaven-policy/tests/target_limit.rs
@@ -12,9 +12,9 @@
     TargetLimit::new(PolicyKind::Current, TargetLimitOptions::default(), slots)
 }
 
-fn ran(service: u64) -> AttemptSignal {
+fn ran(service_time: u64) -> AttemptSignal {
     AttemptSignal::Ran {
-        service_time: ms(service),
+        service_time: ms(service_time),
         expected_service_time: ms(10),
     }
 }
@@ -31,8 +31,8 @@
         for _ in 0..count {
             limit.record_sent();
         }
-        for place in 0..count {
-            let is_shed = place >= 2;
+        for index in 0..count {
+            let is_shed = index >= 2;
             sent += 1;
             shed += u32::from(is_shed);
             let signal = if is_shed {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn slow_target_is_given_less_and_recovers() {
+fn slow_target_is_limited_and_recovers() {
     let mut limit = limit(4);
     for step in 0..40 {
         limit.record_sent();
@@ -74,18 +74,18 @@
 }
 
 #[test]
-fn spread_of_service_times_is_no_slowness() {
+fn service_time_variance_does_not_lower_the_limit() {
     let mut limit = limit(4);
-    let mut draw = common::SeededRng(7);
+    let mut rng = common::SeededRng(7);
     let mut lowered = 0;
     for step in 0..2000 {
         limit.record_sent();
-        let service = draw.exponential(ms(10));
-        let expected = ms(10);
+        let service_time = rng.exponential(ms(10));
+        let expected_service_time = ms(10);
         limit.record_finished(
             AttemptSignal::Ran {
-                service_time: service,
-                expected_service_time: expected,
+                service_time,
+                expected_service_time,
             },
             at(step * 10),
         );
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn report_counts_only_where_it_says_more_and_is_fresh() {
+fn report_counts_only_when_higher_and_fresh() {
     let options = TargetLimitOptions {
         uses_reported_slots: true,
         ..TargetLimitOptions::default()
--- a/alderhaven-policy/tests/top_records.rs
+++ b/alderhaven-policy/tests/top_records.rs
@@ -5,19 +5,19 @@
 use proptest::prelude::*;
 
 #[test]
-fn greatest_equal_records_all_count() {
+fn equal_records_are_all_kept() {
     let part = Bytes::from(vec![7; 2 * RECORD_BYTES]);
     assert_eq!(greatest_records([&part, &part], 3).len(), 3 * RECORD_BYTES);
 }
 
 #[test]
-fn greatest_of_a_broken_record_leaves_it_out() {
+fn truncated_record_is_ignored() {
     let part = Bytes::from(vec![1; RECORD_BYTES + 5]);
     assert_eq!(greatest_records([&part], 9).len(), RECORD_BYTES);
 }
 
 #[test]
-fn greatest_none_is_empty() {
+fn zero_count_is_empty() {
     let part = Bytes::from(vec![1; RECORD_BYTES]);
     assert!(greatest_records([&part], 0).is_empty());
     assert!(greatest_records([], 5).is_empty());
@@ -27,7 +27,7 @@
     /// Merged over any split into parts, and merged again from merged blocks, the records are the
     /// same: a front may merge what another front has merged.
     #[test]
-    fn greatest_of_blocks_is_greatest_of_parts(
+    fn merging_blocks_equals_merging_parts(
         parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..12),
         cut in 0usize..12,
         count in 0usize..20,
