--- a/alderhaven-policy/src/admission.rs
+++ b/alderhaven-policy/src/admission.rs
@@ -1,31 +1,11 @@
-//! Admission at an entry: which queries run now, which wait, and which are refused at once.
+//! Admission control of an entry: a query runs now, waits, or is refused on arrival.
 //!
-//! Load pattern: more queries arrive than the service carries; a burst; one team or one key that
-//! offers many times its share.
-//!
-//! Without it (everything is sent): each shard's queue drops other queries, so under twice the
-//! load hardly any query is whole; callers wait until their deadline to hear that they got nothing;
-//! a team that floods takes the service from the others.
-//!
-//! The rules:
-//! - Whole queries are shed, before the fan-out. What is in flight per service is bounded by
-//!   [`crate::service_capacity::ServiceCapacity`], which is found from what ended queries report.
-//! - Waiting queries go by class, then fairly by team weight, then by key ([`crate::fair_queue`]).
-//! - A query whose estimated wait exceeds its class's share of its time, or whose wait and latency
-//!   together exceed its time, is refused on arrival, with when to come back, spread by jitter so
-//!   that refused callers don't return together. One that waits for far longer than was estimated
-//!   is refused at half of its time.
-//! - One key may have no more in flight than one shard carries: the shards of its queries are
-//!   always the same ones.
-//! - A team or key above its share is given a later `order` ([`AdmitTicket::order_at`]), so that
-//!   the relays too prefer the others.
-//!
-//! Grounds for the figures: an urgent query is refused last, so it may wait for a third of its time
-//! (370 ms: 130) and still have its attempts and hedges. Lower classes may wait for an eighth (44
-//! ms), since urgent ones that arrive meanwhile go before them: at a quarter, one in ten was refused
-//! only after its wait in the overload test, at an eighth one in a thousand. Beyond 2 s a caller is
-//! better served by a refusal. An order lag of 100 ms exceeds the wait that the capacity lets stand
-//! in the relays.
+//! Whole queries are shed before their fan-out, so that overload doesn't leave every query with
+//! some shards missing. [`crate::service_capacity::ServiceCapacity`] bounds the attempts in flight
+//! for each service. Waiting queries are served by class, then fairly by team and key
+//! ([`crate::fair_queue`]). A query is refused if its estimated wait exceeds its share of the
+//! remaining time or if it can't be answered by its deadline. Teams and keys above their fair share
+//! also get a later [`AdmitTicket::order_at`], so that relays serve the others first.
 
 use std::collections::HashMap;
 
@@ -46,27 +26,30 @@
 use crate::service_capacity::{QueryReport, ServiceCapacityOptions, ServiceSize};
 use crate::team_quota::TeamQuota;
 
-/// An `AdmissionOptions` holds the settings of an entry's admission.
+/// Settings of an entry's admission control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdmissionOptions {
-    /// How the number of queries in flight is found.
+    /// Settings of the adaptive limit on the attempts in flight.
     pub capacity: ServiceCapacityOptions,
-    /// The share of an urgent query's time that it may wait for its admission.
+    /// Largest estimated wait of an urgent query, as a share of the time until its deadline.
     pub wait_share: f64,
-    /// The same for queries of lower classes, whose wait higher ones may prolong.
+    /// Largest estimated wait of an ordinary or bulk query, as a share of the time until its
+    /// deadline. Urgent queries that arrive later may overtake it and prolong the wait.
     pub lower_wait_share: f64,
-    /// The share of its time after which a waiting query is given up on.
+    /// Share of the time until its deadline after which a waiting query is refused.
     #[serde(rename = "give_up_share")]
     pub queue_timeout_share: f64,
-    /// The longest wait for admission.
+    /// Largest estimated wait, whatever the deadline; waiting queries time out after at most twice
+    /// this.
     pub max_wait: TimeSpan,
-    /// The least time after which a refused caller is asked to come back.
+    /// Shortest time that a refused caller is asked to wait before it retries, before jitter.
     pub min_retry_after: TimeSpan,
-    /// The greatest lag of the order of a team or key above its share.
+    /// Largest delay that is added to [`AdmitTicket::order_at`] for a team or key above its fair
+    /// share.
     #[serde(rename = "max_order_lag")]
     pub max_order_penalty: TimeSpan,
-    /// The most queries that wait, a bound on memory only.
+    /// Largest number of waiting queries of one service; it bounds memory only.
     pub max_waiting: usize,
 }
 
@@ -85,7 +68,7 @@
     }
 }
 
-/// An `AdmissionGate` decides on the queries of one entry.
+/// Admits, queues or refuses the queries that arrive at one entry.
 #[derive(Debug)]
 pub struct AdmissionGate {
     options: AdmissionOptions,
@@ -98,7 +81,7 @@
 }
 
 impl AdmissionGate {
-    /// Returns a gate; `seed` makes the jitter of its refusals repeatable.
+    /// Creates a gate without any services or teams; `seed` makes the jitter reproducible.
     #[must_use]
     pub fn new(policy: PolicyKind, options: AdmissionOptions, seed: u64) -> Self {
         Self {
@@ -112,7 +95,7 @@
         }
     }
 
-    /// Takes over how many entries share the services.
+    /// Sets the number of entries that share the capacity of services and the rates of teams.
     pub fn set_entries(&mut self, entries: u32, now: TimePoint) {
         self.entries = entries.max(1);
         for quota in self.quotas.values_mut() {
@@ -125,7 +108,7 @@
         }
     }
 
-    /// Takes over a service's number of shards and the slots of all its targets.
+    /// Sets a service's number of shards and the total number of slots of its targets.
     pub fn set_service(&mut self, service: &ServiceName, shards: u32, slots: u32) {
         let size = ServiceSize {
             shards,
@@ -139,7 +122,7 @@
             .set_size(size);
     }
 
-    /// Takes over what is published for a team.
+    /// Sets the published limits and the weight of a team.
     pub fn set_team(&mut self, team: &TeamPolicy, now: TimePoint) {
         let entries = self.entries;
         self.quotas
@@ -148,7 +131,10 @@
             .set_policy(team, entries, now);
     }
 
-    /// Decides on a query that arrives.
+    /// Decides on an arriving query.
+    ///
+    /// A ticket that is returned here or by [`Self::next_ready`] must be passed to
+    /// [`Self::record_finished`] when the query ends.
     pub fn offer(&mut self, request: AdmitRequest, now: TimePoint) -> AdmitDecision {
         let quota = self.quotas.entry(request.team.clone()).or_default();
         if let Err(refusal) = quota.acquire(now) {
@@ -199,8 +185,9 @@
         AdmitDecision::Queue
     }
 
-    /// Gets the next query that waited and can be decided now; call it until it returns none,
-    /// after each end of a query and at [`Self::next_give_up`].
+    /// Returns the next waiting query that can be admitted or has timed out.
+    ///
+    /// Call it until it returns `None` whenever a query ends and at [`Self::next_expiry`].
     pub fn next_ready(&mut self, now: TimePoint) -> Option<ReadyQuery> {
         self.refuse_expired(now);
         if let Some(refused) = self.refused.pop() {
@@ -220,7 +207,7 @@
         None
     }
 
-    /// Gets the next time at which a waiting query is given up on.
+    /// Returns the next time at which a waiting query times out.
     #[must_use]
     pub fn next_expiry(&self) -> Option<TimePoint> {
         self.services
@@ -229,8 +216,10 @@
             .min()
     }
 
-    /// Notes that one attempt of a query ended, whatever its outcome: the room that it took is free
-    /// for another query, although this one still waits for its slowest shard.
+    /// Records that one attempt of a query has ended, with any outcome.
+    ///
+    /// Its capacity is released for other queries while this query still waits for its other
+    /// shards.
     pub fn record_reply(&mut self, ticket: &mut AdmitTicket) {
         if ticket.replied >= ticket.request.fan_out {
             return;
@@ -241,7 +230,7 @@
         }
     }
 
-    /// Takes back the ticket of a query that ended, with what it says of the load.
+    /// Releases the ticket of a query that has ended and updates the limit from its report.
     pub fn record_finished(&mut self, ticket: &AdmitTicket, report: QueryReport, now: TimePoint) {
         let request = &ticket.request;
         if let Some(quota) = self.quotas.get_mut(&request.team) {
@@ -252,7 +241,7 @@
         }
     }
 
-    /// Takes out a waiting query whose caller has gone; returns false where it does not wait.
+    /// Removes a waiting query whose caller has disconnected; returns false if it isn't waiting.
     pub fn cancel(&mut self, service: &ServiceName, id: u64) -> bool {
         let Some(admission) = self.services.get_mut(service) else {
             return false;
@@ -267,7 +256,7 @@
         true
     }
 
-    /// Gets the load of a service as the gate sees it.
+    /// Returns the current load of a service, or `None` if it is unknown.
     #[must_use]
     pub fn service_load(&self, service: &ServiceName) -> Option<ServiceLoad> {
         let admission = self.services.get(service)?;
@@ -299,8 +288,8 @@
         }
     }
 
-    /// Spreads the time to come back over its double, so that callers who were refused together
-    /// don't return together.
+    /// Adds up to 100% of jitter to the retry time, so that callers who were refused together don't
+    /// retry together.
     fn with_jitter(&mut self, refusal: Refusal) -> Refusal {
         let base = refusal.retry_after.max(self.options.min_retry_after);
         let factor = 1.0 + self.rng.random_range(0.0..1.0);
@@ -319,8 +308,8 @@
         estimate: WaitEstimate,
         now: TimePoint,
     ) -> WaitingQuery {
-        // Some times the wait that was accepted: a query that others hold back for longer than was
-        // estimated is told so while it can still go elsewhere.
+        // The timeout is longer than the accepted estimate. A query that waits for much longer than
+        // estimated is refused while its caller still has time to go elsewhere.
         let timeout = now
             .until(request.deadline)
             .mul_f64(self.queue_timeout_share)
--- a/alderhaven-policy/src/admit_decision.rs
+++ b/alderhaven-policy/src/admit_decision.rs
@@ -1,92 +1,93 @@
-//! What a query brings to its admission, and what may be decided on it.
+//! The requests, decisions and tickets of admission control.
 
 use alderhaven_core::class::QueryClass;
 use alderhaven_core::ids::{ServiceName, TeamId, TemplateName};
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// An `AdmitRequest` is a query that asks for admission.
+/// A query that asks for admission.
 #[derive(Clone, Debug)]
 pub struct AdmitRequest {
-    /// The caller's number for the query, unique within the process.
+    /// Query id that the caller assigns; unique within the process.
     pub id: u64,
-    /// The team.
+    /// Team whose limits and weight apply.
     pub team: TeamId,
-    /// The service.
+    /// Service that the query fans out to.
     pub service: ServiceName,
-    /// The template.
+    /// Query template; latencies are estimated for each template.
     pub template: TemplateName,
-    /// The class.
+    /// Priority class that the query asks for.
     pub class: QueryClass,
-    /// The number of shards that it asks.
+    /// Number of shards that the query is sent to.
     pub fan_out: u32,
-    /// The fingerprint of template and canonical parameters.
+    /// Fingerprint of the template and the canonical parameters; equal queries have equal keys.
     pub key: u64,
-    /// When its answer is of no more use.
+    /// Time after which the answer is useless to the caller.
     pub deadline: TimePoint,
 }
 
-/// An `AdmitTicket` stands for an admitted query until it is handed back.
+/// Proof of admission; hand it back with [`crate::admission::AdmissionGate::record_finished`].
 #[derive(Clone, Debug)]
 pub struct AdmitTicket {
-    /// The query.
+    /// The request as it was offered.
     pub request: AdmitRequest,
-    /// When it was admitted.
+    /// Start of the query's latency, which excludes its wait for admission.
     pub admitted_at: TimePoint,
-    /// The class that the relays order it by: its own, or a higher one after it has aged.
+    /// Priority class at the relays: the requested one, or a higher one if the query has aged.
     pub class: QueryClass,
-    /// The time by which the relays order it: its admission, or later for a team or key above its
-    /// share. It counts from the admission, since a flood that has waited here would else be ahead
-    /// of others at the relays.
+    /// Time by which relays order queries of one class: the admission time, plus a penalty for a
+    /// team or key above its fair share.
+    ///
+    /// The arrival time would let a flood that has waited here overtake others at the relays.
     pub order_at: TimePoint,
-    /// How many of its attempts have ended.
+    /// Number of attempts that have ended so far.
     pub replied: u32,
 }
 
-/// A `RefusalReason` says why a query was refused.
+/// Reason for which admission refused a query.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The team's rate is used up.
+    /// The team has exceeded its query rate.
     TeamRate,
-    /// The team has as many queries in flight as it may.
+    /// The team has reached its limit of queries in flight.
     TeamInFlight,
-    /// The service is full, and the wait would be too long.
+    /// The service is at its capacity, and the wait would be or was too long.
     Overloaded,
-    /// The query can't be answered before its deadline.
+    /// The estimated wait and latency exceed the time until the deadline.
     Deadline,
 }
 
-/// A `Refusal` is the final answer to a query that did not run.
+/// Final answer to a query that was not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// The reason.
+    /// Limit that the query ran into.
     pub reason: RefusalReason,
-    /// After which time the caller should come back.
+    /// Time after which the caller should retry, with jitter.
     pub retry_after: TimeSpan,
 }
 
-/// An `AdmitDecision` says what becomes of a query on its arrival.
+/// Decision on an arriving query.
 #[derive(Clone, Debug)]
 pub enum AdmitDecision {
-    /// It runs now.
+    /// Run the query now.
     Admit(AdmitTicket),
-    /// It waits; [`crate::admission::AdmissionGate::next_ready`] will name it.
+    /// The query waits until [`crate::admission::AdmissionGate::next_ready`] returns it.
     Queue,
-    /// It is refused for good.
+    /// Refuse the query for good.
     Refuse(Refusal),
 }
 
-/// A `ReadyQuery` is a query that has waited and now has its decision.
+/// Decision on a query that has waited.
 #[derive(Clone, Debug)]
 pub enum ReadyQuery {
-    /// It runs now.
+    /// Run the query now.
     Admit(AdmitTicket),
-    /// It is given up on.
+    /// The query has waited for too long.
     Refuse {
-        /// The query's number.
+        /// Query id as in [`AdmitRequest::id`].
         id: u64,
-        /// Its final answer.
+        /// Final answer to the caller.
         refusal: Refusal,
     },
 }
--- a/alderhaven-policy/src/answer_time.rs
+++ b/alderhaven-policy/src/answer_time.rs
@@ -1,61 +1,53 @@
-//! When a query over many shards is answered.
+//! When to answer a fan-out query: with all shards, or with enough shards near its latency target.
 //!
-//! Load pattern: every query touches many shards, servers pause for a moment each at its own time,
-//! and so nearly every second query meets one that is paused.
-//!
-//! Without it: the slowest shard is the latency of the answer, although the caller is content with
-//! most shards and gains nothing from an answer after its target.
-//!
-//! The rules:
-//! - all shards are in, or none of the others can come: answer;
-//! - the latency target is near and enough shards are in: answer with what is there. "Near" leaves
-//!   the time that the answer itself takes on its way;
-//! - past the target: answer as soon as enough shards are in;
-//! - the time is up, or too few shards can still come: say so at once.
+//! Waiting for the slowest shard would make one paused server the latency of the whole query.
+//! Before `partial_at` a query waits for all pending shards. From then on an answer is sent as soon
+//! as enough shards have answered. A query that can no longer get enough shards fails at once.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-/// The part of its latency target that a query may use at least, whatever the reserve: enough shards
-/// are hardly ever in before. A caller that has used up half of a tight target by its question and its
-/// connection is still answered in time with what is there by then.
+/// Smallest share of the latency target that a query may use, whatever the reserve. It lets a
+/// caller that consumed most of the target before its request arrived still get a partial answer in
+/// time.
 const MIN_USABLE_SHARE: f64 = 0.2;
 
-/// An `AnswerTime` holds the moments at which a query is answered.
+/// Times at which a query is answered or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerTime {
-    /// From here on an answer with enough shards is sent.
+    /// Time from which an answer with enough shards is sent.
     pub partial_at: TimePoint,
-    /// Here the query ends.
+    /// Time at which the query ends, answered or not.
     pub deadline: TimePoint,
 }
 
-/// A `ShardCount` says how far a query is.
+/// Progress of a query, in shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardCount {
-    /// The shards of the query.
+    /// Shards that the query asks.
     pub total: usize,
-    /// The shards whose parts are in.
+    /// Shards whose replies have arrived.
     pub answered: usize,
-    /// The shards whose parts may still come.
+    /// Shards whose replies may still arrive.
     pub pending: usize,
-    /// The least shards that make an answer.
+    /// Smallest number of shards that makes an answer.
     pub required: usize,
 }
 
-/// An `AnswerStep` is what to do with a query.
+/// Next step of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStep {
-    /// Wait for parts, until this moment at the latest.
+    /// Wait for replies, until this time at the latest.
     Wait(TimePoint),
-    /// Answer with the parts that are in.
+    /// Answer with the replies that have arrived.
     Answer,
-    /// Too few parts are in and no more can come.
+    /// Fail: too few shards have answered, and not enough of them are pending.
     GiveUp,
-    /// Too few parts are in and the time is up.
+    /// Fail: too few shards have answered before the deadline.
     TimeUp,
 }
 
-/// Gets the part of a latency target that a query may use where the answer needs `reserve` of it.
+/// Returns how much of a latency target remains for the shards if sending the answer takes
+/// `reserve`.
 #[must_use]
 pub fn usable_time(latency_target: TimeSpan, reserve: TimeSpan) -> TimeSpan {
     latency_target
@@ -64,10 +56,10 @@
 }
 
 impl AnswerTime {
-    /// Returns the moments of a query that arrived at `arrived`.
+    /// Computes the times of a query that arrived at `arrived_at`.
     ///
-    /// `target` is the latency target, `reserve` the part of it that the answer needs on its way,
-    /// and `limit` the longest that the caller waits.
+    /// `reserve` is the part of `latency_target` that the answer needs to reach the caller, and
+    /// `timeout` is the longest time that the caller waits.
     #[must_use]
     pub fn new(
         arrived_at: TimePoint,
@@ -83,7 +75,7 @@
         }
     }
 
-    /// Decides.
+    /// Returns the next step of a query with this progress.
     #[must_use]
     pub fn decide(&self, count: ShardCount, now: TimePoint) -> AnswerStep {
         let is_enough = count.answered >= count.required.max(1);
--- a/alderhaven-policy/src/caller_delay.rs
+++ b/alderhaven-policy/src/caller_delay.rs
@@ -1,30 +1,28 @@
-//! How long a caller has waited already when its request arrives.
+//! Estimates how long a caller has waited before its request arrived.
 //!
-//! Load pattern: a caller counts its wait from its first step, which is a question for fronts, a new
-//! connection or an attempt that failed elsewhere. A front that counts from the arrival of the request
-//! answers some tens of milliseconds too late, although it had enough shards in time.
-//!
-//! Callers of one route have the same patience, and say with each request what is left of it. The
-//! most that was said lately is the whole patience, and what is missing of it is the wait.
+//! A caller's latency starts with its lookup of an address, its new connection or an attempt that
+//! failed elsewhere. Each request carries the time that the caller has left. Callers of one route
+//! use the same timeout, so that the largest remaining time of late is that timeout, and the
+//! difference is the delay.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-/// How long a patience is remembered: two turns of it, so that a route whose callers change their
-/// patience is read right after some seconds.
+/// Length of a window. The estimate covers the current and the previous window, so that it follows
+/// callers that change their timeout.
 const ESTIMATE_WINDOW: TimeSpan = TimeSpan::from_secs(10);
 
-/// The part of its latency target after which a caller is late in any case.
+/// Share of the latency target above which a caller's delay makes its answer late under load.
 const LATE_DELAY_SHARE: f64 = 0.5;
 
-/// A `CallerDelay` is how long a caller had waited when its request arrived.
+/// Time that a caller had waited when its request arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallerDelay(pub TimeSpan);
 
 impl CallerDelay {
-    /// Gets the part of a latency target that it has used up.
+    /// Returns how much of the latency target the caller has consumed.
     ///
-    /// A wait of more than `target` is taken for another patience or for a late attempt: its answer
-    /// can't be in time, so that it is not hurried.
+    /// A delay beyond the target is taken as zero: it stems from a different timeout or from a late
+    /// retry, whose answer can't be in time anyway.
     #[must_use]
     pub fn consumed_time(self, latency_target: TimeSpan) -> TimeSpan {
         if self.0 > latency_target {
@@ -33,14 +31,14 @@
         self.0
     }
 
-    /// Returns true where the answer will be late under load, whatever is done.
+    /// Returns true if the answer will be late under load because of the caller's delay.
     #[must_use]
     pub fn is_late(self, latency_target: TimeSpan) -> bool {
         self.0 > latency_target.mul_f64(LATE_DELAY_SHARE)
     }
 }
 
-/// A `CallerWait` follows the patience of a route's callers.
+/// Tracks the timeout that the callers of one route use.
 #[derive(Clone, Debug, Default)]
 pub struct CallerDelayEstimator {
     window_number: u64,
@@ -49,7 +47,7 @@
 }
 
 impl CallerDelayEstimator {
-    /// Notes the time that a caller has left, and gets how long it has waited already.
+    /// Records the remaining time of a request and returns its caller's estimated delay.
     pub fn record_time_left(&mut self, time_left: TimeSpan, now: TimePoint) -> CallerDelay {
         let window_number = now.as_micros() / ESTIMATE_WINDOW.as_micros();
         if window_number != self.window_number {
--- a/alderhaven-policy/src/concurrency_limit.rs
+++ b/alderhaven-policy/src/concurrency_limit.rs
@@ -1,58 +1,48 @@
-//! How many queries over one set of shards a front may have in flight: found, not configured.
+//! Adaptive limit on the queries that a front has in flight for one set of shards.
 //!
-//! Load pattern: how much the targets carry is unknown to a front. Other fronts ask them too, targets
-//! turn slow or leave, and long queries mix with short ones.
-//!
-//! Without it: under more load than the targets carry each query gets most of its shards in time and
-//! none gets enough of them; the targets are busy all the while, and nobody is answered.
-//!
-//! The limit follows one figure of each query: the part of its time that passed until enough shards
-//! were in. That figure counts the queues of the targets, the way and the front's own work at once,
-//! and a shard or two that a query can do without don't move it. Fronts of unequal load meet the same
-//! queues, so that they close and open alike without asking each other.
-//!
-//! It falls by a share and rises by an amount, so that the limits of several fronts draw level (Chiu
-//! and Jain, 1989). A query moves it by its part of a round only, because what the limit is now shows
-//! after a round of queries.
+//! The limit follows the share of its time that a query needs until enough shards have answered,
+//! which covers the targets' queues, the network and the front's own work. It increases additively
+//! and decreases multiplicatively, so that several fronts converge without coordination (Chiu and
+//! Jain, 1989). Each query applies its part of a round, since a changed limit shows only after a
+//! round.
 
 use serde::Serialize;
 
-/// The limit before anything is known: more than a calm load has in flight, and few enough that a
-/// front which starts in the midst of overload finds the right limit within some hundred milliseconds.
+/// Limit before the first query has ended: above normal concurrency, low enough to adapt quickly if
+/// the front starts during overload.
 const INITIAL_LIMIT: f64 = 8.0;
 
-/// The least limit: with fewer in flight too little is learnt to notice that there is room again.
+/// Smallest limit; fewer queries would be too few samples to notice that capacity has returned.
 const MIN_LIMIT: f64 = 2.0;
 
-/// The greatest limit. Dozens of queries in flight at one front are more than its processor share
-/// works off within a latency target.
+/// Largest limit; more queries would exceed the processor share of one front.
 const MAX_LIMIT: f64 = 64.0;
 
-/// The part of a query's time that should pass until enough shards are in. What is left covers the
-/// spread between queries and a short wait for admission.
+/// Share of a query's time that should pass until enough shards have answered. The rest covers the
+/// variance between queries and a short wait for admission.
 const DESIRED_TIME_SHARE: f64 = 0.7;
 
-/// The greatest fall in a round, as a share of the limit.
+/// Largest decrease in a round, as a share of the limit.
 const MAX_DECREASE_SHARE: f64 = 0.25;
 
-/// The greatest rise in a round, in queries.
+/// Largest increase in a round, in queries.
 const MAX_INCREASE_QUERIES: f64 = 1.0;
 
-/// The part of the limit above which it counts as used.
+/// Share of the limit that must be in use for the limit to increase.
 const MIN_USED_SHARE: f64 = 0.7;
 
-/// A `QueryNeed` is what a query that ended says of the room.
+/// What a finished query reveals about the capacity of its targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuerySignal {
-    /// Enough shards were in after this part of its time.
+    /// Enough shards had answered after this share of the query's time.
     EnoughShards(f64),
-    /// Its time passed while targets were full or had not answered.
+    /// The query timed out because targets were full or had not answered.
     TimedOut,
-    /// It ended for a reason that says nothing of the room, such as targets that are gone.
+    /// The query ended for a reason unrelated to capacity, such as lost targets.
     Uninformative,
 }
 
-/// A `RoomLimit` follows how many queries may be in flight.
+/// Current limit; fractions accumulate between queries.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ConcurrencyLimit {
     limit: f64,
@@ -67,20 +57,20 @@
 }
 
 impl ConcurrencyLimit {
-    /// Gets the limit.
+    /// Returns the limit in queries.
     #[must_use]
     pub const fn get(&self) -> f64 {
         self.limit
     }
 
-    /// Returns true where one more query fits beside those in flight, which may use this share of the
-    /// limit.
+    /// Returns true if another query may start while `in_flight` are running and only `share` of
+    /// the limit may be used.
     #[must_use]
     pub fn fits(&self, in_flight: usize, share: f64) -> bool {
         (in_flight as f64) < self.limit * share
     }
 
-    /// Notes a query that ended while `in_flight` were in flight, itself included.
+    /// Adjusts the limit to a query that ended while `in_flight` were running, itself included.
     pub fn record_finished(&mut self, signal: QuerySignal, in_flight: usize) {
         let adjustment = match signal {
             QuerySignal::EnoughShards(time_share) => {
@@ -90,7 +80,7 @@
             QuerySignal::Uninformative => return,
         };
         let is_used = in_flight as f64 >= MIN_USED_SHARE * self.limit;
-        // Of a round of `limit` queries each moves it by its part.
+        // A round is `limit` queries, and each of them applies its part.
         let step = if adjustment < 0.0 {
             adjustment * MAX_DECREASE_SHARE
         } else if is_used {
--- a/alderhaven-policy/src/entry_answer.rs
+++ b/alderhaven-policy/src/entry_answer.rs
@@ -1,10 +1,8 @@
-//! Which entry addresses a caller is told to use.
+//! Chooses the entry addresses that a caller is told to use.
 //!
-//! Load pattern: there is no balancer; callers ask for addresses, keep the answer for a while and
-//! connect themselves. If all were told the same addresses, these would be overrun; if leaving ones
-//! were named, callers would hit closed doors for as long as they keep the answer. An answer names
-//! a few entries of the nearest failure domain, drawn by their spare capacity, and some of the next
-//! domain to fall back to.
+//! Callers cache the answer and connect on their own, without a load balancer. An answer names a
+//! few entries of the nearest failure domain, drawn at random by their spare capacity, and some
+//! entries of other domains as a fallback. Leaving entries are left out.
 
 use std::net::SocketAddr;
 
@@ -17,22 +15,23 @@
 use crate::membership::member_entry::MemberView;
 use crate::membership::member_record::{LoadLevel, MemberRole, MemberState};
 
-/// The weight of an idle entry.
+/// Weight of an entry without load.
 const IDLE_WEIGHT: u32 = 1_000;
 
-/// The smallest weight: a busy entry is still named, or its callers would all move at once.
+/// Smallest weight; a fully loaded entry keeps some callers, since all of them would otherwise move
+/// at once.
 const MIN_WEIGHT: u32 = 50;
 
-/// An `AnswerOptions` holds the settings of answers.
+/// Settings of the answers.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AnswerOptions {
-    /// How long a caller may keep an answer; an entry that leaves serves on for that long.
+    /// Time for which a caller may cache an answer; a leaving entry keeps serving for as long.
     pub ttl: TimeSpan,
-    /// The most entries of the nearest failure domain in an answer.
+    /// Largest number of entries of the nearest failure domain in one answer.
     #[serde(rename = "near")]
     pub max_in_own_domain: usize,
-    /// The most entries of other failure domains in an answer.
+    /// Largest number of entries of other failure domains in one answer.
     #[serde(rename = "far")]
     pub max_in_other_domains: usize,
 }
@@ -47,31 +46,32 @@
     }
 }
 
-/// An `EntryAnswer` is what a caller is told.
+/// The entries that a caller may connect to.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct EntryAnswer {
-    /// The entries, the nearest first.
+    /// Entries to try, the nearest failure domain first.
     pub entries: SmallVec<[EntryAddress; 8]>,
-    /// How long the caller may keep the answer.
+    /// Time for which the caller may cache the answer.
     pub ttl: TimeSpan,
 }
 
-/// An `EntryAddress` is one entry of an answer.
+/// One entry of an answer.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct EntryAddress {
-    /// The address to connect to.
+    /// Address that callers connect to.
     pub address: SocketAddr,
-    /// The entry's failure domain.
+    /// Failure domain that the entry runs in.
     pub domain: FailureDomain,
-    /// The entry's share of the caller's requests, against the others of the same domain.
+    /// Relative share of the caller's requests among the entries of the same domain.
     pub weight: u32,
 }
 
 impl EntryAnswer {
-    /// Chooses entries for a caller; `order` lists the failure domains from the nearest to the
-    /// farthest, a domain that it leaves out counts as farthest.
+    /// Chooses entries for a caller; `domains_by_distance` lists failure domains from the nearest
+    /// on.
     ///
-    /// Suspect entries are named only where no others are left. Leaving and dead ones never are.
+    /// Domains that are missing in the list count as the farthest. Suspect entries are chosen only
+    /// if no entry is alive. Leaving and dead entries are never chosen.
     #[must_use]
     pub fn choose(
         members: &[MemberView],
@@ -124,7 +124,7 @@
     IDLE_WEIGHT.saturating_sub(load.0).max(MIN_WEIGHT)
 }
 
-/// Draws up to `count` entries, each with a chance by its weight, so that callers spread out.
+/// Draws up to `count` entries without replacement, weighted by their spare capacity.
 fn draw(
     mut entries: Vec<EntryAddress>,
     count: usize,
--- a/alderhaven-policy/src/fair_queue.rs
+++ b/alderhaven-policy/src/fair_queue.rs
@@ -1,19 +1,10 @@
-//! The waiting queries of one service at an entry, in the order in which they are admitted.
+//! Weighted fair queue of the queries that wait for admission to one service.
 //!
-//! Load pattern: one team, or one key within a team, offers many times what the others do.
-//!
-//! Without it (first in first out): the others wait behind the flood, and get a share of the
-//! service that falls as the flood grows.
-//!
-//! Classes go in order, with one admission in [`AGED_ADMISSION_INTERVAL`] for an aged query of a lower class.
-//! Within a class, the team goes next that has used least of late for its weight. Start-time fair
-//! queueing (Goyal, Vin and Cheng, 1996) was tried first: it forgets that a flood has lived on what
-//! others left over, and gives it its turn whenever another team has a few queries at once; in the
-//! hot-team test this doubled the others' p99. Within a team, queries go in the order of their
-//! arrival, but for keys that use more than [`HOT_KEY_SHARE`] of the team's part: those go later, the
-//! hotter the later.
-//!
-//! Grounds for the figures: as for the relay's queue, an eighth of the admissions and 200 ms.
+//! Classes are served in order of priority, with one admission in [`AGED_ADMISSION_INTERVAL`] for
+//! an aged query of a lower class. Within a class, the team with the least recent usage for its
+//! weight goes first. Recent usage counts also what a team was admitted without waiting, so that a
+//! flood which used idle capacity gets no extra turns. Within a team, queries go in order of
+//! arrival; keys that use more than [`HOT_KEY_SHARE`] of the team's usage go last.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -25,34 +16,34 @@
 
 /// One admission in this many may go to an aged query of a lower class.
 pub const AGED_ADMISSION_INTERVAL: u32 = 64;
-/// The wait after which a query of a lower class counts as aged.
+/// Wait after which a query counts as aged and may overtake higher classes.
 pub const AGING_THRESHOLD: TimeSpan = TimeSpan::from_millis(200);
 
-/// Over how long use is counted: long enough to tell a flood from two queries in a row.
+/// Time constant of the usage meters, long enough to tell a flood from two successive queries.
 const USAGE_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(500);
-/// The share of its team's use above which a key is hot.
+/// Share of its team's usage above which a key counts as hot.
 pub const HOT_KEY_SHARE: f64 = 0.1;
-/// The number of flows above which idle ones are forgotten.
+/// Number of teams, or of keys of a team, above which idle ones are evicted.
 const IDLE_FLOW_EVICTION_THRESHOLD: usize = 512;
 
-/// A `WaitingQuery` is a query that waits for its admission.
+/// A query that waits for admission.
 #[derive(Clone, Debug)]
 pub struct WaitingQuery {
-    /// The caller's number for the query.
+    /// Query id as in [`crate::admit_decision::AdmitRequest::id`].
     pub id: u64,
-    /// The class.
+    /// Priority class.
     pub class: QueryClass,
-    /// The team.
+    /// Team that is charged for the query.
     pub team: TeamId,
-    /// The team's weight.
+    /// Weight of the team in the fair order.
     pub weight: u32,
-    /// The fingerprint of template and parameters.
+    /// Fingerprint of the template and parameters.
     pub key: u64,
-    /// The number of shards it asks.
+    /// Number of shards that the query asks.
     pub cost: u32,
-    /// When it arrived.
+    /// Arrival time, from which aging counts.
     pub arrived_at: TimePoint,
-    /// When it is given up on.
+    /// Time at which the query is refused if it still waits.
     pub expires_at: TimePoint,
 }
 
@@ -98,7 +89,7 @@
     queued_cost: u64,
 }
 
-/// A `QueryPick` says which query goes next.
+/// Position of the query that [`FairQueue::pick`] selected.
 #[derive(Clone, Debug)]
 pub struct QueryPick {
     team: TeamId,
@@ -107,7 +98,7 @@
     highest_rank: usize,
 }
 
-/// A `FairQueue` orders waiting queries by class, then fairly by team, then fairly by key.
+/// Waiting queries of one service and the recent usage of their teams and keys.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     classes: [ClassFlow; 3],
@@ -116,7 +107,7 @@
 }
 
 impl FairQueue {
-    /// Adds a query.
+    /// Appends a query to the queue of its class, team and key.
     pub fn push(&mut self, query: WaitingQuery) {
         let class = &mut self.classes[usize::from(query.class.rank())];
         let cost = u64::from(query.cost);
@@ -130,7 +121,7 @@
         key.queries.push_back(query);
     }
 
-    /// Finds the next query for which `may_run` holds.
+    /// Selects the next query for which `may_run` holds, without removing it.
     pub fn pick(
         &self,
         now: TimePoint,
@@ -157,8 +148,10 @@
         })
     }
 
-    /// Takes the picked query, with the class that it now has: an aged one takes the class that it
-    /// goes before, or it would be held back again further on.
+    /// Removes the picked query and returns it with its effective class.
+    ///
+    /// An aged query takes the class that it overtakes, so that the relays don't hold it back
+    /// again.
     pub fn take(&mut self, pick: &QueryPick, now: TimePoint) -> Option<(WaitingQuery, QueryClass)> {
         self.picks_since_aged = if pick.rank == pick.highest_rank {
             self.picks_since_aged.saturating_add(1)
@@ -170,7 +163,7 @@
         Some((query, QueryClass::ALL[pick.highest_rank]))
     }
 
-    /// Takes out all queries that are given up on by now.
+    /// Removes and returns all queries that have expired by `now`.
     pub fn take_expired(&mut self, now: TimePoint) -> Vec<WaitingQuery> {
         let mut expired = Vec::new();
         if self.len == 0 {
@@ -183,7 +176,7 @@
         expired
     }
 
-    /// Takes a query out by its number.
+    /// Removes a query by its id.
     pub fn cancel(&mut self, id: u64) -> Option<WaitingQuery> {
         let mut found = Vec::new();
         for class in &mut self.classes {
@@ -193,13 +186,13 @@
         found.pop()
     }
 
-    /// Gets the next time at which a query is given up on.
+    /// Returns the earliest expiry of the waiting queries.
     #[must_use]
     pub fn next_expiry(&self) -> Option<TimePoint> {
         self.queries().map(|query| query.expires_at).min()
     }
 
-    /// Notes a query that was admitted without waiting, so that its flow has had its turn.
+    /// Charges a query that was admitted without waiting to its team and key.
     pub fn record_admitted(
         &mut self,
         class: QueryClass,
@@ -213,7 +206,7 @@
         class.charge(team, weight, key, f64::from(cost), now);
     }
 
-    /// Gets the cost that waits in classes above `class`.
+    /// Returns the total cost of the queries that wait in classes of higher priority.
     #[must_use]
     pub fn cost_above(&self, class: QueryClass) -> u64 {
         let rank = usize::from(class.rank());
@@ -223,20 +216,20 @@
             .sum()
     }
 
-    /// Gets the cost that waits in `class`.
+    /// Returns the total cost of the queries that wait in this class.
     #[must_use]
     pub fn cost_in(&self, class: QueryClass) -> u64 {
         self.classes[usize::from(class.rank())].queued_cost
     }
 
-    /// Gets the cost within the team that goes before a new query of this key and cost.
+    /// Returns the cost of the team's queries that go before a new query of this key and cost.
     #[must_use]
     pub fn cost_before(&self, class: QueryClass, team: &TeamId, key: u64, cost: u32) -> u64 {
         let Some(team) = self.classes[usize::from(class.rank())].teams.get(team) else {
             return 0;
         };
         let own_cost = team.keys.get(&key).map_or(0, |flow| flow.queued_cost);
-        // The keys take turns: of each other key, as much goes first as waits of this one with the
+        // Keys take turns, so that of every other key as much goes first as of this key with the
         // new query.
         let own_turns = own_cost + u64::from(cost);
         let other_cost = team
@@ -248,7 +241,7 @@
         own_cost + other_cost
     }
 
-    /// Gets the number of waiting queries of a key within a team and class.
+    /// Returns the number of waiting queries of a key within a team and class.
     #[must_use]
     pub fn waiting_of_key(&self, class: QueryClass, team: &TeamId, key: u64) -> usize {
         self.classes[usize::from(class.rank())]
@@ -258,7 +251,7 @@
             .map_or(0, |flow| flow.queries.len())
     }
 
-    /// Gets the attempts per second that were admitted of a team in `class` of late.
+    /// Returns the rate of attempts of a team that were recently admitted in this class.
     #[must_use]
     pub fn usage_per_second(&self, class: QueryClass, team: &TeamId, now: TimePoint) -> f64 {
         self.classes[usize::from(class.rank())]
@@ -267,8 +260,8 @@
             .map_or(0.0, |flow| flow.usage.per_second(now))
     }
 
-    /// Gets the sum of the weights of `team` and of the teams that wait in `class` and have used no
-    /// more than twice as much for their weight, so that they may go before it.
+    /// Returns the sum of the team's weight and the weights of the teams that may go before it:
+    /// those that wait in the class with at most twice its usage for their weight.
     #[must_use]
     pub fn competing_weight(
         &self,
@@ -289,13 +282,13 @@
         other_weight + own_weight
     }
 
-    /// Gets the number of waiting queries.
+    /// Returns the number of waiting queries.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns true where no query waits.
+    /// Returns true if no query waits.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.len == 0
@@ -350,7 +343,7 @@
         self.evict_idle(now);
     }
 
-    /// Forgets flows that neither wait nor have used anything of late, when there are many.
+    /// Evicts flows without waiting queries or recent usage once there are many of them.
     fn evict_idle(&mut self, now: TimePoint) {
         for team in self.teams.values_mut() {
             if team.keys.len() > IDLE_FLOW_EVICTION_THRESHOLD {
--- a/alderhaven-policy/src/hedge_timing.rs
+++ b/alderhaven-policy/src/hedge_timing.rs
@@ -1,48 +1,41 @@
-//! When another replica of a shard is asked too, and until when an attempt is of use.
+//! When to hedge an attempt of a fan-out query, and how long an attempt is useful.
 //!
-//! Load pattern: in a query over many shards some attempts meet a replica that pauses or is slow, and
-//! the query has a moment at which it is answered with what is there.
-//!
-//! Without it: a hedge at a fixed delay is sent for many attempts that would have answered in time, which
-//! uses up the budget and the network; one that is sent too late is paid for and not waited for.
-//!
-//! The rules: a hedge is sent as late as its answer is still in time, but not before most attempts would
-//! have answered; it is sent only to a replica that is expected to answer by then; and attempts end with
-//! the answer that they are for, so that targets do not work on what comes too late and their queues stay
-//! short while they are slow.
+//! A hedge is sent as late as its answer can still be in time, but not before most attempts would
+//! have answered, and only to a replica that is expected to answer by then. Attempts end shortly
+//! after the answer that they are for, so that targets don't work on results which come too late.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
 use crate::answer_time::AnswerTime;
 
-/// The time that is left to a hedge, against the time that few attempts exceed.
+/// Time that is left for an unhurried hedge, as a multiple of the late threshold.
 const LATE_THRESHOLD_FACTOR: f64 = 2.0;
 
-/// The time that a hedge must have left to be worth sending, against the usual time.
+/// Time that must be left for a hedge, as a multiple of the typical latency.
 const TYPICAL_LATENCY_FACTOR: f64 = 1.5;
 
-/// What is added to it: the work of sending it and of reading the reply.
+/// Extra time that must be left for sending a hedge and reading its reply.
 const HEDGE_OVERHEAD: TimeSpan = TimeSpan::from_millis(2);
 
-/// The least time before a hedge, against the usual time.
+/// Shortest delay before a hedge, as a multiple of the typical latency.
 const MIN_DELAY_FACTOR: f64 = 1.2;
 
-/// The part of the latency target beyond the moment of the answer for which attempts at shards go on.
+/// Time for which attempts go on after the partial answer, as a share of the latency target.
 const ATTEMPT_GRACE_SHARE: f64 = 0.05;
 
-/// A `HedgeTime` is what decides on the hedges of one query.
+/// Times that decide on the hedges of one query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HedgeTiming {
-    /// When the query is answered with what is there.
+    /// Time at which the query is answered with the shards that have replied.
     pub answer_at: TimePoint,
-    /// The time that half of the attempts take.
+    /// Median latency of attempts.
     pub typical_latency: TimeSpan,
-    /// The time that few attempts exceed.
+    /// Latency that few attempts exceed.
     pub late_threshold: TimeSpan,
 }
 
 impl HedgeTiming {
-    /// Gets when an attempt that is sent now should be hedged.
+    /// Returns when to hedge an attempt that is sent now.
     #[must_use]
     pub fn hedge_at(&self, now: TimePoint) -> TimePoint {
         let remaining = self.answer_at.since(now);
@@ -58,18 +51,18 @@
             .max(min_delay)
     }
 
-    /// Returns true where a hedge that is sent now to a replica that is expected to take so long can be
-    /// answered while it is worth something: the budget is for those.
+    /// Returns true if a hedge that is sent now and takes `expected` can still be of use. After
+    /// `answer_at` every reply is, since the query still lacks shards.
     #[must_use]
     pub fn is_worthwhile(&self, expected: TimeSpan, now: TimePoint) -> bool {
         now > self.answer_at || now + expected < self.answer_at
     }
 }
 
-/// Gets when an attempt for a query over many shards is of no more use that is sent now.
+/// Returns the time after which an attempt that is sent now is useless to its fan-out query.
 ///
-/// Past the moment of the answer an attempt is one that the query still lacks: it may take all the time
-/// that is left.
+/// After the time of the partial answer the query still lacks the attempt's shard, and the attempt
+/// may use all the time that is left.
 #[must_use]
 pub fn attempt_deadline(
     answer_time: &AnswerTime,
--- a/alderhaven-policy/src/hedging.rs
+++ b/alderhaven-policy/src/hedging.rs
@@ -1,20 +1,10 @@
-//! Hedging: a second attempt at another replica where the first takes unusually long.
+//! Hedging: a second attempt at another replica if the first one takes unusually long.
 //!
-//! Load pattern: a query waits for its slowest shard. A target that pauses, or turned slow a moment
-//! ago, holds up every query that has an attempt there, before any average has noticed.
-//!
-//! Without it: of queries over 130 shards, nearly three in four meet what happens to one attempt in
-//! a hundred, so that the rare slow attempt is the usual latency.
-//!
-//! The rules (after Dean and Barroso, "The tail at scale", 2013): a hedge is sent after the running
-//! 95th percentile of the latency of its group (service and template), for idempotent queries only,
-//! out of a token budget of 5% of the attempts, and the relay runs it only where a slot is free. The
-//! loser is cancelled. While relays refuse most hedges for want of free slots, or admission says
-//! that the service is full, none are sent: they would take slots from first attempts.
-//!
-//! Grounds for the figures: after the 95th percentile one attempt in 20 is hedged, which is the
-//! budget; a bucket of 32 tokens covers a query that loses a whole target's shards at once. When
-//! half of the last 16 or so hedges were refused, free slots are rare.
+//! A query over many shards usually meets a rare slow attempt. A hedge is sent for idempotent
+//! queries after a high quantile of the latency of its service and template (Dean and Barroso, "The
+//! tail at scale", 2013), out of a token budget that bounds the extra load. No hedges are sent
+//! while relays refuse most of them for lack of free slots or while queries wait for admission,
+//! since they would take slots from first attempts.
 
 use std::collections::HashMap;
 
@@ -27,30 +17,30 @@
 use crate::policy_kind::PolicyKind;
 use crate::running_mean::RunningMean;
 
-/// The most groups that are remembered, each in about 20 KB; beyond it all are learnt anew.
+/// Largest number of tracked groups, each of about 20 KB; all are reset when it is reached.
 const MAX_GROUPS: usize = 256;
-/// The weight of one hedge's fate in the share of refused ones.
+/// Weight of one hedge in the moving share of refused hedges.
 const REFUSAL_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
-/// How fast the share of refused hedges fades per first attempt, so that hedging is tried again.
+/// Decay of that share for each first attempt, so that hedging resumes after a while.
 const REFUSAL_DECAY_PER_ATTEMPT: f64 = 0.999;
-/// The number of samples that the mean service time of a group covers.
+/// Number of samples that a group's mean service time covers.
 const MEAN_WINDOW: u32 = 256;
 
-/// A `HedgeOptions` holds the settings of hedging.
+/// Settings of hedging.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HedgeOptions {
-    /// Whether hedges are sent at all.
+    /// Whether hedges are sent.
     pub enabled: bool,
-    /// The quantile of the group's latency after which a hedge is sent.
+    /// Quantile of the group's latency after which a hedge is sent.
     pub quantile: f64,
-    /// The share of the attempts that may be hedged.
+    /// Hedges that each first attempt adds to the budget.
     pub budget: f64,
-    /// The most hedges that may be sent at once out of what was saved up.
+    /// Largest number of unused hedges that the budget holds.
     pub burst: f64,
-    /// The least delay.
+    /// Shortest delay before a hedge.
     pub min_delay: TimeSpan,
-    /// The share of refused hedges above which none are sent.
+    /// Share of hedges refused by relays above which no hedges are sent.
     #[serde(rename = "max_refused")]
     pub max_refused_share: f64,
 }
@@ -68,12 +58,12 @@
     }
 }
 
-/// A `HedgeGroup` names the attempts whose latencies are compared.
+/// Identifies the attempts whose latencies are comparable.
 #[derive(Clone, Debug, Eq, PartialEq, Hash)]
 pub struct HedgeGroup {
-    /// The service.
+    /// Service that is queried.
     pub service: ServiceName,
-    /// The template.
+    /// Query template.
     pub template: TemplateName,
 }
 
@@ -83,7 +73,7 @@
     service_time: RunningMean,
 }
 
-/// A `HedgePolicy` says when an attempt is hedged.
+/// Latencies of all groups and the hedge budget of one process.
 #[derive(Clone, Debug)]
 pub struct HedgePolicy {
     options: HedgeOptions,
@@ -94,7 +84,7 @@
 }
 
 impl HedgePolicy {
-    /// Returns a policy that has learnt nothing yet.
+    /// Creates a policy without latencies and with an empty budget.
     #[must_use]
     pub fn new(policy: PolicyKind, options: HedgeOptions) -> Self {
         Self {
@@ -106,7 +96,7 @@
         }
     }
 
-    /// Notes first attempts that were sent: each adds its share to the budget.
+    /// Records first attempts that were sent, which add to the budget.
     pub fn record_sent(&mut self, attempts: u32) {
         let earned = f64::from(attempts) * self.options.budget;
         self.tokens = (self.tokens + earned).min(self.options.burst);
@@ -114,7 +104,7 @@
             REFUSAL_DECAY_PER_ATTEMPT.powi(i32::try_from(attempts).unwrap_or(i32::MAX));
     }
 
-    /// Adds the latency of an attempt from its sending to its reply, and its time at the target.
+    /// Records the latency of an attempt from its sending to its reply, and its time at the target.
     pub fn record_answer(&mut self, group: &HedgeGroup, latency: TimeSpan, service_time: TimeSpan) {
         if !self.groups.contains_key(group) {
             if self.groups.len() >= MAX_GROUPS {
@@ -128,8 +118,8 @@
         }
     }
 
-    /// Gets the time after its sending at which an attempt of the group should be hedged, or none
-    /// where it should not be.
+    /// Returns the time after its sending at which an attempt should be hedged, or `None` if it
+    /// should not be or too few latencies are known.
     #[must_use]
     pub fn hedge_delay(&self, group: &HedgeGroup, is_idempotent: bool) -> Option<TimeSpan> {
         let is_on = self.options.enabled && self.policy == PolicyKind::Current;
@@ -144,9 +134,9 @@
         Some(quantile.max(self.options.min_delay))
     }
 
-    /// Takes a token for one hedge; returns false where none should be sent now.
+    /// Takes a token for one hedge; returns false if none may be sent now.
     ///
-    /// `is_overloaded` says that admission has queries waiting for the service.
+    /// `is_overloaded` means that queries wait for admission to the service.
     pub fn take(&mut self, is_overloaded: bool) -> bool {
         let is_refused = self.refused_share > self.options.max_refused_share;
         if is_overloaded || is_refused || self.tokens < 1.0 {
@@ -156,23 +146,24 @@
         true
     }
 
-    /// Notes the fate of a hedge: whether a relay refused it for want of a free slot.
+    /// Records whether a relay refused a hedge for lack of a free slot.
     pub fn record_hedge_end(&mut self, is_refused: bool) {
         let sample = f64::from(u8::from(is_refused));
         self.refused_share += (sample - self.refused_share) * REFUSAL_SAMPLE_WEIGHT;
         if is_refused {
-            // It has cost no target anything.
+            // A refused hedge has put no load on a target.
             self.tokens = (self.tokens + 1.0).min(self.options.burst);
         }
     }
 
-    /// Gets the mean service time of a group over all targets, or none before its first sample.
+    /// Returns the mean service time of a group over all targets, or `None` before its first
+    /// sample.
     #[must_use]
     pub fn expected_service_time(&self, group: &HedgeGroup) -> Option<TimeSpan> {
         self.groups.get(group)?.service_time.get()
     }
 
-    /// Gets the share of late hedges that relays refused.
+    /// Returns the share of recent hedges that relays refused.
     #[must_use]
     pub fn refused_share(&self) -> Share {
         Share::try_from(self.refused_share.clamp(0.0, 1.0)).unwrap_or_default()
--- a/alderhaven-policy/src/latency_window.rs
+++ b/alderhaven-policy/src/latency_window.rs
@@ -1,21 +1,21 @@
-//! A latency quantile over the most recent samples.
+//! Latency quantiles over the most recent samples.
 
 use alderhaven_core::time::TimeSpan;
 use hdrhistogram::Histogram;
 
-/// The number of samples after which a new half of the window begins.
+/// Number of samples after which the older half of the window is dropped.
 const HALF_WINDOW_SAMPLES: u64 = 1000;
-/// The number of samples below which a quantile is not known.
+/// Number of samples below which no quantile is returned.
 const MIN_SAMPLES: u64 = 20;
-/// The greatest latency that is told apart, in microseconds: the longest deadline.
+/// Largest latency that is resolved, in microseconds; longer ones count as this.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
-/// The significant digits of the histogram: 1% is as exact as a delay needs to be.
+/// Significant decimal digits of the histograms.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// A `LatencyWindow` follows quantiles of the last one to two thousand samples.
+/// Sliding histogram of the last one to two thousand latencies.
 ///
-/// Two histograms take turns: the older one is dropped when the newer one is full, so that what
-/// was long ago is forgotten all at once and at no cost per sample.
+/// It consists of two histograms. When the newer one is full, it replaces the older one, which
+/// drops old samples without a cost per sample.
 #[derive(Clone, Debug)]
 pub struct LatencyWindow {
     older: Histogram<u32>,
@@ -36,7 +36,7 @@
 }
 
 impl LatencyWindow {
-    /// Adds a sample.
+    /// Adds the latency of one attempt.
     pub fn add(&mut self, latency: TimeSpan) {
         self.newer.saturating_record(latency.as_micros().max(1));
         if self.newer.len() >= HALF_WINDOW_SAMPLES {
@@ -45,14 +45,15 @@
         }
     }
 
-    /// Gets the latency below which this share of the samples lies, or none while there are few.
+    /// Returns the latency that this share of the samples doesn't exceed, or `None` for too few
+    /// samples.
     #[must_use]
     pub fn quantile(&self, share: f64) -> Option<TimeSpan> {
         let (older, newer) = (self.older.len(), self.newer.len());
         if older + newer < MIN_SAMPLES {
             return None;
         }
-        // The fuller half decides: a mean of two quantiles is none.
+        // The half with more samples is used, since quantiles of two sets can't be averaged.
         let half = if newer > older {
             &self.newer
         } else {
--- a/alderhaven-policy/src/query_gate.rs
+++ b/alderhaven-policy/src/query_gate.rs
@@ -1,22 +1,10 @@
-//! Which queries over the same services a front sends now, which wait and which it refuses at once.
-//! A request to one service is a query over one.
+//! Admission control of a front for the queries over one set of shards.
 //!
-//! Load pattern: more queries arrive than their targets carry, for seconds; a burst; urgent queries
-//! among others.
-//!
-//! Without it: everything is sent. A query over many shards then lacks some of them, one to a single
-//! service waits in a target's queue until it is late, and callers hear of it when their time is over.
-//!
-//! The rules:
-//! - whole queries are decided on, before any part is sent, so that "not run" is true;
-//! - as many are in flight as [`ConcurrencyLimit`] allows; some more wait for a moment, in the order of their
-//!   ranks, and go as soon as there is room;
-//! - who would wait for longer than a part of the latency target is refused on arrival, and who has to
-//!   make way for a better rank is refused at that moment: a caller that hears at once can go elsewhere
-//!   or come back;
-//! - a lower rank keeps a part of what the best rank is served, so that no kind of query is shut out;
-//! - a caller is told to come back after a time that grows with how many are refused, spread so that
-//!   those who were refused together don't return together.
+//! Whole queries are admitted, queued or refused before any attempt is sent, so that a refused
+//! query certainly didn't run. [`ConcurrencyLimit`] bounds the queries in flight. Some more wait in
+//! the order of their ranks, and a lower rank keeps a part of the share that the best rank is
+//! served. A query that would wait for too long is refused on arrival, and a waiting one is refused
+//! when a better rank takes its place. Refused callers retry later the more queries are refused.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use smallvec::SmallVec;
@@ -25,77 +13,78 @@
 use crate::rate_meter::RateMeter;
 use crate::running_mean::RunningMean;
 
-/// The part of the latency target that a query may wait for room.
+/// Longest wait for admission, as a share of the latency target.
 const MAX_WAIT_SHARE: f64 = 0.2;
 
-/// The ended queries that the mean stay covers.
+/// Number of finished queries that the mean run time covers.
 const RUN_TIME_WINDOW: u32 = 24;
 
-/// Over how long the shares of ranks are counted.
+/// Time constant of the rates at which queries of a rank are offered and admitted.
 const RANK_RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// The least part of the best rank's served share that a lower rank is served.
+/// Smallest served share of a lower rank, relative to that of the best rank.
 const MIN_SERVED_SHARE_RATIO: f64 = 0.5;
 
-/// The part of the room that late queries may use, so that they do not keep out those in time.
+/// Share of the limit that late queries may use, so that they don't keep out queries that can be in
+/// time.
 const LATE_LIMIT_SHARE: f64 = 0.75;
 
-/// The time to come back where little is refused.
+/// Retry time if few queries are refused.
 const MIN_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(30);
 
-/// The longest time to come back.
+/// Longest retry time.
 const MAX_RETRY_AFTER: TimeSpan = TimeSpan::from_secs(2);
 
-/// A `GateQuery` is a query that asks for its turn.
+/// A query that asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GateQuery {
-    /// Its number, unique within the gate.
+    /// Query id, unique within the gate.
     pub id: u64,
-    /// Its rank among routes; 0 goes first.
+    /// Priority of the query's route; 0 is served first.
     pub rank: u32,
-    /// The latency target of its route.
+    /// Latency target of the query's route.
     pub latency_target: TimeSpan,
-    /// Whether its answer will be late whatever is done, because its caller has waited before.
+    /// True if the answer will be late anyway, because the caller had waited before.
     pub is_late: bool,
 }
 
-/// A `GateRefusal` is the answer to a query that was not run.
+/// Answer to a query that was not run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GateRefusal {
-    /// Why.
+    /// Why the gate refused the query.
     pub reason: GateReason,
-    /// When its caller should come back, before it is spread.
+    /// Time after which the caller should retry, without jitter.
     pub retry_after: TimeSpan,
 }
 
-/// A `GateReason` is why a query was refused.
+/// Reason for which the gate refused a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateReason {
-    /// There is no room, and the wait for it would be too long.
+    /// The limit is reached, and the wait would be too long.
     NoRoom,
-    /// A query of a better rank took its place.
+    /// A query of a better rank took its place in the queue.
     Outranked,
-    /// It waited for as long as is worth it.
+    /// It waited for the longest time allowed.
     WaitOver,
 }
 
-/// A `GateDecision` says what becomes of a query on its arrival.
+/// Decision on an arriving query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GateDecision {
-    /// It goes now.
+    /// Run the query now.
     Admit,
-    /// It waits.
+    /// The query waits until [`QueryGate::next_ready`] returns it.
     Wait {
-        /// Until when at the longest.
+        /// Time at which the caller of the gate must cancel the query if it still waits.
         until: TimePoint,
-        /// The query that makes way for it, if any; it is refused.
+        /// The waiting query that this one displaced, if any; refuse it.
         outranked: Option<u64>,
     },
-    /// It is refused.
+    /// Refuse the query.
     Refuse(GateRefusal),
 }
 
-/// A `QueryGate` decides on the queries of one front over one set of shards.
+/// Queries in flight and waiting of one front over one set of shards.
 #[derive(Clone, Debug, Default)]
 pub struct QueryGate {
     limit: ConcurrencyLimit,
@@ -119,7 +108,7 @@
 }
 
 impl QueryGate {
-    /// Decides on a query that arrives.
+    /// Decides on an arriving query.
     pub fn offer(&mut self, query: GateQuery, now: TimePoint) -> GateDecision {
         self.rank_rates(query.rank).offered.add(1.0, now);
         if self.waiting.is_empty() && self.fits(&query) {
@@ -142,7 +131,8 @@
         }
     }
 
-    /// Gets the next waiting query that goes now; call it until there is none, after each end.
+    /// Admits the next waiting query if the limit allows; call it until it returns `None` whenever
+    /// a query ends.
     pub fn next_ready(&mut self, now: TimePoint) -> Option<u64> {
         let first = (0..self.waiting.len())
             .min_by_key(|position| self.order_key(&self.waiting[*position], now))?;
@@ -154,31 +144,32 @@
         Some(query.id)
     }
 
-    /// Takes out a waiting query, because its wait is over or its caller has gone.
+    /// Removes a waiting query that timed out or whose caller disconnected, and returns its
+    /// refusal.
     pub fn cancel(&mut self, id: u64, now: TimePoint) -> GateRefusal {
         self.waiting.retain(|waiting| waiting.query.id != id);
         self.refusal(GateReason::WaitOver, now)
     }
 
-    /// Gets the answer to a query that had to make way.
+    /// Returns the refusal of a query that was displaced.
     #[must_use]
     pub fn outranked_refusal(&self, now: TimePoint) -> GateRefusal {
         self.refusal(GateReason::Outranked, now)
     }
 
-    /// Notes the end of a query that stayed for `stay`.
+    /// Releases an admitted query that ended after `run_time` and adjusts the limit.
     pub fn record_finished(&mut self, run_time: TimeSpan, signal: QuerySignal) {
         self.limit.record_finished(signal, self.in_flight);
         self.run_time.add(run_time, RUN_TIME_WINDOW);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Takes back the turn of a query that was not sent, because its caller left at that moment.
+    /// Releases an admitted query that was not sent because its caller had disconnected.
     pub const fn release_unused(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Returns true where nothing is in flight and nothing waits.
+    /// Returns true if no query is in flight or waiting.
     #[must_use]
     pub const fn is_idle(&self) -> bool {
         self.in_flight == 0 && self.waiting.is_empty()
@@ -194,7 +185,7 @@
         self.rank_rates(rank).admitted.add(1.0, now);
     }
 
-    /// Gets the place of a newcomer among those that wait.
+    /// Returns the number of waiting queries that go before this one.
     fn queue_position(&self, arrival: &WaitingQuery, now: TimePoint) -> usize {
         let arrival_key = self.order_key(arrival, now);
         let before = self.waiting.iter();
@@ -203,7 +194,7 @@
             .count()
     }
 
-    /// Takes out the last in line where its wait has become too long by a newcomer before it.
+    /// Removes the last waiting query if an arrival before it has made its wait too long.
     fn displace_last(&mut self, now: TimePoint) -> Option<u64> {
         let last_position = self.waiting.len() - 1;
         let last = self.waiting[last_position];
@@ -219,8 +210,8 @@
         Some(last.query.id)
     }
 
-    /// Gets the order in which queries go: those that can be in time first, then ranks that are behind
-    /// their part, then by rank, then by arrival.
+    /// Returns the sort key of waiting queries: late ones last, underserved ranks first, then by
+    /// rank and arrival.
     fn order_key(&self, waiting: &WaitingQuery, now: TimePoint) -> (bool, bool, u32, TimePoint) {
         let GateQuery { rank, is_late, .. } = waiting.query;
         (
@@ -231,7 +222,7 @@
         )
     }
 
-    /// Returns true where a rank is served less than its part of what the best rank is.
+    /// Returns true if a lower rank is served less than its part of the best rank's served share.
     fn is_underserved(&self, rank: u32, now: TimePoint) -> bool {
         let best = self.ranks.iter().min_by_key(|rates| rates.rank);
         let own = self.ranks.iter().find(|rates| rates.rank == rank);
@@ -243,9 +234,9 @@
         }
     }
 
-    /// Estimates the wait of a query with `before` others before it, by Little's law.
+    /// Estimates the wait of a query with `ahead` others before it, by Little's law.
     fn expected_wait(&self, query: &GateQuery, ahead: usize) -> TimeSpan {
-        // Before the first query has ended it may take all its time.
+        // Until the first query has finished, assume that a query takes its whole target.
         let run_time = self.run_time.get().unwrap_or(query.latency_target);
         run_time.mul_f64((ahead + 1) as f64 / self.limit.get())
     }
@@ -281,7 +272,7 @@
 }
 
 impl RankRates {
-    /// Gets the part of its queries that were admitted of late, 1 where none came.
+    /// Returns the admitted share of the rank's recent queries, or 1 if there were none.
     fn served_share(&self, now: TimePoint) -> f64 {
         let offered = self.offered.per_second(now);
         if offered <= 0.0 {
--- a/alderhaven-policy/src/query_gather.rs
+++ b/alderhaven-policy/src/query_gather.rs
@@ -1,10 +1,8 @@
-//! The gathering of one query: which replies count, what the answer covers, what the caller is told.
+//! Gathers the replies to one fan-out query and derives its coverage and outcome.
 //!
-//! Load pattern: replies come late, twice, crossed, of another index version or not at all, while
-//! retries and hedges put several attempts on one shard. Without one place that judges them, an
-//! answer could mix two snapshots or claim a shard that nobody verified. Here a reply counts only
-//! where its attempt belongs to this query and it names the pinned snapshot and version; the
-//! coverage is counted from those replies alone.
+//! Replies may be late, duplicated, misrouted or of another index version, and retries and hedges
+//! put several attempts on one shard. A reply counts only if its attempt belongs to the query and
+//! it names the pinned snapshot and version; coverage is counted from these replies alone.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,7 +16,7 @@
 
 use crate::row_merge;
 
-/// A `QueryGather` holds the state of one query that is pinned to one manifest.
+/// State of one query that is pinned to one manifest.
 #[derive(Debug)]
 pub struct QueryGather {
     manifest: Arc<SnapshotManifest>,
@@ -29,7 +27,7 @@
     may_have_run: bool,
 }
 
-/// A `GatherShard` is one asked shard.
+/// One of the query's shards with its attempts.
 #[derive(Debug)]
 struct GatherShard {
     position: usize,
@@ -44,14 +42,14 @@
     Missing(MissingReason),
 }
 
-/// A `ShardAttempt` is one attempt at one replica of a shard.
+/// One attempt at one replica of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardAttempt {
-    /// The counting half of the attempt's id.
+    /// Sequence number within the attempt's id.
     pub sequence: u64,
-    /// The replica's position in the manifest's entry.
+    /// Index of the replica in the shard's manifest entry.
     pub replica: usize,
-    /// What became of the attempt; none while it is under way.
+    /// Verified outcome, or `None` while the attempt is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
 
@@ -61,21 +59,21 @@
     index: usize,
 }
 
-/// An `AttemptResult` is what was heard of an attempt, before it is verified.
+/// Reported result of an attempt, before verification.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The outcome as reported.
+    /// Outcome as reported.
     pub outcome: AttemptOutcome,
-    /// The snapshot that the reply names.
+    /// Snapshot that the reply names.
     pub snapshot: SnapshotId,
-    /// The index version that the reply names.
+    /// Index version that the reply names.
     pub version: IndexVersion,
-    /// The rows as the text of a JSON array.
+    /// Rows as the text of a JSON array.
     pub rows: Bytes,
 }
 
 impl AttemptResult {
-    /// Returns a result without rows.
+    /// Creates the result of an attempt that returned no rows.
     #[must_use]
     pub fn without_rows(outcome: AttemptOutcome) -> Self {
         Self {
@@ -87,29 +85,29 @@
     }
 }
 
-/// A `GatherEvent` says what a result meant for the query.
+/// Effect of a result on its query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GatherEvent {
-    /// The shard is answered now.
+    /// The shard is now answered.
     ShardAnswered {
-        /// The shard's slot.
+        /// Index of the shard within the query.
         slot: usize,
     },
-    /// The attempt is over without an answer, and the shard is still open.
+    /// The attempt ended without an answer, and the shard is still open.
     AttemptEnded {
-        /// The shard's slot.
+        /// Index of the shard within the query.
         slot: usize,
-        /// What became of the attempt, after verification.
+        /// Verified outcome of the attempt.
         outcome: AttemptOutcome,
-        /// Whether another attempt at the shard is under way.
+        /// Whether another attempt at the shard is in flight.
         others_in_flight: bool,
     },
-    /// The result belongs to no attempt under way, or came after the shard was settled.
+    /// The result belongs to no attempt in flight, or its shard is already settled.
     Ignored,
 }
 
 impl QueryGather {
-    /// Returns the gathering of a query over the shards at `positions` of a manifest.
+    /// Creates the state of a query over the shards at `positions` of a manifest.
     #[must_use]
     pub fn new(manifest: Arc<SnapshotManifest>, positions: &[usize], idempotent: bool) -> Self {
         let shards: Vec<GatherShard> = positions
@@ -130,60 +128,60 @@
         }
     }
 
-    /// Gets the pinned manifest.
+    /// Returns the pinned manifest.
     #[must_use]
     pub const fn manifest(&self) -> &Arc<SnapshotManifest> {
         &self.manifest
     }
 
-    /// Gets the number of asked shards; slots are numbered below it.
+    /// Returns the number of the query's shards; slots are indexes below it.
     #[must_use]
     pub fn len(&self) -> usize {
         self.shards.len()
     }
 
-    /// Returns true where no shard is asked.
+    /// Returns true if the query asks no shard.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.shards.is_empty()
     }
 
-    /// Gets the manifest's entry of a slot's shard.
+    /// Returns the manifest entry of a slot's shard.
     #[must_use]
     pub fn shard_entry(&self, slot: usize) -> &ShardEntry {
         &self.manifest.shards[self.shards[slot].position]
     }
 
-    /// Gets the attempts at a slot's shard, the first one first.
+    /// Returns the attempts at a slot's shard, in the order in which they began.
     #[must_use]
     pub fn attempts(&self, slot: usize) -> &[ShardAttempt] {
         &self.shards[slot].attempts
     }
 
-    /// Returns true where a slot's shard is neither answered nor given up.
+    /// Returns true if a slot's shard is neither answered nor given up.
     #[must_use]
     pub fn is_open(&self, slot: usize) -> bool {
         matches!(self.shards[slot].state, ShardState::Open)
     }
 
-    /// Gets the slots whose shards are still open.
+    /// Iterates over the slots whose shards are open.
     pub fn open_slots(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.shards.len()).filter(|slot| self.is_open(*slot))
     }
 
-    /// Returns true where no shard is open any more.
+    /// Returns true if no shard is open.
     #[must_use]
     pub const fn is_settled(&self) -> bool {
         self.open_shards == 0
     }
 
-    /// Gets the covered share of the asked shards.
+    /// Returns the answered share of the query's shards.
     #[must_use]
     pub fn covered_share(&self) -> f64 {
         self.coverage().share()
     }
 
-    /// Notes that an attempt at a replica begins.
+    /// Records that an attempt at a replica begins.
     pub fn begin_attempt(&mut self, slot: usize, replica: usize, sequence: u64) {
         let attempts = &mut self.shards[slot].attempts;
         let position = AttemptPosition {
@@ -198,7 +196,7 @@
         self.attempts.insert(sequence, position);
     }
 
-    /// Takes what was heard of an attempt.
+    /// Verifies and records the result of an attempt.
     pub fn accept(&mut self, sequence: u64, result: AttemptResult) -> GatherEvent {
         let Some(position) = self.attempts.get(&sequence).copied() else {
             return GatherEvent::Ignored;
@@ -230,7 +228,7 @@
         }
     }
 
-    /// Gives a shard up; an answered one stays answered.
+    /// Marks an open shard as missing; an answered one stays answered.
     pub fn give_up(&mut self, slot: usize, reason: MissingReason) {
         let shard = &mut self.shards[slot];
         if matches!(shard.state, ShardState::Open) {
@@ -239,7 +237,7 @@
         }
     }
 
-    /// Gives up all open shards, each for the reason that its attempts show.
+    /// Marks all open shards as missing, each with the reason that its attempts show.
     pub fn give_up_open(&mut self) {
         for slot in 0..self.shards.len() {
             let reason = self.missing_reason(slot);
@@ -247,7 +245,7 @@
         }
     }
 
-    /// Gets the reason for which a slot's shard is missing, as its attempts show it.
+    /// Returns the reason for a slot's missing shard, as its attempts show it.
     #[must_use]
     pub fn missing_reason(&self, slot: usize) -> MissingReason {
         let attempts = &self.shards[slot].attempts;
@@ -273,7 +271,7 @@
         }
     }
 
-    /// Returns true where a shard can't be answered because no replica holds its version.
+    /// Returns true if a shard is missing because no replica holds its version any more.
     #[must_use]
     pub fn is_version_gone(&self) -> bool {
         self.shards
@@ -281,13 +279,13 @@
             .any(|shard| matches!(shard.state, ShardState::Missing(MissingReason::VersionGone)))
     }
 
-    /// Gets the number of attempts that were begun.
+    /// Returns the number of attempts that have begun.
     #[must_use]
     pub fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Gets the attempts under way with their slots.
+    /// Iterates over the attempts in flight with their slots.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (usize, ShardAttempt)> + '_ {
         self.shards.iter().enumerate().flat_map(|(slot, shard)| {
             shard
@@ -298,7 +296,7 @@
         })
     }
 
-    /// Gets the report of which shards are covered.
+    /// Reports which shards are answered and why the others are missing.
     #[must_use]
     pub fn coverage(&self) -> CoverageReport {
         let mut report = CoverageReport {
@@ -322,10 +320,10 @@
         report
     }
 
-    /// Gets what the caller is told.
+    /// Returns the outcome for the caller.
     ///
-    /// "Refused" claims that nothing ran. It is said only where every attempt that was begun has
-    /// the evidence for it; an attempt under way may be running and counts against it.
+    /// `Refused` claims that nothing ran. It is returned only if every attempt has evidence for
+    /// that; an attempt in flight may be running.
     #[must_use]
     pub fn outcome(&self) -> QueryOutcome {
         let answered = self
@@ -347,7 +345,7 @@
         }
     }
 
-    /// Gets the rows of the answered shards, in the order of shards.
+    /// Iterates over the rows of the answered shards, in the order of shards.
     pub fn rows(&self) -> impl Iterator<Item = &Bytes> {
         self.shards.iter().filter_map(|shard| match &shard.state {
             ShardState::Answered(rows) => Some(rows),
@@ -355,9 +353,9 @@
         })
     }
 
-    /// Judges a result against the pinned manifest.
+    /// Checks a result against the pinned manifest.
     ///
-    /// A reply of another snapshot or version, or with rows that are no JSON array, is no answer.
+    /// A reply of another snapshot or version, or whose rows aren't a JSON array, is a failure.
     fn verify(&self, slot: usize, result: &AttemptResult) -> AttemptOutcome {
         if result.outcome != AttemptOutcome::Answered {
             return result.outcome;
@@ -372,7 +370,7 @@
     }
 }
 
-/// Returns true where an outcome is evidence that the attempt did not run.
+/// Returns true if an outcome proves that the attempt didn't run.
 #[must_use]
 pub const fn is_not_run(outcome: AttemptOutcome) -> bool {
     matches!(
--- a/alderhaven-policy/src/rate_meter.rs
+++ b/alderhaven-policy/src/rate_meter.rs
@@ -1,8 +1,8 @@
-//! A meter of how much arrives per second, weighted towards the most recent time.
+//! Exponentially decaying rate of what arrives.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-/// A `LoadMeter` adds up amounts that fade with a time constant.
+/// Sum of amounts that decay exponentially.
 #[derive(Clone, Copy, Debug)]
 pub struct RateMeter {
     time_constant: TimeSpan,
@@ -11,7 +11,7 @@
 }
 
 impl RateMeter {
-    /// Returns an empty meter whose amounts fade to 37% within `fade`.
+    /// Creates an empty meter; an amount decays to 1/e within `time_constant`.
     #[must_use]
     pub const fn new(fade: TimeSpan) -> Self {
         Self {
@@ -21,13 +21,13 @@
         }
     }
 
-    /// Adds an amount.
+    /// Adds an amount that arrives now.
     pub fn add(&mut self, amount: f64, now: TimePoint) {
         self.amount = self.decayed_amount(now) + amount;
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// Gets the amount per second.
+    /// Returns the decayed amount per second.
     #[must_use]
     pub fn per_second(&self, now: TimePoint) -> f64 {
         self.decayed_amount(now) / self.time_constant.as_secs_f64().max(1e-6)
--- a/alderhaven-policy/src/relay_queue.rs
+++ b/alderhaven-policy/src/relay_queue.rs
@@ -1,31 +1,11 @@
-//! The queue of one target at a relay: which waiting attempt runs next, and which never will.
+//! Queue of one target at a relay: which waiting attempt starts next and which ones are dropped.
 //!
-//! Load pattern: more attempts arrive for a target than its 2 to 4 slots can run, urgent ones
-//! among bulk, short ones among long.
-//!
-//! Without it (first in first out):
-//! - each overloaded relay drops other shards of other queries, so hardly any query is whole;
-//! - slots run work whose caller has gone, and under twice the capacity nothing arrives in time;
-//! - a few long jobs hold all slots, and an urgent lookup waits for a monthly report.
-//!
-//! The rules:
-//! - The order is class, then the `order` number of the query, which all its relays share, so
-//!   that overloaded relays prefer the same whole queries.
-//! - One start in [`RelayQueueOptions::aged_every`] goes to a lower class whose first job has
-//!   waited for [`RelayQueueOptions::aging_step`]. Bulk gets at least that share of a target, and
-//!   urgent work never loses more than it.
-//! - Long jobs, and those of a template that has not run here yet, hold at most the slots that the
-//!   load of short ones leaves, one at least, and never all.
-//! - An attempt that can't finish in time is answered as not run at once. While nothing runs at
-//!   the target an attempt is tried all the same: the mean that says "hopeless" may be out of date,
-//!   and only a run can correct it.
-//!
-//! Grounds for the figures: one start in 16 costs urgent work at most a sixteenth of a target (at 8,
-//! urgent queries at 0.8 of the capacity were refused for want of it, docs/LOAD.md; at 32, admitted
-//! ordinary queries lost single shards);
-//! 200 ms of waiting is more than half of the 370 ms within which answers are due, so only work
-//! that priority alone would starve counts as aged; a job four times as long as the shortest ones
-//! would more than double their mean wait at two slots.
+//! Attempts start by class, then by `order`, which is the same at all relays of a query, so that
+//! overloaded relays serve the same whole queries. One start in
+//! [`RelayQueueOptions::aged_start_interval`] goes to an aged attempt of a lower class. Long jobs,
+//! and those of templates without a known service time, leave slots for short ones. An attempt that
+//! can't finish by its deadline is refused or dropped at once, except on an idle target: only a run
+//! can correct an outdated service time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -39,30 +19,30 @@
 use crate::rate_meter::RateMeter;
 use crate::service_times::ServiceTimes;
 
-/// Over how long the work that arrives per class is averaged: some dozens of attempts, and a
-/// burst shows within half a deadline.
+/// Time constant of the rate of arriving work of each class.
 const ARRIVING_WORK_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(200);
 
-/// Over how long the arriving short work is averaged, to tell how many slots it needs.
+/// Time constant of the rate of short work, from which its number of slots follows.
 const SHORT_WORK_TIME_CONSTANT: TimeSpan = TimeSpan::from_secs(1);
-/// How much more than its mean load short work is left, so that its own queue stays short.
+/// Capacity that is left for short work, as a multiple of its mean load, so that its queue stays
+/// short.
 const SHORT_WORK_HEADROOM: f64 = 1.5;
 
-/// A `RelayQueueOptions` holds the settings of a relay's queues.
+/// Settings of a relay's queues.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayQueueOptions {
-    /// The longest estimated wait with which an attempt is still taken.
+    /// Longest estimated wait with which an attempt is still accepted.
     pub max_wait: TimeSpan,
-    /// The most waiting attempts, a bound on memory only.
+    /// Largest number of waiting attempts; it bounds memory only.
     pub max_jobs: usize,
-    /// The wait after which a lower class's first job may be started before a higher class.
+    /// Wait after which a lower class's first job may start before those of higher classes.
     #[serde(rename = "aging_step")]
     pub aging_threshold: TimeSpan,
     /// One start in this many may go to an aged job of a lower class.
     #[serde(rename = "aged_every")]
     pub aged_start_interval: u32,
-    /// How many times the shortest template's mean makes a template long.
+    /// A template is long if its mean service time is at least this multiple of the shortest one's.
     #[serde(rename = "long_factor")]
     pub long_job_factor: f64,
 }
@@ -79,47 +59,47 @@
     }
 }
 
-/// A `QueueJob` is one attempt that waits for a slot of the target.
+/// An attempt that waits for a slot of the target.
 #[derive(Clone, Debug)]
 pub struct QueueJob {
-    /// The attempt.
+    /// Attempt to run.
     pub id: AttemptId,
-    /// The class of its query.
+    /// Priority class of the query.
     pub class: QueryClass,
-    /// The order within the class, lower first; the same at all relays of the query.
+    /// Order within the class, lowest first; the same at all relays of the query.
     pub order: u64,
-    /// The template, by which service times are remembered.
+    /// Query template, which the expected service time depends on.
     pub template: TemplateName,
-    /// When its answer is of no more use.
+    /// Time after which the result is useless.
     pub deadline: TimePoint,
-    /// Whether it is a hedge, which runs only where a slot is free.
+    /// True for a hedge, which is accepted only if it can start at once.
     pub is_hedge: bool,
 }
 
-/// An `OfferOutcome` says whether a job was taken.
+/// Whether a job was accepted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OfferOutcome {
-    /// The job waits, or can be started at once.
+    /// The job waits; [`RelayQueue::start_next`] may start it at once.
     Queued,
-    /// The job will never run here, and its answer is final.
+    /// The job will not run here.
     Refused(NotRunReason),
 }
 
-/// A `DroppedJob` is a job that had been taken and will not run.
+/// A job that was accepted and will not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DroppedJob {
-    /// The attempt.
+    /// Attempt that must be answered as not run.
     pub id: AttemptId,
-    /// Why it did not run.
+    /// Why it didn't run.
     pub reason: NotRunReason,
 }
 
-/// A `StartedJob` is a job that the queue gave a slot to.
+/// A job that has been given a slot.
 #[derive(Clone, Debug)]
 pub struct StartedJob {
-    /// The job.
+    /// Job to run now.
     pub job: QueueJob,
-    /// How long it waited.
+    /// Time that the job waited in the queue.
     pub waited: TimeSpan,
 }
 
@@ -133,7 +113,7 @@
     expires_at: TimePoint,
 }
 
-/// A `RelayQueue` holds the attempts that wait for one target and those that run there.
+/// The attempts that wait for one target and those that run there.
 #[derive(Debug)]
 pub struct RelayQueue {
     options: RelayQueueOptions,
@@ -152,7 +132,7 @@
 }
 
 impl RelayQueue {
-    /// Returns an empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(policy: PolicyKind, options: RelayQueueOptions) -> Self {
         Self {
@@ -172,9 +152,9 @@
         }
     }
 
-    /// Takes a job or refuses it for good; `slots` is how many may run at a time now.
+    /// Accepts or refuses a job for a target that can run `slots` jobs at a time.
     ///
-    /// Jobs that the new one displaces are among [`Self::take_dropped`].
+    /// [`Self::take_dropped`] returns the jobs that the new one displaces.
     pub fn offer(&mut self, job: QueueJob, now: TimePoint, slots: u32) -> OfferOutcome {
         let expected_service_time = self.means.expected_service_time(&job.template);
         if let Some(reason) = self.refusal_reason(&job, expected_service_time, now, slots) {
@@ -187,7 +167,7 @@
         OfferOutcome::Queued
     }
 
-    /// Starts the next job where a slot is free; call it again until it returns none.
+    /// Starts the next job if a slot is free; call it until it returns `None`.
     pub fn start_next(&mut self, now: TimePoint, slots: u32) -> Option<StartedJob> {
         self.drop_expired(now);
         if self.running.len() >= slots as usize {
@@ -206,7 +186,7 @@
         })
     }
 
-    /// Frees the slot of a job; `service` is its time at the target where that was measured.
+    /// Frees the slot of a job and records its time at the target, if that was measured.
     pub fn record_finished(
         &mut self,
         id: AttemptId,
@@ -221,7 +201,7 @@
         }
     }
 
-    /// Takes a waiting job out; returns false where it runs already or is not known.
+    /// Removes a waiting job; returns false if it is running or unknown.
     pub fn cancel(&mut self, id: AttemptId) -> bool {
         let Some((rank, key)) = self.positions.get(&id).copied() else {
             return false;
@@ -229,7 +209,7 @@
         self.remove(rank, key).is_some()
     }
 
-    /// Drops the jobs that can no longer finish in time; they are among [`Self::take_dropped`].
+    /// Drops the jobs that can no longer finish in time; [`Self::take_dropped`] returns them.
     pub fn drop_expired(&mut self, now: TimePoint) {
         while let Some((expires_at, id)) = self.expiries.first().copied() {
             if expires_at > now {
@@ -242,7 +222,8 @@
             let deadline = self.waiting[rank]
                 .get(&key)
                 .map_or(expires_at, |job| job.job.deadline);
-            // The mean may be out of date: while the target is idle, only the deadline itself counts.
+            // The expected service time may be outdated. While the target is idle, only the
+            // deadline itself counts.
             if self.running.is_empty() && now < deadline {
                 self.expiries.remove(&(expires_at, id));
                 self.expiries.insert((deadline, id));
@@ -255,13 +236,13 @@
         }
     }
 
-    /// Gets the next time at which [`Self::drop_expired`] may have something to drop.
+    /// Returns the next time at which [`Self::drop_expired`] may drop a job.
     #[must_use]
     pub fn next_expiry(&self) -> Option<TimePoint> {
         self.expiries.first().map(|(at, _)| *at)
     }
 
-    /// Takes the jobs that were dropped since the last call, each to be answered at once.
+    /// Removes and returns the jobs that were dropped since the last call; answer each as not run.
     pub fn take_dropped(&mut self) -> Vec<DroppedJob> {
         std::mem::take(&mut self.dropped)
     }
@@ -276,7 +257,7 @@
         }
     }
 
-    /// Estimates the wait that a new attempt of a class would have.
+    /// Estimates the wait of a new attempt of this class.
     #[must_use]
     pub fn estimated_wait(&self, class: QueryClass, now: TimePoint, slots: u32) -> TimeSpan {
         let rank = self.class_rank(class);
@@ -287,19 +268,19 @@
         self.wait_behind(rank, self.queued_work[rank], now, slots)
     }
 
-    /// Gets the number of waiting jobs.
+    /// Returns the number of waiting jobs.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
         self.positions.len()
     }
 
-    /// Gets the number of running jobs.
+    /// Returns the number of running jobs.
     #[must_use]
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Gets the expected service time of a template at this target.
+    /// Returns the expected service time of a template at this target.
     #[must_use]
     pub fn expected_service_time(&self, template: &TemplateName) -> TimeSpan {
         self.means.expected_service_time(template)
@@ -343,7 +324,7 @@
     }
 
     /// Estimates the wait behind `own_ahead` of the same class and all work of higher classes,
-    /// those that will arrive meanwhile included.
+    /// including what will arrive in the meantime.
     fn wait_behind(
         &self,
         rank: usize,
@@ -356,10 +337,10 @@
             .iter()
             .map(|meter| meter.per_second(now))
             .sum();
-        // What higher classes leave over, and by aging no less than its share of the starts.
+        // Higher classes leave this share of the slots, and aging guarantees a minimum.
         let min_share = 1.0 / f64::from(self.options.aged_start_interval.max(1));
         let remaining_share = (1.0 - higher_rate / slots).max(min_share);
-        // Until the first of the running jobs ends takes about one mean over the slots.
+        // It takes about one mean service time over the slots until the first running job ends.
         let first_slot_wait = self.means.overall_mean().unwrap_or_default();
         let higher_work = self.queued_work[..rank]
             .iter()
@@ -414,8 +395,8 @@
         }
     }
 
-    /// Drops the last jobs while the work ahead of them exceeds their time, rather than hold them
-    /// until that time is up.
+    /// Drops the last jobs whose wait exceeds their time, rather than holding them until they
+    /// expire.
     fn shed_displaced(&mut self, now: TimePoint, slots: u32) {
         while let Some((rank, key, job)) = self.last_job() {
             let own_ahead = self.queued_work[rank].saturating_sub(job.expected_service_time);
@@ -436,8 +417,8 @@
         })
     }
 
-    /// Picks the job to start: an aged one of a lower class when it is due, else the first of the
-    /// highest class that may run.
+    /// Picks the job to start: an aged one of a lower class when it is due, else the first
+    /// startable one of the highest class.
     fn pick(&mut self, now: TimePoint, slots: u32) -> Option<(usize, QueueKey)> {
         let firsts: [Option<QueueKey>; 3] =
             std::array::from_fn(|rank| self.first_startable(rank, now, slots));
@@ -470,8 +451,8 @@
             .map(|(key, _)| *key)
     }
 
-    /// Gets how many slots long jobs may hold: what the load of short ones leaves, at least one,
-    /// and never all.
+    /// Returns the number of slots that long jobs may hold: what the load of short ones leaves, at
+    /// least one, and fewer than all if there are several.
     fn long_job_slots(&self, now: TimePoint, slots: u32) -> usize {
         let short_job_slots = (self.short_work.per_second(now) * SHORT_WORK_HEADROOM).ceil();
         let available = f64::from(slots) - short_job_slots.max(1.0);
--- a/alderhaven-policy/src/service_admission.rs
+++ b/alderhaven-policy/src/service_admission.rs
@@ -1,4 +1,7 @@
-//! The part of an entry's admission that belongs to one service: estimates and counts.
+//! Admission state of one service: its capacity, its waiting queries and its wait estimates.
+//!
+//! A key may have no more queries in flight than one shard can run, because all queries of a key
+//! ask the same shards.
 
 use std::collections::HashMap;
 
@@ -13,19 +16,19 @@
 use crate::service_capacity::{QueryReport, ServiceCapacity, ServiceCapacityOptions, ServiceSize};
 use crate::share_meter::ShareMeter;
 
-/// The number of ended queries over which a template's latency is followed.
+/// Number of finished queries that a template's latency estimate covers.
 const LATENCY_WINDOW: u32 = 64;
-/// The least share of the service that is reckoned for a class below others that fill it.
+/// Smallest share of the service that is estimated for a class when higher classes fill it.
 const MIN_CLASS_SHARE: f64 = 1.0 / AGED_ADMISSION_INTERVAL as f64;
 
-/// The least part of the estimated rate that is reckoned where less was admitted: when a burst
-/// begins, little was admitted because little was asked for.
+/// Smallest share of the estimated rate to assume if fewer queries were admitted: at the start of a
+/// burst few were admitted because few had arrived.
 const MIN_RATE_SHARE: f64 = 0.3;
 
-/// The share of the service below which the classes above don't matter.
+/// Share of the service's rate below which higher classes are ignored.
 const NEGLIGIBLE_SHARE: f64 = 0.02;
 
-/// A `ServiceLane` is the part of the gate that belongs to one service.
+/// Admission state of one service at an entry.
 #[derive(Debug)]
 pub(crate) struct ServiceAdmission {
     pub(crate) capacity: ServiceCapacity,
@@ -39,28 +42,28 @@
     latencies: HashMap<TemplateName, TemplateLatency>,
 }
 
-/// A `TemplateLatency` is the mean of a template's latency and of its distance from the mean.
+/// Mean latency of a template and its mean absolute deviation.
 #[derive(Clone, Copy, Debug, Default)]
 struct TemplateLatency {
     mean: RunningMean,
     deviation: RunningMean,
 }
 
-/// A `WaitEstimate` is what a query would meet.
+/// Estimated wait for admission and latency after it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitEstimate {
     pub(crate) wait: TimeSpan,
     pub(crate) latency: TimeSpan,
 }
 
-/// A `ServiceLoad` is the load of one service as an entry sees it.
+/// Load of one service as this entry sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ServiceLoad {
-    /// The limit in queries per shard.
+    /// Limit on the attempts in flight per shard.
     pub limit: f64,
-    /// The attempts of the queries in flight.
+    /// Number of attempts that have not ended.
     pub in_flight: u64,
-    /// The number of waiting queries.
+    /// Number of queries that wait for admission.
     pub waiting: usize,
 }
 
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Estimates the wait for admission and the latency after it.
+    /// Estimates the wait for admission and the latency of a query that arrives now.
     pub(crate) fn estimate(
         &self,
         request: &AdmitRequest,
@@ -92,7 +95,7 @@
             .map_or(TimeSpan::ZERO, TemplateLatency::likely_latency);
         let (class, team, key) = (request.class, &request.team, request.key);
         let (rate, aging_wait) = self.class_rate(class, now);
-        // A class that gets turns by aging alone would wait for them in the relays' queues.
+        // A class that runs by aging alone would wait in the relays' queues even if admitted now.
         let starts_now = self.queue.is_empty() && self.may_start(request, weight, now);
         if starts_now && aging_wait == 0.0 {
             let wait = TimeSpan::ZERO;
@@ -102,7 +105,8 @@
         let own_cost = f64::from(request.fan_out);
         let cost_to_own_turn =
             self.queue.cost_before(class, team, key, request.fan_out) as f64 + own_cost;
-        // The due part is the least; what other teams leave over shows in what was admitted.
+        // The fair share is the lower bound; unused shares of other teams show in the admitted
+        // rate.
         let wait =
             wait_for_higher + cost_to_own_turn / self.team_rate(class, team, weight, rate, now);
         let wait = (aging_wait + wait).max(self.key_wait(request));
@@ -110,8 +114,7 @@
         WaitEstimate { wait, latency }
     }
 
-    /// Estimates the attempts per second that the service ends for a team of a class that gets
-    /// `left`.
+    /// Estimates the attempts per second that complete for a team in a class with this rate.
     fn team_rate(
         &self,
         class: QueryClass,
@@ -123,16 +126,16 @@
         let fair_rate = class_rate * self.team_share.fair_share(team, weight, now);
         let usage = self.queue.usage_per_second(class, team, now);
         if usage > fair_rate {
-            // It lives on what others leave over, and that shows in what was admitted.
+            // The team uses capacity that others leave, and its admitted rate shows how much.
             return usage.min(class_rate);
         }
-        // Below its due, it shares with the waiting teams that have used about as little.
+        // Below its fair share, the team competes with waiting teams of similar usage.
         let competing_weight = self.queue.competing_weight(class, team, weight, now);
         (class_rate * f64::from(weight) / competing_weight).max(fair_rate)
     }
 
-    /// Estimates the attempts per second that the service ends for a class, and the wait in seconds
-    /// before its first turn.
+    /// Estimates the attempts per second that complete for a class, and the wait in seconds before
+    /// its first turn.
     fn class_rate(&self, class: QueryClass, now: TimePoint) -> (f64, f64) {
         let total_rate = self.capacity.completion_rate();
         let higher_rate: f64 = QueryClass::ALL[..usize::from(class.rank())]
@@ -140,7 +143,7 @@
             .map(|higher| self.offered_cost.per_second(higher, now))
             .sum();
         let remaining_share = 1.0 - higher_rate / total_rate;
-        // A class that higher ones leave nothing gets turns by aging alone.
+        // Aging alone gives turns to a class that higher classes leave no capacity for.
         if remaining_share < MIN_CLASS_SHARE {
             return (total_rate * MIN_CLASS_SHARE, AGING_THRESHOLD.as_secs_f64());
         }
@@ -148,8 +151,8 @@
         if self.queue.cost_in(class) == 0 || higher_rate < total_rate * NEGLIGIBLE_SHARE {
             return (remaining_rate, 0.0);
         }
-        // A difference of two estimates is uncertain: while the class has a backlog, what was admitted
-        // of it says what it really gets.
+        // The remaining rate is a difference of two estimates. While the class has a backlog, its
+        // admitted rate is more reliable.
         let admitted = self.admitted_cost.per_second(&class, now);
         (
             admitted.clamp(remaining_rate * MIN_RATE_SHARE, remaining_rate),
@@ -157,7 +160,7 @@
         )
     }
 
-    /// Estimates the wait that the bound of the key causes, in seconds.
+    /// Estimates the wait in seconds that the limit on the query's key causes.
     fn key_wait(&self, request: &AdmitRequest) -> f64 {
         if self.key_has_capacity(request.key) {
             return 0.0;
@@ -169,12 +172,13 @@
         turns * self.capacity.mean_latency().as_secs_f64()
     }
 
+    /// Returns true if both the service and the key have capacity for the query.
     pub(crate) fn may_start(&self, request: &AdmitRequest, weight: u32, now: TimePoint) -> bool {
         let is_preferred = self.is_preferred(request.class, &request.team, weight, now);
         self.capacity.fits(request.fan_out, is_preferred) && self.key_has_capacity(request.key)
     }
 
-    /// Returns true for the queries that the relays let go first.
+    /// Returns true for queries that the relays serve first, which may use the headroom.
     fn is_preferred(&self, class: QueryClass, team: &TeamId, weight: u32, now: TimePoint) -> bool {
         class == QueryClass::Urgent || self.team_share.is_below_fair_share(team, weight, now)
     }
@@ -184,14 +188,14 @@
         f64::from(in_flight) + 0.5 <= self.capacity.limit()
     }
 
-    /// Notes a query that is admitted without waiting.
+    /// Charges a query that is admitted without waiting to its team and key.
     pub(crate) fn record_admitted(&mut self, request: &AdmitRequest, weight: u32, now: TimePoint) {
         let (class, team) = (request.class, &request.team);
         self.queue
             .record_admitted(class, team, weight, request.key, request.fan_out, now);
     }
 
-    /// Takes the next waiting query that may start.
+    /// Removes and returns the next waiting query that may start, with its effective class.
     pub(crate) fn pop(&mut self, now: TimePoint) -> Option<(AdmitRequest, QueryClass)> {
         if self.queue.is_empty() {
             return None;
@@ -206,6 +210,7 @@
         Some((request, class))
     }
 
+    /// Counts a query as started and issues its ticket.
     pub(crate) fn admit(
         &mut self,
         request: AdmitRequest,
@@ -228,6 +233,8 @@
         }
     }
 
+    /// Updates the capacity, the key's count and the template's latency from a query that has
+    /// ended.
     pub(crate) fn record_finished(
         &mut self,
         ticket: &AdmitTicket,
@@ -255,7 +262,7 @@
         }
     }
 
-    /// Gets how far the query's team or key is above its share, from 0 to 1.
+    /// Returns how far the query's team or key is above its fair share, from 0 to 1.
     fn excess(&self, request: &AdmitRequest, now: TimePoint) -> f64 {
         let by_team = self.team_share.excess(&request.team, now);
         let by_key = self.key_share.excess(&request.key, now);
@@ -275,7 +282,7 @@
         self.deviation.add(deviation, LATENCY_WINDOW);
     }
 
-    /// Gets the latency that most queries stay below.
+    /// Returns a latency that most queries of the template don't exceed.
     fn likely_latency(&self) -> TimeSpan {
         self.mean.get().unwrap_or_default() + self.deviation.get().unwrap_or_default()
     }
--- a/alderhaven-policy/src/service_capacity.rs
+++ b/alderhaven-policy/src/service_capacity.rs
@@ -1,64 +1,48 @@
-//! How many queries of one service an entry may have in flight: found, not configured.
+//! Adaptive limit on the attempts that an entry has in flight at one service.
 //!
-//! Load pattern: the capacity of a service is unknown to an entry. Other entries share it, targets
-//! slow down, shed or leave, and the mix of queries changes.
-//!
-//! Without it (no limit, or a fixed one): too high a limit moves the queue into the relays, where
-//! work expires shard by shard and the work for the rest of its query is lost; too low a limit
-//! leaves targets idle while callers are refused.
-//!
-//! The limit counts attempts per shard that have not replied. Counting whole queries until their end
-//! was tried: part of the limit then stands for shards that have long replied, waits are estimated
-//! too short, and in the overload test refusals came after 147 to 185 ms at p99 rather than on
-//! arrival, at the same goodput.
-//!
-//! It begins at twice this entry's even part of the slots, and follows what ended queries report: it
-//! rises while it is used up and the mean wait in the relays' queues is below
-//! [`ServiceCapacityOptions::target_wait`] times the service time, falls above that, and falls
-//! faster where attempts did not run. This is the idea of TCP Vegas (Brakmo and Peterson, 1995): the
-//! wait in the queue says how far the limit is above what the service carries. It moves by a part
-//! per query such that a round of all open queries moves it once, because a change shows in reports
-//! only after that; moving it by every query's full step made it swing down to nothing in a burst.
-//!
-//! Grounds for the figures: one waiting attempt a slot keeps a slot busy, and costs one service time
-//! of wait, 10 ms of 370 at 10 ms of service; half of it gave less goodput, one and a half times
-//! held up the others of a hot team. Additive rise and a fall by a share let the limits of several
-//! entries draw level (Chiu and Jain, 1989).
+//! A limit that is too high moves the queue into the relays, where attempts expire shard by shard;
+//! one that is too low leaves targets idle. The limit starts from the entry's share of the slots.
+//! It rises while it is used up and the wait in the relays' queues is below
+//! [`ServiceCapacityOptions::target_wait`] service times, as in TCP Vegas (Brakmo and Peterson,
+//! 1995), and falls above that or when attempts don't run. Each finished query applies its part of
+//! one round, since a changed limit shows in reports only after a round. Additive increase and
+//! multiplicative decrease let the limits of several entries converge (Chiu and Jain, 1989).
 
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
 use crate::running_mean::RunningMean;
 
-/// The number of ended queries that the means cover.
+/// Number of finished queries that the running means cover.
 const MEAN_WINDOW: u32 = 32;
 
-/// How many attempts per slot an entry's even part is reckoned as: one that runs, one that waits.
+/// Attempts per slot at the fair limit: one that runs and one that waits.
 const ATTEMPTS_PER_SLOT: f64 = 2.0;
-/// The part of the limit above which it counts as used up.
+/// Share of the limit above which it counts as used up.
 const USED_UP_SHARE: f64 = 0.8;
 
-/// A `ServiceCapacityOptions` holds the settings of the limit.
+/// Settings of the adaptive limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceCapacityOptions {
-    /// The wait in the relays' queues that the limit aims at, in service times.
+    /// Desired mean wait in the relays' queues, in service times.
     pub target_wait: f64,
-    /// What the first limit is, times this entry's part of the slots.
+    /// Initial limit, as a multiple of this entry's share of the slots of a shard.
     pub start_factor: f64,
-    /// How far beyond the limit urgent queries and those of teams below their due may go, times the
-    /// limit. The relays let them go first, so for them the limit's queue is not there; without
-    /// headroom they would wait at the entry for what a flood has in flight.
+    /// Factor on the limit for urgent queries and for teams below their fair share.
+    ///
+    /// Relays serve these queries first, so that the queue which the limit allows doesn't delay
+    /// them. Without headroom they would wait at the entry for a flood's attempts in flight.
     pub headroom: f64,
-    /// The greatest limit, times all slots of a shard.
+    /// Largest limit, as a multiple of all slots of a shard.
     pub max_factor: f64,
-    /// The greatest rise a round, as a share of an even part.
+    /// Largest increase in a round, as a share of the fair limit.
     #[serde(rename = "rise")]
     pub additive_increase: f64,
-    /// The greatest fall a round, as a share of the limit.
+    /// Largest decrease in a round, as a share of the current limit.
     #[serde(rename = "fall")]
     pub multiplicative_decrease: f64,
-    /// The latency that is assumed before the first query has ended.
+    /// Latency to assume before the first query has finished.
     #[serde(rename = "first_latency")]
     pub initial_latency: TimeSpan,
 }
@@ -77,31 +61,31 @@
     }
 }
 
-/// A `ServiceSize` is what is declared of a service.
+/// Declared size of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ServiceSize {
-    /// The number of shards.
+    /// Number of shards.
     pub shards: u32,
-    /// The slots of all targets together.
+    /// Total number of slots of all targets.
     pub slots: u32,
-    /// The number of entries that share the service.
+    /// Number of entries that share the service.
     pub entries: u32,
 }
 
-/// A `QueryReport` is what an ended query says of the load on its service.
+/// What a finished query reveals about the load on its service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct QueryReport {
-    /// The mean time that its attempts waited in the relays' queues.
+    /// Mean time that its attempts waited in the relays' queues.
     pub queue_wait: TimeSpan,
-    /// The mean time that its attempts took at the targets; zero where none ran.
+    /// Mean time that its attempts ran at their targets; zero if none ran.
     pub service_time: TimeSpan,
-    /// The number of attempts.
+    /// Number of attempts, including those that didn't run.
     pub attempts: u32,
-    /// The number of attempts that were shed, expired or found a full queue.
+    /// Number of attempts that were shed, expired or found a full queue.
     pub not_run: u32,
 }
 
-/// A `ServiceCapacity` follows how many queries an entry may have in flight at one service.
+/// Current limit and the attempts in flight of one service at an entry.
 #[derive(Clone, Debug)]
 pub struct ServiceCapacity {
     options: ServiceCapacityOptions,
@@ -115,7 +99,7 @@
 }
 
 impl ServiceCapacity {
-    /// Returns the capacity of a service before any query of it.
+    /// Creates the initial limit for a service of this size.
     #[must_use]
     pub fn new(options: ServiceCapacityOptions, size: ServiceSize) -> Self {
         let mut capacity = Self {
@@ -132,7 +116,7 @@
         capacity
     }
 
-    /// Takes over a changed size; the limit keeps its relation to this entry's part.
+    /// Sets a changed size and scales the limit by the change of this entry's share.
     pub fn set_size(&mut self, size: ServiceSize) {
         if size == self.size {
             return;
@@ -143,25 +127,27 @@
             (self.limit * self.initial_limit() / initial_before).clamp(1.0, self.max_limit());
     }
 
-    /// Gets the size.
+    /// Returns the declared size.
     #[must_use]
     pub const fn size(&self) -> ServiceSize {
         self.size
     }
 
-    /// Counts a query as in flight.
+    /// Counts a query's attempts as in flight.
     pub fn record_started(&mut self, fan_out: u32) {
         self.in_flight += u64::from(fan_out);
         self.open_attempts += u64::from(fan_out);
     }
 
-    /// Takes back attempts that ended before the rest of their query.
+    /// Releases attempts that ended before the rest of their query.
     pub fn record_replies(&mut self, attempts: u32) {
         self.in_flight = self.in_flight.saturating_sub(u64::from(attempts));
     }
 
-    /// Takes a query back, of whose attempts `left` have not replied, and adapts the limit;
-    /// `has_backlog` says that other queries wait.
+    /// Releases a finished query, of whose attempts `unreplied` are still counted, and adapts the
+    /// limit.
+    ///
+    /// `has_backlog` means that other queries wait for admission.
     pub fn record_finished(
         &mut self,
         fan_out: u32,
@@ -174,8 +160,8 @@
             has_backlog || self.in_flight as f64 >= USED_UP_SHARE * self.limit_in_attempts();
         self.in_flight = self.in_flight.saturating_sub(u64::from(unreplied));
         self.latency.add(latency, MEAN_WINDOW);
-        // A round is as many queries as are open, those that only wait for their slowest shard
-        // included: what the limit is now shows in reports only after that many.
+        // A round is as many queries as are open, including those that only wait for their slowest
+        // shard, since a changed limit shows in reports only after that many.
         let round_share = f64::from(fan_out) / self.open_attempts.max(1) as f64;
         self.open_attempts = self.open_attempts.saturating_sub(u64::from(fan_out));
         if report.attempts == 0 {
@@ -188,26 +174,28 @@
         self.adapt(round_share.min(1.0), report, is_used_up);
     }
 
-    /// Gets the limit in queries per shard.
+    /// Returns the limit in attempts per shard, which equals the number of queries over all shards.
     #[must_use]
     pub const fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Gets the limit in attempts.
+    /// Returns the limit in attempts over all shards.
     #[must_use]
     pub fn limit_in_attempts(&self) -> f64 {
         self.limit * f64::from(self.size.shards.max(1))
     }
 
-    /// Gets the attempts of the queries in flight.
+    /// Returns the number of attempts that have not ended.
     #[must_use]
     pub const fn in_flight(&self) -> u64 {
         self.in_flight
     }
 
-    /// Returns true where one more query fits; half of it may reach beyond the limit, so that the
-    /// limit is rounded rather than cut. A preferred query may use the headroom as well.
+    /// Returns true if one more query may start.
+    ///
+    /// Half of the query may exceed the limit, which rounds the limit rather than truncating it. A
+    /// preferred query may also use the headroom. An idle service admits any query.
     #[must_use]
     pub fn fits(&self, fan_out: u32, is_preferred: bool) -> bool {
         let factor = if is_preferred {
@@ -219,14 +207,14 @@
         self.in_flight == 0 || expected_in_flight <= self.limit_in_attempts() * factor
     }
 
-    /// Gets the mean latency of a query from its admission to its end.
+    /// Returns the mean latency of a query from its admission to its end.
     #[must_use]
     pub fn mean_latency(&self) -> TimeSpan {
         self.latency.get().unwrap_or(self.options.initial_latency)
     }
 
-    /// Estimates how many attempts the service ends per second for this entry: by Little's law, what
-    /// may be in flight over the mean time of an attempt from its sending to its reply.
+    /// Estimates the attempts per second that complete for this entry, by Little's law: the limit
+    /// over the mean time of an attempt from its sending to its reply.
     #[must_use]
     pub fn completion_rate(&self) -> f64 {
         let attempt_time = match (self.queue_wait.get(), self.service_time.get()) {
@@ -245,13 +233,13 @@
             .unwrap_or_default()
             .as_micros()
             .max(1) as f64;
-        // The more an entry has above its even part, the more it gives way, so that entries that
-        // see the same waits end up with like limits.
+        // An entry above its fair limit yields more, so that entries which see the same waits
+        // converge to similar limits.
         let fair_limit_ratio = (self.limit / self.fair_limit()).clamp(0.5, 2.0);
         let wait_headroom = 1.0 - wait / service / self.options.target_wait * fair_limit_ratio;
         let not_run_share = f64::from(report.not_run) / f64::from(report.attempts);
         let adjustment = (wait_headroom - 4.0 * not_run_share).clamp(-1.0, 1.0);
-        // Up by an amount, down by a share, by which the limits of several entries draw level.
+        // Additive increase and multiplicative decrease let the limits of several entries converge.
         let step = if adjustment < 0.0 {
             adjustment * self.options.multiplicative_decrease * self.limit
         } else if is_used_up {
@@ -262,8 +250,8 @@
         self.limit = (self.limit + step * round_share).clamp(1.0, self.max_limit());
     }
 
-    /// Gets the limit that keeps this entry's part of the slots busy, one attempt a slot running and
-    /// one waiting.
+    /// Returns the limit that keeps this entry's share of the slots busy, with one running and one
+    /// waiting attempt for each slot.
     fn fair_limit(&self) -> f64 {
         let own_slots = self.slots_per_shard() / f64::from(self.size.entries.max(1));
         (own_slots * ATTEMPTS_PER_SLOT).max(1.0)
--- a/alderhaven-policy/src/share_meter.rs
+++ b/alderhaven-policy/src/share_meter.rs
@@ -1,4 +1,4 @@
-//! How much of a service each team or key has used of late, against what it is due.
+//! Measures the recent usage of competing flows, such as teams or keys, against their fair shares.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -7,21 +7,21 @@
 
 use crate::rate_meter::RateMeter;
 
-/// Over how long use is counted: long enough to tell a flood from two queries in a row.
+/// Time constant of the usage meters, long enough to tell a flood from two successive queries.
 const USAGE_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(500);
-/// The most flows that are told apart; above it, the least used are forgotten.
+/// Largest number of tracked flows; the less active half is evicted when it is reached.
 const MAX_FLOWS: usize = 1024;
-/// A flow competes while it uses at least this share of the whole.
+/// Share of the total usage from which a flow counts as competing.
 const MIN_COMPETING_SHARE: f64 = 0.01;
 
-/// Below this part of its due, a flow's use is clearly less than that and no matter of chance.
+/// Factor on the fair share below which usage is clearly lower rather than lower by chance.
 const BELOW_SHARE_FACTOR: f64 = 0.8;
 
-/// Below this share of the whole no flow is in excess: among a hundred queries of as many keys, each
-/// has one part in a hundred, and which of them is above its due is a matter of chance.
+/// Share of the total usage below which no flow is in excess. With many small flows it is a matter
+/// of chance which of them exceed their fair shares.
 const MIN_EXCESS_SHARE: f64 = 0.03;
 
-/// A `ShareMeter` counts the recent use of competing flows.
+/// Recent usage of flows that compete for one service.
 #[derive(Clone, Debug)]
 pub struct ShareMeter<K> {
     flows: HashMap<K, (RateMeter, u32)>,
@@ -38,7 +38,7 @@
 }
 
 impl<K: Clone + Eq + Hash> ShareMeter<K> {
-    /// Adds what a flow of this weight used.
+    /// Adds usage of a flow and sets the flow's weight.
     pub fn add(&mut self, flow: &K, weight: u32, amount: f64, now: TimePoint) {
         self.total.add(amount, now);
         if let Some((meter, known_weight)) = self.flows.get_mut(flow) {
@@ -54,7 +54,7 @@
         self.flows.insert(flow.clone(), (meter, weight));
     }
 
-    /// Gets what a flow uses per second.
+    /// Returns the recent usage of a flow per second.
     #[must_use]
     pub fn per_second(&self, flow: &K, now: TimePoint) -> f64 {
         self.flows
@@ -62,7 +62,8 @@
             .map_or(0.0, |(meter, _)| meter.per_second(now))
     }
 
-    /// Gets how far a flow is above its due, from 0 (at most its due) to 1 (twice its due).
+    /// Returns how far a flow is above its fair share, from 0 (at most its share) to 1 (twice its
+    /// share).
     #[must_use]
     pub fn excess(&self, flow: &K, now: TimePoint) -> f64 {
         let total = self.total.per_second(now);
@@ -75,14 +76,14 @@
         (usage / fair_rate - 1.0).clamp(0.0, 1.0)
     }
 
-    /// Returns true where a flow uses clearly less than its due.
+    /// Returns true if a flow uses clearly less than its fair share.
     #[must_use]
     pub fn is_below_fair_share(&self, flow: &K, weight: u32, now: TimePoint) -> bool {
         let fair_rate = self.total.per_second(now) * self.fair_share(flow, weight, now);
         self.per_second(flow, now) < fair_rate * BELOW_SHARE_FACTOR
     }
 
-    /// Gets the share that is due to a flow of this weight among those that compete.
+    /// Returns the fair share of a flow of this weight among the competing flows, from 0 to 1.
     #[must_use]
     pub fn fair_share(&self, flow: &K, weight: u32, now: TimePoint) -> f64 {
         let min_competing_rate = MIN_COMPETING_SHARE * self.total.per_second(now);
@@ -97,7 +98,7 @@
                 small_flows_rate += usage;
             }
         }
-        // Many small flows together compete as well, as flows of the least size that counts.
+        // Small flows compete together, as if they were flows of the smallest competing size.
         if min_competing_rate > 0.0 {
             competing_weight += small_flows_rate / min_competing_rate;
         }
