--- a/alderhaven-policy/src/hashing.rs
+++ b/alderhaven-policy/src/hashing.rs
@@ -1,6 +1,6 @@
-//! Hashes that all nodes compute alike.
+//! Hash functions whose results are the same on all nodes.
 
-/// Gets the hash of a name.
+/// Hashes a name to 64 bits with BLAKE3.
 #[must_use]
 pub fn hash_name(name: &str) -> u64 {
     let mut bytes = [0; 8];
@@ -8,10 +8,10 @@
     u64::from_be_bytes(bytes)
 }
 
-/// Mixes two hashes into one; the order of the two matters.
+/// Combines two hashes into one; their order matters.
 ///
-/// These are the finishing steps of the splitmix64 generator, whose constants they use: cheap
-/// enough for a million pairs of a target and a relay in a few milliseconds.
+/// It uses the finalizer of the splitmix64 generator, which is cheap enough for all pairs of
+/// targets and relays.
 #[must_use]
 pub const fn mix_hashes(first: u64, second: u64) -> u64 {
     let mut mixed = first ^ second.wrapping_add(0x9e37_79b9_7f4a_7c15).rotate_left(31);
--- a/alderhaven-policy/src/latency_window.rs
+++ b/alderhaven-policy/src/latency_window.rs
@@ -26,7 +26,7 @@
     fn default() -> Self {
         let empty = || {
             Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
-                .expect("the bounds are within those of the library")
+                .expect("the histogram bounds are valid")
         };
         Self {
             older: empty(),
--- a/alderhaven-policy/src/lib.rs
+++ b/alderhaven-policy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of alderhaven, without network, clock or async: time and randomness are passed in.
+//! The policies of alderhaven: pure logic without I/O, with time and randomness passed in.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-policy/src/log_limit.rs
+++ b/alderhaven-policy/src/log_limit.rs
@@ -1,13 +1,8 @@
-//! How many lines of one kind go into the log.
+//! Rate limit of log lines, separately for each kind.
 //!
-//! Load pattern: an overload or an outage makes every request log the same kind of line, thousands a
-//! second on all nodes.
-//!
-//! Without it: writing the log takes processor time from the requests that it is about, and the lines
-//! that tell of the cause are lost among those that tell of its effects.
-//!
-//! Each kind has a rate and a burst of its own, and the next line that is written says how many of its
-//! kind were left out before it.
+//! During an overload or outage every request would log the same kind of line. The limit saves
+//! processor time and keeps rare lines visible. The next line that is written carries the number of
+//! suppressed ones.
 
 use std::collections::HashMap;
 
@@ -16,7 +11,7 @@
 
 use crate::token_bucket::TokenBucket;
 
-/// A `LogLimit` bounds the lines of each kind.
+/// Token buckets of all kinds of lines.
 #[derive(Debug)]
 pub struct LogLimit {
     rate: RatePerSecond,
@@ -31,7 +26,7 @@
 }
 
 impl LogLimit {
-    /// Returns a limit of `rate` lines a second for each kind, and `burst` at once.
+    /// Creates a limit of `rate` lines per second for each kind, with bursts of `burst` lines.
     #[must_use]
     pub fn new(rate: RatePerSecond, burst: f64) -> Self {
         Self {
@@ -41,8 +36,8 @@
         }
     }
 
-    /// Asks for a line of a kind; gets the number that were left out before it, or none where this one
-    /// is left out too.
+    /// Asks to write a line of a kind. Returns the number of lines suppressed since the last one,
+    /// or `None` if this line is suppressed too.
     pub fn take(&mut self, kind: &'static str, now: TimePoint) -> Option<u64> {
         let (rate, burst) = (self.rate, self.burst);
         let limit = self.kinds.entry(kind).or_insert_with(|| KindLimit {
--- a/alderhaven-policy/src/policy_kind.rs
+++ b/alderhaven-policy/src/policy_kind.rs
@@ -1,4 +1,4 @@
-//! Which set of decisions a process runs: the project's own, or the plain ones to measure against.
+//! Selects between this crate's policies and simple baselines to compare them with.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,15 +6,15 @@
 use alderhaven_core::errors::Error;
 use serde::{Deserialize, Serialize};
 
-/// A `PolicyKind` selects the decisions of a process, so that a run can compare both.
+/// Set of policies that a process runs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// The decisions that the modules of this crate describe.
+    /// The policies that the modules of this crate describe.
     #[default]
     Current,
-    /// Random replica, first in first out, limit fixed at the declared slots, no hedging and no
-    /// early refusal.
+    /// Random replicas, first-in-first-out queues, limits fixed at the declared slots, no hedging
+    /// and no early refusal.
     Baseline,
 }
 
--- a/alderhaven-policy/src/repeat_budget.rs
+++ b/alderhaven-policy/src/repeat_budget.rs
@@ -1,43 +1,36 @@
-//! The budget of repeated arrivals at a service, shared by all nodes without asking each other.
+//! Budget of hedges and retries towards one service, which all nodes keep without coordination.
 //!
-//! Load pattern: many nodes hedge and retry towards the same small service. Each of them sees only
-//! its own sends, and together they must stay below a share of the requests for the service.
-//!
-//! Without it: a service whose servers turn slow is hedged by every node for every request, and
-//! carries twice its load when it can carry least.
-//!
-//! The rule is counted in any window of a given length: repeats may be a share of the requests plus
-//! a fixed number. Each node keeps its repeats below that share of its own requests, and takes its
-//! part of the fixed number ([`crate::group_share`]), so that the sum keeps the rule whatever the
-//! nodes know of each other.
-//!
-//! Hedges leave a reserve: a retry after a failure saves an answer, a hedge only saves time.
+//! In any window, repeats may be a share of the requests plus a fixed number for all nodes
+//! together. Each node keeps to that share of its own requests and to its share of the fixed number
+//! ([`crate::group_share`]), so that the sum stays within the budget whatever the nodes know of
+//! each other. Hedges leave a reserve for retries, since a retry saves an answer and a hedge only
+//! time.
 
 use std::collections::VecDeque;
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// The pieces into which the window is cut; a repeat is forgotten up to one piece late.
+/// Number of buckets in the window; a repeat expires up to one bucket late.
 const WINDOW_BUCKETS: u64 = 20;
 
-/// The share of the allowance that is used. Requests that are counted here may reach the service in the
-/// next window, and nodes join and leave meanwhile.
+/// Share of the allowance that is used. The rest covers requests that reach the service in a later
+/// window than the one in which they are counted, and nodes that join or leave.
 const USED_ALLOWANCE_SHARE: f64 = 0.9;
 
-/// The share of the allowance that hedges leave to retries after failures.
+/// Share of the allowance that hedges leave for retries.
 const RETRY_RESERVE_SHARE: f64 = 0.1;
 
-/// A `RepeatOptions` holds the rule that all nodes keep together.
+/// Limits that all nodes keep together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RepeatOptions {
-    /// The repeats that each request adds.
+    /// Repeats that each request allows.
     pub ratio: f64,
-    /// The repeats that come free in each window, for all nodes together.
+    /// Repeats that are allowed in each window without any requests, for all nodes together.
     #[serde(rename = "extra")]
     pub free_per_window: f64,
-    /// The length of the window.
+    /// Length of the window.
     pub window: TimeSpan,
 }
 
@@ -51,17 +44,17 @@
     }
 }
 
-/// A `RepeatReason` is why a request is sent once more.
+/// Why a request is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RepeatReason {
-    /// The first attempt is late.
+    /// An earlier attempt is late.
     Hedge,
-    /// An attempt failed.
+    /// An earlier attempt failed.
     Retry,
 }
 
-/// A `RepeatBudget` counts a node's requests and repeats towards one service.
+/// Requests and repeats of one node towards one service in the current window.
 #[derive(Clone, Debug)]
 pub struct RepeatBudget {
     options: RepeatOptions,
@@ -78,7 +71,7 @@
 }
 
 impl RepeatBudget {
-    /// Returns a budget without any requests.
+    /// Creates a budget without any requests.
     #[must_use]
     pub const fn new(options: RepeatOptions) -> Self {
         Self {
@@ -89,20 +82,20 @@
         }
     }
 
-    /// Takes over a changed rule.
+    /// Replaces the limits; requests and repeats that were counted stay.
     pub const fn set_options(&mut self, options: RepeatOptions) {
         self.options = options;
     }
 
-    /// Notes a request for the service.
+    /// Records a request for the service.
     pub fn record_request(&mut self, now: TimePoint) {
         self.current_bucket(now).requests += 1;
         self.requests += 1;
     }
 
-    /// Takes one repeat; returns false where it would break the rule.
+    /// Takes one repeat; returns false if it would exceed the budget.
     ///
-    /// `part` is the node's part of the fixed number of repeats.
+    /// `node_share` is this node's share of the fixed number of repeats, from 0 to 1.
     pub fn take(&mut self, reason: RepeatReason, node_share: f64, now: TimePoint) -> bool {
         self.evict_expired(now);
         let allowance = self.allowance(node_share);
--- a/alderhaven-policy/src/retry.rs
+++ b/alderhaven-policy/src/retry.rs
@@ -1,67 +1,59 @@
-//! Whether an attempt that did not answer may be sent again.
+//! Decides whether a failed attempt is retried at another replica.
 //!
-//! Load pattern: attempts end without an answer: shed, expired in a queue, failed, or lost with
-//! their connection.
-//!
-//! Without it: an assignment whose connection broke is sent again and made twice; a retry goes to
-//! the replica that just failed, or is sent when it can no longer be back in time.
-//!
-//! An attempt is repeated where it certainly did not run, or where running it twice does no harm,
-//! never at a replica that was tried, and never where the time left is below the expected service
-//! time. What expired in a relay's queue is judged by the time left like the rest: a slow target
-//! expires what another replica still runs in time.
-//!
-//! The budget is for retries that add load: those of attempts that never reached a target are free.
+//! An attempt is retried only if it certainly didn't run or if it is idempotent, never at a replica
+//! that was tried, and never if the remaining time is shorter than the expected service time.
+//! Retries take from [`RetryBudget`], except those of attempts that never reached a target, which
+//! add no load.
 
 use alderhaven_core::outcome::{AttemptOutcome, NotRunReason};
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
 use crate::retry_budget::RetryBudget;
 
-/// A `RetryDecision` says what becomes of a shard whose attempt ended.
+/// Decision on a shard whose attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// It is sent again, to a replica that was not tried.
+    /// Send the attempt to a replica that was not tried.
     Retry,
-    /// It is not sent again.
+    /// Don't retry.
     GiveUp(GiveUpReason),
 }
 
-/// A `GiveUpReason` says why an attempt is not repeated.
+/// Why an attempt is not retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GiveUpReason {
-    /// It answered.
+    /// It was answered.
     Answered,
-    /// It may have run and must not run twice.
+    /// It may have run and is not idempotent.
     MayHaveRun,
-    /// The query as a whole is over, or must not run anywhere.
+    /// The query was cancelled or is quarantined, so that no attempt may run.
     Final,
-    /// The time left is too short.
+    /// The remaining time is shorter than the expected service time.
     NoTime,
-    /// Every replica was tried, or the shard was retried often enough.
+    /// All replicas were tried, or the shard has reached its limit of retries.
     NoReplica,
-    /// The budget of retries is used up.
+    /// The retry budget is used up.
     NoBudget,
 }
 
-/// An `EndedAttempt` is what the decision is made on.
+/// An attempt that ended, with the state of its shard.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt {
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Whether running it twice does no harm.
+    /// Whether the query may run twice.
     pub is_idempotent: bool,
-    /// How often the shard was retried so far.
+    /// Number of retries of the shard so far.
     pub retries: u32,
-    /// How many replicas are left that were not tried.
+    /// Number of replicas of the shard that were not tried.
     pub untried_replicas: usize,
-    /// The service time that is expected.
+    /// Expected time of a retry at its target.
     pub expected_service_time: TimeSpan,
-    /// The query's deadline.
+    /// Deadline of the query.
     pub deadline: TimePoint,
 }
 
-/// Decides on an attempt that ended, and takes from the budget where it is sent again.
+/// Decides whether to retry an attempt, and takes from the budget if the retry adds load.
 pub fn decide(attempt: EndedAttempt, budget: &mut RetryBudget, now: TimePoint) -> RetryDecision {
     if let Some(reason) = give_up_reason(attempt) {
         return RetryDecision::GiveUp(reason);
@@ -79,11 +71,11 @@
     RetryDecision::Retry
 }
 
-/// Returns true where the retry comes on top of work, or of a refusal, at a target.
+/// Returns true if the retry adds to work, or to a refusal, at a target.
 ///
-/// An attempt that never reached a target has cost none: sent elsewhere, it is the first one there.
-/// When a failure domain is lost, a quarter of all attempts end so until the targets are ejected,
-/// and a budget for them would leave shards uncovered that the other replicas can answer.
+/// An attempt that never reached a target has cost none. When a failure domain is lost, many
+/// attempts end like this until its targets are ejected; with a budget for them, shards would stay
+/// uncovered that other replicas can answer.
 const fn consumes_budget(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
@@ -93,7 +85,7 @@
     )
 }
 
-/// Gets why the outcome itself rules out a retry, if it does.
+/// Returns why the outcome itself rules out a retry, if it does.
 fn give_up_reason(attempt: EndedAttempt) -> Option<GiveUpReason> {
     match attempt.outcome {
         AttemptOutcome::Answered => Some(GiveUpReason::Answered),
--- a/alderhaven-policy/src/retry_budget.rs
+++ b/alderhaven-policy/src/retry_budget.rs
@@ -1,35 +1,26 @@
-//! The budget of retries of a process.
+//! Token bucket that bounds the retries of a process, to prevent retry storms.
 //!
-//! Load pattern: a service fails or sheds much of what it is sent.
-//!
-//! Without it: every failed attempt is sent again, the load doubles when the service can carry
-//! least, and what was a short failure feeds itself (a retry storm).
-//!
-//! Each first attempt adds a part of a token and each retry takes one, so that retries stay below
-//! that part of the load. A few tokens a second come free, so that a process with little load can
-//! retry at all.
-//!
-//! Grounds for the figures: one retry for ten attempts covers a lost target in ten without loss of
-//! coverage, and adds at most 10% to an overloaded service; a bucket of 64 covers the shards of a
-//! target that is lost at once under some dozens of queries.
+//! Each first attempt adds a fraction of a token and each retry takes one, so that retries stay
+//! below that fraction of the load. A few tokens per second are free, so that a process with little
+//! load can retry at all.
 
 use alderhaven_core::time::TimePoint;
 use serde::{Deserialize, Serialize};
 
 use crate::policy_kind::PolicyKind;
 
-/// A `RetryOptions` holds the settings of the budget.
+/// Settings of the retry budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetryOptions {
-    /// The retries that each first attempt adds.
+    /// Retries that each first attempt adds to the budget.
     #[serde(rename = "budget")]
     pub retries_per_attempt: f64,
-    /// The most retries that can be saved up.
+    /// Largest number of unused retries that the budget holds.
     pub burst: f64,
-    /// The retries a second that come free.
+    /// Retries that are added per second without any attempts.
     pub free_per_second: f64,
-    /// The most retries of one shard of a query.
+    /// Largest number of retries of one shard of a query.
     pub max_per_shard: u32,
 }
 
@@ -44,7 +35,7 @@
     }
 }
 
-/// A `RetryBudget` counts how many retries may be sent.
+/// Current number of retries that may be sent.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     options: RetryOptions,
@@ -54,7 +45,7 @@
 }
 
 impl RetryBudget {
-    /// Returns a full budget.
+    /// Creates a full budget.
     #[must_use]
     pub fn new(policy: PolicyKind, options: RetryOptions) -> Self {
         Self {
@@ -65,12 +56,12 @@
         }
     }
 
-    /// Notes first attempts that were sent.
+    /// Records first attempts that were sent, which add to the budget.
     pub fn record_sent(&mut self, attempts: u32) {
         self.add(f64::from(attempts) * self.options.retries_per_attempt);
     }
 
-    /// Takes one retry; returns false where the budget is used up.
+    /// Takes one retry; returns false if the budget is used up.
     pub fn take(&mut self, now: TimePoint) -> bool {
         if self.policy == PolicyKind::Baseline {
             return true;
@@ -85,7 +76,7 @@
         true
     }
 
-    /// Gets the settings.
+    /// Returns the settings.
     #[must_use]
     pub const fn options(&self) -> &RetryOptions {
         &self.options
--- a/alderhaven-policy/src/row_merge.rs
+++ b/alderhaven-policy/src/row_merge.rs
@@ -1,4 +1,4 @@
-//! The merging of the shards' rows into one answer.
+//! Merges the rows of a query's shards into one answer.
 
 use std::collections::HashSet;
 
@@ -7,15 +7,15 @@
 use serde_json::Value;
 use serde_json::value::RawValue;
 
-/// Returns true where the bytes are a JSON array.
+/// Returns true if the bytes are a JSON array.
 #[must_use]
 pub fn is_row_array(rows: &[u8]) -> bool {
     serde_json::from_slice::<Vec<&RawValue>>(rows).is_ok()
 }
 
-/// Merges the rows of shards, each a JSON array, and returns the text of one JSON array.
+/// Merges JSON arrays of rows by a template's rule into the text of one JSON array.
 ///
-/// The shards come in the order of their numbers, so that equal answers have equal texts.
+/// Pass the shards in the order of their numbers, so that equal answers have equal texts.
 #[must_use]
 pub fn merge<'a>(rule: &MergeRule, shards: impl Iterator<Item = &'a Bytes>) -> String {
     match rule {
@@ -84,7 +84,7 @@
             None => fraction_sum += numeric_field(&row, field),
         }
     }
-    // Whole numbers are added exactly; only fractions go through floating point.
+    // Integers are added exactly; only fractions use floating point.
     let total = if fraction_sum == 0.0 {
         i64::try_from(integer_sum).map_or_else(|_| Value::from(integer_sum as f64), Value::from)
     } else {
--- a/alderhaven-policy/src/service_times.rs
+++ b/alderhaven-policy/src/service_times.rs
@@ -1,4 +1,4 @@
-//! The running mean of the service time of each template, and which templates are long.
+//! Mean service time of each template at one target, and which templates are long.
 
 use std::collections::HashMap;
 
@@ -7,22 +7,22 @@
 
 use crate::running_mean::RunningMean;
 
-/// The number of samples that a mean covers; enough to steady an exponential service time to a
-/// sixth, few enough to follow a target that turns slow within half a second at 100 attempts/s.
+/// Number of samples that a mean covers: enough to smooth an exponential service time, few enough
+/// to follow a target that slows down.
 const MEAN_WINDOW: u32 = 32;
-/// How long a template without samples still counts as one that runs here.
+/// Time since its last sample for which a template counts as running here.
 const RECENT_SPAN: TimeSpan = TimeSpan::from_secs(10);
-/// The most templates that are remembered; the one unused for longest is forgotten first.
+/// Largest number of tracked templates; the one without a sample for longest is evicted.
 const MAX_TEMPLATES: usize = 256;
 
-/// A `ServiceMeans` holds the mean service time of each template at one place.
+/// Mean service times of templates and of all attempts.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTimes {
     templates: HashMap<TemplateName, TemplateMean>,
     overall: RunningMean,
 }
 
-/// A `TemplateMean` is the mean of one template with the time of its last sample.
+/// Mean of one template with the time of its last sample.
 #[derive(Clone, Debug)]
 struct TemplateMean {
     mean: RunningMean,
@@ -53,7 +53,7 @@
         );
     }
 
-    /// Gets the expected service time: the template's mean, else the overall one, else zero.
+    /// Returns the template's mean, else the mean of all attempts, else zero.
     #[must_use]
     pub fn expected_service_time(&self, template: &TemplateName) -> TimeSpan {
         self.templates
@@ -63,14 +63,14 @@
             .unwrap_or_default()
     }
 
-    /// Gets the mean over all templates, or none before the first sample.
+    /// Returns the mean over all attempts, or `None` before the first sample.
     #[must_use]
     pub fn overall_mean(&self) -> Option<TimeSpan> {
         self.overall.get()
     }
 
-    /// Returns true where the template takes at least `factor` times as long as the shortest
-    /// template that ran recently, and for one that never ran here, which may be.
+    /// Returns true if the template takes at least `factor` times as long as the shortest template
+    /// that ran recently. A template that never ran here counts as long, since it may be.
     #[must_use]
     pub fn is_long(&self, template: &TemplateName, factor: f64, now: TimePoint) -> bool {
         let shortest = self
--- a/alderhaven-policy/src/target_limit.rs
+++ b/alderhaven-policy/src/target_limit.rs
@@ -1,53 +1,42 @@
-//! The concurrency limit of one target: how many attempts it is given at a time.
+//! Adaptive limit on the attempts that run at one target at a time.
 //!
-//! Load pattern: a target sheds below its declared slots, slows down under its load, or comes back
-//! cold. Several relays may send to it, and its own reports lag or mislead.
-//!
-//! Without it (fixed at the declared slots): a target that sheds is offered the same again at once,
-//! each attempt costs a round trip and a retry elsewhere; a cold target gets its full load, misses
-//! its deadlines, and the missed work is sent again to the others.
-//!
-//! The rules: the limit begins at the declared slots, falls by a quarter (one slot at least) on a
-//! shed reply or when the service time has grown to [`TargetLimitOptions::growth_factor`] times
-//! what is expected, and is probed up by one slot after a quiet time that doubles while probes
-//! fail. A cold target begins at one slot. What was sent from here is counted here; a report of the
-//! target is believed only where it says more, and only while it is fresh.
-//!
-//! Grounds for the figures: a target has 2 to 4 slots, so one slot is the least step; a probe a
-//! second costs at most one shed reply in some hundred attempts; growth by three stands clear of
-//! the spread of a smoothed exponential service time (a factor of 1.5 at eight samples).
+//! The limit starts at the declared slots. It decreases when the target sheds an attempt or when
+//! the service time has grown to [`TargetLimitOptions::slowdown_factor`] times the expected one,
+//! and it is probed up by one slot after a quiet interval that doubles while probes fail. After a
+//! restart it rises from one slot (slow start). Attempts in flight are counted here; a target's own
+//! report, if enabled, can only raise that count, and only while it is fresh.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
 
 use crate::policy_kind::PolicyKind;
 
-/// A `TargetLimitOptions` holds the settings of the targets' limits.
+/// Settings of the targets' limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetLimitOptions {
-    /// What the limit is multiplied with when it falls.
+    /// Factor on the limit when it decreases, by at least one slot.
     #[serde(rename = "fall_factor")]
     pub decrease_factor: f64,
-    /// The growth of the service time over the expected one at which the limit falls.
+    /// Smoothed ratio of actual to expected service time above which the limit decreases.
     #[serde(rename = "growth_factor")]
     pub slowdown_factor: f64,
-    /// The least time between two falls, so that one event counts once.
+    /// Shortest time between two decreases, so that one event counts once.
     #[serde(rename = "fall_gap")]
     pub min_decrease_interval: TimeSpan,
-    /// The quiet time before the limit is probed up by one slot.
+    /// Time without a change of the limit after which it is probed up by one slot.
     #[serde(rename = "probe_gap")]
     pub probe_interval: TimeSpan,
-    /// The longest quiet time, after probes that failed.
+    /// Longest probe interval, after probes that failed.
     #[serde(rename = "max_probe_gap")]
     pub max_probe_interval: TimeSpan,
-    /// The time in which a cold target's limit rises from one slot to all.
+    /// Time in which a cold target's limit rises from one slot to all.
     #[serde(rename = "slow_start")]
     pub slow_start_window: TimeSpan,
-    /// Whether the target's own report of used slots counts where it says more than was sent.
+    /// Whether the target's report of used slots counts if it exceeds the attempts in flight.
     #[serde(rename = "reported_slots")]
     pub uses_reported_slots: bool,
-    /// How long a report counts.
+    /// Time for which a report is valid.
     #[serde(rename = "report_life")]
     pub report_ttl: TimeSpan,
 }
@@ -67,26 +56,27 @@
     }
 }
 
-/// An `AttemptSignal` is what an ended attempt says about the target's load.
+/// What an ended attempt reveals about the target's load.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptSignal {
-    /// The target ran it.
+    /// The target ran the attempt.
     Ran {
-        /// The time at the target.
+        /// Time at the target.
         service_time: TimeSpan,
-        /// The time that was expected before this one.
+        /// Expected time at the target before this attempt.
         expected_service_time: TimeSpan,
     },
-    /// The target shed it before it ran.
+    /// The target shed the attempt before it ran.
     Shed,
-    /// Nothing was learnt, for example because it was cancelled or its connection was lost.
+    /// The attempt reveals nothing, for example because it was cancelled or its connection was
+    /// lost.
     Uninformative,
 }
 
-/// The number of attempts over which the growth of the service time is smoothed.
+/// Number of attempts over which the slowdown is smoothed.
 const SLOWDOWN_WINDOW_ATTEMPTS: f64 = 8.0;
 
-/// A `TargetLimit` counts what runs at one target and says how many more it may be given.
+/// Attempts in flight at one target and the current limit.
 #[derive(Clone, Debug)]
 pub struct TargetLimit {
     options: TargetLimitOptions,
@@ -104,7 +94,7 @@
 }
 
 impl TargetLimit {
-    /// Returns the limit of a target with this many declared slots.
+    /// Creates the limit of a target with this many declared slots.
     #[must_use]
     pub fn new(policy: PolicyKind, options: TargetLimitOptions, slots: u32) -> Self {
         let slots = slots.max(1);
@@ -124,7 +114,7 @@
         }
     }
 
-    /// Notes that the target is cold: it is new, was restarted, or comes back from being away.
+    /// Starts the slow start of a target that is new, was restarted or was away.
     pub fn mark_cold(&mut self, now: TimePoint) {
         self.cold_since = Some(now);
         self.slowdown = 1.0;
@@ -132,7 +122,7 @@
         self.limit = f64::from(self.slots);
     }
 
-    /// Takes over a changed number of declared slots.
+    /// Sets the number of declared slots and, if it changed, resets the limit to it.
     pub fn set_slots(&mut self, slots: u32) {
         let slots = slots.max(1);
         if slots != self.slots {
@@ -146,7 +136,7 @@
         self.in_flight += 1;
     }
 
-    /// Takes back an attempt that was sent and adapts to what it says.
+    /// Releases an attempt and adapts the limit to its signal.
     pub fn record_finished(&mut self, signal: AttemptSignal, now: TimePoint) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.policy == PolicyKind::Baseline {
@@ -163,12 +153,12 @@
         self.probe(now);
     }
 
-    /// Notes how many slots the target says are used; the report may lag or mislead.
+    /// Records the number of used slots that the target reports.
     pub fn record_report(&mut self, used: u32, now: TimePoint) {
         self.reported_used = Some((used, now));
     }
 
-    /// Gets how many attempts may run at a time now.
+    /// Returns the number of attempts that may run at a time now.
     #[must_use]
     pub fn limit(&self, now: TimePoint) -> u32 {
         if self.policy == PolicyKind::Baseline {
@@ -178,7 +168,7 @@
         limit.min(self.slow_start_limit(now))
     }
 
-    /// Gets how many more attempts may be sent now.
+    /// Returns the number of attempts that may be sent now.
     #[must_use]
     pub fn free_slots(&self, now: TimePoint) -> u32 {
         let used = match self.reported_used {
@@ -192,7 +182,7 @@
         self.limit(now).saturating_sub(used)
     }
 
-    /// Gets how many attempts run now.
+    /// Returns the number of attempts in flight.
     #[must_use]
     pub const fn in_flight(&self) -> u32 {
         self.in_flight
@@ -222,7 +212,7 @@
         if is_same_event {
             return;
         }
-        // A fall soon after the limit rose means that the probe failed: wait longer for the next.
+        // A decrease soon after a probe means that the probe failed, and the next one is delayed.
         let is_failed_probe = self
             .last_probe
             .is_some_and(|at| now.since(at) < self.options.probe_interval);
--- a/alderhaven-policy/src/team_quota.rs
+++ b/alderhaven-policy/src/team_quota.rs
@@ -1,4 +1,4 @@
-//! The published limits of one team at one entry: rate, queries in flight and weight.
+//! Enforces the published limits of one team at one entry: query rate and queries in flight.
 
 use alderhaven_core::team::TeamPolicy;
 use alderhaven_core::time::{TimePoint, TimeSpan};
@@ -6,10 +6,10 @@
 use crate::admit_decision::{Refusal, RefusalReason};
 use crate::token_bucket::TokenBucket;
 
-/// A `TeamQuota` counts a team's queries against its published limits.
+/// Current usage and limits of one team.
 ///
-/// A rate over all entries is cut into equal parts, since callers spread over the entries that the
-/// system names to them; the burst is one second's part, and one query at least.
+/// A team's rate is divided equally among the entries, since callers spread over the entries that
+/// the system names to them. The burst is one second of this entry's rate, and at least one query.
 #[derive(Clone, Debug, Default)]
 pub struct TeamQuota {
     weight: u32,
@@ -19,14 +19,14 @@
 }
 
 impl TeamQuota {
-    /// Takes over what is published.
+    /// Replaces the published limits and the weight.
     pub fn set_policy(&mut self, team: &TeamPolicy, entries: u32, now: TimePoint) {
         self.weight = team.weight;
         self.policy = Some(team.clone());
         self.set_entries(entries, now);
     }
 
-    /// Takes over how many entries share the team's rate.
+    /// Sets the number of entries that share the team's rate.
     pub fn set_entries(&mut self, entries: u32, now: TimePoint) {
         let rate = self.policy.as_ref().and_then(|team| team.max_rate);
         self.bucket = rate.and_then(|rate| {
@@ -41,10 +41,10 @@
         });
     }
 
-    /// Takes a query into the team's count.
+    /// Counts a query as in flight and charges it to the rate.
     ///
     /// # Errors
-    /// The refusal where a limit is reached.
+    /// Returns the refusal if a limit is reached.
     pub fn acquire(&mut self, now: TimePoint) -> Result<(), Refusal> {
         let max_in_flight = self.policy.as_ref().and_then(|team| team.max_in_flight);
         if max_in_flight.is_some_and(|max_in_flight| self.in_flight >= max_in_flight) {
@@ -63,12 +63,12 @@
         Ok(())
     }
 
-    /// Takes a query out of the count because it ended.
+    /// Releases a query that ended.
     pub fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Takes a query out of the count because it was refused: it costs no part of the rate.
+    /// Releases a query that was refused for other reasons and refunds its charge to the rate.
     pub fn release_refused(&mut self) {
         self.release();
         if let Some(bucket) = &mut self.bucket {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Gets the weight, 1 where none was published.
+    /// Returns the team's weight, or 1 if none was published.
     #[must_use]
     pub fn weight(&self) -> u32 {
         self.weight.max(1)
--- a/alderhaven-policy/src/timer_lag.rs
+++ b/alderhaven-policy/src/timer_lag.rs
@@ -1,32 +1,26 @@
-//! How late a process wakes up for its own timers.
+//! Measures how late a process wakes up for its own timers.
 //!
-//! Load pattern: a host gives a process a part of a core. While it works on some dozens of replies, or
-//! its share is used up, whatever is due waits: the moment at which a query should be answered, and in
-//! the same way a request that has arrived and was not seen yet.
-//!
-//! Without it: answers leave some milliseconds after they were due and arrive after the caller's
-//! target; how many, depends on the host's size and on the number of shards.
-//!
-//! The lag follows late wake-ups quickly and forgets them slowly: an answer that is late by a
-//! millisecond has lost most of its worth, one that is early by some has lost next to none.
+//! A process that is short of processor time handles timers and arrived requests late. Callers that
+//! plan an answer for a certain time subtract the lag. It follows late wake-ups quickly and decays
+//! slowly, since an answer that is slightly late costs more than one that is slightly early.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-/// The weight of a wake-up that is later than the lag.
+/// Weight of a wake-up that is later than the current lag.
 const INCREASE_WEIGHT: f64 = 0.25;
-/// The weight of one that is not.
+/// Weight of a wake-up that is not later than the current lag.
 const DECREASE_WEIGHT: f64 = 0.02;
-/// The most that is learnt. A process that was suspended wakes up seconds late, once.
+/// Largest lag of a sample. A process that was suspended wakes up seconds late, once.
 const MAX_LAG: TimeSpan = TimeSpan::from_millis(25);
 
-/// A `WakeLag` follows the lag of one process.
+/// Moving average of the lag of one process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TimerLag {
     lag_micros: f64,
 }
 
 impl TimerLag {
-    /// Notes a wake-up that was due at `due`.
+    /// Records a wake-up that was due at `due`.
     pub fn record_wakeup(&mut self, due: TimePoint, now: TimePoint) {
         let lag = now.since(due).min(MAX_LAG).as_micros() as f64;
         let weight = if lag > self.lag_micros {
@@ -37,13 +31,14 @@
         self.lag_micros += (lag - self.lag_micros) * weight;
     }
 
-    /// Gets the lag.
+    /// Returns the current lag.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "the lag is at most some milliseconds, and not negative"
+        reason = "the lag lies between zero and MAX_LAG"
     )]
+    /// Returns the current lag.
     pub const fn get(&self) -> TimeSpan {
         TimeSpan::from_micros(self.lag_micros as u64)
     }
--- a/alderhaven-policy/src/token_bucket.rs
+++ b/alderhaven-policy/src/token_bucket.rs
@@ -1,9 +1,9 @@
-//! A token bucket: a rate with a bounded burst.
+//! Token bucket: a rate limit with a bounded burst.
 
 use alderhaven_core::quantities::RatePerSecond;
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-/// A `TokenBucket` holds tokens that come back at a rate, up to a bound.
+/// Tokens that are refilled at a rate, up to the burst.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -13,7 +13,7 @@
 }
 
 impl TokenBucket {
-    /// Returns a full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub const fn new(rate: RatePerSecond, burst: f64, now: TimePoint) -> Self {
         Self {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes over a changed rate and burst.
+    /// Sets the rate and the burst; tokens above the new burst are lost.
     pub fn set_rate(&mut self, rate: RatePerSecond, burst: f64, now: TimePoint) {
         self.refill(now);
         self.rate = rate.per_second();
@@ -35,7 +35,7 @@
     /// Takes one token.
     ///
     /// # Errors
-    /// The time until there will be one, where there is none.
+    /// Returns the time until a token is available if there is none.
     pub fn take(&mut self, now: TimePoint) -> Result<(), TimeSpan> {
         self.refill(now);
         if self.tokens >= 1.0 {
@@ -46,7 +46,7 @@
         Err(TimeSpan::from_secs(1).mul_f64(missing / self.rate.max(1e-3)))
     }
 
-    /// Gives back a token that was taken for nothing.
+    /// Returns a token that was taken and not used.
     pub fn refund(&mut self) {
         self.tokens = (self.tokens + 1.0).min(self.burst);
     }
--- a/alderhaven-policy/src/top_records.rs
+++ b/alderhaven-policy/src/top_records.rs
@@ -1,17 +1,15 @@
-//! The greatest records of many parts.
+//! Selects the greatest fixed-size records of many shards' replies.
 //!
-//! Load pattern: some dozens of parts with some dozens of short records each, a hundred times a
-//! second on a quarter of a core. The records are compared where they lie, and only those that are
-//! asked for are sorted and copied.
+//! Records are compared in place, and only the selected ones are sorted and copied.
 
 use bytes::Bytes;
 
-/// The bytes of one record.
+/// Size of one record in bytes.
 pub const RECORD_BYTES: usize = 16;
 
-/// Returns the greatest `count` records of the parts, the greatest first.
+/// Returns the `count` greatest records of the parts in descending byte order.
 ///
-/// Records that are equal all count. What is left of a part after its last whole record is no record.
+/// Equal records are all kept. An incomplete record at the end of a part is ignored.
 #[must_use]
 pub fn greatest_records<'a>(parts: impl IntoIterator<Item = &'a Bytes>, count: usize) -> Bytes {
     let mut records: Vec<&[u8; RECORD_BYTES]> = parts
--- a/alderhaven-policy/src/weighted_round_robin.rs
+++ b/alderhaven-policy/src/weighted_round_robin.rs
@@ -1,21 +1,20 @@
-//! How requests are dealt to the services of a split route.
+//! Smooth weighted round robin over the services of a split route.
 //!
-//! Load pattern: an operator moves a tenth of the requests to a new service. Drawn at random, a few
-//! hundred requests miss their shares by several in a hundred; dealt in turn they miss by one.
-//!
-//! Smooth weighted round robin: each service gains its weight at each request, the one with the most
-//! is chosen and pays the sum of the weights.
+//! Each service gains its weight at each request; the one with the most credit is chosen and pays
+//! the sum of the weights. Unlike random selection, this keeps the shares within one request.
 
 use smallvec::SmallVec;
 
-/// A `WeightedSplit` deals requests by weights.
+/// Current credit of each service.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedRoundRobin {
     credits: SmallVec<[f64; 4]>,
 }
 
 impl WeightedRoundRobin {
-    /// Chooses the place of the next request; none where no weight is above 0.
+    /// Returns the index of the service for the next request, or `None` if no weight is above 0.
+    ///
+    /// A changed number of weights resets the credits.
     pub fn next(&mut self, weights: &[f64]) -> Option<usize> {
         if self.credits.len() != weights.len() {
             self.credits = SmallVec::from_elem(0.0, weights.len());
--- a/alderhaven-policy/tests/admission.rs
+++ b/alderhaven-policy/tests/admission.rs
@@ -1,7 +1,7 @@
-//! Tests of an entry's admission, judged by what callers receive.
+//! Simulations of admission control, judged by what callers receive.
 //!
-//! The service has 20 shards of 4 slots; an attempt takes 10 ms (exponential), so it carries 400
-//! queries of all shards a second.
+//! The service has 20 shards with 4 slots each, and an attempt takes 10 ms on average, so that it
+//! can run 400 queries over all shards per second.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use common::service_simulation::{Call, CallOutcome, ServiceShape, ServiceSimulation, poisson};
 use common::{SeededRng, at, ms, quantile};
 
-/// The queries of all shards that the service carries in a second.
+/// Queries over all shards that the service can run per second.
 const CAPACITY_PER_SECOND: f64 = 400.0;
 
 fn shape(policy: PolicyKind, entries: usize) -> ServiceShape {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Draws calls of three teams with as many urgent, ordinary and bulk ones.
+/// Draws calls of three teams and all classes, each with the same probability.
 fn mixed_calls(rng: &mut SeededRng, load: f64, from: TimePoint, until: TimePoint) -> Vec<Call> {
     poisson(rng, load * CAPACITY_PER_SECOND, from, until, |rng, time| {
         let team = ["desk", "portal", "inspectors"][usize::try_from(rng.next() % 3).unwrap()];
@@ -59,19 +59,19 @@
     let mut rng = SeededRng(seed);
     let calls = mixed_calls(&mut rng, 2.0, at(0), at(10_000));
     let run = ServiceSimulation::new(shape(policy, entries), &calls, seed).run();
-    // The first second, in which the capacity is found, is left out.
+    // The limit adapts during the first second, which is left out.
     let after_warmup = |call: &Call| call.time >= at(1000);
     let complete = run.latencies(after_warmup).len() as f64;
     let mut refusals: Vec<TimeSpan> = run
         .outcomes_of(after_warmup)
-        .filter_map(|fate| match fate {
+        .filter_map(|outcome| match outcome {
             CallOutcome::Refused(after) => Some(after),
             _ => None,
         })
         .collect();
     let incomplete = run
         .outcomes_of(after_warmup)
-        .filter(|fate| matches!(fate, CallOutcome::Incomplete(_)))
+        .filter(|outcome| matches!(outcome, CallOutcome::Incomplete(_)))
         .count();
     for class in QueryClass::ALL {
         let summary = run.summarize(|call| call.class == class && after_warmup(call));
@@ -90,26 +90,29 @@
     overload
 }
 
-/// Twice as many queries arrive as the service carries. A user would see nearly every search fail
-/// after its full time: each shard drops other queries, so the rest of their work is for nothing.
+/// Guards against overload at which each shard drops other queries, so that hardly any is complete.
 #[test]
 fn overload_keeps_goodput_and_urgent_queries() {
     for (entries, seed) in [(1, 1), (1, 2), (4, 3)] {
         let overload = run_overload(PolicyKind::Current, entries, seed);
-        assert!(overload.goodput >= 0.90, "{}", overload.goodput);
+        assert!(overload.goodput >= 0.90, "goodput {}", overload.goodput);
         assert!(
             overload.urgent_in_time >= 0.99,
-            "{}",
+            "share of urgent queries in time {}",
             overload.urgent_in_time
         );
-        assert!(overload.refusal_p99 <= ms(5), "{}", overload.refusal_p99);
+        assert!(
+            overload.refusal_p99 <= ms(5),
+            "refusal p99 {}",
+            overload.refusal_p99
+        );
     }
 }
 
 #[test]
 fn baseline_loses_goodput_under_overload() {
     let overload = run_overload(PolicyKind::Baseline, 1, 1);
-    assert!(overload.goodput < 0.5, "{}", overload.goodput);
+    assert!(overload.goodput < 0.5, "goodput {}", overload.goodput);
 }
 
 #[test]
@@ -118,15 +121,14 @@
     let calls = mixed_calls(&mut rng, 0.5, at(0), at(5000));
     let run = ServiceSimulation::new(shape(PolicyKind::Current, 2), &calls, 4).run();
     eprintln!(
-        "limits {:?} whole {}",
+        "limits {:?} complete {}",
         run.limits(),
         run.complete_share(|_| true)
     );
     assert!(run.complete_share(|_| true) >= 0.999);
 }
 
-/// Five times the load arrives for one second. Afterwards callers must be served as before it, not
-/// behind what the burst left.
+/// Guards against a backlog that delays callers after a burst of five times the load.
 #[test]
 fn burst_keeps_urgent_queries_and_leaves_no_backlog() {
     let mut rng = SeededRng(5);
@@ -145,13 +147,15 @@
         run.summarize(|call| is_urgent(call) && during(call))
     );
     eprintln!("burst urgent {urgent:.4} before {steady} after {recovered}");
-    assert!(urgent >= 0.99, "{urgent}");
-    assert!(recovered <= steady.mul_f64(1.2), "{steady} {recovered}");
+    assert!(urgent >= 0.99, "share of complete urgent queries {urgent}");
+    assert!(
+        recovered <= steady.mul_f64(1.2),
+        "p99 {steady} before the burst, {recovered} after it"
+    );
     assert!(run.complete_share(after) >= 0.999);
 }
 
-/// One team offers ten times its share. The others must not see it: neither in what they get nor
-/// in how long it takes.
+/// Guards against a team that takes capacity from others or delays them by exceeding its share.
 #[test]
 fn hot_team_does_not_starve_others() {
     let draw_base_calls = |rng: &mut SeededRng| {
@@ -189,16 +193,15 @@
         with.summarize(others),
         with.summarize(|call| !others(call))
     );
-    eprintln!("hot team: others p99 {p99_without} -> {p99_with}, whole {share:.4}");
-    assert!(share >= 0.99, "{share}");
+    eprintln!("hot team: others p99 {p99_without} -> {p99_with}, complete {share:.4}");
+    assert!(share >= 0.99, "share of complete queries {share}");
     assert!(p99_with <= p99_without.mul_f64(1.2));
 }
 
-/// Everyone asks for the same number at once, which lives on one shard. Queries for other keys, on
-/// that shard and elsewhere, must not wait for it.
+/// Guards against one popular key, which lives on one shard, that delays queries of other keys.
 #[test]
 fn hot_key_does_not_starve_other_keys() {
-    // Each shard carries 400 queries of one shard a second; the other keys fill half of that.
+    // Each shard can run 400 queries of one shard per second; the other keys use half of that.
     let draw_base_calls = |rng: &mut SeededRng| {
         poisson(rng, 20.0 * 0.5 * 400.0, at(0), at(3000), |rng, time| {
             let key = 1000 + rng.next() % 100_000;
@@ -223,15 +226,15 @@
     let p99_with = quantile(&mut with.latencies(others), 0.99);
     let share = with.complete_share(others);
     eprintln!(
-        "hot key: others p99 {p99_without} -> {p99_with}, whole {share:.4}, hot {:.3}, limits {:?}",
+        "hot key: others p99 {p99_without} -> {p99_with}, complete {share:.4}, hot {:.3}, limits {:?}",
         with.complete_share(|call| call.key == 7),
         with.limits()
     );
-    assert!(share >= 0.99, "{share}");
+    assert!(share >= 0.99, "share of complete queries {share}");
     assert!(p99_with <= p99_without.mul_f64(1.2));
 }
 
-/// Reports of 200 ms an attempt run among lookups of 10 ms.
+/// Guards against reports of 200 ms per attempt that delay lookups of 10 ms.
 #[test]
 fn long_queries_do_not_delay_short_ones() {
     let mut rng = SeededRng(8);
@@ -257,8 +260,8 @@
     let p99_with = quantile(&mut with.latencies(short), 0.99);
     let long = with.complete_share(|call| call.team == "statistics");
     eprintln!("short {}", with.summarize(short));
-    eprintln!("long among short: p99 {p99_without} -> {p99_with}, long whole {long:.3}");
+    eprintln!("long among short: p99 {p99_without} -> {p99_with}, long complete {long:.3}");
     assert!(with.complete_share(short) >= 0.99);
     assert!(p99_with <= p99_without.mul_f64(1.5));
-    assert!(long >= 0.95, "{long}");
+    assert!(long >= 0.95, "share of complete long queries {long}");
 }
--- a/alderhaven-policy/tests/admission_rules.rs
+++ b/alderhaven-policy/tests/admission_rules.rs
@@ -1,4 +1,4 @@
-//! Property tests of the admission gate: one decision a query, and limits that hold.
+//! Property tests of the admission gate: each query gets one decision, and limits hold.
 
 mod common;
 
@@ -44,12 +44,12 @@
 
 fn gate() -> AdmissionGate {
     let mut gate = AdmissionGate::new(PolicyKind::Current, AdmissionOptions::default(), 9);
-    let service = "stock".parse().expect("a name");
+    let service = "stock".parse().expect("valid name");
     gate.set_service(&service, SHARDS, SHARDS * 2);
     let limited = TeamPolicy {
-        name: "limited".parse().expect("a name"),
+        name: "limited".parse().expect("valid name"),
         weight: 2,
-        max_rate: Some("5/s".parse().expect("a rate")),
+        max_rate: Some("5/s".parse().expect("valid rate")),
         max_in_flight: Some(2),
         token_hash: None,
     };
@@ -60,9 +60,9 @@
 fn request(id: u64, team: &str, class: QueryClass, key: u64, fan_out: u32) -> AdmitRequest {
     AdmitRequest {
         id,
-        team: team.parse().expect("a name"),
-        service: "stock".parse().expect("a name"),
-        template: "search".parse().expect("a name"),
+        team: team.parse().expect("valid name"),
+        service: "stock".parse().expect("valid name"),
+        template: "search".parse().expect("valid name"),
         class,
         fan_out,
         key,
@@ -80,7 +80,7 @@
     #[test]
     fn every_query_has_one_decision(actions in collection::vec(action(), 1..150)) {
         let mut gate = gate();
-        let service = "stock".parse().expect("a name");
+        let service = "stock".parse().expect("valid name");
         let mut now = at(0);
         let mut count = 0_u64;
         let mut open: Vec<AdmitTicket> = Vec::new();
@@ -143,7 +143,7 @@
                     }
                 }
             }
-            let load = gate.service_load(&service).expect("a known service");
+            let load = gate.service_load(&service).expect("known service");
             let sent: u64 = open
                 .iter()
                 .map(|ticket| u64::from(ticket.request.fan_out - ticket.replied))
@@ -151,12 +151,12 @@
             prop_assert_eq!(load.in_flight, sent);
             prop_assert_eq!(load.waiting, waiting.len());
             prop_assert!(limited_in_flight.len() <= 2);
-            // Nothing waits for ever: an idle service takes whoever waits, but for a key of which a
-            // query is still open.
+            // Nothing waits forever: an idle service admits any waiting query, except for those
+            // whose key still has an open query.
             let open_keys: BTreeSet<u64> = open.iter().map(|ticket| ticket.request.key).collect();
             prop_assert!(sent > 0 || waiting.iter().all(|id| open_keys.contains(&keys[id])));
         }
-        // When all is over, the limited team has its room back.
+        // Once all queries have ended, the limited team may start new ones.
         for id in waiting {
             prop_assert!(gate.cancel(&service, id));
         }
@@ -188,7 +188,7 @@
                 admitted += 1;
                 gate.record_finished(&ticket, QueryReport::default(), now);
             }
-            AdmitDecision::Queue => panic!("an idle service makes nobody wait"),
+            AdmitDecision::Queue => panic!("query queued at an idle service"),
             AdmitDecision::Refuse(refusal) => {
                 refused += 1;
                 assert_eq!(refusal.reason, RefusalReason::TeamRate);
@@ -196,13 +196,15 @@
             }
         }
     }
-    // 5/s over 5 entries is 1/s here, for 10 s, with a burst of one.
-    assert!((10..=12).contains(&admitted), "{admitted}");
+    // 5/s over 5 entries is 1/s for 10 s, with a burst of one.
+    assert!(
+        (10..=12).contains(&admitted),
+        "{admitted} admitted, expected 10 to 12"
+    );
     assert!(refused > 80);
 }
 
-/// Refused callers come back when they were told to. If all were told the same, the overload would
-/// return with them.
+/// Guards against refused callers that retry together and repeat the overload.
 #[test]
 fn retry_after_is_jittered() {
     let mut gate = gate();
@@ -216,8 +218,11 @@
     }
     assert!(retry_times.len() > 100);
     let (first, last) = (
-        retry_times.first().expect("one"),
-        retry_times.last().expect("one"),
+        retry_times.first().expect("at least one refusal"),
+        retry_times.last().expect("at least one refusal"),
+    );
+    assert!(
+        *last >= first.mul_f64(1.5),
+        "retry times from {first} to {last}"
     );
-    assert!(*last >= first.mul_f64(1.5), "{first} to {last}");
 }
--- a/alderhaven-policy/tests/answer_time.rs
+++ b/alderhaven-policy/tests/answer_time.rs
@@ -1,4 +1,4 @@
-//! When a query over many shards is answered.
+//! Tests of the time at which a fan-out query is answered.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::answer_time::{AnswerStep, AnswerTime, ShardCount};
@@ -8,7 +8,7 @@
     TimePoint::START + TimeSpan::from_millis(millis)
 }
 
-/// A target of 100 ms of which 14 are needed for the way, and 1.5 s of patience.
+/// Times for a target of 100 ms, of which the answer needs 14 ms, and a timeout of 1.5 s.
 fn answer_time() -> AnswerTime {
     AnswerTime::new(
         at(0),
@@ -27,8 +27,7 @@
     }
 }
 
-/// Of twenty shards one server pauses for 120 ms. The caller is served best by 19 shards in time:
-/// without the rule all of its queries that meet a pause are late.
+/// Guards against one paused server that makes every query over its shard late.
 #[test]
 fn paused_shard_is_left_out_when_the_target_is_near() {
     let time = answer_time();
@@ -47,8 +46,7 @@
     );
 }
 
-/// Too many servers are slow. The target is missed, and the caller gets the answer at the moment at
-/// which enough shards are in, not at the end of its patience.
+/// Guards against a late answer that waits for the timeout although enough shards have answered.
 #[test]
 fn late_answer_is_sent_when_enough_shards_are_in() {
     let time = answer_time();
@@ -59,7 +57,7 @@
     assert_eq!(time.decide(shard_count(18, 2), at(301)), AnswerStep::Answer);
 }
 
-/// Three shards have lost all their servers. No wait can help, so the caller hears it at once.
+/// Guards against waiting for shards that have lost all their servers.
 #[test]
 fn lost_shards_end_the_query_at_once() {
     assert_eq!(
@@ -80,9 +78,8 @@
     );
 }
 
-/// A caller of a tight route has used up 33 of its 60 ms by its question for fronts and a new connection.
-/// Enough shards are in 18 ms after its request, and an answer then is in time; one that uses half of
-/// the target, as if nothing had been used up, leaves after 30 ms and is late.
+/// Guards against a late answer to a caller that had used up 33 of its 60 ms before its request
+/// arrived.
 #[test]
 fn mostly_consumed_target_still_allows_an_answer_in_time() {
     let target = TimeSpan::from_millis(60);
@@ -105,7 +102,7 @@
 }
 
 proptest! {
-    /// No wait is open-ended, and no answer has fewer shards than the route demands.
+    /// Every wait has an end, and no answer has fewer shards than required.
     #[test]
     fn any_step_is_bounded(answered in 0usize..=20, pending in 0usize..=20, now in 0u64..3_000) {
         prop_assume!(answered + pending <= 20);
--- a/alderhaven-policy/tests/common/mod.rs
+++ b/alderhaven-policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of decisions share: fixed seeds, times and small loops over passed-in time.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Helpers of the policy tests: fixed seeds, times, and an event queue over simulated time.
+#![allow(dead_code, reason = "each test crate uses some of the helpers")]
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,7 +7,7 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use proptest::test_runner::{Config, RngSeed};
 
-/// Returns a configuration with a fixed seed; `PROPTEST_CASES` sets the number of cases.
+/// Returns a configuration with a fixed seed; `PROPTEST_CASES` overrides the number of cases.
 pub fn proptest_config(count: u32) -> Config {
     let cases = std::env::var("PROPTEST_CASES")
         .ok()
@@ -21,21 +21,21 @@
     }
 }
 
-/// Returns the point `millis` milliseconds after the start.
+/// Returns the time `millis` milliseconds after the start.
 pub const fn at(millis: u64) -> TimePoint {
     TimePoint::from_micros(millis * 1_000)
 }
 
-/// Returns a span in milliseconds.
+/// Returns a span of `millis` milliseconds.
 pub const fn ms(millis: u64) -> TimeSpan {
     TimeSpan::from_millis(millis)
 }
 
-/// A `DrawSource` draws repeatable numbers (the generator splitmix64).
+/// Reproducible random numbers (splitmix64).
 pub struct SeededRng(pub u64);
 
 impl SeededRng {
-    /// Draws any number.
+    /// Draws 64 random bits.
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -44,18 +44,18 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Draws a number from 0 up to but not including 1.
+    /// Draws a number from 0 up to but excluding 1.
     pub fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// Draws an exponential span with this mean.
+    /// Draws an exponentially distributed span with this mean.
     pub fn exponential(&mut self, mean: TimeSpan) -> TimeSpan {
         mean.mul_f64(-(1.0 - self.unit()).ln())
     }
 }
 
-/// An `EventLoop` hands out events in the order of their times.
+/// Pending events in the order of their times, and of their addition for equal times.
 pub struct EventQueue<E> {
     events: BinaryHeap<Reverse<(TimePoint, u64)>>,
     payloads: std::collections::HashMap<u64, E>,
@@ -63,7 +63,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Returns a loop without events.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self {
             events: BinaryHeap::new(),
@@ -72,28 +72,28 @@
         }
     }
 
-    /// Adds an event.
+    /// Schedules an event.
     pub fn add(&mut self, time: TimePoint, body: E) {
         self.count += 1;
         self.events.push(Reverse((time, self.count)));
         self.payloads.insert(self.count, body);
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub fn next(&mut self) -> Option<(TimePoint, E)> {
         let Reverse((time, number)) = self.events.pop()?;
         self.payloads.remove(&number).map(|body| (time, body))
     }
 }
 
-/// Gets the value below which this share of the values lies.
+/// Returns the quantile `share` of the values, which are sorted in place.
 pub fn quantile(values: &mut [TimeSpan], share: f64) -> TimeSpan {
     values.sort_unstable();
     let place = (values.len().saturating_sub(1)) as f64 * share;
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a place in a short list"
+        reason = "a non-negative index into a short list"
     )]
     let place = place.round() as usize;
     values.get(place).copied().unwrap_or_default()
--- a/alderhaven-policy/tests/common/service_simulation.rs
+++ b/alderhaven-policy/tests/common/service_simulation.rs
@@ -1,4 +1,4 @@
-//! Entries with their admission before the queues of one service's shards, on passed-in time.
+//! Simulation of entries with admission control in front of the queues of one service's shards.
 
 use std::collections::BTreeMap;
 
@@ -20,15 +20,15 @@
     pub team: &'static str,
     pub class: QueryClass,
     pub key: u64,
-    /// The only shard it asks, or all.
+    /// The only shard that it asks, or `None` for all shards.
     pub shard: Option<usize>,
-    /// The time in which an answer is of use.
+    /// Time until the query's deadline.
     pub time_limit: TimeSpan,
-    /// The mean service time of one attempt.
+    /// Mean service time of one attempt.
     pub mean_service_time: TimeSpan,
 }
 
-/// What a caller received.
+/// What a caller received, and after which time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallOutcome {
     Complete(TimeSpan),
@@ -36,7 +36,7 @@
     Refused(TimeSpan),
 }
 
-/// The sizes of the service.
+/// Size of the simulated service.
 pub struct ServiceShape {
     pub shards: usize,
     pub slots: u32,
@@ -61,7 +61,7 @@
     Wake,
 }
 
-/// The state of one run.
+/// State of one run.
 pub struct ServiceSimulation<'a> {
     shape: ServiceShape,
     calls: &'a [Call],
@@ -73,7 +73,7 @@
     events: EventQueue<Step>,
     rng: SeededRng,
     next_wakeup: Option<TimePoint>,
-    /// The attempts that the targets ran.
+    /// Number of attempts that the targets ran.
     pub ran: u64,
 }
 
@@ -221,7 +221,7 @@
         while let Some(started) = self.queues[shard].start_next(now, self.shape.slots) {
             let query = started.job.id.origin;
             let mean = self.calls[usize::try_from(query).unwrap()].mean_service_time;
-            // Half of the time is fixed, half varies.
+            // Half of the service time is fixed, half is exponentially distributed.
             let service = mean.mul_f64(0.5) + self.rng.exponential(mean.mul_f64(0.5));
             self.waits.insert(started.job.id, started.waited);
             self.ran += 1;
@@ -280,7 +280,7 @@
         });
     }
 
-    /// Gets the limits that the entries found.
+    /// Returns the current limit of each entry.
     pub fn limits(&self) -> Vec<f64> {
         self.gates
             .iter()
@@ -288,11 +288,11 @@
             .collect()
     }
 
-    /// Describes the fates of the calls that `keep` holds for.
+    /// Summarizes the outcomes of the calls for which `matches` holds.
     pub fn summarize(&self, matches: impl Fn(&Call) -> bool) -> String {
         let (mut complete, mut incomplete, mut refused, mut late) = (0, 0, 0, 0);
-        for fate in self.outcomes_of(matches) {
-            match fate {
+        for outcome in self.outcomes_of(matches) {
+            match outcome {
                 CallOutcome::Complete(_) => complete += 1,
                 CallOutcome::Incomplete(_) => incomplete += 1,
                 CallOutcome::Refused(after) if after > ms(5) => late += 1,
@@ -305,23 +305,23 @@
         )
     }
 
-    /// Gets the latencies of the whole answers to the calls that `keep` holds for.
+    /// Returns the latencies of the complete answers to the calls for which `matches` holds.
     pub fn latencies(&self, matches: impl Fn(&Call) -> bool) -> Vec<TimeSpan> {
         self.outcomes_of(matches)
-            .filter_map(|fate| match fate {
+            .filter_map(|outcome| match outcome {
                 CallOutcome::Complete(after) => Some(after),
                 _ => None,
             })
             .collect()
     }
 
-    /// Gets the share of the calls that got a whole answer in time.
+    /// Returns the share of the calls that got a complete answer.
     pub fn complete_share(&self, matches: impl Fn(&Call) -> bool + Copy) -> f64 {
         let all = self.outcomes_of(matches).count();
         self.latencies(matches).len() as f64 / all.max(1) as f64
     }
 
-    /// Gets the fates of the calls that `keep` holds for.
+    /// Iterates over the outcomes of the calls for which `matches` holds.
     pub fn outcomes_of(
         &self,
         matches: impl Fn(&Call) -> bool,
@@ -330,7 +330,7 @@
             .iter()
             .zip(&self.outcomes)
             .filter(move |(call, _)| matches(call))
-            .map(|(_, fate)| fate.expect("every call has its answer"))
+            .map(|(_, outcome)| outcome.expect("every call has an outcome"))
     }
 }
 
@@ -356,7 +356,7 @@
         .unwrap()
 }
 
-/// Draws calls with exponential gaps at a rate per second from `from` until `until`.
+/// Draws calls of a Poisson process with a rate per second from `from` until `until`.
 pub fn poisson(
     rng: &mut SeededRng,
     rate: f64,
@@ -375,7 +375,7 @@
     }
 }
 
-/// Names a team for the type checker.
+/// Parses a team name.
 pub fn team(name: &str) -> TeamId {
     name.parse().unwrap()
 }
--- a/alderhaven-policy/tests/common/shard_simulation.rs
+++ b/alderhaven-policy/tests/common/shard_simulation.rs
@@ -1,5 +1,7 @@
-//! A model of the shards of one service and of the fronts that ask them, over passed-in time: replicas
-//! with slots and a bounded queue, queries that need most shards, and callers who go away when refused.
+//! Simulation of the shards of one service and of the fronts that query them.
+//!
+//! Each shard has two replicas with slots and a bounded queue; queries need most shards, and
+//! refused callers don't return.
 
 use std::collections::VecDeque;
 
@@ -9,54 +11,54 @@
 
 use super::{EventQueue, SeededRng, ms};
 
-/// The way between a front and a target, there or back.
+/// Network delay between a front and a target, in each direction.
 const ONE_WAY_DELAY: TimeSpan = TimeSpan::from_millis(1);
 
-/// The requests that wait at a replica before it refuses.
+/// Number of attempts that wait at a replica before it refuses more.
 const MAX_QUEUE_LENGTH: usize = 12;
 
-/// A `FieldOptions` is a load on shards with two replicas of two slots each.
+/// Load and size of one run.
 #[derive(Clone, Debug)]
 pub struct ShardSimulationOptions {
-    /// Queries a second at each front, by stretches of time: until when, and how many.
+    /// Queries per second at each front, by phases that last until the given time.
     pub rates: Vec<(TimePoint, Vec<f64>)>,
-    /// The shards; one stands for a service that is not sharded.
+    /// Number of shards; a service without shards has one.
     pub shards: usize,
-    /// The kinds of queries.
+    /// Kinds of queries.
     pub kinds: Vec<KindOptions>,
-    /// Whether fronts decide on queries; else all are sent.
+    /// Whether fronts use admission control; otherwise all queries are sent.
     pub is_gated: bool,
-    /// How many shards have replicas that work this many times as long.
+    /// Number of slow shards, and the factor on their work.
     pub slow_shards: (usize, f64),
-    /// The seed.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// A `KindOptions` is one kind of query.
+/// One kind of query.
 #[derive(Clone, Copy, Debug)]
 pub struct KindOptions {
-    /// Its rank.
+    /// Rank in the admission queue; 0 is served first.
     pub rank: u32,
-    /// Its part of all queries.
+    /// Share of this kind among all queries.
     pub share: f64,
-    /// The mean work for each shard.
+    /// Mean work per shard.
     pub mean_work: TimeSpan,
-    /// The latency target.
+    /// Latency target, which is also the deadline of attempts.
     pub latency_target: TimeSpan,
-    /// The shards that make an answer.
+    /// Number of shards that makes an answer.
     pub required_shards: usize,
 }
 
-/// A `FieldTally` counts the ends of queries.
+/// Counts of queries that ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QueryTally {
-    /// All of them.
+    /// All queries.
     pub total: f64,
-    /// Those answered in time.
+    /// Queries that were answered within their latency target.
     pub in_time: f64,
-    /// Those refused.
+    /// Queries that were refused.
     pub refused: f64,
-    /// The longest time that passed until a refusal.
+    /// Longest time from an arrival to its refusal.
     pub slowest_refusal: TimeSpan,
 }
 
@@ -102,9 +104,9 @@
     started_at: TimePoint,
     state: QueryState,
     answered_shards: usize,
-    /// The replica that each shard was sent to, until it has refused and the other was asked.
+    /// Replica that each shard was last sent to.
     tried: Vec<Option<usize>>,
-    /// The shards that were sent a second time.
+    /// Whether each shard was sent a second time.
     retried: Vec<bool>,
 }
 
@@ -117,11 +119,11 @@
 #[derive(Debug, Default)]
 struct SimulatedFront {
     gate: QueryGate,
-    /// The attempts of this front that are out, by shard and replica.
+    /// Attempts in flight of this front, by shard and replica.
     attempts_in_flight: Vec<[usize; 2]>,
 }
 
-/// A `ShardField` is the model while it runs.
+/// State of one run.
 pub struct ShardSimulation {
     options: ShardSimulationOptions,
     rng: SeededRng,
@@ -130,7 +132,7 @@
     queries: Vec<SimulatedQuery>,
     shards: Vec<[SimulatedReplica; 2]>,
     fronts: Vec<SimulatedFront>,
-    /// What was counted, by kind, front and second of arrival.
+    /// Counts by kind, front and second of arrival.
     tallies: Vec<(usize, usize, u64, QueryTally)>,
 }
 
@@ -160,7 +162,7 @@
         simulation
     }
 
-    /// Adds up what was counted of queries that `is_meant` by kind, front and second of arrival.
+    /// Sums the counts whose kind, front and second of arrival match.
     pub fn tally(&self, matches: impl Fn(usize, usize, u64) -> bool) -> QueryTally {
         let mut sum = QueryTally::default();
         for (kind, front, second, tally) in &self.tallies {
@@ -238,7 +240,7 @@
                 self.events
                     .add(until, SimulationEvent::WaitTimedOut { query: id });
                 if let Some(outranked) = outranked {
-                    self.refuse(usize::try_from(outranked).expect("a place"));
+                    self.refuse(usize::try_from(outranked).expect("valid query index"));
                 }
             }
             GateDecision::Refuse(_) => self.refuse(id),
@@ -287,7 +289,8 @@
             .add(deadline, SimulationEvent::DeadlineReached { query });
     }
 
-    /// Sends a part to the replica at which this front has fewest attempts out.
+    /// Sends an attempt to the replica with the fewest attempts of this front, or to the other one
+    /// if this shard was tried before.
     fn send(&mut self, query: usize, shard: usize) {
         let front = self.queries[query].front;
         let random_replica = usize::from(self.rng.unit() < 0.5);
@@ -298,7 +301,7 @@
             std::cmp::Ordering::Greater => 1,
         };
         let tried = &mut self.queries[query].tried[shard];
-        // One that refused is not asked again.
+        // A replica that refused is not tried again.
         let replica = tried.map_or(replica, |first| 1 - first);
         *tried = Some(replica);
         in_flight[replica] += 1;
@@ -327,7 +330,7 @@
             let Some((query, _)) = self.shards[shard][replica].queue.pop_front() else {
                 return;
             };
-            // Work stops with the answer that it is for; what has waited for so long is not begun.
+            // Work stops with the answer that it is for, and expired work is not started.
             let deadline = self.queries[query].arrived_at + self.kind(query).latency_target;
             if self.now >= deadline {
                 self.send_reply(query, shard, replica, self.now, false);
@@ -410,7 +413,7 @@
             let gate = &mut self.fronts[front].gate;
             gate.record_finished(self.now.since(started), signal);
             while let Some(next) = self.fronts[front].gate.next_ready(self.now) {
-                self.start(usize::try_from(next).expect("a place"));
+                self.start(usize::try_from(next).expect("valid query index"));
             }
         }
     }
--- a/alderhaven-policy/tests/entry_answer.rs
+++ b/alderhaven-policy/tests/entry_answer.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry addresses that callers are told.
+//! Tests of the choice of entry addresses for callers.
 
 use std::sync::Arc;
 
@@ -15,10 +15,10 @@
 fn member(index: u16, domain: &str, state: MemberState, load: u32) -> MemberView {
     let address = ([127, 0, 0, 1], 7_000 + index).into();
     let record = MemberRecord::builder()
-        .node(format!("entry-{index}").parse().expect("a valid id"))
+        .node(format!("entry-{index}").parse().expect("valid id"))
         .role(MemberRole::Entry)
-        .host(format!("host-{index}").parse().expect("a valid id"))
-        .domain(domain.parse().expect("a valid id"))
+        .host(format!("host-{index}").parse().expect("valid id"))
+        .domain(domain.parse().expect("valid id"))
         .gossip_address(address)
         .caller_address(address)
         .build();
@@ -35,7 +35,7 @@
 
 fn domains() -> Vec<FailureDomain> {
     ["a", "b", "c"]
-        .map(|name| name.parse().expect("a valid id"))
+        .map(|name| name.parse().expect("valid id"))
         .to_vec()
 }
 
@@ -74,15 +74,14 @@
     assert_eq!(
         ports(&choose(&members[..3], 1)),
         [7_002],
-        "a suspect is better than none"
+        "a suspect entry is chosen if no entry is alive"
     );
     assert!(choose(&members[..2], 1).entries.is_empty());
 }
 
 #[test]
 fn choose_spreads_callers_by_load() {
-    // Twenty entries, one of them nearly full. Were it named as often as the others, callers would
-    // keep coming to it.
+    // One of twenty entries is nearly full and must be named much less often than an idle one.
     let members: Vec<_> = (0..20)
         .map(|index| {
             member(
@@ -99,5 +98,8 @@
             .count()
     };
     let (busy, idle) = (named(7_000), named(7_001));
-    assert!(busy > 0 && busy * 8 < idle, "busy {busy}, idle {idle}");
+    assert!(
+        busy > 0 && busy * 8 < idle,
+        "busy entry chosen {busy} times, idle entry {idle} times"
+    );
 }
--- a/alderhaven-policy/tests/hedge_timing.rs
+++ b/alderhaven-policy/tests/hedge_timing.rs
@@ -1,4 +1,4 @@
-//! When another replica is asked too, and until when an attempt is of use.
+//! Tests of the time of hedges and of the deadlines of attempts.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::answer_time::AnswerTime;
@@ -12,8 +12,8 @@
     TimeSpan::from_millis(millis)
 }
 
-/// A sweep has 136 ms until it is answered and its attempts take 20 ms. A hedge after 30 ms would be sent
-/// for one attempt in eight; one after 76 ms is sent for those that meet a pause, and still in time.
+/// Guards against hedges for attempts that would still answer in time: with 136 ms left and
+/// attempts of 20 ms a hedge can wait for 76 ms.
 #[test]
 fn hedge_is_delayed_while_much_time_is_left() {
     let timing = HedgeTiming {
@@ -24,8 +24,8 @@
     assert_eq!(timing.hedge_at(at(0)), at(76));
 }
 
-/// A tight route has 34 ms, and its attempts take 8 ms, or 22 while some servers are slow. A hedge after
-/// those 22 ms would be answered too late and is not sent at all: it has to go out before.
+/// Guards against a hedge whose answer comes too late: with 34 ms left it is sent before the late
+/// threshold of 22 ms.
 #[test]
 fn hedge_leaves_time_for_its_answer() {
     let timing = HedgeTiming {
@@ -47,8 +47,7 @@
     assert_eq!(timing.hedge_at(at(0)), at(12));
 }
 
-/// Both replicas of a shard are seven times slower than usual. A hedge can't be answered in time; sent
-/// all the same it would take the budget from shards that it can save.
+/// Guards against hedges that can't be answered in time and use up the budget of other shards.
 #[test]
 fn hedge_to_a_slow_replica_is_not_worthwhile() {
     let timing = HedgeTiming {
@@ -60,12 +59,11 @@
     assert!(timing.is_worthwhile(millis(20), at(76)));
     assert!(
         timing.is_worthwhile(millis(140), at(140)),
-        "late answers need it all the same"
+        "a late answer still needs the shard"
     );
 }
 
-/// Servers are slow and their queues grow. With the caller's whole patience as its deadline each attempt
-/// is worked on long after its query was answered, and every later one waits behind it.
+/// Guards against targets that work on attempts long after their query was answered.
 #[test]
 fn attempt_deadline_follows_the_answer() {
     let timing = AnswerTime::new(at(0), millis(150), millis(14), millis(800));
--- a/alderhaven-policy/tests/hedging.rs
+++ b/alderhaven-policy/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Tests of hedging, judged by the latency of queries and the load that it adds.
+//! Simulations of hedging, judged by the latency of queries and the added load.
 
 mod common;
 
@@ -11,8 +11,8 @@
 
 fn group(template: &str) -> HedgeGroup {
     HedgeGroup {
-        service: "stock".parse().expect("a name"),
-        template: template.parse().expect("a name"),
+        service: "stock".parse().expect("valid name"),
+        template: template.parse().expect("valid name"),
     }
 }
 
@@ -20,8 +20,8 @@
     HedgePolicy::new(kind, HedgeOptions::default())
 }
 
-/// Queries of 20 shards, one attempt in a hundred of which takes ten times as long. Gets the
-/// latencies of the queries and the attempts per shard that ran.
+/// Runs queries over 20 shards, of whose attempts a share takes ten times as long. Returns the
+/// latencies of the queries and the number of attempts per shard.
 fn run(kind: PolicyKind, slow_share: f64) -> (Vec<TimeSpan>, f64) {
     let mut policy = policy(kind);
     let group = group("search");
@@ -55,8 +55,8 @@
     (latencies, f64::from(ran) / 60_000.0)
 }
 
-/// One attempt in a hundred meets a target that pauses. Nearly one query in five has one of those
-/// among its 20, so that what is rare for a target is common for callers.
+/// Guards against rare slow attempts that dominate the latency of fan-out queries, and against
+/// hedges beyond the budget.
 #[test]
 fn slow_target_is_hedged_within_the_budget() {
     let (mut unhedged, _) = run(PolicyKind::Baseline, 0.01);
@@ -64,23 +64,29 @@
     let (unhedged, hedged) = (quantile(&mut unhedged, 0.99), quantile(&mut hedged, 0.99));
     assert!(
         hedged <= unhedged.mul_f64(0.35),
-        "{hedged} against {unhedged}"
+        "p99 {hedged} with hedges, {unhedged} without"
     );
-    assert!(load <= 1.06, "{load}");
+    assert!(load <= 1.06, "{load} attempts per shard");
 }
 
 #[test]
 fn overload_turns_hedging_off() {
     let mut policy = policy(PolicyKind::Current);
     policy.record_sent(1000);
-    assert!(!policy.take(true), "the service is full");
+    assert!(
+        !policy.take(true),
+        "no hedges while the service is overloaded"
+    );
     assert!(policy.take(false));
     for _ in 0..30 {
         policy.record_hedge_end(true);
     }
-    assert!(!policy.take(false), "relays refuse most hedges");
+    assert!(
+        !policy.take(false),
+        "no hedges while relays refuse most of them"
+    );
     policy.record_sent(2000);
-    assert!(policy.take(false), "it is tried again later");
+    assert!(policy.take(false), "hedging resumes after more attempts");
 }
 
 #[test]
@@ -94,8 +100,7 @@
     assert!(policy.hedge_delay(&group, false).is_none());
 }
 
-/// Reports take a hundred times as long as lookups. With one delay for both, every report would be
-/// hedged and the budget spent on them.
+/// Guards against one delay for all templates, with which every long query would be hedged.
 #[test]
 fn each_template_has_its_own_delay() {
     let mut policy = policy(PolicyKind::Current);
@@ -103,7 +108,7 @@
         policy.record_answer(&group("lookup"), ms(5), ms(5));
         policy.record_answer(&group("report"), ms(500), ms(500));
     }
-    let delay = |name| policy.hedge_delay(&group(name), true).expect("it is known");
+    let delay = |name| policy.hedge_delay(&group(name), true).expect("a delay");
     assert!(delay("lookup") <= ms(6));
     assert!(delay("report") >= ms(495));
     assert_eq!(
@@ -121,7 +126,7 @@
 proptest! {
     #![proptest_config(proptest_config(256))]
 
-    /// However attempts and hedges follow each other, hedges stay within the budget.
+    /// Hedges stay within the budget for any sequence of attempts and hedges.
     #[test]
     fn hedges_stay_within_the_budget(
         steps in collection::vec((1_u32..200, 0_u32..40, any::<bool>()), 1..60),
@@ -141,7 +146,7 @@
         }
     }
 
-    /// The delay is at least the quantile's share of what was seen, whatever was seen.
+    /// The delay never exceeds the largest latency that was recorded.
     #[test]
     fn delay_does_not_exceed_observed_latencies(
         latencies in collection::vec(1_u64..100_000_000, 20..2500),
@@ -152,8 +157,8 @@
             let latency = TimeSpan::from_micros(*latency);
             policy.record_answer(&group, latency, latency);
         }
-        let delay = policy.hedge_delay(&group, true).expect("it is known");
-        let max_latency = latencies.iter().max().expect("some");
+        let delay = policy.hedge_delay(&group, true).expect("a delay");
+        let max_latency = latencies.iter().max().expect("non-empty latencies");
         prop_assert!(delay <= TimeSpan::from_micros(*max_latency).mul_f64(1.02) + ms(1));
     }
 }
--- a/alderhaven-policy/tests/query_gate.rs
+++ b/alderhaven-policy/tests/query_gate.rs
@@ -1,4 +1,4 @@
-//! The gate of queries over many shards, under loads beyond what the shards carry.
+//! Simulations of the admission control of a front, beyond the capacity of its targets.
 
 mod common;
 
@@ -9,7 +9,8 @@
 use common::shard_simulation::{KindOptions, QueryTally, ShardSimulation, ShardSimulationOptions};
 use common::{at, ms};
 
-/// What the shards carry, in sweeps a second: four slots for 12 ms of work and 4% of long ones.
+/// Queries over all shards that the targets can run per second: four slots per shard, 12 ms of work
+/// and 4% of longer work.
 const CAPACITY_PER_SECOND: f64 = 4.0 / 0.012 / 1.04;
 
 const FAN_OUT_QUERY: KindOptions = KindOptions {
@@ -20,7 +21,7 @@
     required_shards: 18,
 };
 
-/// Runs sweeps at this multiple of the capacity for ten seconds, spread over five fronts.
+/// Runs queries at this multiple of the capacity for ten seconds, spread over five fronts.
 fn run_steady(load_factor: f64, is_gated: bool) -> ShardSimulation {
     run(
         vec![(at(10_000), vec![CAPACITY_PER_SECOND * load_factor / 5.0; 5])],
@@ -39,14 +40,12 @@
     })
 }
 
-/// Counts what arrived after the first second.
+/// Counts the queries that arrived after the first second.
 fn tally_after_warmup(simulation: &ShardSimulation) -> QueryTally {
     simulation.tally(|_, _, second| second >= 1)
 }
 
-/// More sweeps arrive than the shards carry. Sent all, each gets most of its shards in time and hardly
-/// any enough: callers see their time pass while every target is busy. The gate sends as many as are
-/// answered, whatever the load.
+/// Guards against overload in which every query lacks some shards while all targets are busy.
 #[test]
 fn overload_keeps_goodput() {
     let best_in_time = tally_after_warmup(&run_steady(0.85, true)).in_time;
@@ -54,37 +53,36 @@
         let gated = tally_after_warmup(&run_steady(load_factor, true)).in_time;
         assert!(
             gated >= 0.9 * best_in_time,
-            "{load_factor}: {gated} of {best_in_time}"
+            "load {load_factor}: {gated} in time, best {best_in_time}"
         );
     }
     for load_factor in [1.6, 2.4] {
         let sent_all = tally_after_warmup(&run_steady(load_factor, false)).in_time;
         assert!(
             sent_all < 0.5 * best_in_time,
-            "{load_factor}: {sent_all} of {best_in_time} without the gate"
+            "load {load_factor}: {sent_all} in time without the gate, best {best_in_time}"
         );
     }
 }
 
-/// A usual load must not be refused: the gate would cost callers what the shards can give.
+/// Guards against refusals below the capacity.
 #[test]
 fn moderate_load_is_not_refused() {
     for load_factor in [0.2, 0.5] {
         let tally = tally_after_warmup(&run_steady(load_factor, true));
         assert!(
             tally.refused < 1.0,
-            "{load_factor}: {} refused",
+            "load {load_factor}: {} refused",
             tally.refused
         );
         assert!(
             tally.in_time >= 0.99 * tally.total,
-            "{load_factor}: {tally:?}"
+            "load {load_factor}: {tally:?}"
         );
     }
 }
 
-/// A caller that won't be served hears of it while it can still go elsewhere: within the part of its
-/// target for which a query may wait, and a quarter of it at most.
+/// Guards against refusals that come too late for the caller to go elsewhere.
 #[test]
 fn refusals_are_prompt() {
     let tally = tally_after_warmup(&run_steady(2.4, true));
@@ -92,8 +90,7 @@
     assert!(tally.slowest_refusal <= FAN_OUT_QUERY.latency_target.mul_f64(0.25));
 }
 
-/// A burst of three times the capacity ends. What queues at targets is short, so that the next callers
-/// are served as if there had been none.
+/// Guards against queues at the targets that outlast a burst of three times the capacity.
 #[test]
 fn burst_leaves_no_backlog() {
     let normal = vec![CAPACITY_PER_SECOND * 0.4 / 5.0; 5];
@@ -108,8 +105,7 @@
     assert!(after.in_time >= 0.98 * after.total, "{after:?}");
 }
 
-/// One front has four times the callers of the others. All meet the same queues, so that its callers
-/// are served nearly as often as those of the others.
+/// Guards against a front with more callers than the others that serves far less of them.
 #[test]
 fn fronts_of_unequal_load_serve_similar_shares() {
     let unit = CAPACITY_PER_SECOND * 1.5 / 8.0;
@@ -122,12 +118,11 @@
     let (busy, others) = (share(|front| front == 0), share(|front| front > 0));
     assert!(
         busy >= 0.5 * others,
-        "{busy} of the busy front's, {others} of the others'"
+        "share in time {busy} at the busy front, {others} at the others"
     );
 }
 
-/// Two shards of twenty are ten times as slow, and eighteen make an answer. Every query can do without
-/// the two: the gate must not close for them.
+/// Guards against slow shards that close the gate although queries can be answered without them.
 #[test]
 fn dispensable_slow_shards_cause_no_refusals() {
     let run = |is_gated| {
@@ -145,8 +140,7 @@
     assert!(gated.in_time >= run(false).in_time, "{gated:?}");
 }
 
-/// Urgent sweeps and short lookups, at twice what the shards carry. The urgent ones go first, and the
-/// lookups keep a part of it: neither is shut out.
+/// Guards against a rank that is starved by a better one.
 #[test]
 fn better_rank_is_preferred_without_starvation() {
     let urgent = KindOptions {
@@ -170,8 +164,18 @@
         let tally = simulation.tally(|of, _, second| second >= 1 && of == kind);
         tally.in_time / tally.total
     };
-    assert!(share(0) > share(1), "{} and {}", share(0), share(1));
-    assert!(share(1) > 0.25 * share(0), "{} and {}", share(0), share(1));
+    assert!(
+        share(0) > share(1),
+        "share in time {} of urgent queries, {} of lookups",
+        share(0),
+        share(1)
+    );
+    assert!(
+        share(1) > 0.25 * share(0),
+        "share in time {} of urgent queries, {} of lookups",
+        share(0),
+        share(1)
+    );
 }
 
 const fn query(id: u64, rank: u32, is_late: bool) -> GateQuery {
@@ -183,7 +187,7 @@
     }
 }
 
-/// Fills a gate with queries of a rank that stay for 20 ms.
+/// Creates a gate whose limit is reached by queries of this rank that run for 20 ms.
 fn full_gate(rank: u32) -> QueryGate {
     let mut gate = QueryGate::default();
     let mut id = 1_000;
@@ -191,15 +195,14 @@
         id += 1;
     }
     gate.cancel(id, at(0));
-    // One goes and one comes, so that the mean stay is known.
+    // One query ends and another starts, so that the mean run time is known.
     gate.record_finished(ms(20), QuerySignal::Uninformative);
     let decision = gate.offer(query(999, rank, false), at(0));
     assert_eq!(decision, GateDecision::Admit);
     gate
 }
 
-/// A caller that was refused comes back after its latency target. Its answer is late in any case, so it
-/// must not take the place of one that can still be in time.
+/// Guards against a query whose answer is late anyway and that displaces one which can be in time.
 #[test]
 fn late_query_waits_behind_one_in_time() {
     let mut gate = full_gate(1);
@@ -211,8 +214,7 @@
     assert_eq!(gate.next_ready(at(3)), Some(2));
 }
 
-/// The line is as long as its wait is worth it. A query of a better rank takes the place of the last
-/// one, whose caller hears at once.
+/// Guards against a full queue that refuses a query of a better rank.
 #[test]
 fn full_queue_displaces_its_last_for_a_better_rank() {
     let mut gate = full_gate(2);
@@ -240,7 +242,7 @@
             retry_after = refusal.retry_after;
         }
     }
-    assert!(retry_after >= ms(60), "{retry_after}");
+    assert!(retry_after >= ms(60), "retry after {retry_after}");
 }
 
 #[test]
@@ -250,7 +252,7 @@
     assert_eq!(limit, ConcurrencyLimit::default());
 }
 
-/// A front with little to do learns nothing of how much more would fit: its limit stays.
+/// Guards against a limit that rises without evidence while a front is idle.
 #[test]
 fn limit_rises_only_while_it_is_used() {
     let mut limit = ConcurrencyLimit::default();
@@ -266,12 +268,10 @@
     for _ in 0..60 {
         limit.record_finished(QuerySignal::TimedOut, 8);
     }
-    assert!(limit.get() <= 2.0, "{}", limit.get());
+    assert!(limit.get() <= 2.0, "limit {}", limit.get());
 }
 
-/// Lookups at one service come at two or three times what its two replicas carry. Sent all, they wait in
-/// the replicas' queues until most are late, and callers hear of it when their time is over. Admitted by
-/// the same rules, the replicas answer in time as many as they can, and the others hear at once.
+/// Guards against overload in which lookups at one service wait in its queues until they are late.
 #[test]
 fn overload_of_one_service_keeps_goodput() {
     const LOOKUP: KindOptions = KindOptions {
@@ -302,11 +302,11 @@
         let (gated, all) = (run(load_factor, true), run(load_factor, false));
         assert!(
             gated.in_time >= 0.85 * best_in_time.in_time,
-            "{load_factor}: {gated:?}"
+            "load {load_factor}: {gated:?}"
         );
         assert!(
             all.in_time < 0.7 * best_in_time.in_time,
-            "{load_factor}: {all:?}"
+            "load {load_factor}: {all:?}"
         );
         assert!(gated.slowest_refusal <= LOOKUP.latency_target.mul_f64(0.25));
     }
--- a/alderhaven-policy/tests/relay_queue.rs
+++ b/alderhaven-policy/tests/relay_queue.rs
@@ -1,4 +1,4 @@
-//! Tests of the relay's queue, judged by which callers get their work run, and when.
+//! Tests of a relay's queue, judged by which attempts run and when.
 
 mod common;
 
@@ -22,7 +22,7 @@
 }
 
 fn template(name: &str) -> TemplateName {
-    name.parse().expect("a template name")
+    name.parse().expect("valid template name")
 }
 
 fn job(sequence: u64, class: QueryClass, name: &str, deadline: TimePoint) -> QueueJob {
@@ -40,14 +40,14 @@
     RelayQueue::new(PolicyKind::Current, RelayQueueOptions::default())
 }
 
-/// An arrival at the target's queue and how long the target takes over it.
+/// An arriving job with the time that the target needs for it.
 struct Arrival {
     time: TimePoint,
     job: QueueJob,
     service: TimeSpan,
 }
 
-/// What callers received, by attempt.
+/// Ends of jobs by the sequence numbers of their attempts.
 #[derive(Default)]
 struct RunResult {
     finished_at: BTreeMap<u64, TimePoint>,
@@ -60,7 +60,7 @@
     Expire,
 }
 
-/// Runs the arrivals through a queue with a target of `slots` slots.
+/// Runs the arrivals through a queue in front of a target with `slots` slots.
 fn run(mut queue: RelayQueue, slots: u32, arrivals: &[Arrival]) -> RunResult {
     let mut events = EventQueue::new();
     let mut result = RunResult::default();
@@ -91,7 +91,7 @@
             let service = arrivals
                 .iter()
                 .find(|arrival| arrival.job.id == started.job.id)
-                .expect("a known arrival")
+                .expect("known arrival")
                 .service;
             events.add(now + service, Step::End(started.job.id, service));
         }
@@ -126,12 +126,10 @@
         .collect()
 }
 
-/// Twice as many attempts arrive as the target can run, a third of them urgent. A user of an urgent
-/// lookup would see time-outs, since first-in-first-out serves whoever waited longest, which is
-/// whoever has the least time left.
+/// Guards against urgent attempts that time out behind the backlog of twice the capacity.
 #[test]
 fn overload_serves_urgent_in_time_and_refuses_the_rest_at_once() {
-    // 2 slots of 10 ms run 200 attempts/s; 400 arrive.
+    // 2 slots run 200 attempts of 10 ms per second; 400 arrive.
     let arrivals = steady_arrivals(
         2000,
         0,
@@ -164,16 +162,16 @@
     }
     assert!(
         urgent_in_time * 100 >= urgent * 99,
-        "{urgent_in_time} of {urgent}"
+        "{urgent_in_time} of {urgent} urgent jobs in time"
     );
     assert!(
         finished_late * 100 <= arrivals.len(),
-        "{finished_late} ran for nobody"
+        "{finished_late} jobs finished late"
     );
-    // 5 s at 200/s; one in a hundred may be lost at the edges.
+    // 5 s at 200/s; 1% may be lost at the edges.
     assert!(
         result.finished_at.len() >= 990,
-        "{} ran",
+        "{} jobs ran",
         result.finished_at.len()
     );
     let mut waits: Vec<TimeSpan> = result
@@ -183,7 +181,10 @@
             time.since(TimePoint::START + TimeSpan::from_micros(number * 2500))
         })
         .collect();
-    assert!(quantile(&mut waits, 0.5) <= ms(5), "refusals are held back");
+    assert!(
+        quantile(&mut waits, 0.5) <= ms(5),
+        "median time until a refusal exceeds 5 ms"
+    );
 }
 
 #[test]
@@ -212,17 +213,19 @@
             finished.is_some_and(|end| *end <= arrival.job.deadline)
         })
         .count();
-    assert!(urgent_in_time < 300, "{urgent_in_time} of 667");
+    assert!(
+        urgent_in_time < 300,
+        "{urgent_in_time} of 667 urgent jobs in time"
+    );
 }
 
-/// Monthly reports of 200 ms arrive among lookups of 5 ms. A pharmacist would see a lookup take as
-/// long as a report: all slots run reports, and nothing tells the two apart.
+/// Guards against reports of 200 ms that occupy all slots and delay lookups of 5 ms.
 #[test]
 fn long_jobs_leave_a_slot_for_short_ones() {
     let mut arrivals = steady_arrivals(400, 0, ms(10), ms(5), |number, time| {
         job(number, QueryClass::Urgent, "lookup", time + ms(300))
     });
-    // Three reports come together each 600 ms, more than the target has slots.
+    // Three reports arrive together every 600 ms, which is more than the target has slots.
     arrivals.extend((0..21).map(|number| {
         let time = at(number / 3 * 600);
         let job = job(
@@ -245,7 +248,7 @@
         })
         .collect();
     assert_eq!(short.len(), 400, "every lookup ran");
-    // Alone they take 5 ms; 1.5 times that is the bound.
+    // Without reports, lookups take 5 ms; the bound is 1.5 times that.
     assert!(quantile(&mut short, 0.99) <= TimeSpan::from_micros(7500));
     let long = result
         .finished_at
@@ -255,8 +258,7 @@
     assert_eq!(long, 21, "long jobs still finish");
 }
 
-/// Urgent work alone fills the target for a long time. A monthly report would never be made if the
-/// class alone decided.
+/// Guards against bulk work that never runs while urgent work fills the target.
 #[test]
 fn bulk_is_not_starved_by_urgent_work() {
     let mut arrivals = steady_arrivals(2000, 0, ms(5), ms(10), |number, time| {
@@ -279,8 +281,7 @@
     assert_eq!(bulk, 10);
 }
 
-/// A burst of one second at five times the rate meets the queue; afterwards the wait must be gone,
-/// and nothing that had already been refused or expired may run.
+/// Guards against a backlog that outlasts a burst, and against runs of jobs that were dropped.
 #[test]
 fn burst_leaves_no_backlog() {
     let mut arrivals = steady_arrivals(500, 0, ms(2), ms(10), |number, time| {
@@ -303,19 +304,18 @@
     let result = run(queue(), 2, &arrivals);
     for arrival in arrivals.iter().filter(|arrival| arrival.time >= at(1200)) {
         let end = result.finished_at.get(&arrival.job.id.sequence);
-        let end = end.expect("work after the burst runs");
+        let end = end.expect("job after the burst runs");
         assert!(end.since(arrival.time) <= ms(20));
     }
     for number in result.finished_at.keys() {
         assert!(
             !result.dropped.contains_key(number),
-            "{number} ran and was dropped"
+            "job {number} ran and was dropped"
         );
     }
 }
 
-/// Two relays of the same queries get them in different orders, both overloaded. If each served
-/// whoever came first, few queries would be whole and the work for the others would be lost.
+/// Guards against overloaded relays that serve different queries, so that few are complete.
 #[test]
 fn overloaded_relays_serve_the_same_queries() {
     let served = |reversed: bool| -> BTreeSet<u64> {
@@ -325,10 +325,12 @@
         }
         let mut queue = queue();
         queue.offer(job(900, QueryClass::Ordinary, "lookup", at(1000)), at(0), 1);
-        queue.start_next(at(0), 1).expect("the first one starts");
+        queue.start_next(at(0), 1).expect("first job starts");
         queue.record_finished(id(900), Some(ms(10)), at(0));
         queue.offer(job(901, QueryClass::Ordinary, "lookup", at(1000)), at(0), 1);
-        queue.start_next(at(0), 1).expect("the slot is taken");
+        queue
+            .start_next(at(0), 1)
+            .expect("second job takes the slot");
         for number in numbers {
             queue.offer(
                 job(number, QueryClass::Ordinary, "lookup", at(205)),
@@ -347,15 +349,14 @@
         served
     };
     let (forward, backward) = (served(false), served(true));
-    assert!(forward.len() >= 18, "{forward:?}");
+    assert!(forward.len() >= 18, "served {forward:?}");
     assert!(
         forward.intersection(&backward).count() >= 17,
-        "{forward:?} {backward:?}"
+        "served {forward:?} and {backward:?}"
     );
 }
 
-/// The mean of a target that was slow says that nothing can finish in time. If it were believed for
-/// good, the target would never be tried again, and callers would miss its shard for ever.
+/// Guards against an outdated service time that keeps a recovered target from being tried again.
 #[test]
 fn slow_target_is_tried_again_when_idle() {
     let mut queue = queue();
@@ -366,14 +367,14 @@
             now,
             2,
         );
-        queue.start_next(now, 2).expect("an idle target is tried");
+        queue.start_next(now, 2).expect("idle target is tried");
         queue.record_finished(id(number), Some(ms(400)), now + ms(400));
     }
     let now = at(20_000);
     let urgent = job(50, QueryClass::Urgent, "lookup", now + ms(100));
     assert_eq!(queue.offer(urgent, now, 2), OfferOutcome::Queued);
     assert!(queue.start_next(now, 2).is_some());
-    // While that one runs, the next is refused rather than sent to its certain lateness.
+    // While that one runs, the next is refused rather than started too late.
     let too_late = job(51, QueryClass::Urgent, "lookup", now + ms(100));
     assert_eq!(
         queue.offer(too_late, now, 2),
@@ -395,16 +396,17 @@
     );
 }
 
-/// Urgent work arrives ahead of ordinary work that waits. The last of that can no longer finish; its
-/// callers must hear so now, while they can still ask elsewhere, rather than when their time is up.
+/// Guards against displaced jobs that are held until they expire rather than refused at once.
 #[test]
 fn displaced_job_is_refused_at_once() {
     let mut queue = queue();
     queue.offer(job(1, QueryClass::Urgent, "lookup", at(900)), at(0), 1);
-    queue.start_next(at(0), 1).expect("the first one starts");
+    queue.start_next(at(0), 1).expect("first job starts");
     queue.record_finished(id(1), Some(ms(10)), at(10));
     queue.offer(job(2, QueryClass::Urgent, "lookup", at(900)), at(10), 1);
-    queue.start_next(at(10), 1).expect("the slot is taken");
+    queue
+        .start_next(at(10), 1)
+        .expect("second job takes the slot");
     for number in 10..30 {
         let ordinary = job(number, QueryClass::Ordinary, "lookup", at(310));
         assert_eq!(queue.offer(ordinary, at(10), 1), OfferOutcome::Queued);
@@ -422,12 +424,12 @@
         assert_eq!(job.reason, NotRunReason::QueueFull);
         assert!(
             (10..30).contains(&job.id.sequence),
-            "only ordinary work gives way"
+            "only ordinary jobs are displaced"
         );
     }
     assert!(
         dropped.iter().any(|job| job.id == id(29)),
-        "the last goes first"
+        "the last job is displaced first"
     );
 }
 
@@ -438,9 +440,9 @@
     queue.offer(job(2, QueryClass::Urgent, "lookup", at(100)), at(0), 1);
     assert!(queue.cancel(id(1)));
     assert!(!queue.cancel(id(1)));
-    let started = queue.start_next(at(0), 1).expect("the other one starts");
+    let started = queue.start_next(at(0), 1).expect("other job starts");
     assert_eq!(started.job.id, id(2));
-    assert!(!queue.cancel(id(2)), "it runs already");
+    assert!(!queue.cancel(id(2)), "a running job can't be cancelled");
 }
 
 #[derive(Clone, Debug)]
@@ -471,8 +473,7 @@
 proptest! {
     #![proptest_config(proptest_config(256))]
 
-    /// Whatever happens, each job has one fate, the slots are never exceeded, nothing starts after
-    /// its deadline, and while short work may come, long work leaves it a slot.
+    /// Each job ends once, the slots are never exceeded, and nothing starts after its deadline.
     #[test]
     fn every_job_ends_exactly_once(actions in collection::vec(action(), 1..120), slots in 1_u32..5) {
         let mut queue = queue();
--- a/alderhaven-policy/tests/repeat_budget.rs
+++ b/alderhaven-policy/tests/repeat_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats that nodes keep together without asking each other.
+//! Tests of the repeat budget that nodes keep without coordination.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::repeat_budget::{RepeatBudget, RepeatOptions, RepeatReason};
@@ -14,8 +14,7 @@
     TimePoint::START + TimeSpan::from_millis(millis)
 }
 
-/// A service's servers turn slow, so that all eight nodes want to hedge every request. What users
-/// would see without the budget: the service carries twice its load and all of its answers are late.
+/// Guards against hedges of all nodes that double the load of a service which turns slow.
 #[test]
 fn all_nodes_together_stay_within_the_allowance() {
     let nodes = 8;
@@ -34,12 +33,11 @@
     assert!(f64::from(repeats) <= allowed);
     assert!(
         f64::from(repeats) > allowed * 0.6,
-        "most of the rule is used"
+        "at least 60% of the allowance is used"
     );
 }
 
-/// Servers are slow and one of them crashes. Hedges have used what they may, and a retry after the
-/// crash is still sent: without the reserve its caller would get an answer without that shard.
+/// Guards against hedges that use up the budget, so that a retry after a crash isn't sent.
 #[test]
 fn hedges_leave_a_reserve_for_retries() {
     let mut budget = RepeatBudget::new(OPTIONS);
@@ -62,12 +60,12 @@
 fn node_takes_only_its_share_of_free_repeats() {
     let mut budget = RepeatBudget::new(OPTIONS);
     let taken = (0..100).filter(|_| budget.take(RepeatReason::Retry, 0.125, at(0)));
-    assert_eq!(taken.count(), 6, "nine tenths of an eighth of 56");
+    assert_eq!(taken.count(), 6, "90% of an eighth of 56");
 }
 
 proptest! {
-    /// Whatever the order of requests and repeats, no window holds more repeats than the rule allows
-    /// for the requests in it and in the piece before it.
+    /// No window has more repeats than the budget allows for its requests and those of the bucket
+    /// before it.
     #[test]
     fn every_window_stays_within_the_allowance(steps in prop::collection::vec((0u64..400, any::<bool>()), 1..400)) {
         let mut budget = RepeatBudget::new(OPTIONS);
--- a/alderhaven-policy/tests/retry.rs
+++ b/alderhaven-policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Tests of retries, judged by what runs twice and by the load that they add.
+//! Tests of retries, judged by what runs twice and by the added load.
 
 mod common;
 
@@ -49,8 +49,7 @@
     .collect()
 }
 
-/// The connection breaks while an assignment is under way. If it were sent again, the number would
-/// be issued twice and the fee charged twice.
+/// Guards against a non-idempotent request that runs twice after its connection broke.
 #[test]
 fn attempt_that_may_have_run_is_retried_only_if_idempotent() {
     for outcome in [AttemptOutcome::Unknown, AttemptOutcome::Failed] {
@@ -69,7 +68,7 @@
     assert_eq!(decide(ended, &mut budget(), at(0)), given_up);
 }
 
-/// Every target sheds all it is sent. Retries must not double the load that causes it.
+/// Guards against retries that double the load of a service which sheds everything.
 #[test]
 fn retries_do_not_amplify_overload() {
     let mut budget = budget();
@@ -83,15 +82,15 @@
             retries += u32::from(decision == RetryDecision::Retry);
         }
     }
-    // A tenth of the 10,000 attempts, the bucket of 64 and two a second.
-    assert!(retries <= 1000 + 64 + 3, "{retries}");
-    assert!(retries >= 1000, "{retries}");
+    // A tenth of the 10,000 attempts, a bucket of 64, and two per second.
+    assert!(retries <= 1000 + 64 + 3, "{retries} retries");
+    assert!(retries >= 1000, "{retries} retries");
 }
 
 proptest! {
     #![proptest_config(proptest_config(256))]
 
-    /// Whatever the attempt, it is repeated only where that does no harm and may still help.
+    /// An attempt is retried only if it can't run twice or is idempotent, and if there is time.
     #[test]
     fn retry_is_safe_and_timely(
         outcome in sample::select(outcomes()),
@@ -138,9 +137,8 @@
     }
 }
 
-/// A failure domain is lost: its targets refuse connections, and until they are ejected a quarter of
-/// all attempts end before a byte was sent. Callers would get partial answers once the budget is
-/// spent, although the other replicas are idle enough; what was shed still counts.
+/// Guards against a lost failure domain whose refused connections use up the budget, so that shards
+/// stay uncovered which other replicas can answer.
 #[test]
 fn lost_domain_does_not_consume_the_budget() {
     let mut budget = budget();
--- a/alderhaven-policy/tests/target_limit.rs
+++ b/alderhaven-policy/tests/target_limit.rs
@@ -1,4 +1,4 @@
-//! Tests of the concurrency limit of a target, judged by what it is sent.
+//! Tests of the concurrency limit of a target, judged by what is sent to it.
 
 mod common;
 
@@ -19,8 +19,7 @@
     }
 }
 
-/// A target with 4 declared slots runs only 2 at a time, because something else uses it. Callers
-/// would see one attempt in two shed and sent again elsewhere, for as long as it lasts.
+/// Guards against repeated sheds by a target that runs fewer attempts than its declared slots.
 #[test]
 fn overload_of_a_target_costs_few_shed_attempts() {
     let mut limit = limit(4);
@@ -44,7 +43,10 @@
         }
     }
     assert!(shed * 100 <= sent, "{shed} of {sent} shed");
-    assert!(sent >= 5500, "{sent} sent: two slots were used");
+    assert!(
+        sent >= 5500,
+        "{sent} sent, expected both usable slots to be busy"
+    );
 }
 
 #[test]
@@ -65,7 +67,11 @@
         limit.record_sent();
         limit.record_finished(ran(100), at(step * 100));
     }
-    assert!(limit.limit(at(4000)) <= 2, "{}", limit.limit(at(4000)));
+    assert!(
+        limit.limit(at(4000)) <= 2,
+        "limit {}",
+        limit.limit(at(4000))
+    );
     for step in 0..300 {
         limit.record_sent();
         limit.record_finished(ran(10), at(4000 + step * 100));
@@ -93,12 +99,11 @@
     }
     assert!(
         lowered * 20 <= 2000,
-        "{lowered} of 2000 steps below the slots"
+        "limit below the slots in {lowered} of 2000 steps"
     );
 }
 
-/// A target returns from a restart with cold caches. With its full load at once it would answer
-/// everything late and look broken.
+/// Guards against the full load on a restarted target with cold caches.
 #[test]
 fn cold_target_begins_at_one_slot() {
     let mut limit = limit(4);
@@ -121,17 +126,17 @@
     assert_eq!(
         limit.free_slots(at(10)),
         2,
-        "what was sent goes before a report"
+        "attempts in flight outweigh a lower report"
     );
     limit.record_report(3, at(10));
     assert_eq!(limit.free_slots(at(10)), 1);
-    assert_eq!(limit.free_slots(at(100)), 2, "an old report is forgotten");
+    assert_eq!(limit.free_slots(at(100)), 2, "an expired report is ignored");
 }
 
 proptest! {
     #![proptest_config(proptest_config(256))]
 
-    /// Whatever the target says, it is given at least one and at most its declared slots.
+    /// The limit lies between one and the declared slots for any sequence of signals.
     #[test]
     fn limit_stays_within_its_bounds(
         steps in collection::vec((0_u8..5, 0_u64..2000, any::<bool>()), 1..200),
--- a/alderhaven-policy/tests/top_records.rs
+++ b/alderhaven-policy/tests/top_records.rs
@@ -1,4 +1,4 @@
-//! The greatest records of many parts.
+//! Tests of the selection of the greatest records.
 
 use alderhaven_policy::top_records::{RECORD_BYTES, greatest_records};
 use bytes::Bytes;
@@ -24,8 +24,7 @@
 }
 
 proptest! {
-    /// Merged over any split into parts, and merged again from merged blocks, the records are the
-    /// same: a front may merge what another front has merged.
+    /// The result is the same for any split into parts and for parts that were merged before.
     #[test]
     fn merging_blocks_equals_merging_parts(
         parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..12),
