--- a/alderhaven-policy/src/answer_time.rs
+++ b/alderhaven-policy/src/answer_time.rs
@@ -23,7 +23,7 @@
 /// Progress of a query, in shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardCount {
-    /// Shards that the query asks.
+    /// Shards that the query is sent to.
     pub total: usize,
     /// Shards whose replies have arrived.
     pub answered: usize,
--- a/alderhaven-policy/src/caller_delay.rs
+++ b/alderhaven-policy/src/caller_delay.rs
@@ -2,7 +2,7 @@
 //!
 //! A caller's latency starts with its lookup of an address, its new connection or an attempt that
 //! failed elsewhere. Each request carries the time that the caller has left. Callers of one route
-//! use the same timeout, so that the largest remaining time of late is that timeout, and the
+//! use the same timeout, so that the largest recent value is that timeout, and the
 //! difference is the delay.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
--- a/alderhaven-policy/src/fair_queue.rs
+++ b/alderhaven-policy/src/fair_queue.rs
@@ -39,7 +39,7 @@
     pub weight: u32,
     /// Fingerprint of the template and parameters.
     pub key: u64,
-    /// Number of shards that the query asks.
+    /// Number of shards that the query is sent to.
     pub cost: u32,
     /// Arrival time, from which aging counts.
     pub arrived_at: TimePoint,
--- a/alderhaven-policy/src/query_gather.rs
+++ b/alderhaven-policy/src/query_gather.rs
@@ -140,7 +140,7 @@
         self.shards.len()
     }
 
-    /// Returns true if the query asks no shard.
+    /// Returns true if the query has no shards.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.shards.is_empty()
--- a/alderhaven-policy/src/service_admission.rs
+++ b/alderhaven-policy/src/service_admission.rs
@@ -1,7 +1,7 @@
 //! Admission state of one service: its capacity, its waiting queries and its wait estimates.
 //!
 //! A key may have no more queries in flight than one shard can run, because all queries of a key
-//! ask the same shards.
+//! run on the same shards.
 
 use std::collections::HashMap;
 
--- a/alderhaven-policy/src/service_times.rs
+++ b/alderhaven-policy/src/service_times.rs
@@ -43,12 +43,12 @@
         }
         let mut mean = RunningMean::default();
         mean.add(service_time, MEAN_WINDOW);
-        let last_sample = now;
+        let last_sample_at = now;
         self.templates.insert(
             template.clone(),
             TemplateMean {
                 mean,
-                last_sample_at: last_sample,
+                last_sample_at,
             },
         );
     }
--- a/alderhaven-policy/src/timer_lag.rs
+++ b/alderhaven-policy/src/timer_lag.rs
@@ -38,7 +38,6 @@
         clippy::cast_sign_loss,
         reason = "the lag lies between zero and MAX_LAG"
     )]
-    /// Returns the current lag.
     pub const fn get(&self) -> TimeSpan {
         TimeSpan::from_micros(self.lag_micros as u64)
     }
--- a/alderhaven-policy/tests/common/service_simulation.rs
+++ b/alderhaven-policy/tests/common/service_simulation.rs
@@ -20,7 +20,7 @@
     pub team: &'static str,
     pub class: QueryClass,
     pub key: u64,
-    /// The only shard that it asks, or `None` for all shards.
+    /// The only shard that it queries, or `None` for all shards.
     pub shard: Option<usize>,
     /// Time until the query's deadline.
     pub time_limit: TimeSpan,
