--- a/alderhaven-policy/src/query_gate.rs
+++ b/alderhaven-policy/src/query_gate.rs
@@ -4,7 +4,7 @@
 //! query certainly didn't run. [`ConcurrencyLimit`] bounds the queries in flight. Some more wait in
 //! the order of their ranks, and a lower rank keeps a part of the share that the best rank is
 //! served. A query that would wait for too long is refused on arrival, and a waiting one is refused
-//! when a better rank takes its place. Refused callers retry later the more queries are refused.
+//! when a better rank takes its place. The retry time grows with the share of refused queries.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use smallvec::SmallVec;
