--- a/alderhaven-node/src/node_group.rs
+++ b/alderhaven-node/src/node_group.rs
@@ -209,7 +209,7 @@
     ConfigAccess::builder()
         .stamps(move || stamps.stamps())
         .look_up(move |key| objects.object(key))
-        .accept(move |news| accept.accept(news))
+        .accept(move |accepted| accept.accept(accepted))
         .is_listed(move || listed.complete_at().is_some())
         .changed(config.changed())
         .build()
--- a/alderhaven-node/src/process_main.rs
+++ b/alderhaven-node/src/process_main.rs
@@ -78,9 +78,9 @@
 
 fn serve_with_logging<N: ProcessNode>(settings: N::Settings) -> eyre::Result<()> {
     let log = logging::start_queued(settings.log_level()).wrap_err("the log can't start")?;
-    let ended = serve::<N>(settings);
+    let result = serve::<N>(settings);
     log.finish();
-    ended
+    result
 }
 
 fn load_settings<N: ProcessNode>(name: &str) -> Result<N::Settings, ExitCode> {
@@ -89,8 +89,8 @@
     program::load(&arguments.settings, request)
 }
 
-fn exit_code(ended: eyre::Result<()>) -> ExitCode {
-    match ended {
+fn exit_code(result: eyre::Result<()>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("error: {error:#}");
--- a/alderhaven-node/src/stop_handle.rs
+++ b/alderhaven-node/src/stop_handle.rs
@@ -92,8 +92,8 @@
     pub async fn stopped(&self) -> StopReport {
         let mut report = self.report.subscribe();
         loop {
-            if let Some(done) = *report.borrow_and_update() {
-                return done;
+            if let Some(finished_report) = *report.borrow_and_update() {
+                return finished_report;
             }
             if report.changed().await.is_err() {
                 std::future::pending::<()>().await;
@@ -116,9 +116,9 @@
         let mut handled = 0;
         loop {
             let now = clock.now();
-            let asked = *requests.borrow_and_update();
+            let requested = *requests.borrow_and_update();
             let in_flight = in_flight();
-            if handled < asked {
+            if handled < requested {
                 handled += 1;
                 sequence.handle(DrainEvent::StopRequested { now, in_flight });
             } else {
@@ -132,9 +132,10 @@
             }
             if handled == 0 {
                 // Nothing is due before the first request.
-                let _handle_lives = requests.changed().await;
+                let _change = requests.changed().await;
             } else {
-                let _either = time::timeout(IN_FLIGHT_POLL_INTERVAL, requests.changed()).await;
+                let _change_or_timeout =
+                    time::timeout(IN_FLIGHT_POLL_INTERVAL, requests.changed()).await;
             }
         }
     }
--- a/alderhaven-policy/src/exchange/fetching.rs
+++ b/alderhaven-policy/src/exchange/fetching.rs
@@ -22,12 +22,12 @@
         stamps: &[ObjectStamp],
         hops: u32,
         now: TimePoint,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         for stamp in stamps {
-            let held = self.index.version(&stamp.key);
-            let asked = self.missing.get(&stamp.key).map(|missing| missing.version);
-            let is_known = held.max(asked) >= Some(stamp.version);
+            let held_version = self.index.version(&stamp.key);
+            let requested_version = self.missing.get(&stamp.key).map(|missing| missing.version);
+            let is_known = held_version.max(requested_version) >= Some(stamp.version);
             if is_known || !object_exchange::is_configuration(&stamp.key) {
                 continue;
             }
@@ -40,11 +40,11 @@
             };
             self.missing.insert(stamp.key.clone(), missing);
         }
-        self.fetch(from, now, step);
+        self.fetch(from, now, output);
     }
 
     /// Asks a peer for the next of what it is to give, one message at a time.
-    fn fetch(&mut self, from: &NodeId, now: TimePoint, step: &mut ExchangeOutput) {
+    fn fetch(&mut self, from: &NodeId, now: TimePoint, output: &mut ExchangeOutput) {
         if self.open_fetches.contains_key(from) {
             return;
         }
@@ -61,7 +61,8 @@
             .collect();
         if !keys.is_empty() {
             self.open_fetches.insert(from.clone(), now);
-            step.send
+            output
+                .send
                 .push((from.clone(), ExchangeMessage::Fetch { keys }));
         }
     }
@@ -73,7 +74,7 @@
         peers: &PeerSet,
         now: TimePoint,
         rng: &mut impl Rng,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         let mut by_hops: BTreeMap<u32, Vec<ObjectStamp>> = BTreeMap::new();
         let missing_before = self.missing.len();
@@ -82,18 +83,18 @@
                 .missing
                 .get(&object.key)
                 .map_or(0, |missing| missing.hops);
-            if let Some(stamp) = self.accept_object(object, step) {
+            if let Some(stamp) = self.accept_object(object, output) {
                 by_hops.entry(hops).or_default().push(stamp);
             }
         }
         for (hops, stamps) in by_hops {
-            self.announce(&stamps, hops, Some(from), peers, rng, step);
+            self.announce(&stamps, hops, Some(from), peers, rng, output);
         }
         // A full message leaves some out; they are asked for again at once. Where none came, the
         // peer does not hold them, and they are asked for elsewhere in time.
         self.open_fetches.remove(from);
         if self.missing.len() < missing_before {
-            self.fetch(from, now, step);
+            self.fetch(from, now, output);
         }
     }
 
@@ -103,7 +104,7 @@
         peers: &PeerSet,
         now: TimePoint,
         rng: &mut impl Rng,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         let timeout = self.options.answer_timeout;
         self.open_fetches
@@ -129,7 +130,7 @@
             self.comparison = None;
         }
         for peer in sources {
-            self.fetch(&peer, now, step);
+            self.fetch(&peer, now, output);
         }
     }
 
@@ -138,14 +139,14 @@
         objects: impl Iterator<Item = StoredObject>,
     ) -> Vec<StoredObject> {
         let mut bytes = 0;
-        let mut taken = Vec::new();
+        let mut selected = Vec::new();
         for object in objects.take(self.options.max_stamps) {
             bytes += object.body.as_ref().map_or(0, String::len);
-            if bytes > self.options.max_object_bytes.as_bytes() && !taken.is_empty() {
+            if bytes > self.options.max_object_bytes.as_bytes() && !selected.is_empty() {
                 break;
             }
-            taken.push(object);
+            selected.push(object);
         }
-        taken
+        selected
     }
 }
--- a/alderhaven-policy/src/exchange/object_exchange.rs
+++ b/alderhaven-policy/src/exchange/object_exchange.rs
@@ -106,11 +106,18 @@
         peers: &PeerSet,
         rng: &mut impl Rng,
     ) -> ExchangeOutput {
-        let mut step = ExchangeOutput::default();
+        let mut output = ExchangeOutput::default();
         let is_new = |stamp: &ObjectStamp| self.note_held(stamp);
         let stamps: Vec<ObjectStamp> = stamps.into_iter().filter(is_new).collect();
-        self.announce(&stamps, self.options.max_hops, None, peers, rng, &mut step);
-        step
+        self.announce(
+            &stamps,
+            self.options.max_hops,
+            None,
+            peers,
+            rng,
+            &mut output,
+        );
+        output
     }
 
     /// Takes the digest that a peer says it holds.
@@ -131,8 +138,8 @@
             self.behind_since = None;
         } else if digest.version_sum >= own.version_sum {
             let since = *self.behind_since.get_or_insert(now);
-            let is_patient = now.since(since) < self.options.own_domain_wait;
-            if !is_patient || peers.should_compare_with(peer, rng) {
+            let is_waiting = now.since(since) < self.options.own_domain_wait;
+            if !is_waiting || peers.should_compare_with(peer, rng) {
                 self.differing_peer = Some(peer.clone());
             }
         }
@@ -140,15 +147,15 @@
 
     /// Does what is due; to be called several times a second.
     pub fn tick(&mut self, peers: &PeerSet, now: TimePoint, rng: &mut impl Rng) -> ExchangeOutput {
-        let mut step = ExchangeOutput::default();
-        self.retry_fetches(peers, now, rng, &mut step);
+        let mut output = ExchangeOutput::default();
+        self.retry_fetches(peers, now, rng, &mut output);
         let timeout = self.options.answer_timeout;
         // Once all is listed, the objects have time-outs of their own.
         self.comparison.take_if(|comparison| {
             !comparison.is_fully_listed && now.since(comparison.asked_at) >= timeout
         });
         if self.comparison.is_some() || now < self.next_compare_at {
-            return step;
+            return output;
         }
         let peer = match self.differing_peer.take() {
             Some(peer) if peers.contains(&peer) => Some(peer),
@@ -157,9 +164,9 @@
         };
         if let Some(peer) = peer {
             self.next_compare_at = now + self.options.compare_period;
-            self.compare(peer, None, now, &mut step);
+            self.compare(peer, None, now, &mut output);
         }
-        step
+        output
     }
 
     /// Takes a message from a peer; `look_up` gets an object that the node holds.
@@ -172,17 +179,17 @@
         now: TimePoint,
         rng: &mut impl Rng,
     ) -> ExchangeOutput {
-        let mut step = ExchangeOutput::default();
+        let mut output = ExchangeOutput::default();
         match message {
             ExchangeMessage::Announce { stamps, hops } => {
-                self.request_newer(from, &stamps, hops, now, &mut step);
+                self.request_newer(from, &stamps, hops, now, &mut output);
             }
             ExchangeMessage::Compare { buckets, after } => {
-                self.handle_compare(from, &buckets, after.as_ref(), &mut step);
+                self.handle_compare(from, &buckets, after.as_ref(), &mut output);
             }
             ExchangeMessage::Stamps {
                 stamps,
-                continue_after: next,
+                continue_after,
                 is_complete,
             } => {
                 // What comes from beyond is news to the own domain.
@@ -191,33 +198,34 @@
                 } else {
                     self.options.max_hops
                 };
-                self.request_newer(from, &stamps, hops, now, &mut step);
-                self.handle_stamps(from, next, is_complete, now, &mut step);
+                self.request_newer(from, &stamps, hops, now, &mut output);
+                self.handle_stamps(from, continue_after, is_complete, now, &mut output);
             }
             ExchangeMessage::Fetch { keys } => {
                 let objects = self.take_within_limits(keys.iter().filter_map(look_up));
-                step.send
+                output
+                    .send
                     .push((from.clone(), ExchangeMessage::Objects { objects }));
             }
             ExchangeMessage::Objects { objects } => {
-                self.handle_objects(from, objects, peers, now, rng, &mut step);
+                self.handle_objects(from, objects, peers, now, rng, &mut output);
             }
         }
         self.finish_comparison();
-        step
+        output
     }
 
     /// Takes one object where it is newer than what is held.
     pub(super) fn accept_object(
         &mut self,
         object: StoredObject,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) -> Option<ObjectStamp> {
         let stamp = ObjectStamp::from(&object);
         if !self.note_held(&stamp) {
             return None;
         }
-        step.accept.push(object);
+        output.accept.push(object);
         Some(stamp)
     }
 
@@ -227,8 +235,8 @@
             return false;
         }
         self.behind_since = None;
-        let is_found = |missing: &MissingObject| missing.version <= stamp.version;
-        if self.missing.get(&stamp.key).is_some_and(is_found) {
+        let is_satisfied = |missing: &MissingObject| missing.version <= stamp.version;
+        if self.missing.get(&stamp.key).is_some_and(is_satisfied) {
             self.missing.remove(&stamp.key);
         }
         true
@@ -238,45 +246,45 @@
         &self,
         stamps: &[ObjectStamp],
         hops: u32,
-        without: Option<&NodeId>,
+        excluded: Option<&NodeId>,
         peers: &PeerSet,
         rng: &mut impl Rng,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         if hops == 0 {
             return;
         }
-        let mut told: SmallVec<[NodeId; 6]> = SmallVec::new();
-        let mut tell = |peer: Option<&NodeId>| {
+        let mut recipients: SmallVec<[NodeId; 6]> = SmallVec::new();
+        let mut add_recipient = |peer: Option<&NodeId>| {
             if let Some(peer) = peer
-                && without != Some(peer)
-                && !told.contains(peer)
+                && excluded != Some(peer)
+                && !recipients.contains(peer)
             {
-                told.push(peer.clone());
+                recipients.push(peer.clone());
             }
         };
         for _ in 0..self.options.fanout {
-            tell(peers.pick(rng));
+            add_recipient(peers.pick(rng));
         }
         // What comes from the store is new to all domains.
-        let far = if without.is_none() {
+        let cross_domain_count = if excluded.is_none() {
             self.options.cross_domain_fanout
         } else {
             0
         };
-        for _ in 0..far {
-            tell(peers.pick_cross_domain(rng));
+        for _ in 0..cross_domain_count {
+            add_recipient(peers.pick_cross_domain(rng));
         }
-        for (peer, stamps) in told.iter().flat_map(|peer| {
+        for (peer, stamps) in recipients.iter().flat_map(|peer| {
             stamps
                 .chunks(self.options.max_stamps)
-                .map(move |part| (peer, part))
+                .map(move |chunk| (peer, chunk))
         }) {
             let message = ExchangeMessage::Announce {
                 stamps: stamps.to_vec(),
                 hops: hops - 1,
             };
-            step.send.push((peer.clone(), message));
+            output.send.push((peer.clone(), message));
         }
     }
 
@@ -285,10 +293,11 @@
         peer: NodeId,
         after: Option<ObjectKey>,
         now: TimePoint,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         let buckets = self.index.buckets().to_vec();
-        step.send
+        output
+            .send
             .push((peer.clone(), ExchangeMessage::Compare { buckets, after }));
         self.comparison = Some(OpenComparison {
             peer,
@@ -302,29 +311,29 @@
         from: &NodeId,
         buckets: &[u64],
         after: Option<&ObjectKey>,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         if buckets.len() != INDEX_BUCKETS {
             return;
         }
-        let (stamps, next) = self
-            .index
-            .differing_stamps(buckets, after, self.options.max_stamps);
+        let (stamps, continue_after) =
+            self.index
+                .differing_stamps(buckets, after, self.options.max_stamps);
         let message = ExchangeMessage::Stamps {
             stamps,
-            continue_after: next,
+            continue_after,
             is_complete: self.is_complete,
         };
-        step.send.push((from.clone(), message));
+        output.send.push((from.clone(), message));
     }
 
     fn handle_stamps(
         &mut self,
         from: &NodeId,
-        next: Option<ObjectKey>,
+        continue_after: Option<ObjectKey>,
         is_complete: bool,
         now: TimePoint,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         let Some(mut comparison) = self
             .comparison
@@ -332,8 +341,8 @@
         else {
             return;
         };
-        if next.is_some() {
-            self.compare(comparison.peer, next, now, step);
+        if continue_after.is_some() {
+            self.compare(comparison.peer, continue_after, now, output);
         } else if is_complete {
             comparison.is_fully_listed = true;
             comparison.asked_at = now;
--- a/alderhaven-policy/src/exchange/object_index.rs
+++ b/alderhaven-policy/src/exchange/object_index.rs
@@ -39,13 +39,13 @@
             return false;
         }
         let key_hash = hash_key(key);
-        let before = known.map_or(0, |known| hashing::mix_hashes(key_hash, known.0));
-        let change = before ^ hashing::mix_hashes(key_hash, version.0);
-        self.buckets[bucket_of(key_hash)] ^= change;
-        self.digest.hash ^= change;
+        let known_hash = known.map_or(0, |known| hashing::mix_hashes(key_hash, known.0));
+        let hash_change = known_hash ^ hashing::mix_hashes(key_hash, version.0);
+        self.buckets[bucket_of(key_hash)] ^= hash_change;
+        self.digest.hash ^= hash_change;
         self.digest.highest = self.digest.highest.max(version);
-        let rise = version.0 - known.unwrap_or_default().0;
-        self.digest.version_sum = self.digest.version_sum.wrapping_add(rise);
+        let version_increase = version.0 - known.unwrap_or_default().0;
+        self.digest.version_sum = self.digest.version_sum.wrapping_add(version_increase);
         self.versions.insert(key.clone(), version);
         true
     }
--- a/alderhaven-policy/src/exchange/peer_set.rs
+++ b/alderhaven-policy/src/exchange/peer_set.rs
@@ -20,12 +20,12 @@
 impl PeerSet {
     /// Returns the set of the peers in the node's own failure domain and of all others.
     #[must_use]
-    pub fn new(mut near: Vec<NodeId>, mut far: Vec<NodeId>) -> Self {
-        near.sort_unstable();
-        far.sort_unstable();
+    pub fn new(mut own_domain: Vec<NodeId>, mut other_domains: Vec<NodeId>) -> Self {
+        own_domain.sort_unstable();
+        other_domains.sort_unstable();
         Self {
-            own_domain: near,
-            other_domains: far,
+            own_domain,
+            other_domains,
         }
     }
 
@@ -38,13 +38,13 @@
         let live = others
             .iter()
             .filter(|member| member.state != MemberState::Dead);
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (own_domain, other_domains): (Vec<_>, Vec<_>) =
             live.partition(|member| member.record.domain == own.record.domain);
         let ids = |members: Vec<&MemberView>| {
             let ids = members.into_iter().map(|member| member.record.node.clone());
             ids.collect()
         };
-        Self::new(ids(near), ids(far))
+        Self::new(ids(own_domain), ids(other_domains))
     }
 
     /// Returns true where the node is one of the peers.
--- a/alderhaven-policy/src/exchange/watch_plan.rs
+++ b/alderhaven-policy/src/exchange/watch_plan.rs
@@ -25,9 +25,9 @@
 pub fn is_watcher(node: &NodeId, kind: ObjectKind, nodes: &[NodeId]) -> bool {
     let kind_hash = hashing::hash_name(kind.as_str());
     let score = |node: &NodeId| hashing::mix_hashes(kind_hash, hashing::hash_name(node.as_str()));
-    let own = score(node);
-    let ahead = nodes.iter().filter(|other| score(other) > own);
-    ahead.count() < WATCHERS_PER_KIND
+    let own_score = score(node);
+    let higher_ranked = nodes.iter().filter(|other| score(other) > own_score);
+    higher_ranked.count() < WATCHERS_PER_KIND
 }
 
 /// Gets the time until the next listing, spread so that nodes do not list together.
--- a/alderhaven-policy/src/membership/config_report_tracker.rs
+++ b/alderhaven-policy/src/membership/config_report_tracker.rs
@@ -27,9 +27,9 @@
 /// Two of 580 processes share a number with a chance of 4 in 100,000; one of them then appears to
 /// lag until either restarts.
 #[must_use]
-pub fn process_fingerprint(node: &NodeId, start: IncarnationNumber) -> u32 {
+pub fn process_fingerprint(node: &NodeId, incarnation: IncarnationNumber) -> u32 {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(&start.0.to_be_bytes());
+    hasher.update(&incarnation.0.to_be_bytes());
     hasher.update(node.as_str().as_bytes());
     let mut bytes = [0; 4];
     bytes.copy_from_slice(&hasher.finalize().as_bytes()[..4]);
@@ -38,27 +38,30 @@
 
 impl ConfigReportTracker {
     /// Takes a report; returns true where it is newer than what was known.
-    pub fn record_report(&mut self, member: u32, config: ConfigDigest) -> bool {
-        let known = self.reports.get(&member).map(|known| known.version_sum);
+    pub fn record_report(&mut self, fingerprint: u32, config: ConfigDigest) -> bool {
+        let known = self
+            .reports
+            .get(&fingerprint)
+            .map(|known| known.version_sum);
         let is_full = known.is_none() && self.reports.len() >= MAX_REPORTS;
         if is_full || known >= Some(config.version_sum) {
             return false;
         }
-        self.reports.insert(member, config);
-        self.pending.insert(member, 0);
+        self.reports.insert(fingerprint, config);
+        self.pending.insert(fingerprint, 0);
         true
     }
 
     /// Gets the newest report of a process.
     #[must_use]
-    pub fn get(&self, member: u32) -> Option<ConfigDigest> {
-        self.reports.get(&member).copied()
+    pub fn get(&self, fingerprint: u32) -> Option<ConfigDigest> {
+        self.reports.get(&fingerprint).copied()
     }
 
     /// Drops the reports of processes that are not known.
     pub fn retain(&mut self, is_known: impl Fn(u32) -> bool) {
-        self.reports.retain(|member, _| is_known(*member));
-        self.pending.retain(|member, _| is_known(*member));
+        self.reports.retain(|fingerprint, _| is_known(*fingerprint));
+        self.pending.retain(|fingerprint, _| is_known(*fingerprint));
     }
 
     /// Returns true where no report is to be sent.
@@ -72,33 +75,34 @@
         if self.pending.is_empty() {
             return Vec::new();
         }
-        let mut order: Vec<(u32, u32)> = self
+        let mut send_order: Vec<(u32, u32)> = self
             .pending
             .iter()
-            .map(|(member, sent)| (*sent, *member))
+            .map(|(fingerprint, send_count)| (*send_count, *fingerprint))
             .collect();
-        order.sort_unstable();
+        send_order.sort_unstable();
         let mut groups = ReportGroupBuilder::new(bytes);
-        for (sent, member) in order {
-            let Some(config) = self.get(member) else {
+        for (send_count, fingerprint) in send_order {
+            let Some(config) = self.get(fingerprint) else {
                 continue;
             };
-            if !groups.add(member, config) {
+            if !groups.add(fingerprint, config) {
                 break;
             }
-            self.pending.insert(member, sent + 1);
+            self.pending.insert(fingerprint, send_count + 1);
         }
-        self.pending.retain(|_, sent| *sent < retransmissions);
+        self.pending
+            .retain(|_, send_count| *send_count < retransmissions);
         groups.groups
     }
 
     /// Gets the reports of the given processes as groups of at most `bytes` bytes together.
     #[must_use]
-    pub fn groups_of(&self, members: &[u32], bytes: usize) -> Vec<ReportGroup> {
+    pub fn groups_of(&self, fingerprints: &[u32], bytes: usize) -> Vec<ReportGroup> {
         let mut groups = ReportGroupBuilder::new(bytes);
-        for member in members {
-            if let Some(config) = self.get(*member)
-                && !groups.add(*member, config)
+        for fingerprint in fingerprints {
+            if let Some(config) = self.get(*fingerprint)
+                && !groups.add(*fingerprint, config)
             {
                 break;
             }
@@ -122,7 +126,7 @@
     }
 
     /// Adds a report; returns false where there is no room left.
-    fn add(&mut self, member: u32, config: ConfigDigest) -> bool {
+    fn add(&mut self, fingerprint: u32, config: ConfigDigest) -> bool {
         let group = self.groups.iter().position(|group| group.config == config);
         let size = match group {
             Some(_) => ReportGroup::size_bound(1) - ReportGroup::size_bound(0),
@@ -133,10 +137,10 @@
         }
         self.bytes_left -= size;
         match group {
-            Some(index) => self.groups[index].members.push(member),
+            Some(index) => self.groups[index].members.push(fingerprint),
             None => self.groups.push(ReportGroup {
                 config,
-                members: vec![member],
+                members: vec![fingerprint],
             }),
         }
         true
--- a/alderhaven-policy/src/membership/contact_list.rs
+++ b/alderhaven-policy/src/membership/contact_list.rs
@@ -39,9 +39,9 @@
     }
 
     /// Adds a contact, in place of what was known under its id.
-    pub(super) fn add(&mut self, contact: MemberContact, is_near: bool) {
+    pub(super) fn add(&mut self, contact: MemberContact, is_in_own_domain: bool) {
         self.remove(&contact.node);
-        let contacts = if is_near {
+        let contacts = if is_in_own_domain {
             &mut self.own_domain
         } else {
             &mut self.other_domains
@@ -51,17 +51,17 @@
 
     pub(super) fn remove(&mut self, node: &NodeId) {
         for contacts in [&mut self.own_domain, &mut self.other_domains] {
-            let place = contacts.iter().position(|contact| contact.node == *node);
-            if let Some(place) = place {
-                contacts.swap_remove(place);
+            let index = contacts.iter().position(|contact| contact.node == *node);
+            if let Some(index) = index {
+                contacts.swap_remove(index);
             }
         }
     }
 
     /// Returns true where the address is that of a contact in another domain.
     pub(super) fn is_in_other_domain(&self, address: SocketAddr) -> bool {
-        let is_here = |contact: &MemberContact| contact.address == address;
-        self.other_domains.iter().any(is_here)
+        let has_address = |contact: &MemberContact| contact.address == address;
+        self.other_domains.iter().any(has_address)
     }
 
     /// Draws contacts for news, mostly of the own domain.
@@ -71,15 +71,15 @@
         rng: &mut impl Rng,
     ) -> SmallVec<[SocketAddr; 4]> {
         self.sample(count, rng, |contacts, rng| {
-            let is_far = contacts
+            let is_cross_domain = contacts
                 .domain_peers()
                 .draw_cross_domain(CROSS_DOMAIN_COPIES, rng);
-            let places = if is_far {
+            let candidates = if is_cross_domain {
                 &contacts.other_domains
             } else {
                 &contacts.own_domain
             };
-            places.get(rng.random_range(0..places.len().max(1)))
+            candidates.get(rng.random_range(0..candidates.len().max(1)))
         })
     }
 
@@ -87,25 +87,25 @@
     pub(super) fn sample_uniform(
         &self,
         count: usize,
-        without: Option<&NodeId>,
+        excluded: Option<&NodeId>,
         rng: &mut impl Rng,
     ) -> SmallVec<[SocketAddr; 4]> {
         self.sample(count, rng, |contacts, rng| {
-            let place = rng.random_range(0..contacts.len().max(1));
-            let near = contacts.own_domain.get(place);
-            let contact = near.or_else(|| {
+            let index = rng.random_range(0..contacts.len().max(1));
+            let own_domain_contact = contacts.own_domain.get(index);
+            let contact = own_domain_contact.or_else(|| {
                 contacts
                     .other_domains
-                    .get(place - contacts.own_domain.len())
+                    .get(index - contacts.own_domain.len())
             })?;
-            (without != Some(&contact.node)).then_some(contact)
+            (excluded != Some(&contact.node)).then_some(contact)
         })
     }
 
     /// Draws whether a member whose view differs is asked for its own: one of the own domain always.
     pub(super) fn should_sync_with(&self, node: &NodeId, rng: &mut impl Rng) -> bool {
-        let is_near = self.own_domain.iter().any(|contact| contact.node == *node);
-        is_near
+        let is_in_own_domain = self.own_domain.iter().any(|contact| contact.node == *node);
+        is_in_own_domain
             || self
                 .domain_peers()
                 .draw_cross_domain(CROSS_DOMAIN_COPIES, rng)
@@ -115,21 +115,21 @@
         &self,
         count: usize,
         rng: &mut R,
-        draw_one: impl for<'a> Fn(&'a Self, &mut R) -> Option<&'a MemberContact>,
+        sample_one: impl for<'a> Fn(&'a Self, &mut R) -> Option<&'a MemberContact>,
     ) -> SmallVec<[SocketAddr; 4]> {
-        let mut drawn = SmallVec::new();
+        let mut sampled = SmallVec::new();
         for _ in 0..count * SAMPLES_PER_CONTACT {
-            if drawn.len() == count {
+            if sampled.len() == count {
                 break;
             }
-            let Some(contact) = draw_one(self, rng) else {
+            let Some(contact) = sample_one(self, rng) else {
                 continue;
             };
-            if !drawn.contains(&contact.address) {
-                drawn.push(contact.address);
+            if !sampled.contains(&contact.address) {
+                sampled.push(contact.address);
             }
         }
-        drawn
+        sampled
     }
 
     fn domain_peers(&self) -> DomainPeers {
--- a/alderhaven-policy/src/membership/dissemination.rs
+++ b/alderhaven-policy/src/membership/dissemination.rs
@@ -75,25 +75,29 @@
         &mut self,
         to: SocketAddr,
         body: GossipBody,
-        told: Option<MemberUpdate>,
+        required_update: Option<MemberUpdate>,
     ) -> OutgoingMessage {
         let retransmissions = MembershipOptions::retransmissions(self.live_member_count());
-        let mut left = self
+        let mut bytes_left = self
             .options
             .max_message_bytes
             .saturating_sub(ENVELOPE_BYTES);
-        left = left.saturating_sub(told.as_ref().map_or(0, MemberUpdate::size_bound));
-        let mut updates: Vec<MemberUpdate> = told.into_iter().collect();
-        let news = if self.is_cross_domain_probe(to, &body) {
+        bytes_left =
+            bytes_left.saturating_sub(required_update.as_ref().map_or(0, MemberUpdate::size_bound));
+        let mut updates: Vec<MemberUpdate> = required_update.into_iter().collect();
+        let queued_updates = if self.is_cross_domain_probe(to, &body) {
             Vec::new()
         } else {
-            self.queue.take(left, retransmissions)
+            self.queue.take(bytes_left, retransmissions)
         };
-        left -= news.iter().map(MemberUpdate::size_bound).sum::<usize>();
-        updates.extend(news);
+        bytes_left -= queued_updates
+            .iter()
+            .map(MemberUpdate::size_bound)
+            .sum::<usize>();
+        updates.extend(queued_updates);
         let reports = self
             .config_reports
-            .take_groups(left, retransmissions * REPORT_RETRANSMIT_FACTOR);
+            .take_groups(bytes_left, retransmissions * REPORT_RETRANSMIT_FACTOR);
         let message = GossipMessage {
             sender: self.sender_header(),
             body,
--- a/alderhaven-policy/src/membership/group_membership.rs
+++ b/alderhaven-policy/src/membership/group_membership.rs
@@ -344,7 +344,7 @@
             node: record.node.clone(),
             address: record.gossip_address,
         };
-        let is_near = record.domain == self.record.domain;
-        self.contacts.add(contact, is_near);
+        let is_in_own_domain = record.domain == self.record.domain;
+        self.contacts.add(contact, is_in_own_domain);
     }
 }
--- a/alderhaven-policy/src/membership/maintenance.rs
+++ b/alderhaven-policy/src/membership/maintenance.rs
@@ -44,27 +44,27 @@
         now: TimePoint,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        let suspicion = self.options.suspicion_timeout(self.live_member_count());
-        let mut lapsed = Vec::new();
-        let mut asked = Vec::new();
-        for (node, asks) in &mut self.suspects {
+        let timeout = self.options.suspicion_timeout(self.live_member_count());
+        let mut expired = Vec::new();
+        let mut to_ping = Vec::new();
+        for (node, ping_count) in &mut self.suspects {
             let Some(member) = self.members.get(node) else {
                 continue;
             };
-            let lasted = now.since(member.machine.since().max(self.resumed_at));
-            if lasted >= suspicion {
-                lapsed.push(node.clone());
-            } else if lasted
-                >= suspicion.mul_f64(f64::from(*asks + 1) / f64::from(PINGS_PER_SUSPICION + 1))
+            let elapsed = now.since(member.machine.since().max(self.resumed_at));
+            if elapsed >= timeout {
+                expired.push(node.clone());
+            } else if elapsed
+                >= timeout.mul_f64(f64::from(*ping_count + 1) / f64::from(PINGS_PER_SUSPICION + 1))
             {
-                *asks += 1;
-                asked.push((node.clone(), member.record.gossip_address));
+                *ping_count += 1;
+                to_ping.push((node.clone(), member.record.gossip_address));
             }
         }
-        for (node, address) in asked {
+        for (node, address) in to_ping {
             outgoing.push(self.ping(address, &node));
         }
-        for node in lapsed {
+        for node in expired {
             self.apply_event(&node, MemberEvent::SuspicionExpired { now }, now);
         }
     }
@@ -96,14 +96,15 @@
             return;
         }
         self.next_reconnect_at = now + jittered(self.options.reconnect_period, rng);
-        let lost: Vec<(SocketAddr, Option<NodeId>)> = self.reconnect_candidates();
-        if lost.is_empty()
-            || !rng
-                .random_bool((10.0 * lost.len() as f64 / self.live_member_count() as f64).min(1.0))
+        let candidates: Vec<(SocketAddr, Option<NodeId>)> = self.reconnect_candidates();
+        if candidates.is_empty()
+            || !rng.random_bool(
+                (10.0 * candidates.len() as f64 / self.live_member_count() as f64).min(1.0),
+            )
         {
             return;
         }
-        match &lost[rng.random_range(0..lost.len())] {
+        match &candidates[rng.random_range(0..candidates.len())] {
             (address, Some(node)) => outgoing.push(self.ping(*address, node)),
             (address, None) => self.begin_sync(*address, now, outgoing),
         }
@@ -141,14 +142,14 @@
         }
         self.forgot_at = now;
         let forget_after = self.options.forget_after;
-        let old: Vec<NodeId> = self
+        let forgotten: Vec<NodeId> = self
             .members
             .values()
             .filter(|member| member.machine.state() == MemberState::Dead)
             .filter(|member| now.since(member.machine.since()) >= forget_after)
             .map(|member| member.record.node.clone())
             .collect();
-        for node in old {
+        for node in forgotten {
             if let Some(member) = self.members.remove(&node) {
                 self.tombstones.insert(node, member.machine.version());
             }
@@ -161,9 +162,14 @@
             };
             self.tombstones.remove(&node);
         }
-        let mut known: BTreeSet<u32> = self.members.values().map(|m| m.fingerprint).collect();
-        known.insert(self.own_fingerprint());
-        self.config_reports.retain(|member| known.contains(&member));
+        let mut known_fingerprints: BTreeSet<u32> = self
+            .members
+            .values()
+            .map(|member| member.fingerprint)
+            .collect();
+        known_fingerprints.insert(self.own_fingerprint());
+        self.config_reports
+            .retain(|fingerprint| known_fingerprints.contains(&fingerprint));
     }
 }
 
--- a/alderhaven-policy/src/membership/member_entry.rs
+++ b/alderhaven-policy/src/membership/member_entry.rs
@@ -33,10 +33,13 @@
 
 impl MemberEntry {
     pub(crate) fn new(record: MemberRecord, machine: MemberMachine, now: TimePoint) -> Self {
-        let record_start = machine.version().incarnation;
+        let record_incarnation = machine.version().incarnation;
         Self {
-            fingerprint: config_report_tracker::process_fingerprint(&record.node, record_start),
-            record_incarnation: record_start,
+            fingerprint: config_report_tracker::process_fingerprint(
+                &record.node,
+                record_incarnation,
+            ),
+            record_incarnation,
             name_hash: hashing::hash_name(record.node.as_str()),
             record: Arc::new(record),
             machine,
@@ -92,9 +95,9 @@
     is_leaving: bool,
 ) -> (usize, u64) {
     let bucket = bucket_of(name_hash);
-    let numbers = hashing::mix_hashes(version.incarnation.0, u64::from(version.refutation));
+    let version_hash = hashing::mix_hashes(version.incarnation.0, u64::from(version.refutation));
     let hash = hashing::mix_hashes(
-        hashing::mix_hashes(name_hash, numbers),
+        hashing::mix_hashes(name_hash, version_hash),
         u64::from(is_leaving),
     );
     (bucket, hash)
--- a/alderhaven-policy/src/membership/member_lifecycle.rs
+++ b/alderhaven-policy/src/membership/member_lifecycle.rs
@@ -99,16 +99,16 @@
 
     fn apply_update(
         &mut self,
-        known: MemberState,
-        heard: MemberState,
+        known_state: MemberState,
+        reported_state: MemberState,
         version: MemberVersion,
         now: TimePoint,
     ) -> Outcome<MemberPhase> {
-        if (version, heard) <= (self.version, known) {
+        if (version, reported_state) <= (self.version, known_state) {
             return Handled;
         }
         self.version = version;
-        self.enter(MemberPhase::from_state(heard), now)
+        self.enter(MemberPhase::from_state(reported_state), now)
     }
 }
 
--- a/alderhaven-policy/src/membership/probing.rs
+++ b/alderhaven-policy/src/membership/probing.rs
@@ -63,9 +63,9 @@
 
     /// Adds a member at a random place of the running round.
     pub(super) fn add(&mut self, node: NodeId, rng: &mut impl Rng) {
-        let place =
+        let index =
             rng.random_range(self.next_index.min(self.probe_order.len())..=self.probe_order.len());
-        self.probe_order.insert(place, node);
+        self.probe_order.insert(index, node);
     }
 
     pub(super) fn cancel_current(&mut self, now: TimePoint) {
@@ -90,16 +90,16 @@
         }
         self.probing
             .forwarded_probes
-            .retain(|_, relayed| relayed.expires_at > now);
+            .retain(|_, forwarded| forwarded.expires_at > now);
         // A first period of random length keeps processes that started together apart.
-        let first = self.probing.period_ends_at == TimePoint::START;
-        let period = if first {
+        let is_first_period = self.probing.period_ends_at == TimePoint::START;
+        let period = if is_first_period {
             self.options.probe_period.mul_f64(rng.random())
         } else {
             self.options.probe_period
         };
         self.probing.period_ends_at = now + period;
-        if !first && let Some(node) = self.next_probe_target(rng) {
+        if !is_first_period && let Some(node) = self.next_probe_target(rng) {
             self.begin_probe(node, now, outgoing);
         }
     }
@@ -133,12 +133,14 @@
             return;
         }
         let own_sequence = self.probing.next_sequence();
-        let relayed = ForwardedProbe {
+        let forwarded = ForwardedProbe {
             requester,
             sequence,
             expires_at: now + self.options.probe_period,
         };
-        self.probing.forwarded_probes.insert(own_sequence, relayed);
+        self.probing
+            .forwarded_probes
+            .insert(own_sequence, forwarded);
         outgoing.push(self.ping_with(own_sequence, address, target));
     }
 
@@ -150,9 +152,9 @@
             .is_some_and(|probe| probe.sequence == sequence);
         if is_current {
             self.probing.current = None;
-        } else if let Some(relayed) = self.probing.forwarded_probes.remove(&sequence) {
-            let sequence = relayed.sequence;
-            outgoing.push(self.message_to(relayed.requester, GossipBody::Ack { sequence }));
+        } else if let Some(forwarded) = self.probing.forwarded_probes.remove(&sequence) {
+            let sequence = forwarded.sequence;
+            outgoing.push(self.message_to(forwarded.requester, GossipBody::Ack { sequence }));
         }
     }
 
@@ -162,14 +164,14 @@
             target: node.clone(),
         };
         // A member that is suspected or believed dead is told so, and refutes it in its answer.
-        let told = self.members.get(node).filter(|member| {
+        let required_update = self.members.get(node).filter(|member| {
             matches!(
                 member.machine.state(),
                 MemberState::Suspect | MemberState::Dead
             )
         });
-        let told = told.map(|member| member.update(false));
-        self.message_with_update(address, body, told)
+        let required_update = required_update.map(|member| member.update(false));
+        self.message_with_update(address, body, required_update)
     }
 
     fn next_probe_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
@@ -177,11 +179,11 @@
         for _ in 0..2 {
             while let Some(node) = self.probing.probe_order.get(self.probing.next_index) {
                 self.probing.next_index += 1;
-                let is_probed = self
+                let is_live = self
                     .members
                     .get(node)
                     .is_some_and(|member| member.machine.state() != MemberState::Dead);
-                if is_probed {
+                if is_live {
                     return Some(node.clone());
                 }
             }
@@ -245,8 +247,12 @@
         }
         // The suspected member hears of it at once, so that it can refute it in time.
         if let Some(member) = self.members.get(node) {
-            let (address, told) = (member.record.gossip_address, member.update(false));
-            outgoing.push(self.message_with_update(address, GossipBody::Updates, Some(told)));
+            let (address, required_update) = (member.record.gossip_address, member.update(false));
+            outgoing.push(self.message_with_update(
+                address,
+                GossipBody::Updates,
+                Some(required_update),
+            ));
         }
     }
 }
--- a/alderhaven-policy/src/membership/state_sync.rs
+++ b/alderhaven-policy/src/membership/state_sync.rs
@@ -108,10 +108,10 @@
         if is_differing && self.contacts.should_sync_with(&sender.node, rng) {
             self.syncing.differing_peer = Some(from);
         }
-        let is_joining = self.syncing.current.as_ref().is_some_and(|sync| {
+        let is_awaiting_reply = self.syncing.current.as_ref().is_some_and(|sync| {
             sync.after.is_some() || now.since(sync.asked_at) < JOIN_REPLY_TIMEOUT
         });
-        if !self.syncing.is_joined && !is_joining {
+        if !self.syncing.is_joined && !is_awaiting_reply {
             self.send_sync_request(from, None, 0, now, outgoing);
         }
     }
@@ -127,45 +127,48 @@
         if buckets.len() != VIEW_BUCKETS {
             return;
         }
-        let mut left = self
+        let mut bytes_left = self
             .options
             .max_message_bytes
             .saturating_sub(ENVELOPE_BYTES + RESERVED_REPORT_BYTES);
         let mut updates: Vec<MemberUpdate> = Vec::new();
         let mut fingerprints = Vec::new();
-        let mut next = None;
+        let mut continue_after = None;
         if after.is_none() {
             // The answering member itself is part of the first chunk.
             let own = self.own_update(true);
-            left = left.saturating_sub(own.size_bound());
+            bytes_left = bytes_left.saturating_sub(own.size_bound());
             updates.push(own);
             fingerprints.push(self.own_fingerprint());
         }
-        let mut last: Option<NodeId> = None;
-        let start = after.map_or(Bound::Unbounded, Bound::Excluded);
-        for (node, member) in self.members.range::<NodeId, _>((start, Bound::Unbounded)) {
+        let mut last_node: Option<NodeId> = None;
+        let lower_bound = after.map_or(Bound::Unbounded, Bound::Excluded);
+        for (node, member) in self
+            .members
+            .range::<NodeId, _>((lower_bound, Bound::Unbounded))
+        {
             let bucket = member.bucket();
             if self.buckets[bucket] == buckets[bucket] {
                 continue;
             }
             let update = member.update(true);
-            let Some(rest) = left.checked_sub(update.size_bound()) else {
-                next = last;
+            let Some(remaining_bytes) = bytes_left.checked_sub(update.size_bound()) else {
+                continue_after = last_node;
                 break;
             };
-            left = rest;
+            bytes_left = remaining_bytes;
             updates.push(update);
             fingerprints.push(member.fingerprint);
-            last = Some(node.clone());
+            last_node = Some(node.clone());
         }
         let reports = self
             .config_reports
-            .groups_of(&fingerprints, left + RESERVED_REPORT_BYTES);
+            .groups_of(&fingerprints, bytes_left + RESERVED_REPORT_BYTES);
         let message = GossipMessage {
             sender: self.sender_header(),
             body: GossipBody::SyncReply {
                 sequence,
-                continue_after: next,
+                continue_after,
             },
             updates,
             reports,
@@ -176,7 +179,7 @@
     pub(super) fn handle_sync_reply(
         &mut self,
         sequence: u32,
-        next: Option<NodeId>,
+        continue_after: Option<NodeId>,
         now: TimePoint,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
@@ -187,8 +190,8 @@
         else {
             return;
         };
-        if next.is_some() {
-            self.send_sync_request(sync.peer, next, 0, now, outgoing);
+        if continue_after.is_some() {
+            self.send_sync_request(sync.peer, continue_after, 0, now, outgoing);
         } else {
             self.syncing.is_joined = true;
             self.syncing.differing_peer = None;
@@ -196,13 +199,13 @@
     }
 
     fn join(&mut self, now: TimePoint, rng: &mut impl Rng, outgoing: &mut Vec<OutgoingMessage>) {
-        let own = self.record.gossip_address;
+        let own_address = self.record.gossip_address;
         let seeds: SmallVec<[SocketAddr; 8]> = self
             .options
             .seeds
             .iter()
             .copied()
-            .filter(|seed| *seed != own)
+            .filter(|seed| *seed != own_address)
             .collect();
         if seeds.is_empty() {
             self.syncing.is_joined = true;
--- a/alderhaven-policy/src/membership/store_answer.rs
+++ b/alderhaven-policy/src/membership/store_answer.rs
@@ -36,31 +36,34 @@
 
     /// Takes another member's word. One that came back to its origin says nothing new: a process that
     /// alone reaches the store must not take the echo of its own word for another watcher.
-    pub fn record_other(&mut self, sighting: StoreAnswer, own: u32, now: TimePoint) {
-        if sighting.origin == own {
+    pub fn record_other(&mut self, answer: StoreAnswer, own_fingerprint: u32, now: TimePoint) {
+        if answer.origin == own_fingerprint {
             return;
         }
-        let age = sighting.age + MAX_HOP_DELAY;
+        let age = answer.age + MAX_HOP_DELAY;
         if age <= now.since(TimePoint::START) {
-            let seen = (now - age, sighting.origin);
-            self.other_answer = self.other_answer.max(Some(seen));
+            let reported_answer = (now - age, answer.origin);
+            self.other_answer = self.other_answer.max(Some(reported_answer));
         }
     }
 
     /// Gets when the store last answered another member.
     #[must_use]
     pub fn other_answered_at(&self) -> Option<TimePoint> {
-        self.other_answer.map(|(seen_at, _)| seen_at)
+        self.other_answer.map(|(answered_at, _)| answered_at)
     }
 
     /// Gets the latest word for a message's header; `own` is the number of this process.
     #[must_use]
-    pub fn latest_answer(&self, own: u32, now: TimePoint) -> Option<StoreAnswer> {
-        let own = self.own_answered_at.map(|seen_at| (seen_at, own));
-        own.max(self.other_answer)
-            .map(|(seen_at, origin)| StoreAnswer {
+    pub fn latest_answer(&self, own_fingerprint: u32, now: TimePoint) -> Option<StoreAnswer> {
+        let own_answer = self
+            .own_answered_at
+            .map(|answered_at| (answered_at, own_fingerprint));
+        own_answer
+            .max(self.other_answer)
+            .map(|(answered_at, origin)| StoreAnswer {
                 origin,
-                age: now.since(seen_at),
+                age: now.since(answered_at),
             })
     }
 }
--- a/alderhaven-policy/src/membership/update_handling.rs
+++ b/alderhaven-policy/src/membership/update_handling.rs
@@ -88,9 +88,9 @@
             } => self.handle_sync_request(from, *sequence, after.as_ref(), buckets, outgoing),
             GossipBody::SyncReply {
                 sequence,
-                continue_after: next,
+                continue_after,
             } => {
-                self.handle_sync_reply(*sequence, next.clone(), now, outgoing);
+                self.handle_sync_reply(*sequence, continue_after.clone(), now, outgoing);
             }
         }
     }
@@ -108,9 +108,9 @@
             return;
         }
         self.compare_views(from, sender, now, rng, outgoing);
-        if let Some(sighting) = sender.store_answer {
+        if let Some(answer) = sender.store_answer {
             self.store_answers
-                .record_other(sighting, self.own_fingerprint(), now);
+                .record_other(answer, self.own_fingerprint(), now);
         }
         let Some(member) = self.members.get_mut(&sender.node) else {
             return;
@@ -142,13 +142,13 @@
         self.apply_event(&sender.node, event, now);
         // Guards against a frozen process that wakes and does not know that it was declared dead:
         // it would go on serving while nobody sends it work. Whoever it speaks to tells it.
-        let told = self.members.get(&sender.node).filter(|member| {
+        let unhealthy_member = self.members.get(&sender.node).filter(|member| {
             matches!(
                 member.machine.state(),
                 MemberState::Suspect | MemberState::Dead
             )
         });
-        if let Some(update) = told.map(|member| member.update(false)) {
+        if let Some(update) = unhealthy_member.map(|member| member.update(false)) {
             outgoing.push(self.message_with_update(from, GossipBody::Updates, Some(update)));
         }
     }
@@ -169,16 +169,16 @@
             self.add_member(update, source, now, rng);
             return;
         };
-        let known = member.machine.version();
+        let known_version = member.machine.version();
         let is_restart = update.version.incarnation > member.record_incarnation;
         if is_restart && update.record.is_none() && update.state != MemberState::Dead {
             // The old record may name old addresses; the new one comes with its own news or with
             // the next comparison of views.
             return;
         }
-        let is_ill = matches!(update.state, MemberState::Suspect | MemberState::Dead);
-        let is_newer = (update.version, update.state) > (known, member.machine.state());
-        if source == UpdateSource::StateSync && is_ill && is_newer {
+        let is_unhealthy = matches!(update.state, MemberState::Suspect | MemberState::Dead);
+        let is_newer = (update.version, update.state) > (known_version, member.machine.state());
+        if source == UpdateSource::StateSync && is_unhealthy && is_newer {
             // Guards against a split that heals: each side holds the other's members dead, and
             // taking that over in bulk would make each side doubt itself. Only the member meant is
             // told; it refutes, or probes will find it dead.
@@ -225,9 +225,9 @@
         now: TimePoint,
         rng: &mut impl Rng,
     ) {
-        let grave = self.tombstones.get(&update.node);
-        let is_buried = grave.is_some_and(|version| *version >= update.version);
-        let Some(record) = update.record.filter(|_| !is_buried) else {
+        let tombstone = self.tombstones.get(&update.node);
+        let is_outdated = tombstone.is_some_and(|version| *version >= update.version);
+        let Some(record) = update.record.filter(|_| !is_outdated) else {
             return;
         };
         if update.state == MemberState::Dead || record.node != update.node {
@@ -253,15 +253,15 @@
 
     /// Refutes news of this process that is newer than what it says itself.
     fn handle_update_about_self(&mut self, update: &MemberUpdate, now: TimePoint) {
-        let own = (self.version, self.own_state);
-        if self.is_superseded || (update.version, update.state) <= own {
+        let own_status = (self.version, self.own_state);
+        if self.is_superseded || (update.version, update.state) <= own_status {
             return;
         }
-        let is_moved = update
+        let has_other_record = update
             .record
             .as_ref()
             .is_some_and(|record| *record != self.record);
-        if is_moved && update.version.incarnation > self.version.incarnation {
+        if has_other_record && update.version.incarnation > self.version.incarnation {
             self.is_superseded = true;
             self.note_change(now);
             return;
--- a/alderhaven-policy/src/membership/update_queue.rs
+++ b/alderhaven-policy/src/membership/update_queue.rs
@@ -51,14 +51,14 @@
         if self.updates.is_empty() {
             return Vec::new();
         }
-        let mut waiting: Vec<&mut QueuedUpdate> = self.updates.values_mut().collect();
-        waiting.sort_by_key(|queued| queued.send_count);
-        let mut left = bytes;
+        let mut send_order: Vec<&mut QueuedUpdate> = self.updates.values_mut().collect();
+        send_order.sort_by_key(|queued| queued.send_count);
+        let mut bytes_left = bytes;
         let mut taken = Vec::new();
-        for queued in waiting {
+        for queued in send_order {
             let size = queued.update.size_bound();
-            if size <= left {
-                left -= size;
+            if size <= bytes_left {
+                bytes_left -= size;
                 queued.send_count += 1;
                 taken.push(queued.update.clone());
             }
--- a/alderhaven-policy/tests/exchange/domains.rs
+++ b/alderhaven-policy/tests/exchange/domains.rs
@@ -33,13 +33,14 @@
 /// peer drawn from all alike, so that five of six copies crossed between the domains and filled their
 /// links.
 #[test]
-fn announce_brings_few_copies_into_a_domain() {
+fn announce_sends_few_copies_into_a_domain() {
     for seed in 40..45 {
         let mut network = settled(seed);
         let body = "x".repeat(10_000);
         assert!(network.store.write(&key(0), StoreVersion(1), Some(&body)));
-        let taken = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
-        assert!(taken.is_some(), "seed {seed}");
+        let convergence_time =
+            network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
+        assert!(convergence_time.is_some(), "seed {seed}");
         let copies = network.cross_domain_bytes / body.len();
         assert!(
             copies <= DOMAIN_COUNT * MAX_COPIES_PER_DOMAIN,
@@ -51,7 +52,7 @@
 /// The nodes that watch the store stop right after they have announced a change, and a tenth of all
 /// messages is lost. Whoever has heard of it passes it into every domain.
 #[test]
-fn announce_survives_the_loss_of_its_first_carriers() {
+fn announce_survives_the_loss_of_the_watchers() {
     for seed in 50..55 {
         let mut network = settled(seed);
         network.loss = 0.1;
@@ -66,18 +67,18 @@
         for node in &mut network.nodes[..watchers] {
             node.is_paused = true;
         }
-        let taken = network.run_until(LOSSY_CONVERGENCE_BOUND, |network| {
+        let convergence_time = network.run_until(LOSSY_CONVERGENCE_BOUND, |network| {
             let mut running = network.nodes.iter().filter(|node| !node.is_paused);
             running.all(|node| node.registry.objects().eq(network.store.newest.values()))
         });
-        assert!(taken.is_some(), "seed {seed}");
+        assert!(convergence_time.is_some(), "seed {seed}");
     }
 }
 
 /// One failure domain is cut off while a change comes, and is back later. Its nodes find the change by
 /// the digests that they hear from beyond, though each of them asks beyond only now and then.
 #[test]
-fn hear_digest_brings_a_change_into_a_domain_that_was_cut_off() {
+fn handle_digest_updates_a_domain_that_was_isolated() {
     for seed in 60..65 {
         let mut network = settled(seed);
         for index in (0..NODE_COUNT).filter(|index| index % DOMAIN_COUNT == 3) {
@@ -92,15 +93,16 @@
         for node in &mut network.nodes {
             node.side = 0;
         }
-        let taken = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
-        assert!(taken.is_some(), "seed {seed}");
+        let convergence_time =
+            network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
+        assert!(convergence_time.is_some(), "seed {seed}");
     }
 }
 
 /// All nodes of a domain restart at once and know nothing. They take what they need from each other
 /// once one of them has it, rather than each from another domain.
 #[test]
-fn tick_fills_a_restarted_domain_from_within() {
+fn tick_restores_a_restarted_domain_mostly_from_within() {
     for seed in 70..75 {
         let mut network = settled(seed);
         let body = "x".repeat(10_000);
@@ -111,8 +113,9 @@
         for index in (0..NODE_COUNT).filter(|index| index % DOMAIN_COUNT == 4) {
             network.restart(index);
         }
-        let taken = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
-        assert!(taken.is_some(), "seed {seed}");
+        let convergence_time =
+            network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
+        assert!(convergence_time.is_some(), "seed {seed}");
         let copies = network.cross_domain_bytes / body.len();
         assert!(copies <= MAX_COPIES_PER_DOMAIN, "{copies}, seed {seed}");
     }
--- a/alderhaven-policy/tests/exchange/failures.rs
+++ b/alderhaven-policy/tests/exchange/failures.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn tick_puts_a_change_in_force_everywhere() {
+fn tick_propagates_a_change_to_all_nodes() {
     for seed in 0..5 {
         let mut network = settled_network(100, 20, seed);
         let version = network.store.version(&key(3));
@@ -39,16 +39,17 @@
         network.run_until(TimeSpan::from_millis(250), |_| false);
         let reached = (0..100).filter(|node| network.held_version(*node, &key(3)) == Some(newest));
         assert!(reached.count() >= 80);
-        let in_force = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
+        let propagation_time =
+            network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
         assert!(
-            in_force.is_some_and(|span| span <= TimeSpan::from_secs(2)),
-            "{in_force:?}"
+            propagation_time.is_some_and(|span| span <= TimeSpan::from_secs(2)),
+            "{propagation_time:?}"
         );
     }
 }
 
 #[test]
-fn tick_spreads_a_deletion() {
+fn tick_propagates_a_deletion() {
     // An object is deleted. A node that still holds it must not bring it back to the others.
     let mut network = settled_network(12, 3, 1);
     network.nodes[7].is_paused = true;
@@ -74,35 +75,35 @@
     let mut network = settled_network(6, 700, 2);
     network.store.is_down = true;
     network.restart(4);
-    let complete = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
+    let completion_time = network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
     assert!(
-        complete.is_some_and(|span| span <= TimeSpan::from_millis(500)),
-        "{complete:?}"
+        completion_time.is_some_and(|span| span <= TimeSpan::from_millis(500)),
+        "{completion_time:?}"
     );
 }
 
 #[test]
-fn tick_completes_a_node_over_a_bad_path() {
+fn tick_completes_a_node_over_a_lossy_network() {
     // As before, but messages are late and some are lost.
     let mut network = settled_network(6, 700, 2);
     network.store.is_down = true;
     network.max_delay = TimeSpan::from_millis(200);
     network.loss = 0.2;
     network.restart(4);
-    let complete = network.run_until(TimeSpan::from_secs(60), |network| {
+    let completion_time = network.run_until(TimeSpan::from_secs(60), |network| {
         let node = &network.nodes[4];
         let held = node.registry.objects().count();
         assert!(
             !node.exchange.is_complete() || held == 700,
-            "complete with {held}"
+            "complete with {held} of 700 objects"
         );
         node.exchange.is_complete()
     });
-    assert!(complete.is_some());
+    assert!(completion_time.is_some());
 }
 
 #[test]
-fn tick_completes_no_node_from_a_new_one() {
+fn tick_completes_no_node_from_incomplete_peers() {
     // The store is down and every node but one, which is frozen, restarts. The new ones find only
     // each other; if they took the other's emptiness for the whole, they would refuse everything
     // as unknown. They complete once the frozen one wakes.
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn accept_takes_no_replay() {
+fn accept_ignores_replayed_versions() {
     // A watch is resumed too far back and tells old versions again.
     let mut network = settled_network(3, 1, 4);
     for _ in 0..5 {
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn tick_asks_elsewhere_for_what_a_lost_peer_announced() {
+fn tick_fetches_from_another_peer_when_the_announcer_is_lost() {
     // A peer announces a new version and dies before it is asked for it. The node must get it from
     // another one, rather than wait for the lost one for good.
     let mut rng = StdRng::seed_from_u64(5);
@@ -157,15 +158,15 @@
     let announcement = ExchangeMessage::Announce { stamps, hops: 1 };
     let peers = PeerSet::new(vec![other.clone()], Vec::new());
     let start = TimePoint::from_micros(1_000_000);
-    let step = exchange.receive(&lost, announcement, |_| None, &peers, start, &mut rng);
+    let output = exchange.receive(&lost, announcement, |_| None, &peers, start, &mut rng);
     let fetch = ExchangeMessage::Fetch { keys: vec![key(0)] };
-    assert_eq!(step.send, [(lost, fetch.clone())]);
-    let step = exchange.tick(&peers, start + TimeSpan::from_secs(2), &mut rng);
-    assert!(step.send.contains(&(other, fetch)));
+    assert_eq!(output.send, [(lost, fetch.clone())]);
+    let output = exchange.tick(&peers, start + TimeSpan::from_secs(2), &mut rng);
+    assert!(output.send.contains(&(other, fetch)));
 }
 
 #[test]
-fn receive_asks_for_the_rest_of_a_full_message() {
+fn receive_requests_objects_left_out_of_a_full_message() {
     // Two manifests are too large for one message. The second must be asked for at once, not when
     // a time-out has passed.
     let mut rng = StdRng::seed_from_u64(6);
@@ -187,14 +188,14 @@
             body: None,
         }],
     };
-    let mut step = ExchangeOutput::default();
+    let mut output = ExchangeOutput::default();
     for message in [announcement, objects] {
         let now = TimePoint::from_micros(1_000_000);
-        step = exchange.receive(&peer, message, |_| None, &PeerSet::default(), now, &mut rng);
+        output = exchange.receive(&peer, message, |_| None, &PeerSet::default(), now, &mut rng);
     }
-    assert_eq!(step.accept.len(), 1);
+    assert_eq!(output.accept.len(), 1);
     assert_eq!(
-        step.send,
+        output.send,
         [(peer, ExchangeMessage::Fetch { keys: vec![key(1)] })]
     );
 }
--- a/alderhaven-policy/tests/exchange/fuzz.rs
+++ b/alderhaven-policy/tests/exchange/fuzz.rs
@@ -127,7 +127,7 @@
     })]
 
     #[test]
-    fn exchange_agrees_and_never_reverts(
+    fn exchange_converges_and_never_reverts(
         seed in any::<u64>(),
         actions in proptest::collection::vec(action(), 1..40),
     ) {
@@ -136,8 +136,8 @@
         for action in &actions {
             oracle.apply(&mut network, action);
         }
-        for calm in [Action::Split(0), Action::Loss(0), Action::Outage(false)] {
-            oracle.apply(&mut network, &calm);
+        for recovery in [Action::Split(0), Action::Loss(0), Action::Outage(false)] {
+            oracle.apply(&mut network, &recovery);
         }
         for node in &mut network.nodes {
             node.is_paused = false;
--- a/alderhaven-policy/tests/exchange/network.rs
+++ b/alderhaven-policy/tests/exchange/network.rs
@@ -99,7 +99,7 @@
     let others = (0..count).filter(|other| *other != index);
     let is_near = |other: &usize| other % domains == index % domains;
     let (near, far): (Vec<usize>, Vec<usize>) = others.partition(is_near);
-    let ids = |places: Vec<usize>| places.into_iter().map(node_id).collect();
+    let ids = |indexes: Vec<usize>| indexes.into_iter().map(node_id).collect();
     PeerSet::new(ids(near), ids(far))
 }
 
@@ -215,15 +215,15 @@
         for object in objects {
             node.registry.accept(object);
         }
-        let step = node.exchange.announce_held(stamps, &peers, &mut self.rng);
-        self.carry_out(index, step);
+        let output = node.exchange.announce_held(stamps, &peers, &mut self.rng);
+        self.carry_out(index, output);
     }
 
-    fn carry_out(&mut self, index: usize, step: ExchangeOutput) {
-        for object in step.accept {
+    fn carry_out(&mut self, index: usize, output: ExchangeOutput) {
+        for object in output.accept {
             self.nodes[index].registry.accept(object);
         }
-        for (to, message) in step.send {
+        for (to, message) in output.send {
             let to = index_of(&to);
             let is_cut = self.nodes[index].side != self.nodes[to].side;
             if is_cut || self.rng.random_bool(self.loss) {
@@ -280,10 +280,10 @@
             }
         }
         let peers = self.peers(index);
-        let step = self.nodes[index]
+        let output = self.nodes[index]
             .exchange
             .tick(&peers, self.now, &mut self.rng);
-        self.carry_out(index, step);
+        self.carry_out(index, output);
     }
 
     fn deliver(&mut self, from: usize, to: usize, message: ExchangeMessage) {
@@ -294,7 +294,7 @@
         let node = &mut self.nodes[to];
         let registry = &node.registry;
         let look_up = |key: &ObjectKey| registry.object(key).cloned();
-        let step = node.exchange.receive(
+        let output = node.exchange.receive(
             &node_id(from),
             message,
             look_up,
@@ -302,6 +302,6 @@
             self.now,
             &mut self.rng,
         );
-        self.carry_out(to, step);
+        self.carry_out(to, output);
     }
 }
--- a/alderhaven-policy/tests/membership/domains.rs
+++ b/alderhaven-policy/tests/membership/domains.rs
@@ -21,13 +21,14 @@
 /// A process restarts every minute or two, and all others hear of it. Each of them told a dozen others
 /// drawn from all domains alike, so that nearly all that crossed between the domains was known there.
 #[test]
-fn gossip_crosses_between_domains_in_few_copies() {
+fn gossip_sends_few_updates_across_domains() {
     for seed in 80..85 {
         let mut network = settled(seed);
         network.crash(7);
         network.restart(7);
-        let known = network.run_until(TimeSpan::from_secs(3), GossipNetwork::all_views_correct);
-        assert!(known.is_some(), "seed {seed}");
+        let propagation_time =
+            network.run_until(TimeSpan::from_secs(3), GossipNetwork::all_views_correct);
+        assert!(propagation_time.is_some(), "seed {seed}");
         network.run(TimeSpan::from_secs(3));
         // Drawn from all alike, five of six tellings cross: some 800.
         assert!(
@@ -45,30 +46,31 @@
     for seed in 90..95 {
         let mut network = settled(seed);
         network.leave(11);
-        let known = network.run_until(TimeSpan::from_millis(800), |network| {
+        let propagation_time = network.run_until(TimeSpan::from_millis(800), |network| {
             network.all_observe(11, &[Some(MemberState::Leaving)])
         });
-        assert!(known.is_some(), "seed {seed}");
+        assert!(propagation_time.is_some(), "seed {seed}");
     }
 }
 
 /// A whole failure domain is cut off for a while and restarts meanwhile. Once it is back, all know all.
 #[test]
-fn receive_agrees_after_a_domain_was_cut_off_and_restarted() {
+fn receive_converges_after_a_domain_was_isolated_and_restarted() {
     for seed in 100..103 {
         let mut network = settled(seed);
-        let cut: Vec<usize> = (0..MEMBER_COUNT)
+        let isolated: Vec<usize> = (0..MEMBER_COUNT)
             .filter(|index| index % DOMAIN_COUNT == 2)
             .collect();
-        for index in &cut {
+        for index in &isolated {
             network.nodes[*index].side = 1;
         }
         network.run(TimeSpan::from_secs(10));
-        for index in &cut {
+        for index in &isolated {
             network.restart(*index);
             network.nodes[*index].side = 0;
         }
-        let known = network.run_until(TimeSpan::from_secs(15), GossipNetwork::all_views_correct);
-        assert!(known.is_some(), "seed {seed}");
+        let propagation_time =
+            network.run_until(TimeSpan::from_secs(15), GossipNetwork::all_views_correct);
+        assert!(propagation_time.is_some(), "seed {seed}");
     }
 }
--- a/alderhaven-policy/tests/membership/failures.rs
+++ b/alderhaven-policy/tests/membership/failures.rs
@@ -21,33 +21,33 @@
 }
 
 #[test]
-fn tick_joins_all() {
+fn tick_joins_all_processes() {
     for count in [1, 2, 8, 64] {
         let network = settled(count, 1);
-        let views: Vec<u64> = (0..count)
+        let view_hashes: Vec<u64> = (0..count)
             .filter_map(|index| network.nodes[index].membership.as_ref())
             .map(GroupMembership::view_hash)
             .collect();
         assert!(
-            views.iter().all(|view| *view == views[0]),
+            view_hashes.iter().all(|view| *view == view_hashes[0]),
             "equal views have equal hashes"
         );
     }
 }
 
 #[test]
-fn tick_tells_of_a_dead_member() {
+fn tick_propagates_a_death_within_bound() {
     // A host dies without a word. Callers see timeouts for as long as it is handed out; the bound
     // is 5 s until the last process knows.
     for seed in 0..10 {
         let mut network = settled(64, seed);
         network.crash(9);
-        let known = network.run_until(TimeSpan::from_secs(10), |network| {
+        let propagation_time = network.run_until(TimeSpan::from_secs(10), |network| {
             network.all_observe(9, &[Some(Dead)])
         });
         assert!(
-            known.is_some_and(|span| span <= TimeSpan::from_secs(5)),
-            "seed {seed}: {known:?}"
+            propagation_time.is_some_and(|span| span <= TimeSpan::from_secs(5)),
+            "seed {seed}: {propagation_time:?}"
         );
     }
 }
@@ -70,18 +70,18 @@
         }
         network.run(TimeSpan::from_millis(300));
         network.leave(5);
-        let known = network.run_until(TimeSpan::from_secs(5), |network| {
+        let propagation_time = network.run_until(TimeSpan::from_secs(5), |network| {
             network.all_observe(5, &[Some(Leaving)])
         });
         assert!(
-            known.is_some_and(|span| span <= TimeSpan::from_secs(1)),
-            "seed {seed}: {known:?}"
+            propagation_time.is_some_and(|span| span <= TimeSpan::from_secs(1)),
+            "seed {seed}: {propagation_time:?}"
         );
     }
 }
 
 #[test]
-fn receive_wakes_a_paused_process() {
+fn receive_makes_a_resumed_process_refute_its_death() {
     // A host freezes for 20 s and is declared dead; what was sent to it meanwhile is lost. Its
     // process wakes and believes that nothing happened. It must hear of its death and come back
     // under a newer version.
@@ -93,17 +93,18 @@
         assert_eq!(network.observed_state(observer, 4), Some(Dead));
     }
     network.nodes[4].is_paused = false;
-    let back = network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
+    let recovery_time =
+        network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
     assert!(
-        back.is_some_and(|span| span <= TimeSpan::from_secs(1)),
-        "{back:?}"
+        recovery_time.is_some_and(|span| span <= TimeSpan::from_secs(1)),
+        "{recovery_time:?}"
     );
-    let woken = network.nodes[4].membership.as_ref().expect("it runs");
-    assert!(woken.version().refutation > 0);
+    let resumed = network.nodes[4].membership.as_ref().expect("it runs");
+    assert!(resumed.version().refutation > 0);
 }
 
 #[test]
-fn tick_blames_nobody_after_a_pause() {
+fn tick_suspects_nobody_after_own_pause() {
     // A host freezes with a probe in flight and a suspicion running. When it wakes, the answers
     // wait unread in its socket, and by its clock everything has long lapsed: without care it
     // would declare others dead for its own pause.
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn tick_suspects_nobody_for_one_lost_path() {
+fn tick_suspects_nobody_for_one_failed_link() {
     // A switch loses track of the path between two hosts. All others reach both: neither may be
     // doubted, least of all by everyone.
     let mut network = settled(8, 9);
@@ -149,15 +150,18 @@
 }
 
 /// Runs until all believe the truth; nobody may at any time give up a member of its own side.
-fn run_until_healed(network: &mut GossipNetwork, given_up: &[MemberState]) -> Option<TimeSpan> {
+fn run_until_healed(
+    network: &mut GossipNetwork,
+    forbidden_states: &[MemberState],
+) -> Option<TimeSpan> {
     let half = network.nodes.len() / 2;
     network.run_until(TimeSpan::from_secs(60), |network| {
         for observer in 0..2 * half {
             let own_side = observer / half * half;
             for member in own_side..own_side + half {
                 let believed = network.observed_state(observer, member);
-                let is_given_up = believed.is_some_and(|state| given_up.contains(&state));
-                assert!(!is_given_up, "{observer} gives up {member}: {believed:?}");
+                let is_forbidden = believed.is_some_and(|state| forbidden_states.contains(&state));
+                assert!(!is_forbidden, "{observer} gives up {member}: {believed:?}");
             }
         }
         network.all_views_correct()
@@ -173,36 +177,37 @@
     split_in_halves(&mut network, TimeSpan::from_secs(120));
     assert_eq!(network.observed_state(0, 8), Some(Dead));
     assert_eq!(network.observed_state(8, 0), Some(Dead));
-    let healed = run_until_healed(&mut network, &[Suspect, Dead]);
+    let healing_time = run_until_healed(&mut network, &[Suspect, Dead]);
     assert!(
-        healed.is_some_and(|span| span <= TimeSpan::from_secs(20)),
-        "{healed:?}"
+        healing_time.is_some_and(|span| span <= TimeSpan::from_secs(20)),
+        "{healing_time:?}"
     );
 }
 
 #[test]
-fn receive_doubts_deaths_after_a_short_split() {
+fn receive_treats_reported_deaths_as_suspicions_after_a_short_split() {
     // Two regions lose each other for seconds. The news of deaths on the other side still goes
     // around when the path comes back, and then reaches those who know the dead to be well.
     for seed in 0..20 {
         let mut network = settled(16, seed);
         split_in_halves(&mut network, TimeSpan::from_millis(2_500 + seed * 100));
-        let healed = run_until_healed(&mut network, &[Dead]);
+        let healing_time = run_until_healed(&mut network, &[Dead]);
         assert!(
-            healed.is_some_and(|span| span <= TimeSpan::from_secs(20)),
-            "{healed:?}"
+            healing_time.is_some_and(|span| span <= TimeSpan::from_secs(20)),
+            "{healing_time:?}"
         );
     }
 }
 
 #[test]
-fn receive_takes_a_restart() {
+fn receive_accepts_a_restarted_process() {
     // A process is killed and starts again at once with nothing kept, before anyone noticed.
     let mut network = settled(8, 5);
     network.crash(2);
     network.restart(2);
-    let back = network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
-    assert!(back.is_some());
+    let recovery_time =
+        network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
+    assert!(recovery_time.is_some());
     let version = network.nodes[2]
         .membership
         .as_ref()
@@ -229,24 +234,26 @@
     network.run(TimeSpan::from_secs(10));
     network.restart(3);
     network.restart(5);
-    let back = network.run_until(TimeSpan::from_secs(20), GossipNetwork::all_views_correct);
-    assert!(back.is_some(), "they are not found");
+    let recovery_time =
+        network.run_until(TimeSpan::from_secs(20), GossipNetwork::all_views_correct);
+    assert!(recovery_time.is_some(), "they are not found");
 }
 
 #[test]
-fn receive_raises_a_start_number_from_a_wrong_clock() {
+fn receive_raises_an_outdated_incarnation() {
     // A host comes back with a clock that is behind: its start number is lower than that of its
     // earlier run, so everyone would ignore it for good.
     let mut network = settled(8, 6);
     network.crash(3);
     network.run(TimeSpan::from_secs(10));
     network.restart_with_incarnation(3, 1);
-    let back = network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
-    assert!(back.is_some(), "the others still hold it dead");
+    let recovery_time =
+        network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
+    assert!(recovery_time.is_some(), "the others still hold it dead");
 }
 
 #[test]
-fn forget_keeps_the_dead_dead() {
+fn forget_dead_members_keeps_rejecting_old_updates() {
     // A member dies and is forgotten after a while. A process that was frozen all the while still
     // believes it alive and says so when it wakes: nobody may hand it out again.
     let options = MembershipOptions {
@@ -256,11 +263,11 @@
     };
     let mut network = GossipNetwork::start_with(6, 7, options);
     network.run(TimeSpan::from_secs(10));
-    let old_news = network.message_about(5, 4);
+    let outdated_message = network.message_about(5, 4);
     network.crash(4);
     network.run(TimeSpan::from_secs(90));
     assert_eq!(network.observed_state(0, 4), None, "it is forgotten");
-    network.receive(0, 5, old_news);
+    network.receive(0, 5, outdated_message);
     network.run_until(TimeSpan::from_secs(30), |network| {
         for observer in 0..4 {
             assert_eq!(
@@ -274,7 +281,7 @@
 }
 
 #[test]
-fn receive_takes_no_death_from_a_comparison() {
+fn receive_applies_no_death_from_a_state_sync() {
     // After a split, the other side answers a comparison of views with what it believes: that this
     // side is dead. Taken over in bulk, that would make this side doubt itself. Only the member
     // meant may be told, so that it refutes it.
@@ -287,13 +294,13 @@
     };
     let outgoing = network.receive(0, 3, message);
     assert_eq!(network.observed_state(0, 2), Some(Alive));
-    let told = outgoing.iter().find(|outgoing| outgoing.to == address(2));
-    let told = told.and_then(|outgoing| outgoing.message.updates.first());
-    assert_eq!(told.map(|update| update.state), Some(Dead));
+    let notification = outgoing.iter().find(|outgoing| outgoing.to == address(2));
+    let notification = notification.and_then(|outgoing| outgoing.message.updates.first());
+    assert_eq!(notification.map(|update| update.state), Some(Dead));
 }
 
 #[test]
-fn receive_survives_loss() {
+fn receive_declares_nobody_dead_under_packet_loss() {
     // A switch drops a tenth of all packets. Nobody may be declared dead for it.
     for seed in 0..10 {
         let mut network = settled(24, seed);
--- a/alderhaven-policy/tests/membership/fuzz.rs
+++ b/alderhaven-policy/tests/membership/fuzz.rs
@@ -95,7 +95,7 @@
     })]
 
     #[test]
-    fn membership_agrees_after_random_faults(
+    fn membership_converges_after_random_faults(
         seed in any::<u64>(),
         faults in proptest::collection::vec(fault(), 1..30),
     ) {
@@ -114,7 +114,7 @@
     }
 
     #[test]
-    fn membership_chooses_no_leaving_or_dead_member(
+    fn membership_offers_no_work_to_leaving_or_dead_members(
         seed in any::<u64>(),
         loss in 0_u8..10,
         leaving in 0..PROCESS_COUNT,
--- a/alderhaven-policy/tests/membership/lifecycle.rs
+++ b/alderhaven-policy/tests/membership/lifecycle.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn handle_news_of_the_same_version() {
+fn handle_update_of_the_same_version() {
     // Rows: the state before; columns: the state that is heard, in the order of `STATES`.
     let expected = [
         [Alive, Suspect, Leaving, Suspect],
@@ -56,23 +56,23 @@
         [Dead, Dead, Dead, Dead],
     ];
     for (before, row) in STATES.into_iter().zip(expected) {
-        for (heard_state, next) in STATES.into_iter().zip(row) {
-            let event = update_received(heard_state, 5);
+        for (reported_state, next) in STATES.into_iter().zip(row) {
+            let event = update_received(reported_state, 5);
             assert_eq!(
                 state_after(before, event),
                 (next, 5),
-                "{before:?} hears {heard_state:?}"
+                "{before:?} hears {reported_state:?}"
             );
         }
     }
 }
 
 #[test]
-fn handle_news_of_an_older_version() {
+fn handle_update_of_an_older_version() {
     for before in STATES {
-        for heard_state in STATES {
+        for reported_state in STATES {
             assert_eq!(
-                state_after(before, update_received(heard_state, 4)),
+                state_after(before, update_received(reported_state, 4)),
                 (before, 5)
             );
         }
@@ -80,15 +80,15 @@
 }
 
 #[test]
-fn handle_news_of_a_newer_version() {
+fn handle_update_of_a_newer_version() {
     for before in STATES {
-        for heard_state in STATES {
-            let next = match (before, heard_state) {
+        for reported_state in STATES {
+            let next = match (before, reported_state) {
                 (Alive | Suspect, Dead) => Suspect,
-                _ => heard_state,
+                _ => reported_state,
             };
             assert_eq!(
-                state_after(before, update_received(heard_state, 6)),
+                state_after(before, update_received(reported_state, 6)),
                 (next, 6)
             );
         }
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn handle_suspicion_lapsed() {
+fn handle_suspicion_expired() {
     let event = MemberEvent::SuspicionExpired {
         now: TimePoint::START,
     };
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn new_from_news_of_death_is_a_suspicion() {
+fn new_from_a_reported_death_is_suspect() {
     let machine = MemberMachine::new(Dead, version(0), TimePoint::START);
     assert_eq!(machine.state(), Suspect);
 }
--- a/alderhaven-policy/tests/membership/reports.rs
+++ b/alderhaven-policy/tests/membership/reports.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn set_config_is_known_to_all() {
+fn set_config_reaches_all() {
     let mut network = GossipNetwork::start(32, 11);
     network.run(TimeSpan::from_secs(10));
     for node in &mut network.nodes {
@@ -36,12 +36,12 @@
             .expect("it runs")
             .set_config(digest(9));
     }
-    let known = network.run_until(TimeSpan::from_secs(10), |network| {
+    let propagation_time = network.run_until(TimeSpan::from_secs(10), |network| {
         (0..32).all(|observer| reported_count(network, observer, digest(9)) == 32)
     });
     assert!(
-        known.is_some_and(|span| span <= TimeSpan::from_secs(3)),
-        "{known:?}"
+        propagation_time.is_some_and(|span| span <= TimeSpan::from_secs(3)),
+        "{propagation_time:?}"
     );
 }
 
@@ -49,7 +49,7 @@
 /// drawn by chance; where one of them is never drawn, the wait ends only with a direct message some
 /// tens of seconds later, and which members are missed changes with anything that changes a draw.
 #[test]
-fn set_config_is_known_to_all_whoever_is_drawn() {
+fn set_config_reaches_all_with_many_seeds() {
     for seed in 100..130 {
         let mut network = GossipNetwork::start(32, seed);
         network.run(TimeSpan::from_secs(5));
@@ -57,15 +57,15 @@
             let membership = node.membership.as_mut().expect("it runs");
             membership.set_config(digest(9));
         }
-        let known = network.run_until(TimeSpan::from_secs(3), |network| {
+        let propagation_time = network.run_until(TimeSpan::from_secs(3), |network| {
             (0..32).all(|observer| reported_count(network, observer, digest(9)) == 32)
         });
-        assert!(known.is_some(), "seed {seed}");
+        assert!(propagation_time.is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn set_config_is_not_claimed_for_a_restarted_process() {
+fn set_config_is_not_reported_for_a_restarted_process() {
     // A process reports version 9 and restarts with nothing. An operator who waits for version 9
     // must not be told that it is in force there, though old reports still go around.
     let mut network = GossipNetwork::start(8, 12);
@@ -79,10 +79,10 @@
     network.run(TimeSpan::from_secs(1));
     network.crash(3);
     network.restart(3);
-    let unclaimed = network.run_until(TimeSpan::from_secs(10), |network| {
+    let cleared = network.run_until(TimeSpan::from_secs(10), |network| {
         (0..8).all(|observer| reported_count(network, observer, digest(9)) == 7)
     });
-    assert!(unclaimed.is_some());
+    assert!(cleared.is_some());
     network.run_until(TimeSpan::from_secs(5), |network| {
         assert!((0..8).all(|observer| reported_count(network, observer, digest(9)) == 7));
         false
--- a/alderhaven-policy/tests/membership/store_answers.rs
+++ b/alderhaven-policy/tests/membership/store_answers.rs
@@ -17,32 +17,32 @@
     let memberships = running.filter_map(|node| node.membership.as_ref());
     memberships
         .map(GroupMembership::other_store_answered_at)
-        .map(|seen| seen.map(|seen_at| network.now.since(seen_at)))
+        .map(|reported| reported.map(|answered_at| network.now.since(answered_at)))
         .collect()
 }
 
 /// Three of 195 nodes watch the store. The others must hear within some seconds that it answers, or each
 /// of them asks it too; the word is to cost no message of its own.
 #[test]
-fn note_store_answer_is_known_to_all_in_time() {
+fn note_store_answer_reaches_all_within_bound() {
     let mut network = GossipNetwork::start(195, 21);
     network.run(TimeSpan::from_secs(10));
     let now = network.now;
     let first = network.nodes[0].membership.as_mut().expect("it runs");
     first.note_store_answer(now);
-    let known = network.run_until(TimeSpan::from_secs(5), |network| {
+    let propagation_time = network.run_until(TimeSpan::from_secs(5), |network| {
         other_answer_ages(network).iter().all(Option::is_some)
     });
     assert!(
-        known.is_some_and(|span| span <= PROPAGATION_BOUND),
-        "{known:?}"
+        propagation_time.is_some_and(|span| span <= PROPAGATION_BOUND),
+        "{propagation_time:?}"
     );
 }
 
 /// A word that is passed on must not grow younger on its way: nodes would believe that the store is
 /// watched while nobody is answered.
 #[test]
-fn note_store_answer_never_looks_younger_than_it_is() {
+fn note_store_answer_never_understates_its_age() {
     let mut network = GossipNetwork::start(32, 22);
     network.run(TimeSpan::from_secs(10));
     let answered_at = network.now;
@@ -54,14 +54,14 @@
         other_answer_ages(&network)
             .iter()
             .flatten()
-            .all(|seen| *seen >= age)
+            .all(|reported| *reported >= age)
     );
 }
 
 /// The only node that reaches the store hears its own word back from the others. It must not take the
 /// echo for another watcher and stop watching.
 #[test]
-fn note_store_answer_is_not_heard_by_its_origin() {
+fn note_store_answer_is_ignored_by_its_origin() {
     let mut network = GossipNetwork::start(8, 23);
     network.run(TimeSpan::from_secs(5));
     let now = network.now;
@@ -75,7 +75,7 @@
 /// Fronts take a new configuration over every few seconds. Where each member reports so to all others, a
 /// group of hundreds sends little else; nobody asks fronts for it.
 #[test]
-fn set_config_costs_no_messages_without_reports() {
+fn set_config_sends_no_messages_without_reporting() {
     let sent_after_change = |is_reporting| {
         let options = MembershipOptions {
             seeds: vec![address(0), address(1)],
--- a/alderhaven-policy/tests/watch_plan.rs
+++ b/alderhaven-policy/tests/watch_plan.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn is_watcher_names_a_few_of_any_number() {
+fn is_watcher_selects_a_fixed_number_in_any_group() {
     for count in [1, 3, 8, 580] {
         let nodes = nodes(count);
         for kind in ObjectKind::CONFIGURATION {
@@ -24,17 +24,24 @@
 }
 
 #[test]
-fn is_watcher_replaces_only_the_lost_one() {
+fn is_watcher_replaces_only_the_removed_watcher() {
     let all = nodes(20);
     let watches =
         |node: &NodeId, nodes: &[NodeId]| watch_plan::is_watcher(node, ObjectKind::Template, nodes);
-    let lost = all
+    let removed = all
         .iter()
         .find(|node| watches(node, &all))
         .expect("some watch")
         .clone();
-    let left: Vec<_> = all.iter().filter(|node| **node != lost).cloned().collect();
-    for node in left.iter().filter(|node| watches(node, &all)) {
-        assert!(watches(node, &left), "{node} stops watching for no reason");
+    let remaining: Vec<_> = all
+        .iter()
+        .filter(|node| **node != removed)
+        .cloned()
+        .collect();
+    for node in remaining.iter().filter(|node| watches(node, &all)) {
+        assert!(
+            watches(node, &remaining),
+            "{node} stops watching for no reason"
+        );
     }
 }
