--- a/alderhaven-node/src/lib.rs
+++ b/alderhaven-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! What entries and relays have in common as processes: their main function, their part in the group and planned
-//! stops.
+//! Shared parts of the entry and relay processes: the main function, participation in the group,
+//! and graceful shutdown.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-node/src/member_list.rs
+++ b/alderhaven-node/src/member_list.rs
@@ -1,4 +1,4 @@
-//! The members of a group at one moment.
+//! Snapshot of the members of a group.
 
 use std::ops::Deref;
 use std::sync::Arc;
@@ -6,13 +6,13 @@
 use alderhaven_peer::peer_handle::PeerSnapshot;
 use alderhaven_policy::membership::member_entry::MemberView;
 
-/// A `MemberList` shares what is known of the group with all who read it: requests look through it,
-/// and copying hundreds of members for each would cost more than what they look for.
+/// Shared, read-only list of members. Cloning it does not copy the members, so each request can
+/// hold one.
 #[derive(Clone, Debug, Default)]
 pub struct MemberList(Option<Arc<PeerSnapshot>>);
 
 impl MemberList {
-    /// Returns the members of a snapshot; none where the process takes no part in a group.
+    /// Creates the list from a snapshot; it is empty if the process is not part of a group.
     pub(crate) const fn new(snapshot: Option<Arc<PeerSnapshot>>) -> Self {
         Self(snapshot)
     }
--- a/alderhaven-node/src/node_group.rs
+++ b/alderhaven-node/src/node_group.rs
@@ -1,4 +1,4 @@
-//! A process's part in the group of entries and relays.
+//! A process's participation in the group of entries and relays.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,55 +19,55 @@
 
 use crate::member_list::MemberList;
 
-/// A `GroupOptions` describes a process to the group.
+/// Description of the process for the other members of the group.
 #[derive(Clone, Debug, bon::Builder)]
 pub struct GroupOptions {
-    /// The process's id.
+    /// Identifies the process across restarts.
     pub node: NodeId,
-    /// What it does.
+    /// Whether the process is an entry or a relay.
     pub role: MemberRole,
-    /// The host that it runs on.
+    /// Host that the process runs on.
     pub host: HostId,
-    /// The failure domain of the host.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// The address for gossip (UDP) and exchange (TCP); without it the process takes no part and
-    /// knows only what its settings name.
+    /// Address for gossip (UDP) and exchange (TCP). Without it, the process does not join the
+    /// group and only knows what its settings name.
     pub gossip_listen: Option<SocketAddr>,
-    /// The gossip addresses of members to learn from at the start.
+    /// Gossip addresses of members to join through.
     pub seeds: Vec<SocketAddr>,
-    /// The address for other processes of the system.
+    /// Address for other processes of the system.
     pub peer_address: SocketAddr,
-    /// The address for callers; none for a relay.
+    /// Address for callers; `None` for a relay.
     pub caller_address: Option<SocketAddr>,
-    /// The processor time that the process may use.
+    /// Processor time that the process may use.
     #[builder(default)]
     pub capacity: CpuCapacity,
-    /// Whether members report to all others which configuration they have in force.
+    /// Whether the process reports its configuration in force to all other members.
     #[builder(default = true)]
     pub is_reporting: bool,
 }
 
-/// A `NodeGroup` is a process's view of the group; its clones share it.
+/// Handle to the group as this process sees it; clones share the same state.
 #[derive(Clone, Debug)]
 pub struct NodeGroup {
     peers: Option<PeerHandle>,
-    /// Stands in for the group's changes where there is no group.
+    /// Channel that never changes, for a process that is not part of a group.
     no_changes: Arc<watch::Sender<u64>>,
 }
 
 impl NodeGroup {
-    /// Takes part in the group, and shares the configuration with its members.
+    /// Joins the group and exchanges the configuration with its members.
     ///
     /// # Errors
-    /// An error of the operating system where the address can't be bound.
+    /// Returns an I/O error if the gossip address can't be bound.
     pub async fn start(options: GroupOptions, config: &ConfigHandle) -> io::Result<Self> {
         Self::start_with(options, config_access(config)).await
     }
 
-    /// Starts with objects that are kept elsewhere than in a [`ConfigHandle`].
+    /// Joins the group with objects that are not stored in a [`ConfigHandle`].
     ///
     /// # Errors
-    /// The gossip address can't be bound.
+    /// Returns an I/O error if the gossip address can't be bound.
     pub async fn start_with(options: GroupOptions, access: ConfigAccess) -> io::Result<Self> {
         let Some(gossip_address) = options.gossip_listen else {
             return Ok(Self::standalone());
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Returns the view of a process that takes no part in a group.
+    /// Creates the handle of a process that is not part of a group.
     #[must_use]
     pub fn standalone() -> Self {
         Self {
@@ -105,19 +105,20 @@
         }
     }
 
-    /// Gets the address for gossip, none where the process takes no part.
+    /// Returns the bound gossip address; `None` if the process is not part of a group.
     #[must_use]
     pub fn gossip_address(&self) -> Option<SocketAddr> {
         self.peers.as_ref().map(PeerHandle::gossip_address)
     }
 
-    /// Gets the members, this process first; empty where it takes no part.
+    /// Returns all members, this process first; empty if it is not part of a group.
     #[must_use]
     pub fn members(&self) -> MemberList {
         MemberList::new(self.peers.as_ref().map(PeerHandle::snapshot))
     }
 
-    /// Gets the time by which the members' points are meant; the start where there is no group.
+    /// Returns the current time on the clock of the members' time points; [`TimePoint::START`]
+    /// without a group.
     #[must_use]
     pub fn now(&self) -> TimePoint {
         self.peers
@@ -125,7 +126,7 @@
             .map_or(TimePoint::START, PeerHandle::now)
     }
 
-    /// Gets what is known of the group, for the dump.
+    /// Returns the state of the group for diagnostics; `None` if the process is not part of one.
     #[must_use]
     pub fn snapshot(&self) -> Option<PeerSnapshot> {
         self.peers
@@ -133,13 +134,13 @@
             .map(|peers| PeerSnapshot::clone(&peers.snapshot()))
     }
 
-    /// Gets what was sent to and heard from peers; none where the process takes no part.
+    /// Returns counters of the traffic with peers; `None` if the process is not part of a group.
     #[must_use]
     pub fn traffic(&self) -> Option<PeerTraffic> {
         self.peers.as_ref().map(|peers| peers.snapshot().traffic)
     }
 
-    /// Gets the members of a role that take work.
+    /// Returns the members with a role that accept work.
     #[must_use]
     pub fn working_members(&self, role: MemberRole) -> Vec<MemberView> {
         let members = self.members();
@@ -149,7 +150,7 @@
         working.cloned().collect()
     }
 
-    /// Returns true where members, the configuration's peers included, are known to be complete.
+    /// Returns true once the membership and the exchanged configuration are known to be complete.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.peers
@@ -157,8 +158,8 @@
             .is_some_and(|peers| peers.snapshot().is_complete)
     }
 
-    /// Gets a channel that changes when something of the group does; never where the process takes
-    /// no part.
+    /// Returns a channel that changes with the state of the group; it never changes without a
+    /// group.
     #[must_use]
     pub fn changed(&self) -> watch::Receiver<u64> {
         match &self.peers {
@@ -174,20 +175,20 @@
         }
     }
 
-    /// Gets the time since the store last answered another member; none where nobody said so.
+    /// Returns the time since the store's last known answer to another member.
     #[must_use]
     pub fn since_store_answer(&self) -> Option<TimeSpan> {
         self.peers.as_ref().and_then(PeerHandle::since_store_answer)
     }
 
-    /// Tells the group that this process leaves.
+    /// Announces to the group that this process is leaving.
     pub async fn announce_leaving(&self) {
         if let Some(peers) = &self.peers {
             peers.announce_leaving().await;
         }
     }
 
-    /// Tells the group that this process is gone, and ends its part.
+    /// Announces to the group that this process is stopping, and ends its participation.
     pub async fn end(&self) {
         if let Some(peers) = &self.peers {
             peers.end().await;
@@ -195,7 +196,7 @@
     }
 }
 
-/// Gets an incarnation above those of all earlier runs: the milliseconds since the Unix epoch.
+/// Returns an incarnation above those of all earlier runs: the milliseconds since the Unix epoch.
 fn incarnation_now() -> IncarnationNumber {
     let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -203,6 +204,7 @@
     IncarnationNumber(u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
 }
 
+/// Connects the exchange to the configuration that the process has in force.
 fn config_access(config: &ConfigHandle) -> ConfigAccess {
     let (stamps, objects) = (config.clone(), config.clone());
     let (accept, listed) = (config.clone(), config.clone());
--- a/alderhaven-node/src/process_main.rs
+++ b/alderhaven-node/src/process_main.rs
@@ -1,4 +1,4 @@
-//! The main function that the long-running binaries share.
+//! Main function of the long-running binaries.
 
 use std::future::Future;
 use std::io;
@@ -21,44 +21,44 @@
 use tokio::signal::unix::SignalKind;
 use tokio_util::sync::CancellationToken;
 
-/// A `ProcessSettings` is the content of a binary's settings file.
+/// Settings file of a binary, as far as the main function needs it.
 pub trait ProcessSettings: CheckedSettings {
-    /// Gets the address of the platform's object API.
+    /// Returns the address of the platform's object API.
     fn platform(&self) -> SocketAddr;
 
-    /// Gets the least severe level that is logged.
+    /// Returns the least severe level that is logged.
     fn log_level(&self) -> LevelFilter;
 }
 
-/// A `ProcessNode` is what a binary runs.
+/// Long-running part of a binary.
 pub trait ProcessNode: Sized {
-    /// The settings.
+    /// Settings that the node starts with.
     type Settings: ProcessSettings;
 
-    /// Starts on the current runtime; `config` is kept up to date meanwhile.
+    /// Starts the node on the current runtime. `config` is kept up to date while the process runs.
     fn start(
         settings: Self::Settings,
         config: ConfigHandle,
     ) -> impl Future<Output = io::Result<Self>>;
 
-    /// Gets the line that says where the process is reached, as JSON.
+    /// Returns a JSON object with the addresses of the process, printed once it is ready.
     fn ready_line(&self) -> Value;
 
-    /// Asks for the planned stop; a second time, to end at once.
+    /// Requests a graceful shutdown; a second call ends the process immediately.
     fn request_stop(&self);
 
-    /// Waits until the process may end.
+    /// Waits for the end of the shutdown.
     fn stopped(&self) -> impl Future<Output = StopReport>;
 }
 
-/// Runs until it is told to stop (SIGTERM or SIGINT), or checks or prints its settings.
+/// Runs until SIGTERM or SIGINT, or checks or prints the settings.
 #[derive(FromArgs)]
 struct Arguments {
     /// the settings file (YAML)
     #[argh(option)]
     settings: String,
 
-    /// check the settings and exit: 0 where they are good, 2 where not
+    /// check the settings and exit with status 0 if they are valid, 2 if not
     #[argh(switch)]
     check: bool,
 
@@ -67,7 +67,7 @@
     print_settings: bool,
 }
 
-/// Runs the binary `name` to its end.
+/// Runs the binary `name` until it is stopped, and returns its exit status.
 #[must_use]
 pub fn run<N: ProcessNode>(name: &str) -> ExitCode {
     match load_settings::<N>(name) {
@@ -77,7 +77,7 @@
 }
 
 fn serve_with_logging<N: ProcessNode>(settings: N::Settings) -> eyre::Result<()> {
-    let log = logging::start_queued(settings.log_level()).wrap_err("the log can't start")?;
+    let log = logging::start_queued(settings.log_level()).wrap_err("failed to start the log")?;
     let result = serve::<N>(settings);
     log.finish();
     result
@@ -101,7 +101,7 @@
 
 fn serve<N: ProcessNode>(settings: N::Settings) -> eyre::Result<()> {
     Runtime::new()
-        .wrap_err("the runtime can't start")?
+        .wrap_err("failed to start the async runtime")?
         .block_on(serve_node::<N>(settings))
 }
 
@@ -114,7 +114,7 @@
     let config = ConfigFollower::start(Arc::new(store), options, shutdown.clone());
     let node = N::start(settings, config)
         .await
-        .wrap_err("the process can't start")?;
+        .wrap_err("failed to start the node")?;
     println!("{}", node.ready_line());
     let report = loop {
         tokio::select! {
--- a/alderhaven-node/src/stop_handle.rs
+++ b/alderhaven-node/src/stop_handle.rs
@@ -1,4 +1,4 @@
-//! The planned stop of a process: asked for by a signal, an operator or its owner.
+//! Graceful shutdown of a process, requested by a signal, an operator or the owner of the handle.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,10 +11,10 @@
 
 use crate::node_group::NodeGroup;
 
-/// The time between two looks at the requests in flight.
+/// Time between two checks of the number of requests in flight.
 const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A `StopHandle` asks for the stop of a process and follows it; its clones share it.
+/// Requests a shutdown and reports its progress; clones share the same state.
 #[derive(Clone, Debug)]
 pub struct StopHandle {
     stop_requests: watch::Sender<u32>,
@@ -23,7 +23,7 @@
     in_flight: Arc<AtomicUsize>,
 }
 
-/// A `FlightGuard` counts one request in flight until it is dropped.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     in_flight: Arc<AtomicUsize>,
@@ -41,12 +41,12 @@
 }
 
 impl StopHandle {
-    /// Asks the process to stop; a second time, to end at once.
+    /// Requests a graceful shutdown; a second call ends the process immediately.
     pub fn request_stop(&self) {
         self.stop_requests.send_modify(|count| *count += 1);
     }
 
-    /// Asks the process to stop, unless that was asked before.
+    /// Requests a graceful shutdown, unless one was requested before.
     pub fn request_stop_once(&self) {
         self.stop_requests.send_if_modified(|count| {
             let is_first = *count == 0;
@@ -55,7 +55,7 @@
         });
     }
 
-    /// Gets how far the stop has come.
+    /// Returns the current phase of the shutdown.
     #[must_use]
     pub fn state(&self) -> DrainState {
         *self.state.borrow()
@@ -70,25 +70,25 @@
         }
     }
 
-    /// Gets the number of requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
 
-    /// Waits until the process leaves, or has gone further.
+    /// Waits until the process is leaving, or is in a later phase.
     pub async fn leaving(&self) {
         self.wait_for_state(|state| state != DrainState::Serving)
             .await;
     }
 
-    /// Waits until the process takes nothing new.
+    /// Waits until the process no longer accepts requests.
     pub async fn finishing(&self) {
         self.wait_for_state(|state| matches!(state, DrainState::Finishing | DrainState::Stopped))
             .await;
     }
 
-    /// Waits until the process may end, and gets how the stop went.
+    /// Waits for the end of the shutdown and returns its report.
     pub async fn stopped(&self) -> StopReport {
         let mut report = self.report.subscribe();
         loop {
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Drives the stop from the first request for it to its end.
+    /// Runs the shutdown from the first request to its end.
     ///
-    /// `in_flight` counts what must not be cut.
+    /// `in_flight` returns the number of requests that should finish first.
     pub async fn drive(
         self,
         options: DrainOptions,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Announces a new state before anything acts on it.
+    /// Publishes a new state. The group learns of the leaving before this process acts on it.
     async fn enter_state(&self, state: DrainState, group: &NodeGroup) {
         if self.state() == state {
             return;
@@ -151,9 +151,10 @@
         self.state.send_replace(state);
     }
 
+    /// Waits until the current state satisfies the condition.
     async fn wait_for_state(&self, is_reached: impl Fn(DrainState) -> bool) {
         let mut state = self.state.subscribe();
-        // The sender lives in this handle, so the wait ends only with the state.
+        // `self` owns the sender, so the wait only ends with the state.
         let _reached = state.wait_for(|state| is_reached(*state)).await;
     }
 }
--- a/alderhaven-policy/src/exchange.rs
+++ b/alderhaven-policy/src/exchange.rs
@@ -1,11 +1,10 @@
-//! Exchange: how configuration reaches every node, with the store up or down.
+//! Exchange of configuration objects between nodes, so that changes reach every node even while
+//! the store is down.
 //!
-//! Load pattern: 3,100 changes a day must be in force on 580 nodes within 9 s, while the store
-//! counts every call and has outages. If each node watched the store, its calls would grow with the
-//! fleet and an outage would stop all news. Here a few nodes watch each kind; what they hear is
-//! announced to a few random peers, which fetch it and announce it on. Whoever is missed notices
-//! that the digest on some peer's gossip differs, compares and fetches. An object only ever gives
-//! way to a higher store version, tombstones included, so no order of arrival takes a node back.
+//! A few nodes watch the store for each kind of object and announce changes to random peers, which
+//! fetch the objects and announce them in turn. A node that misses an announcement notices a
+//! different digest on a peer's gossip, compares versions and fetches. A node only replaces an
+//! object by a higher store version, deletions included, so the order of arrival does not matter.
 
 pub mod exchange_message;
 pub mod exchange_options;
--- a/alderhaven-policy/src/exchange/exchange_message.rs
+++ b/alderhaven-policy/src/exchange/exchange_message.rs
@@ -1,14 +1,14 @@
-//! The messages of the exchange.
+//! Messages of the exchange, and the actions that follow from them.
 
 use alderhaven_core::config_object::{ObjectKey, StoredObject};
 use alderhaven_core::ids::{NodeId, StoreVersion};
 
-/// An `ObjectStamp` names one version of an object.
+/// Identifies one version of an object.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ObjectStamp {
-    /// The object.
+    /// Object that the version belongs to.
     pub key: ObjectKey,
-    /// Its store version.
+    /// Version that the store assigned.
     pub version: StoreVersion,
 }
 
@@ -21,49 +21,49 @@
     }
 }
 
-/// An `ExchangeMessage` is the closed set of messages.
+/// Messages between two nodes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ExchangeMessage {
-    /// The sender holds these versions, which are new.
+    /// Tells the receiver of new versions that the sender holds.
     Announce {
-        /// The versions.
+        /// Versions that the receiver may fetch.
         stamps: Vec<ObjectStamp>,
-        /// How many times the news may be announced on.
+        /// Number of times that the versions may be announced further.
         hops: u32,
     },
-    /// The sender asks what the receiver holds in the parts that differ.
+    /// Asks for the versions in the buckets whose hashes differ.
     Compare {
-        /// The hashes of the parts of the sender's objects.
+        /// Hashes of all buckets of the sender's index.
         buckets: Vec<u64>,
-        /// The last key of the chunk before; none for the first chunk.
+        /// Last key of the previous chunk; `None` for the first chunk.
         after: Option<ObjectKey>,
     },
-    /// One chunk of what the sender holds in the parts that differ.
+    /// Returns one chunk of the versions in the buckets that differ.
     Stamps {
-        /// The versions.
+        /// Versions that the sender holds.
         stamps: Vec<ObjectStamp>,
-        /// The last key of the chunk where there are more; none for the last chunk.
+        /// Where the next chunk starts; `None` after the last chunk.
         continue_after: Option<ObjectKey>,
-        /// Whether the sender holds all that it could hear of, rather than having just started.
+        /// Whether the sender holds the full configuration, rather than having just started.
         is_complete: bool,
     },
-    /// The sender wants these objects.
+    /// Asks for objects.
     Fetch {
-        /// The objects.
+        /// Objects that the sender wants.
         keys: Vec<ObjectKey>,
     },
-    /// Some or all of the objects that were wanted.
+    /// Returns all or some of the requested objects.
     Objects {
-        /// The objects.
+        /// Objects that fit into one message.
         objects: Vec<StoredObject>,
     },
 }
 
-/// An `ExchangeStep` is what is to be done after a message or a tick.
+/// Actions that the caller has to carry out after a message or a tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExchangeOutput {
-    /// The messages to send.
+    /// Messages to send, with their receivers.
     pub send: Vec<(NodeId, ExchangeMessage)>,
-    /// The objects to put in force.
+    /// Objects to put in force.
     pub accept: Vec<StoredObject>,
 }
--- a/alderhaven-policy/src/exchange/exchange_options.rs
+++ b/alderhaven-policy/src/exchange/exchange_options.rs
@@ -1,31 +1,34 @@
-//! The settings of the exchange and the grounds for their figures.
+//! Settings of the exchange.
 
 use alderhaven_core::quantities::ByteSize;
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// An `ExchangeOptions` holds the periods and bounds of the exchange.
+/// Periods, timeouts and size limits of the exchange.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ExchangeOptions {
-    /// How many peers a node announces a new version to. With 3, announcements reach 94 of 100
-    /// nodes; the others notice by the digests on gossip.
+    /// Number of peers that a node announces a new version to. Nodes that the announcements miss
+    /// notice the change by digests on gossip.
     pub fanout: usize,
-    /// How many peers of other failure domains a node announces to what it has from the store.
+    /// Number of additional peers in other failure domains that a node announces changes from the
+    /// store to.
     #[serde(rename = "far_fanout")]
     pub cross_domain_fanout: usize,
-    /// How long a node that hears of news waits for it to come from its own failure domain.
+    /// Time for which a node that lags waits for a peer of its own failure domain, before it
+    /// compares with a peer of another one.
     #[serde(rename = "near_patience")]
     pub own_domain_wait: TimeSpan,
-    /// How many times news is announced on; above the logarithm of any fleet's size.
+    /// Number of times that a change is announced further; must exceed the logarithm of the group
+    /// size.
     pub max_hops: u32,
-    /// The time after which something that was asked for is asked for elsewhere.
+    /// Time after which an unanswered request is sent to another peer.
     pub answer_timeout: TimeSpan,
-    /// The shortest time between two comparisons.
+    /// Shortest time between two comparisons.
     pub compare_period: TimeSpan,
-    /// The most versions in one message.
+    /// Maximum number of versions or objects in one message.
     pub max_stamps: usize,
-    /// The bytes of objects after which a message is full; one object may exceed it alone.
+    /// Size of the objects in one message. A single object may exceed it.
     pub max_object_bytes: ByteSize,
 }
 
--- a/alderhaven-policy/src/exchange/fetching.rs
+++ b/alderhaven-policy/src/exchange/fetching.rs
@@ -1,4 +1,4 @@
-//! How objects that are known of are got from peers, one message at a time.
+//! Fetching of missing objects from peers, with one open request per peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,11 +11,12 @@
 use crate::exchange::object_exchange::{self, MissingObject, ObjectExchange};
 use crate::exchange::peer_set::PeerSet;
 
-/// How often an object is asked for before it is left to the next comparison.
+/// Number of requests for an object before it is left to the next comparison.
 const MAX_FETCH_TRIES: u32 = 3;
 
 impl ObjectExchange {
-    /// Asks for what is newer than what the node holds.
+    /// Marks versions newer than the held ones as missing, and fetches them from the peer that has
+    /// them.
     pub(super) fn request_newer(
         &mut self,
         from: &NodeId,
@@ -43,7 +44,7 @@
         self.fetch(from, now, output);
     }
 
-    /// Asks a peer for the next of what it is to give, one message at a time.
+    /// Requests the next missing objects from a peer, unless a request to it is open.
     fn fetch(&mut self, from: &NodeId, now: TimePoint, output: &mut ExchangeOutput) {
         if self.open_fetches.contains_key(from) {
             return;
@@ -67,6 +68,7 @@
         }
     }
 
+    /// Accepts fetched objects, announces them to other peers and requests the next ones.
     pub(super) fn handle_objects(
         &mut self,
         from: &NodeId,
@@ -90,15 +92,15 @@
         for (hops, stamps) in by_hops {
             self.announce(&stamps, hops, Some(from), peers, rng, output);
         }
-        // A full message leaves some out; they are asked for again at once. Where none came, the
-        // peer does not hold them, and they are asked for elsewhere in time.
+        // Objects that did not fit into the message are requested again immediately. If none
+        // arrived, the peer does not hold them, and another peer is asked after the timeout.
         self.open_fetches.remove(from);
         if self.missing.len() < missing_before {
             self.fetch(from, now, output);
         }
     }
 
-    /// Asks elsewhere for what was not answered.
+    /// Requests objects that did not arrive in time from another peer.
     pub(super) fn retry_fetches(
         &mut self,
         peers: &PeerSet,
@@ -126,7 +128,7 @@
             true
         });
         if self.missing.len() < missing_before {
-            // Something was given up, so the open comparison must not count as complete.
+            // An object was abandoned, so the comparison must not make this node complete.
             self.comparison = None;
         }
         for peer in sources {
@@ -134,6 +136,7 @@
         }
     }
 
+    /// Returns as many objects as fit into one message, at least one.
     pub(super) fn take_within_limits(
         &self,
         objects: impl Iterator<Item = StoredObject>,
--- a/alderhaven-policy/src/exchange/object_exchange.rs
+++ b/alderhaven-policy/src/exchange/object_exchange.rs
@@ -1,4 +1,4 @@
-//! The aggregate of one node's part in the exchange.
+//! One node's part in the exchange.
 
 use std::collections::BTreeMap;
 
@@ -14,25 +14,27 @@
 use crate::exchange::peer_set::PeerSet;
 use crate::membership::member_record::ConfigDigest;
 
-/// An `ObjectExchange` decides what to announce, what to ask for and what to put in force.
+/// Decides what to announce, what to fetch and what to put in force.
 ///
-/// It holds versions only; the objects themselves stay where they are in force, and are got by the
-/// caller's look-up when a peer wants them.
+/// It stores only versions. The objects themselves stay with the caller, which looks them up when
+/// a peer requests them.
 #[derive(Clone, Debug)]
 pub struct ObjectExchange {
     pub(super) options: ExchangeOptions,
     pub(super) index: ObjectIndex,
     pub(super) missing: BTreeMap<ObjectKey, MissingObject>,
-    /// The peers with a fetch under way, and since when.
+    /// Peers with an open fetch, and the time of the request.
     pub(super) open_fetches: BTreeMap<NodeId, TimePoint>,
     pub(super) comparison: Option<OpenComparison>,
+    /// Peer to compare with next, because its digest differs.
     differing_peer: Option<NodeId>,
-    /// Since when peers have been heard that hold more than this node.
+    /// Time since which peers have reported a digest that this node lags behind.
     behind_since: Option<TimePoint>,
     next_compare_at: TimePoint,
     is_complete: bool,
 }
 
+/// A version that a peer holds and this node has requested.
 #[derive(Clone, Debug)]
 pub(super) struct MissingObject {
     pub(super) version: StoreVersion,
@@ -42,16 +44,17 @@
     pub(super) tries: u32,
 }
 
+/// A comparison that waits for versions or for the objects that they list.
 #[derive(Clone, Debug)]
 pub(super) struct OpenComparison {
     peer: NodeId,
     asked_at: TimePoint,
-    /// Whether the peer's answer ended with all that a complete node holds.
+    /// Whether the last chunk has arrived, from a peer that is complete.
     is_fully_listed: bool,
 }
 
 impl ObjectExchange {
-    /// Returns the exchange of a node that holds nothing.
+    /// Creates the exchange of a node that holds no objects.
     #[must_use]
     pub fn new(options: ExchangeOptions) -> Self {
         Self {
@@ -67,39 +70,40 @@
         }
     }
 
-    /// Gets the digest of what the node holds.
+    /// Returns the digest of all held versions.
     #[must_use]
     pub const fn digest(&self) -> ConfigDigest {
         self.index.digest()
     }
 
-    /// Returns true once the node holds all that the store or a complete peer held; before, it must
-    /// not serve.
+    /// Returns true once the node holds everything that the store or a complete peer held. Before
+    /// that, it must not serve.
     #[must_use]
     pub const fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Notes that the store was listed, so that all it holds was given to [`hold`](Self::hold).
+    /// Marks the node as complete, after the store was listed and its objects were passed to
+    /// [`announce_held`](Self::announce_held).
     pub const fn mark_complete(&mut self) {
         self.is_complete = true;
     }
 
-    /// Returns true where nothing is missing, compared or to be compared.
+    /// Returns true if nothing is missing and no comparison is open or due.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let is_comparing = self.comparison.is_some() || self.differing_peer.is_some();
         self.is_complete && self.missing.is_empty() && !is_comparing
     }
 
-    /// Gets the number of objects that are known of and not held yet.
+    /// Returns the number of known objects whose newest version is not held yet.
     #[must_use]
     pub fn missing_count(&self) -> usize {
         self.missing.len()
     }
 
-    /// Takes the versions of the objects that the node holds by itself, which are in force already;
-    /// returns the announcements of those that are new.
+    /// Records versions that the node has put in force itself, and returns announcements of the
+    /// new ones.
     pub fn announce_held(
         &mut self,
         stamps: Vec<ObjectStamp>,
@@ -120,11 +124,12 @@
         output
     }
 
-    /// Takes the digest that a peer says it holds.
+    /// Handles the digest of a peer.
     ///
-    /// Only the one that is not ahead asks: it then is ahead in turn, and the other asks it. News comes
-    /// into a domain in a few copies and goes around there; a node that it has not reached after that
-    /// asks whoever has it.
+    /// Of two nodes whose digests differ, the one with the lower version sum asks for a
+    /// comparison; if both lack something, the other one's sum is then lower. A change enters a
+    /// failure domain in a few copies and spreads within it. A node that still lags after
+    /// `own_domain_wait` compares with any peer.
     pub fn handle_digest(
         &mut self,
         peer: &NodeId,
@@ -145,12 +150,12 @@
         }
     }
 
-    /// Does what is due; to be called several times a second.
+    /// Runs all tasks that are due; must be called several times a second.
     pub fn tick(&mut self, peers: &PeerSet, now: TimePoint, rng: &mut impl Rng) -> ExchangeOutput {
         let mut output = ExchangeOutput::default();
         self.retry_fetches(peers, now, rng, &mut output);
         let timeout = self.options.answer_timeout;
-        // Once all is listed, the objects have time-outs of their own.
+        // Once all versions are listed, the missing objects have their own timeouts.
         self.comparison.take_if(|comparison| {
             !comparison.is_fully_listed && now.since(comparison.asked_at) >= timeout
         });
@@ -169,7 +174,7 @@
         output
     }
 
-    /// Takes a message from a peer; `look_up` gets an object that the node holds.
+    /// Handles a message from a peer. `look_up` returns an object that the node holds.
     pub fn receive(
         &mut self,
         from: &NodeId,
@@ -192,7 +197,8 @@
                 continue_after,
                 is_complete,
             } => {
-                // What comes from beyond is news to the own domain.
+                // Versions from another domain are new to the own domain, so they are announced
+                // there.
                 let hops = if peers.is_in_own_domain(from) {
                     0
                 } else {
@@ -215,7 +221,7 @@
         output
     }
 
-    /// Takes one object where it is newer than what is held.
+    /// Accepts an object if it is newer than the held version.
     pub(super) fn accept_object(
         &mut self,
         object: StoredObject,
@@ -229,7 +235,7 @@
         Some(stamp)
     }
 
-    /// Notes that a version is held; returns true where it is newer than what was.
+    /// Records a held version; returns true if it is newer than the previous one.
     fn note_held(&mut self, stamp: &ObjectStamp) -> bool {
         if !is_configuration(&stamp.key) || !self.index.insert(&stamp.key, stamp.version) {
             return false;
@@ -242,6 +248,7 @@
         true
     }
 
+    /// Announces versions to random peers, if any hops are left.
     pub(super) fn announce(
         &self,
         stamps: &[ObjectStamp],
@@ -266,7 +273,7 @@
         for _ in 0..self.options.fanout {
             add_recipient(peers.pick(rng));
         }
-        // What comes from the store is new to all domains.
+        // A change from the store is new to all domains.
         let cross_domain_count = if excluded.is_none() {
             self.options.cross_domain_fanout
         } else {
@@ -288,6 +295,7 @@
         }
     }
 
+    /// Asks a peer for the versions that differ, after a key.
     fn compare(
         &mut self,
         peer: NodeId,
@@ -306,6 +314,7 @@
         });
     }
 
+    /// Sends the versions after `after` in the buckets that differ.
     fn handle_compare(
         &self,
         from: &NodeId,
@@ -327,6 +336,7 @@
         output.send.push((from.clone(), message));
     }
 
+    /// Requests the next chunk of the open comparison, or marks it as fully listed.
     fn handle_stamps(
         &mut self,
         from: &NodeId,
@@ -350,11 +360,11 @@
         }
     }
 
-    /// Ends a comparison whose objects have all come.
+    /// Completes a comparison once all of its objects have arrived.
     ///
-    /// Guards against a node that starts while the store is down and asks another that has just
-    /// started too: it would hold nothing, believe that this is all, and refuse every template.
-    /// Only the answer of a complete node makes a node complete.
+    /// Only a comparison with a complete peer makes a node complete. Otherwise two nodes that
+    /// start while the store is down would take each other's empty index for the full
+    /// configuration, and refuse every template.
     fn finish_comparison(&mut self) {
         let is_done = self
             .comparison
@@ -367,6 +377,7 @@
     }
 }
 
+/// Returns true for kinds that are distributed by the exchange.
 pub(super) fn is_configuration(key: &ObjectKey) -> bool {
     key.kind.is_exchanged()
 }
--- a/alderhaven-policy/src/exchange/object_index.rs
+++ b/alderhaven-policy/src/exchange/object_index.rs
@@ -1,4 +1,4 @@
-//! Which version of each object a node holds, with hashes for comparison.
+//! Index of the object versions that a node holds, with bucket hashes for comparison.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -10,10 +10,10 @@
 use crate::hashing;
 use crate::membership::member_record::ConfigDigest;
 
-/// The number of hashes that an index is split into for comparison.
+/// Number of buckets that an index is divided into for comparison; each has one hash.
 pub const INDEX_BUCKETS: usize = 64;
 
-/// An `ObjectIndex` holds the newest version of each object and the hashes of all versions.
+/// Newest version of each object, and the hashes of all versions.
 #[derive(Clone, Debug)]
 pub struct ObjectIndex {
     versions: BTreeMap<ObjectKey, StoreVersion>,
@@ -32,7 +32,7 @@
 }
 
 impl ObjectIndex {
-    /// Takes a version; returns true where it is newer than what was held.
+    /// Records a version; returns true if it is newer than the held one.
     pub fn insert(&mut self, key: &ObjectKey, version: StoreVersion) -> bool {
         let known = self.versions.get(key).copied();
         if known >= Some(version) {
@@ -50,26 +50,26 @@
         true
     }
 
-    /// Gets the version that is held of an object.
+    /// Returns the held version of an object.
     #[must_use]
     pub fn version(&self, key: &ObjectKey) -> Option<StoreVersion> {
         self.versions.get(key).copied()
     }
 
-    /// Gets the digest of all versions.
+    /// Returns the digest of all versions.
     #[must_use]
     pub const fn digest(&self) -> ConfigDigest {
         self.digest
     }
 
-    /// Gets the hashes of the parts.
+    /// Returns the hash of each bucket.
     #[must_use]
     pub const fn buckets(&self) -> &[u64; INDEX_BUCKETS] {
         &self.buckets
     }
 
-    /// Gets at most `count` versions after a key in the parts that differ from another index's,
-    /// and the last key where there are more.
+    /// Returns at most `count` versions after a key, from the buckets that differ from another
+    /// index. The second value is the key to continue after, if there are more.
     #[must_use]
     pub fn differing_stamps(
         &self,
--- a/alderhaven-policy/src/exchange/peer_set.rs
+++ b/alderhaven-policy/src/exchange/peer_set.rs
@@ -1,4 +1,4 @@
-//! The peers of the exchange, by whether they are in the node's own failure domain.
+//! Peers of a node in the exchange, grouped by failure domain.
 
 use alderhaven_core::ids::NodeId;
 use rand::{Rng, RngExt};
@@ -7,10 +7,11 @@
 use crate::membership::member_entry::MemberView;
 use crate::membership::member_record::MemberState;
 
-/// How many announcements a domain as a whole sends beyond for each that every node of it makes.
+/// Expected number of announcements that a failure domain as a whole sends to other domains, for
+/// each announcement that every node of it sends.
 const CROSS_DOMAIN_COPIES: f64 = 1.5;
 
-/// A `PeerSet` holds the peers that a node exchanges objects with.
+/// Peers that a node exchanges objects with.
 #[derive(Clone, Debug, Default)]
 pub struct PeerSet {
     own_domain: Vec<NodeId>,
@@ -18,7 +19,7 @@
 }
 
 impl PeerSet {
-    /// Returns the set of the peers in the node's own failure domain and of all others.
+    /// Creates the set from the peers in the node's own failure domain and those in all others.
     #[must_use]
     pub fn new(mut own_domain: Vec<NodeId>, mut other_domains: Vec<NodeId>) -> Self {
         own_domain.sort_unstable();
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Returns the peers among a group's members, of which the first is the process itself.
+    /// Creates the set from the live members of a group, the first of which is the node itself.
     #[must_use]
     pub fn of_members(members: &[MemberView]) -> Self {
         let Some((own, others)) = members.split_first() else {
@@ -47,13 +48,13 @@
         Self::new(ids(own_domain), ids(other_domains))
     }
 
-    /// Returns true where the node is one of the peers.
+    /// Returns true if the node is one of the peers.
     #[must_use]
     pub fn contains(&self, node: &NodeId) -> bool {
         self.is_in_own_domain(node) || self.other_domains.binary_search(node).is_ok()
     }
 
-    /// Draws a peer, mostly of the own domain.
+    /// Picks a random peer, mostly from the own failure domain.
     pub fn pick(&self, rng: &mut impl Rng) -> Option<&NodeId> {
         let peers = if self
             .domain_peers()
@@ -66,13 +67,13 @@
         pick_of(peers, rng)
     }
 
-    /// Draws a peer of another domain.
+    /// Picks a random peer from another failure domain.
     pub fn pick_cross_domain(&self, rng: &mut impl Rng) -> Option<&NodeId> {
         pick_of(&self.other_domains, rng)
     }
 
-    /// Draws whether to ask a peer that holds more: one of the own domain always, and one beyond as
-    /// often as announcements go there, so that news comes into a domain in a few copies.
+    /// Decides whether to compare with a peer: always within the own failure domain, otherwise at
+    /// random, so that a change enters a domain in a few copies.
     pub fn should_compare_with(&self, node: &NodeId, rng: &mut impl Rng) -> bool {
         self.is_in_own_domain(node)
             || self
@@ -80,7 +81,7 @@
                 .draw_cross_domain(CROSS_DOMAIN_COPIES, rng)
     }
 
-    /// Returns true where the node is a peer in the own domain.
+    /// Returns true if the node is a peer in the own failure domain.
     #[must_use]
     pub fn is_in_own_domain(&self, node: &NodeId) -> bool {
         self.own_domain.binary_search(node).is_ok()
--- a/alderhaven-policy/src/exchange/watch_plan.rs
+++ b/alderhaven-policy/src/exchange/watch_plan.rs
@@ -1,8 +1,8 @@
-//! Which nodes watch the store for which kind.
+//! Selection of the nodes that watch the store for each kind of object.
 //!
-//! Load pattern: the store counts a waiting watch as a call and its rates grow more slowly than the
-//! fleet. If all 580 nodes watched four kinds, over 2,000 calls would wait at any time. With a few
-//! watchers a kind the number does not depend on the size.
+//! Each watch counts as an open call of the store. With a fixed number of watchers per kind, the
+//! load on the store does not grow with the number of nodes. The watchers are chosen by rendezvous
+//! hashing.
 
 use alderhaven_core::config_object::ObjectKind;
 use alderhaven_core::ids::NodeId;
@@ -11,16 +11,16 @@
 
 use crate::hashing;
 
-/// How many nodes watch a kind: the loss of two at once delays no news.
+/// Number of nodes that watch each kind. Changes arrive without delay while one of them runs.
 pub const WATCHERS_PER_KIND: usize = 3;
 
-/// The time between two listings by a node that does not watch, against whatever else is lost; at
-/// 580 nodes this makes 2 calls a second, 0.1 in 100 of the store's reads.
+/// Mean time between two listings by a node that does not watch; bounds the delay of changes that
+/// the exchange has lost.
 pub const POLL_PERIOD: TimeSpan = TimeSpan::from_secs(300);
 
-/// Returns true where a node watches a kind, given all nodes that take part (itself included).
+/// Returns true if `node` watches a kind; `nodes` are all participants, itself included.
 ///
-/// Nodes that disagree on who takes part differ by a watcher more or less, which does no harm.
+/// Nodes with different views of the participants may select a few watchers more or fewer.
 #[must_use]
 pub fn is_watcher(node: &NodeId, kind: ObjectKind, nodes: &[NodeId]) -> bool {
     let kind_hash = hashing::hash_name(kind.as_str());
@@ -30,7 +30,7 @@
     higher_ranked.count() < WATCHERS_PER_KIND
 }
 
-/// Gets the time until the next listing, spread so that nodes do not list together.
+/// Returns the time until the next listing, randomized so that nodes do not list at the same time.
 pub fn next_poll_delay(rng: &mut impl Rng) -> TimeSpan {
     POLL_PERIOD.mul_f64(rng.random_range(0.5..1.5))
 }
--- a/alderhaven-policy/src/membership.rs
+++ b/alderhaven-policy/src/membership.rs
@@ -1,13 +1,10 @@
-//! Membership: which processes of the system there are, and which of them take work.
+//! Group membership: which processes exist and which of them accept work.
 //!
-//! Load pattern: hundreds of entries and relays of which some restart, stop, freeze or lose each
-//! other at any time. If every process checked every other one, the cost of a process would grow
-//! with the fleet; if only a few did, their loss would blind the others. Here each process probes
-//! one random member a period, asks a few others to probe where an answer is missing, and news
-//! travels on the messages that are sent anyway (SWIM). The cost of a process at rest does not
-//! depend on the number of members.
+//! A SWIM-style protocol. Each process probes one random member a period, asks a few others to
+//! probe a member that does not answer, and piggybacks updates on the messages that it sends
+//! anyway. The cost of an idle process does not depend on the size of the group.
 //!
-//! Membership only decides where work is sent. Nothing that must be agreed rests on it.
+//! Membership only decides where work is sent; correctness never depends on it.
 
 pub mod config_report_tracker;
 mod contact_list;
--- a/alderhaven-policy/src/membership/config_report_tracker.rs
+++ b/alderhaven-policy/src/membership/config_report_tracker.rs
@@ -1,8 +1,7 @@
-//! Which configuration each member has in force.
+//! Reports of the configuration that each member has in force.
 //!
-//! Load pattern: 3,100 changes a day, after each of which all members report. As updates with names
-//! these would be the largest part of all gossip. A report is therefore four bytes for a member in a
-//! group with the same configuration.
+//! Every change of the configuration makes all members report. To limit the size, a report is a
+//! 4-byte process fingerprint in a group of processes with the same configuration.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +10,21 @@
 use crate::membership::gossip_message::ReportGroup;
 use crate::membership::member_record::ConfigDigest;
 
-/// The most reports that are held, against members that are made up.
+/// Maximum number of stored reports; bounds memory against forged members.
 const MAX_REPORTS: usize = 1 << 14;
 
-/// A `ReportBoard` holds the newest report of each process and passes new ones on.
+/// Stores the newest report of each process and queues new ones for sending.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigReportTracker {
     reports: BTreeMap<u32, ConfigDigest>,
+    /// Reports to send, with the number of messages that have carried them.
     pending: BTreeMap<u32, u32>,
 }
 
-/// Gets the number by which reports name a process; a restarted process has another one, so that a
-/// report from before the restart says nothing of it.
+/// Returns the number that identifies a process in reports. A restarted process gets another one,
+/// so that reports from before the restart do not apply to it.
 ///
-/// Two of 580 processes share a number with a chance of 4 in 100,000; one of them then appears to
-/// lag until either restarts.
+/// Fingerprints may collide; one of the two processes then appears to lag until either restarts.
 #[must_use]
 pub fn process_fingerprint(node: &NodeId, incarnation: IncarnationNumber) -> u32 {
     let mut hasher = blake3::Hasher::new();
@@ -37,7 +36,7 @@
 }
 
 impl ConfigReportTracker {
-    /// Takes a report; returns true where it is newer than what was known.
+    /// Records a report; returns true if it is newer than the stored one.
     pub fn record_report(&mut self, fingerprint: u32, config: ConfigDigest) -> bool {
         let known = self
             .reports
@@ -52,7 +51,7 @@
         true
     }
 
-    /// Gets the newest report of a process.
+    /// Returns the newest report of a process.
     #[must_use]
     pub fn get(&self, fingerprint: u32) -> Option<ConfigDigest> {
         self.reports.get(&fingerprint).copied()
@@ -64,13 +63,14 @@
         self.pending.retain(|fingerprint, _| is_known(*fingerprint));
     }
 
-    /// Returns true where no report is to be sent.
+    /// Returns true if no report is waiting to be sent.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Takes reports for one message of at most `bytes` bytes.
+    /// Takes reports for one message, at most `bytes` bytes, least sent first. Reports that have
+    /// been sent `retransmissions` times are dropped from the queue.
     pub fn take_groups(&mut self, bytes: usize, retransmissions: u32) -> Vec<ReportGroup> {
         if self.pending.is_empty() {
             return Vec::new();
@@ -96,7 +96,7 @@
         groups.groups
     }
 
-    /// Gets the reports of the given processes as groups of at most `bytes` bytes together.
+    /// Returns the reports of the given processes, at most `bytes` bytes in total.
     #[must_use]
     pub fn groups_of(&self, fingerprints: &[u32], bytes: usize) -> Vec<ReportGroup> {
         let mut groups = ReportGroupBuilder::new(bytes);
@@ -111,7 +111,7 @@
     }
 }
 
-/// A `GroupBuilder` collects reports into groups within a number of bytes.
+/// Collects reports into groups up to a size limit.
 struct ReportGroupBuilder {
     groups: Vec<ReportGroup>,
     bytes_left: usize,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Adds a report; returns false where there is no room left.
+    /// Adds a report; returns false if it does not fit.
     fn add(&mut self, fingerprint: u32, config: ConfigDigest) -> bool {
         let group = self.groups.iter().position(|group| group.config == config);
         let size = match group {
--- a/alderhaven-policy/src/membership/contact_list.rs
+++ b/alderhaven-policy/src/membership/contact_list.rs
@@ -1,4 +1,4 @@
-//! The members that messages go to, by whether they are in the own failure domain.
+//! Destinations of gossip messages, grouped by whether they share the process's failure domain.
 
 use std::net::SocketAddr;
 
@@ -8,20 +8,21 @@
 
 use crate::domain_peers::DomainPeers;
 
-/// How many draws are made for each contact that is wanted.
+/// Number of random draws for each contact that is requested.
 const SAMPLES_PER_CONTACT: usize = 4;
 
-/// How many messages of news a domain as a whole sends beyond for each that every member of it sends.
+/// Expected number of messages that a failure domain as a whole sends to other domains, for each
+/// message that every member of it sends.
 const CROSS_DOMAIN_COPIES: f64 = 2.0;
 
-/// A `MemberContact` is a member that messages go to: any but the dead.
+/// A member that is not dead, and so receives messages.
 #[derive(Clone, Debug)]
 pub(super) struct MemberContact {
     pub(super) node: NodeId,
     pub(super) address: SocketAddr,
 }
 
-/// A `ContactList` holds the contacts of a process.
+/// All contacts of a process.
 #[derive(Debug, Default)]
 pub(super) struct ContactList {
     own_domain: Vec<MemberContact>,
@@ -38,7 +39,7 @@
         contacts.map(|contact| &contact.node)
     }
 
-    /// Adds a contact, in place of what was known under its id.
+    /// Adds a contact, or replaces the one with the same id.
     pub(super) fn add(&mut self, contact: MemberContact, is_in_own_domain: bool) {
         self.remove(&contact.node);
         let contacts = if is_in_own_domain {
@@ -58,13 +59,13 @@
         }
     }
 
-    /// Returns true where the address is that of a contact in another domain.
+    /// Returns true if the address belongs to a contact in another failure domain.
     pub(super) fn is_in_other_domain(&self, address: SocketAddr) -> bool {
         let has_address = |contact: &MemberContact| contact.address == address;
         self.other_domains.iter().any(has_address)
     }
 
-    /// Draws contacts for news, mostly of the own domain.
+    /// Samples contacts for gossip, mostly from the process's own failure domain.
     pub(super) fn sample_mostly_own_domain(
         &self,
         count: usize,
@@ -83,7 +84,7 @@
         })
     }
 
-    /// Draws contacts from all domains alike, but for one member.
+    /// Samples contacts from all domains uniformly, except for `excluded`.
     pub(super) fn sample_uniform(
         &self,
         count: usize,
@@ -102,7 +103,8 @@
         })
     }
 
-    /// Draws whether a member whose view differs is asked for its own: one of the own domain always.
+    /// Decides whether to sync with a member whose view differs: always within the own failure
+    /// domain, otherwise at random.
     pub(super) fn should_sync_with(&self, node: &NodeId, rng: &mut impl Rng) -> bool {
         let is_in_own_domain = self.own_domain.iter().any(|contact| contact.node == *node);
         is_in_own_domain
@@ -111,6 +113,7 @@
                 .draw_cross_domain(CROSS_DOMAIN_COPIES, rng)
     }
 
+    /// Draws up to `count` distinct addresses; gives up after a bounded number of draws.
     fn sample<R: Rng>(
         &self,
         count: usize,
--- a/alderhaven-policy/src/membership/dissemination.rs
+++ b/alderhaven-policy/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! How messages are put together and whom news goes to.
+//! Composition of outgoing messages and the choice of their receivers.
 
 use std::net::SocketAddr;
 
@@ -12,13 +12,13 @@
 use crate::membership::member_record::MemberState;
 use crate::membership::membership_options::MembershipOptions;
 
-/// How many times as often as an update a report is told. An update that misses a member is noticed by
-/// the view's hash and asked for; a report that misses one is not. With the tellings of an update one
-/// change in three leaves a member of 32 uninformed until a direct message, with twice as many none in 30.
+/// Factor by which reports are sent more often than updates. A lost update is found by comparing
+/// view hashes; these do not cover reports, so a lost report is only replaced by a direct message
+/// from its process.
 const REPORT_RETRANSMIT_FACTOR: u32 = 2;
 
 impl GroupMembership {
-    /// Sends news to a few random members, where there is news and it is time.
+    /// Sends pending updates and reports to a few random members, if a round is due.
     pub(super) fn gossip(
         &mut self,
         now: TimePoint,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Sends news on at once where it is urgent; in a burst it waits for the next tick.
+    /// Sends a round immediately if an urgent update is pending; in a burst, it waits for the next
+    /// tick.
     pub(super) fn gossip_urgently(
         &mut self,
         now: TimePoint,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Sends news to many members at once.
+    /// Sends pending updates to many members at once.
     pub(super) fn broadcast(&mut self, now: TimePoint, rng: &mut impl Rng) -> Vec<OutgoingMessage> {
         self.gossiped_at = now;
         let fanout = MembershipOptions::leaving_fanout(self.live_member_count());
@@ -66,11 +67,13 @@
             .collect()
     }
 
+    /// Builds a message that carries only pending updates and reports.
     pub(super) fn message_to(&mut self, to: SocketAddr, body: GossipBody) -> OutgoingMessage {
         self.message_with_update(to, body, None)
     }
 
-    /// Puts a message together: what the receiver must hear, then as much news as has room.
+    /// Builds a message with an update that the receiver needs, then as many pending updates and
+    /// reports as fit.
     pub(super) fn message_with_update(
         &mut self,
         to: SocketAddr,
@@ -107,8 +110,9 @@
         OutgoingMessage { to, message }
     }
 
-    /// Returns true for a probe or its answer to another domain, which carries no news along: probes go
-    /// to all domains alike, and news would cross between them as often.
+    /// Returns true for probe traffic to another failure domain while updates are pending. Such
+    /// messages carry no queued updates: probes go to all domains equally, and would multiply the
+    /// updates sent across domains.
     fn is_cross_domain_probe(&self, to: SocketAddr, body: &GossipBody) -> bool {
         let is_probe = match body {
             GossipBody::Ping { .. } | GossipBody::PingRequest { .. } | GossipBody::Ack { .. } => {
@@ -121,6 +125,7 @@
         is_probe && !self.queue.is_empty() && self.contacts.is_in_other_domain(to)
     }
 
+    /// Returns the self-description of this process at the latest known time.
     pub(super) fn sender_header(&self) -> SenderHeader {
         SenderHeader {
             node: self.record.node.clone(),
--- a/alderhaven-policy/src/membership/gossip_message.rs
+++ b/alderhaven-policy/src/membership/gossip_message.rs
@@ -1,4 +1,4 @@
-//! The messages of membership.
+//! Gossip messages between members, and upper bounds of their encoded sizes.
 
 use std::net::SocketAddr;
 
@@ -10,122 +10,119 @@
 };
 use crate::membership::store_answer::StoreAnswer;
 
-/// The number of hashes that a view is split into for comparison.
+/// Number of buckets that a view is divided into for comparison; each has one hash.
 pub const VIEW_BUCKETS: usize = 16;
 
-/// The bytes kept free for a message's header and body, an upper bound of their encoded form: the
-/// header has a name of at most 63 bytes and about 80 bytes of numbers, the largest body has a name
-/// and sixteen hashes.
+/// Bytes reserved in each message for its header and body: an upper bound of their encoded size,
+/// reached by the longest node name and a full set of bucket hashes.
 pub const ENVELOPE_BYTES: usize = 360;
 
-/// The upper bound of an update's encoded form beside its name and record: its own length, the
-/// name's length, a state and a version.
+/// Upper bound of an encoded update without its name and record.
 const UPDATE_OVERHEAD_BYTES: usize = 26;
 
-/// The upper bound of a record's encoded form beside its names and addresses: their lengths, a role and a
-/// capacity.
+/// Upper bound of an encoded record without its names and addresses.
 const RECORD_OVERHEAD_BYTES: usize = 18;
 
-/// The bytes of an encoded address beside its IP number: tag, length and port.
+/// Encoded bytes of an address besides its IP address: tag, length and port.
 const ADDRESS_OVERHEAD_BYTES: usize = 4;
 
-/// The upper bound of a report group's encoded form beside its members.
+/// Upper bound of an encoded report group without its members.
 const GROUP_OVERHEAD_BYTES: usize = 40;
 
-/// The bytes of one member in a report group.
+/// Encoded bytes of one member in a report group.
 const GROUP_MEMBER_BYTES: usize = 4;
 
-/// A `GossipMessage` is one datagram between two members.
+/// One datagram between two members.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GossipMessage {
-    /// Who sends it.
+    /// State of the sender at the time of sending.
     pub sender: SenderHeader,
-    /// What it asks or answers.
+    /// Request, reply or notification that the message was sent for.
     pub body: GossipBody,
-    /// News of members that travels with it.
+    /// Piggybacked updates about members.
     pub updates: Vec<MemberUpdate>,
-    /// Configurations in force that travel with it.
+    /// Piggybacked reports of configurations in force.
     pub reports: Vec<ReportGroup>,
 }
 
-/// A `SenderHeader` is what a sender says of itself in each message.
+/// Self-description that a sender puts into each message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SenderHeader {
-    /// The sender.
+    /// Identifies the sender.
     pub node: NodeId,
-    /// The sender's version.
+    /// Current version of the sender.
     pub version: MemberVersion,
-    /// Whether the sender leaves.
+    /// Whether the sender has announced that it leaves.
     pub is_leaving: bool,
-    /// How busy the sender is.
+    /// Current utilization of the sender.
     pub load: LoadLevel,
-    /// The sender's configuration in force.
+    /// Configuration that the sender has in force.
     pub config: ConfigDigest,
-    /// The hash of the sender's view of the members.
+    /// Hash of the sender's view; equal views have equal hashes.
     pub view_hash: u64,
-    /// When the store last answered anyone, as far as the sender knows.
+    /// Latest answer of the store to any member that the sender knows of.
     pub store_answer: Option<StoreAnswer>,
 }
 
-/// A `GossipBody` is the closed set of what a message asks or answers.
+/// Purpose of a message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum GossipBody {
-    /// The message only carries news.
+    /// Carries only piggybacked updates and reports.
     Updates,
-    /// The sender asks the target to answer.
+    /// Asks the target for an acknowledgement.
     Ping {
-        /// The number that the answer repeats.
+        /// Repeated by the reply.
         sequence: u32,
-        /// The member that is meant; another one that took over its address does not answer.
+        /// Member that is probed. Another member that now uses its address does not answer.
         target: NodeId,
     },
-    /// The sender asks the receiver to probe a target.
+    /// Asks the receiver to probe a target on behalf of the sender.
     PingRequest {
-        /// The number that the answer repeats.
+        /// Repeated by the reply.
         sequence: u32,
-        /// The member to probe.
+        /// Member to probe.
         target: NodeId,
-        /// Its address.
+        /// Gossip address of the target.
         address: SocketAddr,
     },
-    /// The answer to a ping or to a request for one.
+    /// Acknowledges a ping or a ping request.
     Ack {
-        /// The number of the question.
+        /// Sequence number of the request.
         sequence: u32,
     },
-    /// The sender asks for members of which its view differs.
+    /// Asks for the members in the buckets whose hashes differ.
     SyncRequest {
-        /// The number that the answer repeats.
+        /// Repeated by the reply.
         sequence: u32,
-        /// The last member of the chunk before; none for the first chunk.
+        /// Last member of the previous chunk; `None` for the first chunk.
         after: Option<NodeId>,
-        /// The hashes of the parts of the sender's view.
+        /// Hashes of all buckets of the sender's view.
         buckets: SmallVec<[u64; VIEW_BUCKETS]>,
     },
-    /// One chunk of members, as the updates of the message.
+    /// Returns one chunk of members, as the updates of the message.
     SyncReply {
-        /// The number of the question.
+        /// Sequence number of the request.
         sequence: u32,
-        /// The last member of the chunk where there are more; none for the last chunk.
+        /// Where the next chunk starts; `None` after the last chunk.
         continue_after: Option<NodeId>,
     },
 }
 
-/// A `MemberUpdate` is one piece of news of a member.
+/// State of one member at one version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MemberUpdate {
-    /// The member.
+    /// Member that the update is about.
     pub node: NodeId,
-    /// Its state.
+    /// Reported state.
     pub state: MemberState,
-    /// The version that the state is of.
+    /// Version that the state belongs to.
     pub version: MemberVersion,
-    /// The member's record where receivers may not know it.
+    /// Present if the receiver may not know the member.
     pub record: Option<MemberRecord>,
 }
 
 impl MemberUpdate {
-    /// Gets an upper bound of the encoded size in bytes.
+    /// Returns an upper bound of the encoded size in bytes.
     #[must_use]
     pub fn size_bound(&self) -> usize {
         let record = self.record.as_ref().map_or(0, |record| {
@@ -152,28 +149,28 @@
     }
 }
 
-/// A `ReportGroup` names members that have the same configuration in force.
+/// Processes that have the same configuration in force.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReportGroup {
-    /// The configuration.
+    /// Configuration in force.
     pub config: ConfigDigest,
-    /// The fingerprints of the members' processes.
+    /// Fingerprints of the processes.
     pub members: Vec<u32>,
 }
 
 impl ReportGroup {
-    /// Gets an upper bound of the encoded size in bytes of a group of `members` members.
+    /// Returns an upper bound of the encoded size in bytes of a group of `members` members.
     #[must_use]
     pub const fn size_bound(members: usize) -> usize {
         GROUP_OVERHEAD_BYTES + members * GROUP_MEMBER_BYTES
     }
 }
 
-/// An `OutgoingMessage` is a message and the gossip address that it goes to.
+/// A message and its destination.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OutgoingMessage {
-    /// The receiver's address.
+    /// Gossip address of the receiver.
     pub to: SocketAddr,
-    /// The message.
+    /// Message to encode and send.
     pub message: GossipMessage,
 }
--- a/alderhaven-policy/src/membership/group_membership.rs
+++ b/alderhaven-policy/src/membership/group_membership.rs
@@ -1,4 +1,4 @@
-//! The aggregate of all that one process knows of the others.
+//! Membership state of one process and its public interface.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,29 +22,33 @@
 use crate::membership::store_answer::StoreAnswerTracker;
 use crate::membership::update_queue::UpdateQueue;
 
-/// A `GroupMembership` is one process's view of all others, and the rules by which it changes.
+/// One process's view of the group.
 ///
-/// [`tick`](Self::tick) is called at least every 50 ms, [`receive`](Self::receive) with each
-/// message; both return what is to be sent.
+/// The caller owns clock, randomness and sockets: it calls [`tick`](Self::tick) at least every 50
+/// ms and [`receive`](Self::receive) for each message, and sends the messages that both return.
 pub struct GroupMembership {
     pub(super) options: MembershipOptions,
     pub(super) record: MemberRecord,
     pub(super) version: MemberVersion,
+    /// State that this process announces about itself.
     pub(super) own_state: MemberState,
     pub(super) is_superseded: bool,
     pub(super) load: LoadLevel,
     pub(super) config: ConfigDigest,
     pub(super) members: BTreeMap<NodeId, MemberEntry>,
-    /// The suspected members, with how often each was asked by this process itself.
+    /// Suspected members, with the number of pings sent to each during the suspicion.
     pub(super) suspects: BTreeMap<NodeId, u32>,
+    /// Last versions of dead members whose records were dropped.
     pub(super) tombstones: BTreeMap<NodeId, MemberVersion>,
     pub(super) contacts: ContactList,
     pub(super) queue: UpdateQueue,
     pub(super) config_reports: ConfigReportTracker,
     pub(super) store_answers: StoreAnswerTracker,
+    /// Exclusive or of the hashes of the members in each bucket.
     pub(super) buckets: [u64; VIEW_BUCKETS],
     pub(super) probing: ProbeSchedule,
     pub(super) syncing: SyncSchedule,
+    /// Whether the next gossip round may be sent before `gossip_period` has passed.
     pub(super) has_urgent_updates: bool,
     pub(super) gossiped_at: TimePoint,
     pub(super) changed_at: TimePoint,
@@ -54,17 +58,19 @@
     pub(super) reported_at: TimePoint,
     pub(super) next_reconnect_at: TimePoint,
     pub(super) ticked_at: Option<TimePoint>,
-    /// The latest time that was passed in.
+    /// Latest time that the caller passed in.
     pub(super) latest_time: TimePoint,
+    /// End of the last pause of this process; suspicions are timed from here at the earliest.
     pub(super) resumed_at: TimePoint,
     pub(super) forgot_at: TimePoint,
 }
 
 impl GroupMembership {
-    /// Returns the view of a process that has just started and knows nobody.
+    /// Creates the view of a process that has just started and knows no other member.
     ///
-    /// The start number in `version` must be above that of the process's earlier runs; the time of
-    /// the start serves. Where it is not, the process learns so from the others and raises it.
+    /// The incarnation in `version` should exceed those of the process's earlier runs, for
+    /// instance by using the start time. If it does not, the process learns of the newer version
+    /// from other members and raises its own.
     #[must_use]
     pub fn new(record: MemberRecord, version: MemberVersion, options: MembershipOptions) -> Self {
         let mut membership = Self {
@@ -103,7 +109,7 @@
         membership
     }
 
-    /// Does what is due; to be called at least every 50 ms.
+    /// Runs all periodic tasks that are due; must be called at least every 50 ms.
     pub fn tick(&mut self, now: TimePoint, rng: &mut impl Rng) -> Vec<OutgoingMessage> {
         let mut outgoing = Vec::new();
         if self.own_state == MemberState::Dead {
@@ -121,7 +127,7 @@
         outgoing
     }
 
-    /// Announces that this process stops taking work, to many members at once.
+    /// Announces to many members at once that this process stops accepting work.
     pub fn announce_leaving(&mut self, now: TimePoint, rng: &mut impl Rng) -> Vec<OutgoingMessage> {
         if self.own_state != MemberState::Alive {
             return Vec::new();
@@ -134,7 +140,7 @@
         self.broadcast(now, rng)
     }
 
-    /// Announces that this process is gone, to be called as the last thing before it ends.
+    /// Announces that this process is stopping; must be the last call before it ends.
     pub fn announce_gone(&mut self, now: TimePoint, rng: &mut impl Rng) -> Vec<OutgoingMessage> {
         let mut outgoing = self.announce_leaving(now, rng);
         self.own_state = MemberState::Dead;
@@ -144,89 +150,89 @@
         outgoing
     }
 
-    /// Sets how busy this process is.
+    /// Sets the utilization that this process reports.
     pub const fn set_load(&mut self, load: LoadLevel) {
         self.load = load;
     }
 
-    /// Sets the configuration that this process has in force.
+    /// Sets the configuration that this process reports as in force.
     pub const fn set_config(&mut self, config: ConfigDigest) {
         self.config = config;
     }
 
-    /// Notes that the store answered this process.
+    /// Records that the store answered this process.
     pub fn note_store_answer(&mut self, now: TimePoint) {
         self.store_answers.record_own(now);
     }
 
-    /// Gets when the store last answered another member.
+    /// Returns the time of the store's last known answer to any other member.
     #[must_use]
     pub fn other_store_answered_at(&self) -> Option<TimePoint> {
         self.store_answers.other_answered_at()
     }
 
-    /// Returns true where nothing but the next probe is due.
+    /// Returns true if nothing is due before the next probe.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let is_awaiting = !self.probing.is_idle() || !self.syncing.is_idle();
         !self.has_pending_gossip() && self.suspects.is_empty() && !is_awaiting
     }
 
-    /// Returns true where there is something to pass on.
+    /// Returns true if updates or reports are waiting to be sent.
     pub(super) fn has_pending_gossip(&self) -> bool {
         !self.queue.is_empty() || !self.config_reports.is_empty()
     }
 
-    /// Gets when the next member is probed.
+    /// Returns the time of the next probe.
     #[must_use]
     pub const fn next_probe_at(&self) -> TimePoint {
         self.probing.next_probe_at()
     }
 
-    /// Gets this process's own record.
+    /// Returns the record that this process announces.
     #[must_use]
     pub const fn record(&self) -> &MemberRecord {
         &self.record
     }
 
-    /// Gets this process's own version.
+    /// Returns the version that this process announces.
     #[must_use]
     pub const fn version(&self) -> MemberVersion {
         self.version
     }
 
-    /// Gets the state that this process says it is in.
+    /// Returns the state that this process announces.
     #[must_use]
     pub const fn own_state(&self) -> MemberState {
         self.own_state
     }
 
-    /// Returns true where a newer process with this one's id runs at other addresses: this one was
-    /// replaced while it was paused and must stop.
+    /// Returns true if a newer process with the same id but another record exists. This process
+    /// was replaced while it was paused, and must stop.
     #[must_use]
     pub const fn is_superseded(&self) -> bool {
         self.is_superseded
     }
 
-    /// Returns true once the state of the group was taken over from another member.
+    /// Returns true once this process has completed its first state sync or has no seeds to join.
     #[must_use]
     pub const fn is_joined(&self) -> bool {
         self.syncing.is_joined
     }
 
-    /// Gets the number of changes of members' states; it grows with each.
+    /// Returns a counter of changes to the members and their states.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Gets the number of changes of members' configurations in force; it grows with each.
+    /// Returns a counter of changes to the members' configurations in force.
     #[must_use]
     pub const fn report_revision(&self) -> u64 {
         self.report_revision
     }
 
-    /// Gets the state of a member, this process included.
+    /// Returns the state of a member or of this process; `None` for an unknown node.
     #[must_use]
     pub fn state_of(&self, node: &NodeId) -> Option<MemberState> {
         if *node == self.record.node {
@@ -235,7 +241,8 @@
         self.members.get(node).map(|member| member.machine.state())
     }
 
-    /// Gets all members, this process first, the dead included until they are forgotten.
+    /// Returns all members, this process first. Dead members are included until they are
+    /// forgotten.
     #[must_use]
     pub fn members(&self) -> Vec<MemberView> {
         let own = MemberView {
@@ -262,13 +269,13 @@
         std::iter::once(own).chain(others).collect()
     }
 
-    /// Gets the hash of the view; equal views have equal hashes.
+    /// Returns a hash of the view. Equal views have equal hashes.
     #[must_use]
     pub fn view_hash(&self) -> u64 {
         self.buckets.iter().fold(0, |all, bucket| all ^ bucket)
     }
 
-    /// Gets the number of members that are not dead, this process included.
+    /// Returns the number of members that are not dead, this process included.
     pub(super) fn live_member_count(&self) -> usize {
         self.contacts.len() + 1
     }
@@ -286,7 +293,8 @@
         config_report_tracker::process_fingerprint(&self.record.node, self.version.incarnation)
     }
 
-    /// Adds this process's part to the hashes of the view, or takes it out where it was in.
+    /// Adds this process's contribution to the bucket hashes, or removes it if it was added
+    /// before.
     pub(super) fn toggle_own_contribution(&mut self) {
         let (bucket, hash) = member_entry::hash_contribution(
             self.name_hash,
@@ -301,7 +309,8 @@
         self.revision += 1;
     }
 
-    /// Applies an event to a known member; where it changed something, passes the new state on.
+    /// Applies an event to a known member. A change is queued as an update for the other members;
+    /// returns true if there was one.
     pub(super) fn apply_event(
         &mut self,
         node: &NodeId,
@@ -338,7 +347,7 @@
         true
     }
 
-    /// Adds a member to those that messages go to.
+    /// Adds a member to the destinations of messages.
     pub(super) fn add_contact(&mut self, record: &MemberRecord) {
         let contact = MemberContact {
             node: record.node.clone(),
--- a/alderhaven-policy/src/membership/maintenance.rs
+++ b/alderhaven-policy/src/membership/maintenance.rs
@@ -1,4 +1,5 @@
-//! What a process does for its view from time to time, beside probing and spreading.
+//! Periodic tasks besides probing, gossip and state sync: pauses, suspicions, reconnection and the
+//! removal of dead members.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,17 +13,18 @@
 use crate::membership::member_machine::MemberEvent;
 use crate::membership::member_record::MemberState;
 
-/// The most members whose death is remembered after their record was dropped.
+/// Maximum number of dead members whose version is kept after their record was dropped.
 const MAX_TOMBSTONES: usize = 1 << 12;
 
-/// How often a process asks a suspected member itself before it gives it up.
+/// Number of direct pings that a suspected member gets before its suspicion expires.
 const PINGS_PER_SUSPICION: u32 = 2;
 
 impl GroupMembership {
-    /// Guards against judging others after this process itself was paused: answers that came
-    /// meanwhile are still unread, so a probe in flight would count as failed and suspicions as
-    /// lapsed, and a host that froze for seconds would declare everyone dead when it wakes. A late
-    /// tick shows the pause; the probe is then dropped and suspicions begin anew.
+    /// Detects from a late tick that this process was paused; cancels the running probe and
+    /// restarts all suspicion timeouts.
+    ///
+    /// Answers that arrived during the pause are still unread. Without this check, a process that
+    /// resumes would declare the members dead that it had been waiting for.
     pub(super) fn detect_pause(&mut self, now: TimePoint) {
         let is_paused = self
             .ticked_at
@@ -34,11 +36,10 @@
         self.ticked_at = Some(now);
     }
 
-    /// Ends suspicions that were not refuted in time.
+    /// Declares members dead whose suspicion has expired.
     ///
-    /// Guards against lossy paths: the refutation may miss this process, which would then give up
-    /// a member that all others know to be well. Each process therefore asks the member itself,
-    /// once after a third and once after two thirds of the time.
+    /// On lossy paths the refutation may not reach this process. It therefore pings the member
+    /// directly after one third and after two thirds of the timeout.
     pub(super) fn expire_suspicions(
         &mut self,
         now: TimePoint,
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Queues a report if the configuration in force has changed and a report is due.
     pub(super) fn report_config(&mut self, now: TimePoint) {
         let is_due = now.since(self.reported_at) >= self.options.report_period;
         if !self.options.is_reporting || !is_due {
@@ -83,9 +85,9 @@
         }
     }
 
-    /// Tries to reach a member that is dead or a seed that is not known: after a split heals,
-    /// nobody else would speak across it again. The chance falls with the size, so that a dead
-    /// host is not called by the whole fleet.
+    /// Tries to reach a dead member or an unknown seed, since after a network split no other
+    /// message crosses between the two sides. The probability decreases with the group size, so
+    /// that a failed host does not get a message from every member.
     pub(super) fn reconnect(
         &mut self,
         now: TimePoint,
@@ -110,6 +112,7 @@
         }
     }
 
+    /// Returns dead members, and seeds that belong to no known member.
     fn reconnect_candidates(&self) -> Vec<(SocketAddr, Option<NodeId>)> {
         let dead = self
             .members
@@ -132,10 +135,10 @@
         dead.chain(seeds.map(|seed| (*seed, None))).collect()
     }
 
-    /// Drops the records of members that have been dead for long.
+    /// Drops the records of members that have been dead for `forget_after`.
     ///
-    /// Their versions are kept: a process that was frozen all the while still believes them alive
-    /// and says so when it wakes, which would bring them back into answers until a probe fails.
+    /// Their versions are kept as tombstones: a process that resumes after a long pause may still
+    /// report them as alive.
     pub(super) fn forget_dead_members(&mut self, now: TimePoint) {
         if now.since(self.forgot_at) < self.options.reconnect_period {
             return;
@@ -173,8 +176,8 @@
     }
 }
 
-/// Spreads a period by a quarter to either side, so that processes that started together do not
-/// act together.
+/// Varies a period by up to a quarter, so that processes started together do not act at the same
+/// time.
 pub(super) fn jittered(period: TimeSpan, rng: &mut impl Rng) -> TimeSpan {
     period.mul_f64(rng.random_range(0.75..1.25))
 }
--- a/alderhaven-policy/src/membership/member_entry.rs
+++ b/alderhaven-policy/src/membership/member_entry.rs
@@ -1,4 +1,4 @@
-//! A member as it is kept, and as it is shown.
+//! One member as the membership stores it and as other parts of the process see it.
 
 use std::sync::Arc;
 
@@ -14,19 +14,20 @@
     ConfigDigest, LoadLevel, MemberRecord, MemberState, MemberVersion,
 };
 
-/// A `MemberEntry` is one other member with its lifecycle.
+/// Everything that this process knows about one other member.
 pub(crate) struct MemberEntry {
     pub(crate) record: Arc<MemberRecord>,
     pub(crate) machine: MemberMachine,
+    /// Identifies the process in configuration reports.
     pub(crate) fingerprint: u32,
-    /// The start of the process that the record is of.
+    /// Incarnation of the process that `record` describes.
     pub(crate) record_incarnation: IncarnationNumber,
     pub(crate) load: LoadLevel,
-    /// When the member last spoke to this process itself.
+    /// Time of the last message that came directly from the member.
     pub(crate) last_contact_at: Option<TimePoint>,
-    /// What the member has in force, as it said itself.
+    /// Configuration in force, from the member's own messages.
     pub(crate) config: Option<ConfigDigest>,
-    /// When this process first heard of the member's process.
+    /// Time at which this process learned of the member's current incarnation.
     pub(crate) discovered_at: TimePoint,
     name_hash: u64,
 }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Takes over the record of a restarted process.
+    /// Replaces the record after the member's process has restarted.
     pub(crate) fn replace_record(&mut self, record: MemberRecord, now: TimePoint) {
         self.record_incarnation = self.machine.version().incarnation;
         self.fingerprint =
@@ -61,13 +62,14 @@
         self.discovered_at = now;
     }
 
-    /// Gets the bucket of a view's hashes that the member belongs to.
+    /// Returns the bucket of the view hash that the member belongs to.
     pub(crate) fn bucket(&self) -> usize {
         bucket_of(self.name_hash)
     }
 
-    /// Gets the bucket and the hash that the member adds to a view's hashes; the dead add nothing,
-    /// since they are forgotten at different times.
+    /// Returns the member's bucket and its hash within that bucket.
+    ///
+    /// Dead members contribute 0, because observers forget them at different times.
     pub(crate) fn hash_contribution(&self) -> (usize, u64) {
         let state = self.machine.state();
         if state == MemberState::Dead {
@@ -77,7 +79,8 @@
         hash_contribution(self.name_hash, self.machine.version(), is_leaving)
     }
 
-    /// Gets the member's state as news; with its record where receivers may not know it.
+    /// Returns the member's current state as an update. The record is included if `with_record` is
+    /// set, for receivers that may not know the member.
     pub(crate) fn update(&self, with_record: bool) -> MemberUpdate {
         MemberUpdate {
             node: self.record.node.clone(),
@@ -88,7 +91,7 @@
     }
 }
 
-/// Gets the bucket and the hash that a member adds to a view's hashes.
+/// Returns a member's bucket and its hash within that bucket.
 pub(crate) fn hash_contribution(
     name_hash: u64,
     version: MemberVersion,
@@ -107,24 +110,25 @@
     usize::try_from(name_hash % VIEW_BUCKETS as u64).unwrap_or(0)
 }
 
-/// A `MemberView` is a member as other parts of the process and operators see it.
+/// Snapshot of a member for other parts of the process and for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberView {
-    /// The member's record.
+    /// Shared with the membership; serialized in place.
     #[serde(serialize_with = "serialize_record")]
     pub record: Arc<MemberRecord>,
-    /// The member's state.
+    /// State as this process sees it.
     pub state: MemberState,
-    /// The version that the state is of.
+    /// Version that the state belongs to.
     pub version: MemberVersion,
-    /// The load that the member last said itself.
+    /// Utilization that the member reported last.
     pub load: LoadLevel,
-    /// When the member last spoke to this process; none where it never did.
+    /// Time of the last message that came directly from the member; `None` if there was none.
     #[serde(rename = "heard_at")]
     pub last_contact_at: Option<TimePoint>,
-    /// The configuration that the member has in force; none where it has not reported.
+    /// Configuration in force; `None` if the member has not reported it.
     pub config: Option<ConfigDigest>,
-    /// When the member's process was first heard of; for this process, its own start.
+    /// Time at which this process learned of the member's current incarnation; for this process
+    /// itself, its own start.
     #[serde(rename = "met_at")]
     pub discovered_at: TimePoint,
 }
--- a/alderhaven-policy/src/membership/member_lifecycle.rs
+++ b/alderhaven-policy/src/membership/member_lifecycle.rs
@@ -1,12 +1,9 @@
-//! The lifecycle of a member as one other process sees it, as a state machine.
+//! State machine of one member as seen by another process.
 //!
-//! News of a member is ordered by version and then by state, so the order of arrival does not
-//! matter in the end. One rule goes beyond that order: another's word is not enough to hold a
-//! member dead that was not leaving. It counts as a suspicion, and each process lets the time for a
-//! refutation pass itself. After a split heals, late news of deaths crosses over about members that
-//! were well all along; with this rule they refute it before they lose any work. For a member that
-//! really died the rule costs nothing: the suspicion had reached everyone within moments, so all
-//! wait at the same time.
+//! Updates are ordered by version and then by state, so the order of arrival does not matter.
+//! There is one exception: a reported death of a member that was not leaving counts as a
+//! suspicion, and each observer waits for the suspicion to expire itself. Outdated reports that
+//! arrive after a network split has healed can then be refuted before the member loses work.
 
 use alderhaven_core::time::TimePoint;
 use statig::prelude::*;
@@ -14,8 +11,7 @@
 use crate::membership::member_machine::MemberEvent;
 use crate::membership::member_record::{MemberState, MemberVersion};
 
-/// A `MemberLifecycle` is the state machine's storage: the newest version heard of and since when
-/// the state holds.
+/// Storage of the state machine: the newest known version, and the time of the last state change.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MemberLifecycle {
     pub(super) version: MemberVersion,
@@ -31,7 +27,7 @@
     fn alive(&mut self, event: &MemberEvent) -> Outcome<MemberPhase> {
         match *event {
             MemberEvent::ProbeFailed { now } => self.enter(MemberPhase::suspect(), now),
-            // See the module's rule: a death by hearsay is a suspicion.
+            // A reported death only starts a suspicion; see the module documentation.
             MemberEvent::UpdateReceived {
                 state: MemberState::Dead,
                 version,
@@ -67,7 +63,7 @@
     #[state]
     fn leaving(&mut self, event: &MemberEvent) -> Outcome<MemberPhase> {
         match *event {
-            // It gets no work already, so a wrong judgement would cut nothing.
+            // A leaving member gets no new work, so a wrong decision costs nothing.
             MemberEvent::ProbeFailed { now } => self.enter(MemberPhase::dead(), now),
             MemberEvent::UpdateReceived {
                 state,
--- a/alderhaven-policy/src/membership/member_machine.rs
+++ b/alderhaven-policy/src/membership/member_machine.rs
@@ -1,4 +1,4 @@
-//! What happens to a member, and the machine that runs its lifecycle.
+//! Events of a member and the state machine that handles them.
 
 use alderhaven_core::time::TimePoint;
 use statig::blocking::{IntoStateMachineExt, StateMachine};
@@ -6,38 +6,38 @@
 use crate::membership::member_lifecycle::{MemberLifecycle, MemberPhase};
 use crate::membership::member_record::{MemberState, MemberVersion};
 
-/// A `MemberEvent` is what a process learns of a member.
+/// Observation about one member.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberEvent {
-    /// Somebody said that the member is in a state.
+    /// An update about the member arrived.
     UpdateReceived {
-        /// The state that was said.
+        /// State that the update reports.
         state: MemberState,
-        /// The version that it was said of.
+        /// Version that the state belongs to.
         version: MemberVersion,
-        /// When it was heard.
+        /// Time of arrival.
         now: TimePoint,
     },
-    /// The member answered neither a probe nor those who probed it on request.
+    /// The member answered neither the direct probe nor the indirect ones.
     ProbeFailed {
-        /// When the probe ended.
+        /// Time at which the probe period ended.
         now: TimePoint,
     },
-    /// The time within which the member could refute a suspicion has passed.
+    /// The member did not refute a suspicion in time.
     SuspicionExpired {
-        /// When it passed.
+        /// Time at which the suspicion expired.
         now: TimePoint,
     },
 }
 
-/// A `MemberMachine` runs the lifecycle of one member.
+/// Runs the lifecycle of one member as a blocking state machine.
 pub struct MemberMachine {
     machine: StateMachine<MemberLifecycle>,
 }
 
 impl MemberMachine {
-    /// Returns the machine of a member that was first heard of in a state; of a death that comes
-    /// first nothing is kept, so it begins as a suspicion.
+    /// Creates the machine of a member that was just discovered. A member whose first update
+    /// reports it dead starts as suspect.
     #[must_use]
     pub fn new(state: MemberState, version: MemberVersion, now: TimePoint) -> Self {
         let lifecycle = MemberLifecycle {
@@ -54,14 +54,14 @@
         Self { machine }
     }
 
-    /// Applies an event; returns true where the state or the version changed.
+    /// Applies an event; returns true if the state or the version changed.
     pub fn handle(&mut self, event: MemberEvent) -> bool {
         let before = (self.state(), self.version());
         self.machine.handle(&event);
         before != (self.state(), self.version())
     }
 
-    /// Gets the state.
+    /// Returns the current state of the lifecycle.
     #[must_use]
     pub fn state(&self) -> MemberState {
         match self.machine.state() {
@@ -72,13 +72,13 @@
         }
     }
 
-    /// Gets the newest version heard of.
+    /// Returns the newest version that any update has reported.
     #[must_use]
     pub fn version(&self) -> MemberVersion {
         self.machine.inner().version
     }
 
-    /// Gets the time since which the state holds.
+    /// Returns the time of the last state change.
     #[must_use]
     pub fn since(&self) -> TimePoint {
         self.machine.inner().since
--- a/alderhaven-policy/src/membership/member_record.rs
+++ b/alderhaven-policy/src/membership/member_record.rs
@@ -1,102 +1,104 @@
-//! What is said of a member: its record, its version and its configuration in force.
+//! Data about one member: its record, version, state and configuration in force.
 
 use std::net::SocketAddr;
 
 use alderhaven_core::ids::{FailureDomain, HostId, IncarnationNumber, NodeId, StoreVersion};
 use serde::{Deserialize, Serialize};
 
-/// A `MemberRole` says what a member does.
+/// Function of a process in the system.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberRole {
-    /// The member serves callers.
+    /// Accepts requests from callers.
     Entry,
-    /// The member holds connections to targets.
+    /// Holds connections to targets.
     Relay,
 }
 
-/// A `MemberRecord` is what does not change of a member while its process runs.
+/// Properties of a member that stay the same while its process runs.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize, bon::Builder)]
 #[serde(deny_unknown_fields)]
 pub struct MemberRecord {
-    /// The member's id.
+    /// Identifies the member across restarts.
     pub node: NodeId,
-    /// What it does.
+    /// Whether the member serves callers or targets.
     pub role: MemberRole,
-    /// The host that it runs on.
+    /// Host that the process runs on.
     pub host: HostId,
-    /// The failure domain of the host.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// The address for gossip (UDP) and exchange (TCP).
+    /// Address for gossip (UDP) and exchange (TCP).
     pub gossip_address: SocketAddr,
-    /// The address for attempts (TCP); none for an entry.
+    /// Address for attempts (TCP); `None` for an entry.
     pub peer_address: Option<SocketAddr>,
-    /// The address for callers; none for a relay.
+    /// Address for callers; `None` for a relay.
     pub caller_address: Option<SocketAddr>,
-    /// The processor time that the member may use, in thousandths of a core; 0 where it is not known.
+    /// Processor time that the process may use; 0 if unknown.
     #[builder(default)]
     #[serde(default)]
     pub capacity: CpuCapacity,
 }
 
-/// A `MemberVersion` orders what is said of one member; the higher one is the newer.
+/// Orders the updates of one member: the higher version is the newer one.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize,
 )]
 pub struct MemberVersion {
-    /// The incarnation of the process; a restart has a higher one.
+    /// Changes with each start of the process; a later start has a higher number.
     #[serde(rename = "start")]
     pub incarnation: IncarnationNumber,
-    /// How often the process has refuted news of its own death.
+    /// Number of times that the process has refuted a suspicion or its own death since it started.
     pub refutation: u32,
 }
 
-/// A `MemberState` is what others believe of a member, in the order in which news of one version
-/// override each other.
+/// State of a member as its observers see it.
+///
+/// The variants are in the order of precedence among updates of the same version: a later variant
+/// overrides an earlier one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// The member answers probes.
+    /// Answers probes.
     Alive,
-    /// The member missed a probe and has not refuted it yet.
+    /// Missed a probe and has not refuted the suspicion yet.
     Suspect,
-    /// The member announced that it stops; it gets no new work.
+    /// Announced that it stops; it gets no new work.
     Leaving,
-    /// The member is gone.
+    /// Has stopped or is considered failed.
     Dead,
 }
 
 impl MemberState {
-    /// Returns true where new work may be sent to the member.
+    /// Returns true if new work may be sent to the member.
     #[must_use]
     pub const fn takes_work(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// A `ConfigDigest` is a short form of the configuration that a node has in force.
+/// Summary of the configuration that a node has in force.
 ///
-/// Two nodes with equal digests hold the same versions of the same objects.
+/// Nodes with equal digests hold the same versions of the same objects.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Hash, Serialize, Deserialize)]
 pub struct ConfigDigest {
-    /// The highest store version among the objects.
+    /// Highest store version among the objects.
     pub highest: StoreVersion,
-    /// The sum of all store versions, wrapping. Versions only rise, so the sum of one process only
-    /// rises and tells its newer digest from its older one.
+    /// Wrapping sum of all store versions. Versions never decrease, so of two digests of one
+    /// process the one with the higher sum is newer.
     #[serde(rename = "progress")]
     pub version_sum: u64,
-    /// The exclusive or of the hashes of all objects' keys and versions.
+    /// Exclusive or of the hashes of all object keys and versions.
     pub hash: u64,
 }
 
-/// A `LoadLevel` is how busy a member is, in thousandths of its capacity.
+/// Utilization of a member, in thousandths of its capacity.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct LoadLevel(pub u32);
 
-/// A `CpuCapacity` is processor time in thousandths of a core.
+/// Processor time in thousandths of a core.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize,
 )]
--- a/alderhaven-policy/src/membership/membership_options.rs
+++ b/alderhaven-policy/src/membership/membership_options.rs
@@ -1,53 +1,53 @@
-//! The settings of membership and the grounds for their figures.
+//! Settings of the membership protocol.
 
 use std::net::SocketAddr;
 
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// A `MembershipOptions` holds the periods and bounds of membership.
+/// Periods, timeouts and size limits of the membership protocol.
 ///
-/// The bound to keep is 5 s from a death to the last member that knows, at 580 members. A dead
-/// member is probed first by anyone after 1.8 s in 99 of 100 cases (period 400 ms, each member
-/// probes at random), its probe fails 0.4 s later, the suspicion lasts 1.7 s at that size, and news
-/// takes about 0.8 s to reach all.
+/// The time from a failure until all members know of it is the sum of the wait for the first
+/// probe, one probe period, the suspicion timeout and the propagation of the update.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MembershipOptions {
-    /// The addresses to join through, the process's own one may be among them.
+    /// Gossip addresses to join through. The process's own address is ignored.
     pub seeds: Vec<SocketAddr>,
-    /// The time between two probes.
+    /// Time between two probes.
     pub probe_period: TimeSpan,
-    /// The time until others are asked to probe; above a round trip between two regions.
+    /// Time without an acknowledgement after which other members are asked to probe; must exceed
+    /// the round-trip time between regions.
     pub direct_timeout: TimeSpan,
-    /// How many members are asked to probe: with 3, a lossy path of one of them is not enough to
-    /// suspect anyone.
+    /// Number of members that are asked to probe indirectly. Several are needed so that packet
+    /// loss on one path does not cause a suspicion.
     pub indirect_probes: usize,
-    /// The shortest time in which a suspected member can refute it.
+    /// Lower bound of the suspicion timeout.
     pub min_suspicion: TimeSpan,
-    /// The time that the suspicion lasts for each factor of ten in the number of members.
+    /// Suspicion timeout per factor of ten in the number of members.
     pub suspicion_per_decade: TimeSpan,
-    /// The time between two rounds of gossip while there is news.
+    /// Time between two gossip rounds while updates or reports are pending.
     pub gossip_period: TimeSpan,
-    /// The shortest time between two sendings of urgent news, which do not wait for the round.
+    /// Shortest time between two rounds that are sent early because of an urgent update.
     pub urgent_period: TimeSpan,
-    /// How many members a round goes to.
+    /// Number of members that a gossip round is sent to.
     pub gossip_fanout: usize,
-    /// The largest message in bytes; it fits one packet on the usual links.
+    /// Largest encoded message in bytes; must fit into one packet.
     pub max_message_bytes: usize,
-    /// The time between two attempts to join, and between two requests of a state sync.
+    /// Time between two attempts to join, and between two requests for the same chunk of a state
+    /// sync.
     pub join_period: TimeSpan,
-    /// The shortest time between two state syncs.
+    /// Shortest time between two state syncs.
     pub sync_period: TimeSpan,
-    /// The time between two attempts to reach a dead member or an unknown seed.
+    /// Time between two attempts to reach a dead member or an unknown seed.
     pub reconnect_period: TimeSpan,
-    /// The time after which the record of a dead member is dropped; above the minutes for which
-    /// regions lose each other.
+    /// Time after which the record of a dead member is dropped; must exceed the duration of
+    /// network splits.
     pub forget_after: TimeSpan,
-    /// The shortest time between two reports of the configuration in force.
+    /// Shortest time between two reports of this process's configuration in force.
     pub report_period: TimeSpan,
-    /// Whether members report which configuration they have in force. Each change makes all of them
-    /// report to all others, which a group that nobody asks for it need not pay.
+    /// Whether members report the configuration that they have in force. Each change makes every
+    /// member report to all others, so groups that do not use the reports should disable them.
     pub is_reporting: bool,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl MembershipOptions {
-    /// Gets how long a suspicion lasts among `members` members.
+    /// Returns the suspicion timeout in a group of `members` members.
     #[must_use]
     pub fn suspicion_timeout(&self, members: usize) -> TimeSpan {
         let decades = (members.max(1) as f64).log10();
@@ -83,15 +83,14 @@
             .max(self.suspicion_per_decade.mul_f64(decades))
     }
 
-    /// Gets how often each member sends a piece of news on: twice the natural logarithm of the
-    /// size (13 at 580), which misses a member with a chance of about e^-13. What is missed all the
-    /// same is found by comparing hashes of the state.
+    /// Returns the number of messages in which each member sends an update; it grows with the logarithm of
+    /// the group size. Members that the update still misses get it by state sync.
     #[must_use]
     pub fn retransmissions(members: usize) -> u32 {
         scaled_logarithm(members, 2.0)
     }
 
-    /// Gets how many members a process that leaves tells directly.
+    /// Returns the number of members that a leaving process notifies directly.
     #[must_use]
     pub fn leaving_fanout(members: usize) -> usize {
         scaled_logarithm(members, 2.0) as usize
@@ -103,6 +102,7 @@
     clippy::cast_sign_loss,
     reason = "the logarithm of a count is a small positive number"
 )]
+/// Returns `factor` times the natural logarithm of the group size, at least 3.
 fn scaled_logarithm(members: usize, factor: f64) -> u32 {
     ((members as f64 + 1.0).ln() * factor).ceil().max(3.0) as u32
 }
--- a/alderhaven-policy/src/membership/probing.rs
+++ b/alderhaven-policy/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes of other members, one a period.
+//! Failure detection: one member is probed each period, directly and then through other members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 use crate::membership::member_machine::MemberEvent;
 use crate::membership::member_record::MemberState;
 
-/// The most probes that are run for others at a time.
+/// Maximum number of concurrent probes on behalf of other members.
 const MAX_FORWARDED_PROBES: usize = 1 << 10;
 
-/// A `ProbeSchedule` says who is probed next and what is awaited.
+/// Order of probes and outstanding acknowledgements.
 ///
-/// Members are probed in a random order that is drawn anew after each round, so that each is
-/// probed once a round and no two processes probe in the same order.
+/// Members are probed in a random order that is shuffled after each round. Each member is probed
+/// once a round, and processes do not probe in the same order.
 #[derive(Debug, Default)]
 pub(super) struct ProbeSchedule {
     probe_order: Vec<NodeId>,
@@ -30,6 +30,7 @@
     sequence: u32,
 }
 
+/// The probe of the current period, until it is acknowledged.
 #[derive(Debug)]
 struct CurrentProbe {
     node: NodeId,
@@ -38,6 +39,7 @@
     is_indirect: bool,
 }
 
+/// A probe on behalf of another member, until it is acknowledged or expires.
 #[derive(Debug)]
 struct ForwardedProbe {
     requester: SocketAddr,
@@ -51,23 +53,24 @@
         self.sequence
     }
 
-    /// Returns true where no answer is awaited.
+    /// Returns true if no acknowledgement is outstanding.
     pub(super) const fn is_idle(&self) -> bool {
         self.current.is_none()
     }
 
-    /// Gets when the next member is probed.
+    /// Returns the time of the next probe.
     pub(super) const fn next_probe_at(&self) -> TimePoint {
         self.period_ends_at
     }
 
-    /// Adds a member at a random place of the running round.
+    /// Inserts a member at a random position in the rest of the current round.
     pub(super) fn add(&mut self, node: NodeId, rng: &mut impl Rng) {
         let index =
             rng.random_range(self.next_index.min(self.probe_order.len())..=self.probe_order.len());
         self.probe_order.insert(index, node);
     }
 
+    /// Drops the current probe without a result; the next one is due immediately.
     pub(super) fn cancel_current(&mut self, now: TimePoint) {
         self.current = None;
         self.period_ends_at = now;
@@ -75,6 +78,8 @@
 }
 
 impl GroupMembership {
+    /// Requests indirect probes after `direct_timeout`, and at the end of a period suspects a
+    /// member that did not answer and probes the next one.
     pub(super) fn probe(
         &mut self,
         now: TimePoint,
@@ -91,7 +96,7 @@
         self.probing
             .forwarded_probes
             .retain(|_, forwarded| forwarded.expires_at > now);
-        // A first period of random length keeps processes that started together apart.
+        // A first period of random length desynchronizes processes that started together.
         let is_first_period = self.probing.period_ends_at == TimePoint::START;
         let period = if is_first_period {
             self.options.probe_period.mul_f64(rng.random())
@@ -109,6 +114,7 @@
         self.ping_with(sequence, address, node)
     }
 
+    /// Acknowledges a ping, if it is meant for this process.
     pub(super) fn handle_ping(
         &mut self,
         from: SocketAddr,
@@ -121,6 +127,7 @@
         }
     }
 
+    /// Probes a target on behalf of the requester, unless too many such probes are running.
     pub(super) fn handle_ping_request(
         &mut self,
         requester: SocketAddr,
@@ -163,7 +170,7 @@
             sequence,
             target: node.clone(),
         };
-        // A member that is suspected or believed dead is told so, and refutes it in its answer.
+        // A suspected or dead member is notified, so that its answer can refute the state.
         let required_update = self.members.get(node).filter(|member| {
             matches!(
                 member.machine.state(),
@@ -174,8 +181,9 @@
         self.message_with_update(address, body, required_update)
     }
 
+    /// Returns the next member in probe order that is not dead.
     fn next_probe_target(&mut self, rng: &mut impl Rng) -> Option<NodeId> {
-        // At most one new round: where nobody is left to probe, nobody is.
+        // One new round is enough: if it contains no live member, there is none.
         for _ in 0..2 {
             while let Some(node) = self.probing.probe_order.get(self.probing.next_index) {
                 self.probing.next_index += 1;
@@ -209,6 +217,7 @@
         });
     }
 
+    /// Asks other members to probe the target, once it has not answered for `direct_timeout`.
     fn request_indirect_probes(
         &mut self,
         now: TimePoint,
@@ -245,7 +254,7 @@
         if !self.apply_event(node, MemberEvent::ProbeFailed { now }, now) {
             return;
         }
-        // The suspected member hears of it at once, so that it can refute it in time.
+        // The suspected member is notified immediately, so that it can refute in time.
         if let Some(member) = self.members.get(node) {
             let (address, required_update) = (member.record.gossip_address, member.update(false));
             outgoing.push(self.message_with_update(
--- a/alderhaven-policy/src/membership/state_sync.rs
+++ b/alderhaven-policy/src/membership/state_sync.rs
@@ -1,8 +1,8 @@
-//! Comparison of views and transfer of what differs, in bounded chunks.
+//! Anti-entropy: comparison of views and transfer of the differences in bounded chunks.
 //!
-//! Each message carries a hash of its sender's view. Where two views differ although news has
-//! settled, the one that notices asks for the members in the parts that differ. A process that
-//! joins asks with an empty view and so gets everything.
+//! Each message carries a hash of the sender's view. If two views still differ once updates have
+//! settled, the process that notices asks for the members in the buckets that differ. A joining
+//! process asks with an empty view and so receives all members.
 
 use std::net::SocketAddr;
 use std::ops::Bound;
@@ -19,20 +19,21 @@
 use crate::membership::group_membership::GroupMembership;
 use crate::membership::maintenance;
 
-/// How often a chunk is asked for before the sync is given up.
+/// Number of requests for one chunk before the sync is abandoned.
 const MAX_SYNC_TRIES: u32 = 3;
 
-/// The time without changes after which a difference of views is not just news under way.
+/// Time without changes after which a difference between views is not explained by updates in
+/// transit.
 const VIEW_SETTLE_TIME: TimeSpan = TimeSpan::from_secs(1);
 
-/// The time that a joining process waits for one member's answer before it asks another that speaks
-/// to it; above a round trip between two regions.
+/// Time that a joining process waits for a reply before it asks another member; must exceed the
+/// round-trip time between regions.
 const JOIN_REPLY_TIMEOUT: TimeSpan = TimeSpan::from_millis(150);
 
-/// The bytes of a chunk that are kept free for reports.
+/// Bytes of a chunk that are reserved for reports.
 const RESERVED_REPORT_BYTES: usize = 100;
 
-/// A `SyncSchedule` says when to compare next and what is awaited.
+/// Times of the next syncs, and the one that is under way.
 #[derive(Debug, Default)]
 pub(super) struct SyncSchedule {
     pub(super) is_joined: bool,
@@ -43,12 +44,13 @@
 }
 
 impl SyncSchedule {
-    /// Returns true where the process has joined, and no comparison is under way.
+    /// Returns true if the process has joined and no sync is under way.
     pub(super) const fn is_idle(&self) -> bool {
         self.is_joined && self.current.is_none()
     }
 }
 
+/// A sync that waits for its next chunk.
 #[derive(Debug)]
 struct CurrentSync {
     peer: SocketAddr,
@@ -59,6 +61,7 @@
 }
 
 impl GroupMembership {
+    /// Continues or repeats the current sync, or starts one to join or to resolve a difference.
     pub(super) fn sync(
         &mut self,
         now: TimePoint,
@@ -79,6 +82,7 @@
         }
     }
 
+    /// Starts a sync with a peer, unless one is under way.
     pub(super) fn begin_sync(
         &mut self,
         peer: SocketAddr,
@@ -90,11 +94,10 @@
         }
     }
 
-    /// Notes a sender whose view differs.
+    /// Notes a sender whose view differs as a candidate for a sync.
     ///
-    /// A process that has not joined yet joins through whoever speaks to it. This guards against
-    /// the loss of all seeds: a restarted process then knows nobody, but those that knew it before
-    /// still probe its address.
+    /// A process that has not joined yet joins through any member that contacts it. If all seeds
+    /// are down, a restarted process is still probed by members that knew its address before.
     pub(super) fn compare_views(
         &mut self,
         from: SocketAddr,
@@ -116,6 +119,8 @@
         }
     }
 
+    /// Sends the members after `after` in the buckets that differ, as far as they fit into one
+    /// message.
     pub(super) fn handle_sync_request(
         &mut self,
         from: SocketAddr,
@@ -135,7 +140,7 @@
         let mut fingerprints = Vec::new();
         let mut continue_after = None;
         if after.is_none() {
-            // The answering member itself is part of the first chunk.
+            // The first chunk includes the replying process itself.
             let own = self.own_update(true);
             bytes_left = bytes_left.saturating_sub(own.size_bound());
             updates.push(own);
@@ -176,6 +181,7 @@
         outgoing.push(OutgoingMessage { to: from, message });
     }
 
+    /// Requests the next chunk, or completes the sync after the last one.
     pub(super) fn handle_sync_reply(
         &mut self,
         sequence: u32,
@@ -198,6 +204,7 @@
         }
     }
 
+    /// Syncs with a random seed, once a join period; without seeds, the process counts as joined.
     fn join(&mut self, now: TimePoint, rng: &mut impl Rng, outgoing: &mut Vec<OutgoingMessage>) {
         let own_address = self.record.gossip_address;
         let seeds: SmallVec<[SocketAddr; 8]> = self
@@ -218,7 +225,7 @@
         }
     }
 
-    /// Asks again for a chunk that did not come; returns true while a sync goes on.
+    /// Repeats a request whose reply is overdue; returns true while a sync is under way.
     fn retry_sync(&mut self, now: TimePoint, outgoing: &mut Vec<OutgoingMessage>) -> bool {
         let join_period = self.options.join_period;
         let late = self
@@ -248,7 +255,7 @@
             after: after.clone(),
             buckets: SmallVec::from_slice(&self.buckets),
         };
-        // The first question introduces this process.
+        // The first request introduces this process.
         let introduction = after.is_none().then(|| self.own_update(true));
         outgoing.push(self.message_with_update(peer, body, introduction));
         self.syncing.current = Some(CurrentSync {
--- a/alderhaven-policy/src/membership/store_answer.rs
+++ b/alderhaven-policy/src/membership/store_answer.rs
@@ -1,27 +1,24 @@
-//! When the platform's store last answered any member.
+//! Tracking of the store's last answer to any member.
 //!
-//! Load pattern: a few members watch the store for all, and the others must know that it is watched.
-//! As news or as an object each such word goes to every member several times, and at rest these words
-//! are nearly all that is sent.
-//!
-//! The rule: each message's header says how long ago the store answered whom, as far as its sender
-//! knows. The word spreads with probes and answers that are sent in any case.
+//! Only a few members watch the store, and the others need to know that it is being watched. Each
+//! message header says how long ago the store answered which process, so the information spreads
+//! without extra messages.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-/// The age that one way between two members adds: a header may have waited for a tick.
+/// Upper bound of the delay that one hop adds: a message may wait for a tick.
 const MAX_HOP_DELAY: TimeSpan = TimeSpan::from_millis(50);
 
-/// A `StoreSighting` says how long ago the store answered a member.
+/// An answer of the store to one process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StoreAnswer {
-    /// The number of the member's process.
+    /// Fingerprint of the process that got the answer.
     pub origin: u32,
-    /// The time since the answer.
+    /// Time since the answer.
     pub age: TimeSpan,
 }
 
-/// A `SightingBoard` holds the latest answer of the store to this process and to any other one.
+/// Latest answers of the store to this process and to any other one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreAnswerTracker {
     own_answered_at: Option<TimePoint>,
@@ -29,13 +26,14 @@
 }
 
 impl StoreAnswerTracker {
-    /// Notes that the store answered this process.
+    /// Records that the store answered this process.
     pub fn record_own(&mut self, now: TimePoint) {
         self.own_answered_at = self.own_answered_at.max(Some(now));
     }
 
-    /// Takes another member's word. One that came back to its origin says nothing new: a process that
-    /// alone reaches the store must not take the echo of its own word for another watcher.
+    /// Records an answer to another process. Answers with this process's own fingerprint are
+    /// ignored, so that the only process that reaches the store does not mistake itself for
+    /// another watcher.
     pub fn record_other(&mut self, answer: StoreAnswer, own_fingerprint: u32, now: TimePoint) {
         if answer.origin == own_fingerprint {
             return;
@@ -47,13 +45,13 @@
         }
     }
 
-    /// Gets when the store last answered another member.
+    /// Returns the time of the store's last answer to another process.
     #[must_use]
     pub fn other_answered_at(&self) -> Option<TimePoint> {
         self.other_answer.map(|(answered_at, _)| answered_at)
     }
 
-    /// Gets the latest word for a message's header; `own` is the number of this process.
+    /// Returns the latest answer for a message header.
     #[must_use]
     pub fn latest_answer(&self, own_fingerprint: u32, now: TimePoint) -> Option<StoreAnswer> {
         let own_answer = self
--- a/alderhaven-policy/src/membership/update_handling.rs
+++ b/alderhaven-policy/src/membership/update_handling.rs
@@ -1,4 +1,4 @@
-//! How news that arrives is judged.
+//! Handling of incoming messages and the updates that they carry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,17 +15,17 @@
 use crate::membership::member_machine::{MemberEvent, MemberMachine};
 use crate::membership::member_record::{MemberState, MemberVersion};
 
-/// A `NewsSource` says how an update came.
+/// How an update arrived.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum UpdateSource {
-    /// With a message, soon after it happened.
+    /// Piggybacked on a message, soon after the change.
     Gossip,
-    /// From a comparison of states, which may be old.
+    /// From a state sync; the change may be old.
     StateSync,
 }
 
 impl GroupMembership {
-    /// Takes a message that came from an address; returns what is to be sent.
+    /// Handles a message from `from`; returns the messages to send.
     pub fn receive(
         &mut self,
         from: SocketAddr,
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Takes what a sender says of itself, and tells it where it is believed suspect or dead.
+    /// Records the sender's self-description, and notifies a sender that is considered suspect or
+    /// dead.
     fn handle_header(
         &mut self,
         from: SocketAddr,
@@ -140,8 +141,8 @@
             now,
         };
         self.apply_event(&sender.node, event, now);
-        // Guards against a frozen process that wakes and does not know that it was declared dead:
-        // it would go on serving while nobody sends it work. Whoever it speaks to tells it.
+        // A process that resumes after a pause does not know that it was declared dead, and would
+        // keep serving without getting work. The notification lets it refute.
         let unhealthy_member = self.members.get(&sender.node).filter(|member| {
             matches!(
                 member.machine.state(),
@@ -172,16 +173,16 @@
         let known_version = member.machine.version();
         let is_restart = update.version.incarnation > member.record_incarnation;
         if is_restart && update.record.is_none() && update.state != MemberState::Dead {
-            // The old record may name old addresses; the new one comes with its own news or with
-            // the next comparison of views.
+            // The old record may have outdated addresses. The new record arrives with a later
+            // update or a state sync.
             return;
         }
         let is_unhealthy = matches!(update.state, MemberState::Suspect | MemberState::Dead);
         let is_newer = (update.version, update.state) > (known_version, member.machine.state());
         if source == UpdateSource::StateSync && is_unhealthy && is_newer {
-            // Guards against a split that heals: each side holds the other's members dead, and
-            // taking that over in bulk would make each side doubt itself. Only the member meant is
-            // told; it refutes, or probes will find it dead.
+            // After a network split each side considers the other side's members dead. Applying
+            // these states in bulk would make each side suspect its own members. Instead, only the
+            // member is notified: it refutes, or probes find it dead.
             let address = member.record.gossip_address;
             let update = MemberUpdate {
                 record: None,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Takes the record of a member that restarted.
+    /// Replaces the record of a member that has restarted, and queues it for the other members.
     fn apply_restart(&mut self, update: MemberUpdate, now: TimePoint, rng: &mut impl Rng) {
         let Some(member) = self.members.get_mut(&update.node) else {
             return;
@@ -217,7 +218,8 @@
         self.note_change(now);
     }
 
-    /// Takes in a member that was not known.
+    /// Adds a member that was unknown, unless it is dead or its version is not newer than its
+    /// tombstone.
     fn add_member(
         &mut self,
         update: MemberUpdate,
@@ -240,7 +242,7 @@
         let member = MemberEntry::new(record, machine, now);
         let (bucket, hash) = member.hash_contribution();
         self.buckets[bucket] ^= hash;
-        // What a joining process takes over is known to the others already.
+        // Members learned while joining are already known to the group.
         if source == UpdateSource::Gossip || self.syncing.is_joined {
             self.queue.push(member.update(true));
         }
@@ -251,7 +253,7 @@
         self.note_change(now);
     }
 
-    /// Refutes news of this process that is newer than what it says itself.
+    /// Refutes an update about this process that is newer than its own version and state.
     fn handle_update_about_self(&mut self, update: &MemberUpdate, now: TimePoint) {
         let own_status = (self.version, self.own_state);
         if self.is_superseded || (update.version, update.state) <= own_status {
--- a/alderhaven-policy/src/membership/update_queue.rs
+++ b/alderhaven-policy/src/membership/update_queue.rs
@@ -1,4 +1,4 @@
-//! News that is still to be passed on.
+//! Queue of updates to piggyback on outgoing messages.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +6,9 @@
 
 use crate::membership::gossip_message::MemberUpdate;
 
-/// An `UpdateQueue` holds the newest news of each member and how often it has been sent.
+/// Newest update of each member, with the number of messages that have carried it.
 ///
-/// What was sent least goes first, so that in a burst each piece is soon known to somebody.
+/// The least sent updates go first, so that each update of a burst reaches some member soon.
 #[derive(Clone, Debug, Default)]
 pub struct UpdateQueue {
     updates: BTreeMap<NodeId, QueuedUpdate>,
@@ -21,7 +21,7 @@
 }
 
 impl UpdateQueue {
-    /// Adds news, which replaces older news of the same member.
+    /// Adds an update; it replaces an earlier one of the same member.
     pub fn push(&mut self, update: MemberUpdate) {
         let node = update.node.clone();
         self.updates.insert(
@@ -33,20 +33,20 @@
         );
     }
 
-    /// Returns true where nothing is to be sent.
+    /// Returns true if no update is waiting to be sent.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.updates.is_empty()
     }
 
-    /// Gets the number of members of whom there is news.
+    /// Returns the number of members with a pending update.
     #[must_use]
     pub fn len(&self) -> usize {
         self.updates.len()
     }
 
-    /// Takes news for one message of at most `bytes` bytes, and drops what has now been sent
-    /// `retransmissions` times.
+    /// Takes updates for one message, at most `bytes` bytes in total. Updates that have been sent
+    /// `retransmissions` times are removed.
     pub fn take(&mut self, bytes: usize, retransmissions: u32) -> Vec<MemberUpdate> {
         if self.updates.is_empty() {
             return Vec::new();
