--- a/alderhaven-node/src/node_group.rs
+++ b/alderhaven-node/src/node_group.rs
@@ -150,7 +150,7 @@
         working.cloned().collect()
     }
 
-    /// Returns true once the membership and the exchanged configuration are known to be complete.
+    /// Returns true once the exchanged configuration is complete; false without a group.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.peers
--- a/alderhaven-policy/tests/exchange/domains.rs
+++ b/alderhaven-policy/tests/exchange/domains.rs
@@ -1,37 +1,39 @@
-//! The exchange among nodes of several failure domains.
+//! Exchange between nodes in several failure domains.
 
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_core::time::TimeSpan;
 
 use crate::network::{ExchangeNetwork, key};
 
-/// The nodes and failure domains of a large group.
+/// Size of the group and number of its failure domains.
 const NODE_COUNT: usize = 198;
 const DOMAIN_COUNT: usize = 6;
 
-/// The time in which a change is to be in force everywhere.
+/// Time within which a change must be in force on all nodes.
 const CONVERGENCE_BOUND: TimeSpan = TimeSpan::from_secs(3);
 
-/// The same where messages are lost and those who know first are gone.
+/// The same bound under message loss and without the nodes that announced the change.
 const LOSSY_CONVERGENCE_BOUND: TimeSpan = TimeSpan::from_secs(6);
 
-/// The most copies of an object that may come into a failure domain: a few, so that the loss of any one
-/// of its carriers delays nothing.
+/// Maximum number of copies of an object that enter a failure domain.
 const MAX_COPIES_PER_DOMAIN: usize = 8;
 
+/// Returns a network in which one object is in force on all nodes.
 fn settled(seed: u64) -> ExchangeNetwork {
     let mut network = ExchangeNetwork::new(NODE_COUNT, seed);
     network.split_into_domains(DOMAIN_COUNT);
     assert!(network.store.write(&key(0), StoreVersion(0), Some("first")));
     let settled = network.run_until(TimeSpan::from_secs(20), ExchangeNetwork::all_match_store);
-    assert!(settled.is_some(), "seed {seed}");
+    assert!(
+        settled.is_some(),
+        "seed {seed}: the first object is not in force everywhere"
+    );
     network.cross_domain_bytes = 0;
     network
 }
 
-/// A configuration of a megabyte changes while 198 nodes in six domains serve. Each node got it from a
-/// peer drawn from all alike, so that five of six copies crossed between the domains and filled their
-/// links.
+/// A large object must not be fetched from random nodes of all domains, since the copies would
+/// saturate the links between domains.
 #[test]
 fn announce_sends_few_copies_into_a_domain() {
     for seed in 40..45 {
@@ -44,13 +46,13 @@
         let copies = network.cross_domain_bytes / body.len();
         assert!(
             copies <= DOMAIN_COUNT * MAX_COPIES_PER_DOMAIN,
-            "{copies}, seed {seed}"
+            "seed {seed}: {copies} copies crossed between domains"
         );
     }
 }
 
-/// The nodes that watch the store stop right after they have announced a change, and a tenth of all
-/// messages is lost. Whoever has heard of it passes it into every domain.
+/// The watchers stop right after they have announced a change, and a tenth of all messages is
+/// lost. The change must still reach every domain.
 #[test]
 fn announce_survives_the_loss_of_the_watchers() {
     for seed in 50..55 {
@@ -75,8 +77,8 @@
     }
 }
 
-/// One failure domain is cut off while a change comes, and is back later. Its nodes find the change by
-/// the digests that they hear from beyond, though each of them asks beyond only now and then.
+/// A failure domain is isolated during a change. Afterwards it must find the change by the digests
+/// of other domains.
 #[test]
 fn handle_digest_updates_a_domain_that_was_isolated() {
     for seed in 60..65 {
@@ -99,8 +101,8 @@
     }
 }
 
-/// All nodes of a domain restart at once and know nothing. They take what they need from each other
-/// once one of them has it, rather than each from another domain.
+/// After all nodes of a domain have restarted without state, they must fetch objects mostly from
+/// each other.
 #[test]
 fn tick_restores_a_restarted_domain_mostly_from_within() {
     for seed in 70..75 {
@@ -117,6 +119,9 @@
             network.run_until(CONVERGENCE_BOUND, ExchangeNetwork::all_match_store);
         assert!(convergence_time.is_some(), "seed {seed}");
         let copies = network.cross_domain_bytes / body.len();
-        assert!(copies <= MAX_COPIES_PER_DOMAIN, "{copies}, seed {seed}");
+        assert!(
+            copies <= MAX_COPIES_PER_DOMAIN,
+            "seed {seed}: {copies} copies crossed between domains"
+        );
     }
 }
--- a/alderhaven-policy/tests/exchange/failures.rs
+++ b/alderhaven-policy/tests/exchange/failures.rs
@@ -1,4 +1,4 @@
-//! The store's outages, lagging peers and nodes that start with nothing.
+//! Outages of the store, lagging peers and nodes that start without state.
 
 use alderhaven_core::config_object::StoredObject;
 use alderhaven_core::ids::{NodeId, StoreVersion};
@@ -14,6 +14,7 @@
 
 const CONVERGENCE_BOUND: TimeSpan = TimeSpan::from_secs(3);
 
+/// Returns a network in which `objects` objects are in force on all nodes.
 fn settled_network(nodes: usize, objects: usize, seed: u64) -> ExchangeNetwork {
     let mut network = ExchangeNetwork::new(nodes, seed);
     for index in 0..objects {
@@ -35,7 +36,7 @@
         let version = network.store.version(&key(3));
         assert!(network.store.write(&key(3), version, Some("{}")));
         let newest = network.store.version(&key(3));
-        // Announcements reach most of them at once; the rest is found by comparing digests.
+        // Announcements reach most nodes at once; the others compare digests.
         network.run_until(TimeSpan::from_millis(250), |_| false);
         let reached = (0..100).filter(|node| network.held_version(*node, &key(3)) == Some(newest));
         assert!(reached.count() >= 80);
@@ -50,7 +51,7 @@
 
 #[test]
 fn tick_propagates_a_deletion() {
-    // An object is deleted. A node that still holds it must not bring it back to the others.
+    // A node that was paused during a deletion must not bring the object back.
     let mut network = settled_network(12, 3, 1);
     network.nodes[7].is_paused = true;
     let version = network.store.version(&key(1));
@@ -70,8 +71,8 @@
 
 #[test]
 fn tick_completes_a_node_while_the_store_is_down() {
-    // A node is replaced while the store is down. It must serve the configuration that its peers
-    // hold, all of it (more than one message), and not count as complete before.
+    // A node is replaced during an outage of the store. It must get the full configuration, in
+    // several messages, from its peers, and not be complete before.
     let mut network = settled_network(6, 700, 2);
     network.store.is_down = true;
     network.restart(4);
@@ -84,7 +85,7 @@
 
 #[test]
 fn tick_completes_a_node_over_a_lossy_network() {
-    // As before, but messages are late and some are lost.
+    // As above, with delayed and lost messages.
     let mut network = settled_network(6, 700, 2);
     network.store.is_down = true;
     network.max_delay = TimeSpan::from_millis(200);
@@ -104,9 +105,8 @@
 
 #[test]
 fn tick_completes_no_node_from_incomplete_peers() {
-    // The store is down and every node but one, which is frozen, restarts. The new ones find only
-    // each other; if they took the other's emptiness for the whole, they would refuse everything
-    // as unknown. They complete once the frozen one wakes.
+    // During an outage of the store, all nodes but a paused one restart. They must not complete
+    // from each other's empty indexes, but from the paused node once it resumes.
     let mut network = settled_network(4, 5, 3);
     network.store.is_down = true;
     network.nodes[3].is_paused = true;
@@ -127,7 +127,7 @@
 
 #[test]
 fn accept_ignores_replayed_versions() {
-    // A watch is resumed too far back and tells old versions again.
+    // A watch that is resumed too far back replays old versions.
     let mut network = settled_network(3, 1, 4);
     for _ in 0..5 {
         let version = network.store.version(&key(0));
@@ -146,11 +146,12 @@
 
 #[test]
 fn tick_fetches_from_another_peer_when_the_announcer_is_lost() {
-    // A peer announces a new version and dies before it is asked for it. The node must get it from
-    // another one, rather than wait for the lost one for good.
+    // A peer announces a version and fails before it can be fetched. The node must fetch it from
+    // another peer.
     let mut rng = StdRng::seed_from_u64(5);
     let mut exchange = ObjectExchange::new(ExchangeOptions::default());
-    let [lost, other]: [NodeId; 2] = ["lost", "other"].map(|id| id.parse().expect("a valid id"));
+    let [lost, other]: [NodeId; 2] =
+        ["lost", "other"].map(|id| id.parse().expect("the id is valid"));
     let stamps = vec![ObjectStamp {
         key: key(0),
         version: StoreVersion(1),
@@ -167,11 +168,11 @@
 
 #[test]
 fn receive_requests_objects_left_out_of_a_full_message() {
-    // Two manifests are too large for one message. The second must be asked for at once, not when
-    // a time-out has passed.
+    // Two objects do not fit into one message. The second must be requested immediately, not after
+    // a timeout.
     let mut rng = StdRng::seed_from_u64(6);
     let mut exchange = ObjectExchange::new(ExchangeOptions::default());
-    let peer: NodeId = "peer".parse().expect("a valid id");
+    let peer: NodeId = "peer".parse().expect("the id is valid");
     let stamps = [0, 1].map(|index| ObjectStamp {
         key: key(index),
         version: StoreVersion(1),
--- a/alderhaven-policy/tests/exchange/fuzz.rs
+++ b/alderhaven-policy/tests/exchange/fuzz.rs
@@ -1,4 +1,4 @@
-//! Random failures and conflicting operators against a simple oracle.
+//! Exchange under random faults and conflicting writes, checked against simple invariants.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +12,13 @@
 const NODE_COUNT: usize = 5;
 const KEY_COUNT: usize = 4;
 
-/// The bound within which all nodes hold what the store does, once nothing fails any more.
+/// Time within which all nodes must hold what the store does after the last fault.
 const AGREEMENT_BOUND: TimeSpan = TimeSpan::from_secs(10);
 
 #[derive(Clone, Debug)]
 enum Action {
     Run(u64),
-    /// An operator reads an object; the write that follows may find it changed.
+    /// An operator reads an object, which may change before the operator's write.
     Read(usize, usize),
     Write(usize, bool),
     Restart(usize),
@@ -44,7 +44,7 @@
     ]
 }
 
-/// An `Oracle` holds what each node had in force, and what operators read.
+/// Versions that each node had in force, and those that operators read.
 #[derive(Default)]
 struct Oracle {
     held: BTreeMap<(usize, usize), StoreVersion>,
@@ -68,7 +68,7 @@
                             .write(&key(index), version, keep.then_some("{}"));
                     assert!(
                         !is_written || before == version,
-                        "a change is overwritten unseen"
+                        "a write replaced a version that the operator had not read"
                     );
                 }
             }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Lets time pass; nothing that is in force may go back.
+    /// Lets time pass; no node may lose an object or go back to an older version.
     fn run(&mut self, network: &mut ExchangeNetwork, span: TimeSpan) {
         let held = std::cell::RefCell::new(std::mem::take(&mut self.held));
         network.run_until(span, |network| {
@@ -100,15 +100,18 @@
                     let Some(version) = network.held_version(node, &key(index)) else {
                         assert!(
                             !held.borrow().contains_key(&(node, index)),
-                            "an object is lost"
+                            "node {node} lost object {index}"
                         );
                         continue;
                     };
                     let before = held.borrow_mut().insert((node, index), version);
-                    assert!(before <= Some(version), "an object goes back");
+                    assert!(
+                        before <= Some(version),
+                        "node {node} went back to an older version of object {index}"
+                    );
                     assert!(
                         version <= network.store.version(&key(index)),
-                        "out of nowhere"
+                        "node {node} holds a version of object {index} that was never stored"
                     );
                 }
             }
@@ -143,6 +146,6 @@
             node.is_paused = false;
         }
         oracle.run(&mut network, AGREEMENT_BOUND);
-        prop_assert!(network.all_match_store(), "they do not hold what the store does");
+        prop_assert!(network.all_match_store(), "the nodes do not match the store within {AGREEMENT_BOUND:?}");
     }
 }
--- a/alderhaven-policy/tests/exchange/main.rs
+++ b/alderhaven-policy/tests/exchange/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the exchange over a small in-memory network with passed-in time.
+//! Tests of the exchange over an in-memory network with simulated time.
 
 mod domains;
 mod failures;
--- a/alderhaven-policy/tests/exchange/network.rs
+++ b/alderhaven-policy/tests/exchange/network.rs
@@ -1,4 +1,4 @@
-//! Nodes with a registry and an exchange, and a store that some of them watch.
+//! In-memory network of nodes, and a store that some of them watch.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 
 const TICK_PERIOD: TimeSpan = TimeSpan::from_millis(50);
 
-/// The time between two digests that a node hears on gossip.
+/// Mean number of ticks between two digests that a node receives by gossip.
 const DIGEST_PERIOD_STEPS: u64 = 4;
 
-/// An `ExchangeNetwork` runs some nodes and carries their messages.
+/// Runs several nodes and delivers their messages.
 pub struct ExchangeNetwork {
     pub nodes: Vec<FakeNode>,
     pub store: FakeStore,
@@ -29,14 +29,14 @@
     pub watcher_count: usize,
     domain_count: usize,
     peers: Vec<Rc<PeerSet>>,
-    /// The bytes of objects' bodies that crossed between domains.
+    /// Bytes of object bodies sent between failure domains.
     pub cross_domain_bytes: usize,
     rng: StdRng,
     packets: BTreeMap<(TimePoint, u64), (usize, usize, ExchangeMessage)>,
     packet_count: u64,
 }
 
-/// A `FakeNode` is one process; a restart puts a new one in its place.
+/// A node that may be paused or isolated; a restart replaces it.
 pub struct FakeNode {
     pub registry: ConfigRegistry,
     pub exchange: ObjectExchange,
@@ -44,7 +44,7 @@
     pub is_paused: bool,
 }
 
-/// A `FakeStore` numbers conditional writes and remembers all of them.
+/// Store with conditional writes; it keeps all versions.
 #[derive(Default)]
 pub struct FakeStore {
     pub newest: BTreeMap<ObjectKey, StoredObject>,
@@ -53,7 +53,7 @@
 }
 
 impl FakeStore {
-    /// Writes where the object still has the expected version; returns whether it did.
+    /// Writes an object if its version is `expected`; returns whether it did.
     pub fn write(&mut self, key: &ObjectKey, expected: StoreVersion, body: Option<&str>) -> bool {
         let held = self.version(key);
         if self.is_down || held != expected {
@@ -71,7 +71,7 @@
         true
     }
 
-    /// Gets the version of an object, 0 where it was never written.
+    /// Returns the version of an object, 0 if it was never written.
     pub fn version(&self, key: &ObjectKey) -> StoreVersion {
         self.newest
             .get(key)
@@ -79,7 +79,7 @@
     }
 }
 
-/// Gets the key of a test object.
+/// Returns the key of a test object.
 pub fn key(index: usize) -> ObjectKey {
     ObjectKey {
         kind: ObjectKind::Drain,
@@ -88,11 +88,13 @@
 }
 
 fn node_id(index: usize) -> NodeId {
-    format!("node-{index}").parse().expect("a valid id")
+    format!("node-{index}").parse().expect("the id is valid")
 }
 
 fn index_of(node: &NodeId) -> usize {
-    node.as_str()["node-".len()..].parse().expect("a number")
+    node.as_str()["node-".len()..]
+        .parse()
+        .expect("the id ends in the index")
 }
 
 fn peers_of(index: usize, count: usize, domains: usize) -> PeerSet {
@@ -140,7 +142,7 @@
         network
     }
 
-    /// Starts a node anew with nothing kept; it lists the store where that is up.
+    /// Restarts a node without state. It lists the store, if that is up.
     pub fn restart(&mut self, index: usize) {
         let side = self.nodes[index].side;
         self.nodes[index] = new_node();
@@ -157,14 +159,14 @@
         self.accept(index, objects);
     }
 
-    /// Lets a node hear old changes again, as a watch that was resumed too far back does.
+    /// Delivers old changes to a node again, as a watch does that is resumed too far back.
     pub fn replay(&mut self, index: usize) {
         let older = self.store.history.len() / 2;
         let objects = self.store.history[..older].to_vec();
         self.accept(index, objects);
     }
 
-    /// Gets the version of an object that a node has in force.
+    /// Returns the version of an object that a node has in force.
     pub fn held_version(&self, index: usize, key: &ObjectKey) -> Option<StoreVersion> {
         let registry = &self.nodes[index].registry;
         registry
@@ -173,7 +175,7 @@
             .map(|object| object.version)
     }
 
-    /// Returns true where every node holds exactly what the store does.
+    /// Returns true if every node is complete and holds the same objects as the store.
     pub fn all_match_store(&self) -> bool {
         self.nodes.iter().all(|node| {
             node.registry.objects().eq(self.store.newest.values()) && node.exchange.is_complete()
@@ -195,7 +197,7 @@
         is_done(self).then(|| self.now.since(start))
     }
 
-    /// Spreads the nodes over failure domains by turns.
+    /// Assigns the nodes to failure domains in rotation.
     pub fn split_into_domains(&mut self, domains: usize) {
         self.domain_count = domains;
         let count = self.nodes.len();
@@ -267,8 +269,8 @@
         if is_digest_due && self.nodes.len() > 1 {
             let other = self.rng.random_range(0..self.nodes.len());
             let (digest, side) = (self.nodes[other].exchange.digest(), self.nodes[other].side);
-            let is_heard = side == self.nodes[index].side && !self.nodes[other].is_paused;
-            if is_heard {
+            let is_received = side == self.nodes[index].side && !self.nodes[other].is_paused;
+            if is_received {
                 let peers = self.peers(index);
                 self.nodes[index].exchange.handle_digest(
                     &node_id(other),
--- a/alderhaven-policy/tests/membership/domains.rs
+++ b/alderhaven-policy/tests/membership/domains.rs
@@ -1,25 +1,25 @@
-//! Membership among processes of several failure domains.
+//! Membership of processes in several failure domains.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_policy::membership::member_record::MemberState;
 
 use crate::network::GossipNetwork;
 
-/// The processes and failure domains of a group.
+/// Size of the group and number of its failure domains.
 const MEMBER_COUNT: usize = 96;
 const DOMAIN_COUNT: usize = 6;
 
 fn settled(seed: u64) -> GossipNetwork {
     let mut network = GossipNetwork::start_in_domains(MEMBER_COUNT, DOMAIN_COUNT, seed);
     let joined = network.run_until(TimeSpan::from_secs(20), GossipNetwork::all_views_correct);
-    assert!(joined.is_some(), "seed {seed}");
+    assert!(joined.is_some(), "seed {seed}: the group does not form");
     network.run(TimeSpan::from_secs(5));
     network.cross_domain_updates = 0;
     network
 }
 
-/// A process restarts every minute or two, and all others hear of it. Each of them told a dozen others
-/// drawn from all domains alike, so that nearly all that crossed between the domains was known there.
+/// A restart is announced to the whole group. Updates must not be sent uniformly to all members,
+/// since most of those that cross between domains would be redundant.
 #[test]
 fn gossip_sends_few_updates_across_domains() {
     for seed in 80..85 {
@@ -30,17 +30,17 @@
             network.run_until(TimeSpan::from_secs(3), GossipNetwork::all_views_correct);
         assert!(propagation_time.is_some(), "seed {seed}");
         network.run(TimeSpan::from_secs(3));
-        // Drawn from all alike, five of six tellings cross: some 800.
+        // Uniform sampling would send about 800 updates across domains.
         assert!(
             network.cross_domain_updates <= 200,
-            "{}, seed {seed}",
+            "seed {seed}: {} updates crossed between domains",
             network.cross_domain_updates
         );
     }
 }
 
-/// A process of a domain of its own stops. Although news mostly stays within a domain, all others know
-/// in time for callers to be told of others.
+/// Members of all domains learn of a planned stop in time to redirect callers, although updates
+/// mostly stay within a domain.
 #[test]
 fn announce_leaving_reaches_all_domains() {
     for seed in 90..95 {
@@ -53,7 +53,7 @@
     }
 }
 
-/// A whole failure domain is cut off for a while and restarts meanwhile. Once it is back, all know all.
+/// After a whole failure domain was isolated and restarted, all views agree again.
 #[test]
 fn receive_converges_after_a_domain_was_isolated_and_restarted() {
     for seed in 100..103 {
--- a/alderhaven-policy/tests/membership/failures.rs
+++ b/alderhaven-policy/tests/membership/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of single processes and of paths between them.
+//! Failures of single processes and of the links between them.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_policy::membership::gossip_message::GossipBody;
@@ -12,10 +12,14 @@
 
 const JOIN_BOUND: TimeSpan = TimeSpan::from_secs(30);
 
+/// Returns a group whose members all know each other.
 fn settled(count: usize, seed: u64) -> GossipNetwork {
     let mut network = GossipNetwork::start(count, seed);
     let joined = network.run_until(JOIN_BOUND, GossipNetwork::all_views_correct);
-    assert!(joined.is_some(), "{count} processes do not find each other");
+    assert!(
+        joined.is_some(),
+        "a group of {count} processes does not form"
+    );
     network.run(TimeSpan::from_secs(3));
     network
 }
@@ -30,15 +34,14 @@
             .collect();
         assert!(
             view_hashes.iter().all(|view| *view == view_hashes[0]),
-            "equal views have equal hashes"
+            "equal views have different hashes: {view_hashes:?}"
         );
     }
 }
 
 #[test]
 fn tick_propagates_a_death_within_bound() {
-    // A host dies without a word. Callers see timeouts for as long as it is handed out; the bound
-    // is 5 s until the last process knows.
+    // A host fails without notice. Callers see timeouts until the last process knows of it.
     for seed in 0..10 {
         let mut network = settled(64, seed);
         network.crash(9);
@@ -54,8 +57,8 @@
 
 #[test]
 fn announce_leaving_reaches_all() {
-    // A process is stopped as planned, while other news goes around: everyone reports a new
-    // configuration. Whoever still sends work to it a few seconds later would have that work cut.
+    // A process is stopped while other updates fill the messages: every member reports a new
+    // configuration. Work sent to the process afterwards would be aborted.
     for seed in 0..10 {
         let mut network = settled(64, seed);
         let config = ConfigDigest {
@@ -65,7 +68,7 @@
         for node in &mut network.nodes {
             node.membership
                 .as_mut()
-                .expect("it runs")
+                .expect("the process is running")
                 .set_config(config);
         }
         network.run(TimeSpan::from_millis(300));
@@ -82,9 +85,8 @@
 
 #[test]
 fn receive_makes_a_resumed_process_refute_its_death() {
-    // A host freezes for 20 s and is declared dead; what was sent to it meanwhile is lost. Its
-    // process wakes and believes that nothing happened. It must hear of its death and come back
-    // under a newer version.
+    // A host is paused for 20 s and declared dead, and the messages sent to it are lost. The
+    // resumed process must learn of its death and refute it with a higher version.
     let mut network = settled(8, 3);
     network.keeps_messages_while_paused = false;
     network.nodes[4].is_paused = true;
@@ -99,15 +101,17 @@
         recovery_time.is_some_and(|span| span <= TimeSpan::from_secs(1)),
         "{recovery_time:?}"
     );
-    let resumed = network.nodes[4].membership.as_ref().expect("it runs");
+    let resumed = network.nodes[4]
+        .membership
+        .as_ref()
+        .expect("the process is running");
     assert!(resumed.version().refutation > 0);
 }
 
 #[test]
-fn tick_suspects_nobody_after_own_pause() {
-    // A host freezes with a probe in flight and a suspicion running. When it wakes, the answers
-    // wait unread in its socket, and by its clock everything has long lapsed: without care it
-    // would declare others dead for its own pause.
+fn tick_suspects_no_member_after_own_pause() {
+    // A host is paused with a probe in flight and a suspicion running. On resume, the answers are
+    // still unread and all timeouts have expired; it must not suspect others for its own pause.
     for seed in 0..20 {
         let mut network = settled(8, seed);
         network.nodes[4].is_paused = true;
@@ -127,9 +131,8 @@
 }
 
 #[test]
-fn tick_suspects_nobody_for_one_failed_link() {
-    // A switch loses track of the path between two hosts. All others reach both: neither may be
-    // doubted, least of all by everyone.
+fn tick_suspects_no_member_for_one_failed_link() {
+    // The link between two hosts fails while all others reach both. Neither may be suspected.
     let mut network = settled(8, 9);
     network.cut_link = Some((2, 6));
     network.run_until(TimeSpan::from_secs(60), |network| {
@@ -138,6 +141,7 @@
     });
 }
 
+/// Separates the two halves of the group for `span`.
 fn split_in_halves(network: &mut GossipNetwork, span: TimeSpan) {
     let half = network.nodes.len() / 2;
     for node in &mut network.nodes[half..] {
@@ -149,7 +153,8 @@
     }
 }
 
-/// Runs until all believe the truth; nobody may at any time give up a member of its own side.
+/// Runs until all views are correct. No process may at any time observe a member of its own side
+/// in one of the forbidden states.
 fn run_until_healed(
     network: &mut GossipNetwork,
     forbidden_states: &[MemberState],
@@ -159,9 +164,12 @@
         for observer in 0..2 * half {
             let own_side = observer / half * half;
             for member in own_side..own_side + half {
-                let believed = network.observed_state(observer, member);
-                let is_forbidden = believed.is_some_and(|state| forbidden_states.contains(&state));
-                assert!(!is_forbidden, "{observer} gives up {member}: {believed:?}");
+                let observed = network.observed_state(observer, member);
+                let is_forbidden = observed.is_some_and(|state| forbidden_states.contains(&state));
+                assert!(
+                    !is_forbidden,
+                    "process {observer} observes {member} of its own side as {observed:?}"
+                );
             }
         }
         network.all_views_correct()
@@ -170,9 +178,8 @@
 
 #[test]
 fn reconnect_heals_a_split() {
-    // Two regions lose each other for minutes and find each other again. Each side declares the
-    // other dead. When the path is back, no member may lose the work of its own side, nor be
-    // doubted there, and both sides must be one again.
+    // Two regions lose each other for minutes, and each declares the other's members dead. After
+    // the split has healed, both sides must merge without suspecting members of their own side.
     let mut network = settled(16, 4);
     split_in_halves(&mut network, TimeSpan::from_secs(120));
     assert_eq!(network.observed_state(0, 8), Some(Dead));
@@ -186,8 +193,8 @@
 
 #[test]
 fn receive_treats_reported_deaths_as_suspicions_after_a_short_split() {
-    // Two regions lose each other for seconds. The news of deaths on the other side still goes
-    // around when the path comes back, and then reaches those who know the dead to be well.
+    // Two regions lose each other for seconds. Reports of deaths on the other side still circulate
+    // when the split heals, and must not remove members that are alive.
     for seed in 0..20 {
         let mut network = settled(16, seed);
         split_in_halves(&mut network, TimeSpan::from_millis(2_500 + seed * 100));
@@ -201,7 +208,7 @@
 
 #[test]
 fn receive_accepts_a_restarted_process() {
-    // A process is killed and starts again at once with nothing kept, before anyone noticed.
+    // A process is killed and restarts without state before anyone notices.
     let mut network = settled(8, 5);
     network.crash(2);
     network.restart(2);
@@ -211,11 +218,15 @@
     let version = network.nodes[2]
         .membership
         .as_ref()
-        .expect("it runs")
+        .expect("the process is running")
         .version();
     network.run(TimeSpan::from_secs(5));
     for node in &network.nodes {
-        let members = node.membership.as_ref().expect("all run").members();
+        let members = node
+            .membership
+            .as_ref()
+            .expect("all processes are running")
+            .members();
         let member = members
             .iter()
             .find(|member| member.record.node == node_id(2));
@@ -225,8 +236,8 @@
 
 #[test]
 fn receive_joins_without_seeds() {
-    // Both seeds are down when two other processes restart with nothing kept. They know nobody;
-    // the processes that are left still knew them and probe their addresses.
+    // Both seeds are down when two other processes restart without state. They must join through
+    // members that still probe their old addresses.
     let mut network = settled(6, 13);
     network.crash(0);
     network.crash(1);
@@ -236,26 +247,32 @@
     network.restart(5);
     let recovery_time =
         network.run_until(TimeSpan::from_secs(20), GossipNetwork::all_views_correct);
-    assert!(recovery_time.is_some(), "they are not found");
+    assert!(
+        recovery_time.is_some(),
+        "the restarted processes do not join"
+    );
 }
 
 #[test]
 fn receive_raises_an_outdated_incarnation() {
-    // A host comes back with a clock that is behind: its start number is lower than that of its
-    // earlier run, so everyone would ignore it for good.
+    // A host restarts with a clock that is behind. Its incarnation is lower than the earlier one,
+    // so the others would ignore its updates.
     let mut network = settled(8, 6);
     network.crash(3);
     network.run(TimeSpan::from_secs(10));
     network.restart_with_incarnation(3, 1);
     let recovery_time =
         network.run_until(TimeSpan::from_secs(10), GossipNetwork::all_views_correct);
-    assert!(recovery_time.is_some(), "the others still hold it dead");
+    assert!(
+        recovery_time.is_some(),
+        "the restarted process is still considered dead"
+    );
 }
 
 #[test]
 fn forget_dead_members_keeps_rejecting_old_updates() {
-    // A member dies and is forgotten after a while. A process that was frozen all the while still
-    // believes it alive and says so when it wakes: nobody may hand it out again.
+    // A member dies and is forgotten. A process that was paused the whole time still reports it
+    // alive, which must not bring it back.
     let options = MembershipOptions {
         seeds: vec![address(0), address(1)],
         forget_after: TimeSpan::from_secs(60),
@@ -266,14 +283,18 @@
     let outdated_message = network.message_about(5, 4);
     network.crash(4);
     network.run(TimeSpan::from_secs(90));
-    assert_eq!(network.observed_state(0, 4), None, "it is forgotten");
+    assert_eq!(
+        network.observed_state(0, 4),
+        None,
+        "the dead member is not forgotten"
+    );
     network.receive(0, 5, outdated_message);
     network.run_until(TimeSpan::from_secs(30), |network| {
         for observer in 0..4 {
             assert_eq!(
                 network.observed_state(observer, 4),
                 None,
-                "{observer} is taken in"
+                "process {observer} takes the outdated update"
             );
         }
         false
@@ -282,9 +303,8 @@
 
 #[test]
 fn receive_applies_no_death_from_a_state_sync() {
-    // After a split, the other side answers a comparison of views with what it believes: that this
-    // side is dead. Taken over in bulk, that would make this side doubt itself. Only the member
-    // meant may be told, so that it refutes it.
+    // After a split, a state sync from the other side reports a member of this side dead. The
+    // state must not be applied; only that member is notified, so that it can refute.
     let mut network = settled(4, 10);
     let mut message = network.message_about(3, 2);
     message.updates[0].state = Dead;
@@ -300,8 +320,8 @@
 }
 
 #[test]
-fn receive_declares_nobody_dead_under_packet_loss() {
-    // A switch drops a tenth of all packets. Nobody may be declared dead for it.
+fn receive_declares_no_member_dead_under_packet_loss() {
+    // A tenth of all packets is lost. No member may be declared dead.
     for seed in 0..10 {
         let mut network = settled(24, seed);
         network.loss = 0.1;
--- a/alderhaven-policy/tests/membership/fuzz.rs
+++ b/alderhaven-policy/tests/membership/fuzz.rs
@@ -1,4 +1,4 @@
-//! Random failures against a simple oracle.
+//! Membership under random faults, checked against simple invariants.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,18 @@
 
 const PROCESS_COUNT: usize = 6;
 
-/// The bound within which all that can reach each other agree, once nothing fails any more.
+/// Time within which all views must agree after the last fault.
 const AGREEMENT_BOUND: TimeSpan = TimeSpan::from_secs(40);
 
+/// One step of a random scenario; numbers are milliseconds, processes, a bit mask of sides, or
+/// percent.
 #[derive(Clone, Debug)]
 enum Fault {
     Run(u64),
     Crash(usize),
     Restart(usize),
     Pause(usize),
-    Wake(usize),
+    Resume(usize),
     Leave(usize),
     Split(u8),
     Loss(u8),
@@ -33,7 +35,7 @@
         1 => node.clone().prop_map(Fault::Crash),
         2 => node.clone().prop_map(Fault::Restart),
         1 => node.clone().prop_map(Fault::Pause),
-        1 => node.clone().prop_map(Fault::Wake),
+        1 => node.clone().prop_map(Fault::Resume),
         1 => node.prop_map(Fault::Leave),
         1 => any::<u8>().prop_map(Fault::Split),
         1 => Just(Fault::Split(0)),
@@ -47,7 +49,7 @@
         Fault::Crash(index) => network.crash(index),
         Fault::Restart(index) => network.restart(index),
         Fault::Pause(index) => network.nodes[index].is_paused = true,
-        Fault::Wake(index) => network.nodes[index].is_paused = false,
+        Fault::Resume(index) => network.nodes[index].is_paused = false,
         Fault::Leave(index) => network.leave(index),
         Fault::Split(sides) => {
             for (index, node) in network.nodes.iter_mut().enumerate() {
@@ -62,13 +64,13 @@
     }
 }
 
-/// The time after which nobody may choose a member that announced that it leaves.
+/// Time after which a member that announced its leaving must get no work.
 const LEAVING_BOUND: TimeSpan = TimeSpan::from_secs(3);
 
-/// The time after which nobody may choose a member that died.
+/// Time after which a failed member must get no work.
 const DEATH_BOUND: TimeSpan = TimeSpan::from_secs(5);
 
-/// Lets time pass and checks that nobody's knowledge of a member goes back to an older version.
+/// Lets time pass, and checks that no process goes back to an older version of a member.
 fn check_run(network: &mut GossipNetwork, span: TimeSpan) {
     let seen = std::cell::RefCell::new(BTreeMap::<_, MemberVersion>::new());
     network.run_until(span, |network| {
@@ -79,7 +81,10 @@
             for member in membership.members() {
                 let key = (observer, member.record.node.clone());
                 let before = seen.borrow_mut().insert(key, member.version);
-                assert!(before <= Some(member.version), "{observer} goes back");
+                assert!(
+                    before <= Some(member.version),
+                    "process {observer} went back to an older version"
+                );
             }
         }
         false
@@ -110,7 +115,7 @@
             node.is_paused = false;
         }
         let agreed = network.run_until(AGREEMENT_BOUND, GossipNetwork::all_views_correct);
-        assert!(agreed.is_some(), "they do not agree on the truth");
+        assert!(agreed.is_some(), "the views do not become correct within {AGREEMENT_BOUND:?}");
     }
 
     #[test]
--- a/alderhaven-policy/tests/membership/lifecycle.rs
+++ b/alderhaven-policy/tests/membership/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Every edge of a member's lifecycle.
+//! All transitions of a member's lifecycle.
 
 use alderhaven_core::ids::IncarnationNumber;
 use alderhaven_core::time::TimePoint;
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns a machine in a state at refutation 5.
+/// Returns a machine in `state` at refutation 5.
 fn machine_in(state: MemberState) -> MemberMachine {
     let mut machine = MemberMachine::new(Alive, version(5), TimePoint::START);
     match state {
@@ -48,7 +48,7 @@
 
 #[test]
 fn handle_update_of_the_same_version() {
-    // Rows: the state before; columns: the state that is heard, in the order of `STATES`.
+    // Rows: state before; columns: reported state, in the order of `STATES`.
     let expected = [
         [Alive, Suspect, Leaving, Suspect],
         [Suspect, Suspect, Leaving, Suspect],
@@ -61,7 +61,7 @@
             assert_eq!(
                 state_after(before, event),
                 (next, 5),
-                "{before:?} hears {reported_state:?}"
+                "{before:?} receives {reported_state:?}"
             );
         }
     }
--- a/alderhaven-policy/tests/membership/network.rs
+++ b/alderhaven-policy/tests/membership/network.rs
@@ -1,4 +1,4 @@
-//! A network of memberships in memory: time is a number, and messages can be lost, doubled, delayed
+//! In-memory network of memberships with simulated time. Messages can be lost, duplicated, delayed
 //! and reordered.
 
 use std::collections::BTreeMap;
@@ -17,47 +17,48 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// The step of time, which is how often a process ticks.
+/// Time between two ticks of each process; the resolution of the simulation.
 const TICK_PERIOD: TimeSpan = TimeSpan::from_millis(50);
 
-/// The most messages that wait for a frozen process; a socket drops the rest.
+/// Maximum number of messages queued for a paused process; as with a socket buffer, further ones
+/// are dropped.
 const MAX_QUEUED_PACKETS: usize = 200;
 
-/// A `GossipNetwork` runs some memberships and carries their messages.
+/// Runs several memberships and delivers their messages.
 pub struct GossipNetwork {
-    /// The processes by number.
+    /// Processes by index.
     pub nodes: Vec<FakeProcess>,
-    /// The time.
+    /// Simulated time.
     pub now: TimePoint,
-    /// The share of messages that are lost.
+    /// Probability that a message is lost.
     pub loss: f64,
-    /// The share of messages that arrive twice.
+    /// Probability that a message is duplicated.
     pub duplicates: f64,
-    /// The longest delay of a message.
+    /// Longest delay of a message.
     pub max_delay: TimeSpan,
     /// Two processes that can't reach each other.
     pub cut_link: Option<(usize, usize)>,
-    /// Whether messages wait for a frozen process; else they are lost.
+    /// Whether messages to a paused process are queued; otherwise they are lost.
     pub keeps_messages_while_paused: bool,
     options: MembershipOptions,
     rng: StdRng,
     packets: BTreeMap<(TimePoint, u64), Packet>,
-    /// The messages sent.
+    /// Number of messages sent.
     pub sent: u64,
-    /// The pieces of news of members that crossed between failure domains, but for comparisons.
+    /// Number of member updates sent between failure domains, state syncs excluded.
     pub cross_domain_updates: usize,
     domain_count: usize,
     packet_count: u64,
     start_count: u64,
 }
 
-/// A `FakeProcess` is one process, or the place where one was.
+/// A process that may be stopped, paused or restarted.
 pub struct FakeProcess {
-    /// The membership; none where the process does not run.
+    /// `None` while the process does not run.
     pub membership: Option<GroupMembership>,
-    /// Whether the process is frozen: it does nothing, and its messages wait.
+    /// Whether the process is paused: it neither ticks nor receives.
     pub is_paused: bool,
-    /// The side of a split that the process is on.
+    /// Side of a network split that the process is on.
     pub side: u8,
     queued_packets: Vec<Packet>,
 }
@@ -68,14 +69,14 @@
     message: GossipMessage,
 }
 
-/// Gets the id of a process.
+/// Returns the node id of a process.
 pub fn node_id(index: usize) -> NodeId {
-    format!("node-{index}").parse().expect("a valid id")
+    format!("node-{index}").parse().expect("the id is valid")
 }
 
-/// Gets the address of a process.
+/// Returns the gossip address of a process.
 pub fn address(index: usize) -> SocketAddr {
-    let index = u16::try_from(index).expect("a small number");
+    let index = u16::try_from(index).expect("a process index fits into a port number");
     SocketAddr::from((Ipv4Addr::LOCALHOST, 10_000 + index))
 }
 
@@ -94,7 +95,7 @@
         Self::empty(seed, options).with_processes(count)
     }
 
-    /// Starts `count` processes that are spread over failure domains by turns.
+    /// Starts `count` processes, assigned to failure domains in rotation.
     pub fn start_in_domains(count: usize, domains: usize, seed: u64) -> Self {
         let options = MembershipOptions {
             seeds: vec![address(0), address(1)],
@@ -140,27 +141,27 @@
         self
     }
 
-    /// Starts a process anew with nothing kept, as a clock that works numbers it.
+    /// Restarts a process without state, with a higher incarnation.
     pub fn restart(&mut self, index: usize) {
         self.start_count += 1;
         self.restart_with_incarnation(index, 1_000 + self.start_count);
     }
 
-    /// Starts a process anew with a given start number.
-    pub fn restart_with_incarnation(&mut self, index: usize, start: u64) {
+    /// Restarts a process without state, with the given incarnation.
+    pub fn restart_with_incarnation(&mut self, index: usize, incarnation: u64) {
         let record = MemberRecord::builder()
             .node(node_id(index))
             .role(MemberRole::Entry)
-            .host(format!("host-{index}").parse().expect("a valid id"))
+            .host(format!("host-{index}").parse().expect("the id is valid"))
             .domain(
                 format!("domain-{}", index % self.domain_count)
                     .parse()
-                    .expect("a valid id"),
+                    .expect("the id is valid"),
             )
             .gossip_address(address(index))
             .build();
         let version = MemberVersion {
-            incarnation: IncarnationNumber(start),
+            incarnation: IncarnationNumber(incarnation),
             refutation: 0,
         };
         let options = self.options.clone();
@@ -169,7 +170,7 @@
         node.is_paused = false;
     }
 
-    /// Ends a process without a word.
+    /// Stops a process without notice.
     pub fn crash(&mut self, index: usize) {
         self.nodes[index].membership = None;
     }
@@ -182,16 +183,22 @@
         }
     }
 
-    /// Gets what a process would say of a member that it knows.
+    /// Returns a message in which a process reports a member that it knows.
     pub fn message_about(&mut self, index: usize, member: usize) -> GossipMessage {
-        let membership = self.nodes[index].membership.as_mut().expect("it runs");
+        let membership = self.nodes[index]
+            .membership
+            .as_mut()
+            .expect("the process is running");
         let view = membership
             .members()
             .into_iter()
             .find(|view| view.record.node == node_id(member))
-            .expect("it knows the member");
+            .expect("the process knows the member");
         let mut outgoing = membership.announce_leaving(self.now, &mut self.rng);
-        let mut message = outgoing.pop().expect("it speaks to others").message;
+        let mut message = outgoing
+            .pop()
+            .expect("the process has other members to notify")
+            .message;
         message.updates = vec![MemberUpdate {
             node: view.record.node.clone(),
             state: view.state,
@@ -201,23 +208,27 @@
         message
     }
 
-    /// Gives a message to a process; returns what it would send.
+    /// Delivers a message to a process; returns its replies without sending them.
     pub fn receive(
         &mut self,
         to: usize,
         from: usize,
         message: GossipMessage,
     ) -> Vec<OutgoingMessage> {
-        let membership = self.nodes[to].membership.as_mut().expect("it runs");
+        let membership = self.nodes[to]
+            .membership
+            .as_mut()
+            .expect("the process is running");
         membership.receive(address(from), message, self.now, &mut self.rng)
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub fn run(&mut self, span: TimeSpan) {
         self.run_until(span, |_| false);
     }
 
-    /// Lets time pass until a condition holds, at most for `span`; returns how long it took.
+    /// Advances the simulated time until a condition holds, at most for `span`; returns the
+    /// elapsed time.
     pub fn run_until(
         &mut self,
         span: TimeSpan,
@@ -233,20 +244,21 @@
         is_done(self).then(|| self.now.since(start))
     }
 
-    /// Gets what one process believes of another; none where it does not know it.
+    /// Returns the state of a member as one process sees it; `None` if it does not know the
+    /// member.
     pub fn observed_state(&self, observer: usize, member: usize) -> Option<MemberState> {
         let membership = self.nodes[observer].membership.as_ref()?;
         membership.state_of(&node_id(member))
     }
 
-    /// Returns true where every running process believes the same of a member.
+    /// Returns true if every running process observes the member in one of the states.
     pub fn all_observe(&self, member: usize, states: &[Option<MemberState>]) -> bool {
         (0..self.nodes.len())
             .filter(|observer| self.nodes[*observer].membership.is_some())
             .all(|observer| states.contains(&self.observed_state(observer, member)))
     }
 
-    /// Returns true where any running process would send work to a member.
+    /// Returns true if any running process would send work to the member.
     pub fn is_offered_work(&self, member: usize) -> bool {
         (0..self.nodes.len()).any(|observer| {
             self.observed_state(observer, member)
@@ -254,7 +266,7 @@
         })
     }
 
-    /// Returns true where every running process believes the truth of every other one.
+    /// Returns true if every running process observes the actual state of every other one.
     pub fn all_views_correct(&self) -> bool {
         (0..self.nodes.len()).all(|member| match &self.nodes[member].membership {
             Some(membership) => self.all_observe(member, &[Some(membership.own_state())]),
@@ -283,7 +295,7 @@
                 let outgoing = membership.tick(end, &mut self.rng);
                 self.send(index, outgoing);
             }
-            // A process that wakes may tick before it reads what waits for it.
+            // A process that resumes may tick before it reads its queued messages.
             for packet in std::mem::take(&mut self.nodes[index].queued_packets) {
                 self.deliver(packet);
             }
--- a/alderhaven-policy/tests/membership/reports.rs
+++ b/alderhaven-policy/tests/membership/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of the configuration in force.
+//! Propagation of reports about the configuration in force.
 
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_core::time::TimeSpan;
@@ -14,11 +14,12 @@
     }
 }
 
+/// Returns the number of members that a process observes with a configuration.
 fn reported_count(network: &GossipNetwork, observer: usize, config: ConfigDigest) -> usize {
     let membership = network.nodes[observer]
         .membership
         .as_ref()
-        .expect("it runs");
+        .expect("the process is running");
     let members = membership.members();
     members
         .iter()
@@ -33,7 +34,7 @@
     for node in &mut network.nodes {
         node.membership
             .as_mut()
-            .expect("it runs")
+            .expect("the process is running")
             .set_config(digest(9));
     }
     let propagation_time = network.run_until(TimeSpan::from_secs(10), |network| {
@@ -45,16 +46,15 @@
     );
 }
 
-/// An operator waits for a version on all members. A report is told a fixed number of times, to members
-/// drawn by chance; where one of them is never drawn, the wait ends only with a direct message some
-/// tens of seconds later, and which members are missed changes with anything that changes a draw.
+/// A report is sent a fixed number of times to random members. A member that is never sampled
+/// would learn it only from a direct message much later, so every seed must reach all members.
 #[test]
 fn set_config_reaches_all_with_many_seeds() {
     for seed in 100..130 {
         let mut network = GossipNetwork::start(32, seed);
         network.run(TimeSpan::from_secs(5));
         for node in &mut network.nodes {
-            let membership = node.membership.as_mut().expect("it runs");
+            let membership = node.membership.as_mut().expect("the process is running");
             membership.set_config(digest(9));
         }
         let propagation_time = network.run_until(TimeSpan::from_secs(3), |network| {
@@ -66,14 +66,14 @@
 
 #[test]
 fn set_config_is_not_reported_for_a_restarted_process() {
-    // A process reports version 9 and restarts with nothing. An operator who waits for version 9
-    // must not be told that it is in force there, though old reports still go around.
+    // After a restart without state, old reports still circulate. They must not count as reports
+    // of the restarted process.
     let mut network = GossipNetwork::start(8, 12);
     network.run(TimeSpan::from_secs(10));
     for node in &mut network.nodes {
         node.membership
             .as_mut()
-            .expect("it runs")
+            .expect("the process is running")
             .set_config(digest(9));
     }
     network.run(TimeSpan::from_secs(1));
--- a/alderhaven-policy/tests/membership/store_answers.rs
+++ b/alderhaven-policy/tests/membership/store_answers.rs
@@ -1,4 +1,4 @@
-//! When the store last answered anyone, and what a group says at rest.
+//! Propagation of the store's last answer, and the traffic of an idle group.
 
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_core::time::TimeSpan;
@@ -8,10 +8,11 @@
 
 use crate::network::{GossipNetwork, address};
 
-/// The age after which a node that hears of no answer watches the store itself, less the longest that
-/// a watch waits.
+/// Latest acceptable time for all members to learn of an answer. A node that knows of none for
+/// longer would watch the store itself.
 const PROPAGATION_BOUND: TimeSpan = TimeSpan::from_millis(2_500);
 
+/// Returns the age of the last known answer as each process but the first sees it.
 fn other_answer_ages(network: &GossipNetwork) -> Vec<Option<TimeSpan>> {
     let running = network.nodes.iter().skip(1);
     let memberships = running.filter_map(|node| node.membership.as_ref());
@@ -21,14 +22,17 @@
         .collect()
 }
 
-/// Three of 195 nodes watch the store. The others must hear within some seconds that it answers, or each
-/// of them asks it too; the word is to cost no message of its own.
+/// All members must learn within the bound that the store is being watched; otherwise each of them
+/// would watch it too.
 #[test]
 fn note_store_answer_reaches_all_within_bound() {
     let mut network = GossipNetwork::start(195, 21);
     network.run(TimeSpan::from_secs(10));
     let now = network.now;
-    let first = network.nodes[0].membership.as_mut().expect("it runs");
+    let first = network.nodes[0]
+        .membership
+        .as_mut()
+        .expect("the process is running");
     first.note_store_answer(now);
     let propagation_time = network.run_until(TimeSpan::from_secs(5), |network| {
         other_answer_ages(network).iter().all(Option::is_some)
@@ -39,14 +43,17 @@
     );
 }
 
-/// A word that is passed on must not grow younger on its way: nodes would believe that the store is
-/// watched while nobody is answered.
+/// The age of an answer must not shrink as it is passed on; otherwise members would assume that
+/// the store is being watched when it is not.
 #[test]
 fn note_store_answer_never_understates_its_age() {
     let mut network = GossipNetwork::start(32, 22);
     network.run(TimeSpan::from_secs(10));
     let answered_at = network.now;
-    let first = network.nodes[0].membership.as_mut().expect("it runs");
+    let first = network.nodes[0]
+        .membership
+        .as_mut()
+        .expect("the process is running");
     first.note_store_answer(answered_at);
     network.run(TimeSpan::from_secs(4));
     let age = network.now.since(answered_at);
@@ -58,22 +65,27 @@
     );
 }
 
-/// The only node that reaches the store hears its own word back from the others. It must not take the
-/// echo for another watcher and stop watching.
+/// A process that alone reaches the store must not mistake its own answer for that of another
+/// watcher.
 #[test]
 fn note_store_answer_is_ignored_by_its_origin() {
     let mut network = GossipNetwork::start(8, 23);
     network.run(TimeSpan::from_secs(5));
     let now = network.now;
-    let first = network.nodes[0].membership.as_mut().expect("it runs");
+    let first = network.nodes[0]
+        .membership
+        .as_mut()
+        .expect("the process is running");
     first.note_store_answer(now);
     network.run(TimeSpan::from_secs(5));
-    let first = network.nodes[0].membership.as_ref().expect("it runs");
+    let first = network.nodes[0]
+        .membership
+        .as_ref()
+        .expect("the process is running");
     assert_eq!(first.other_store_answered_at(), None);
 }
 
-/// Fronts take a new configuration over every few seconds. Where each member reports so to all others, a
-/// group of hundreds sends little else; nobody asks fronts for it.
+/// In a group without reporting, a change of the configuration must cause no extra messages.
 #[test]
 fn set_config_sends_no_messages_without_reporting() {
     let sent_after_change = |is_reporting| {
@@ -86,7 +98,7 @@
         network.run(TimeSpan::from_secs(10));
         let sent = network.sent;
         for node in &mut network.nodes {
-            let membership = node.membership.as_mut().expect("it runs");
+            let membership = node.membership.as_mut().expect("the process is running");
             membership.set_config(ConfigDigest {
                 highest: StoreVersion(9),
                 version_sum: 9,
@@ -96,7 +108,7 @@
         network.run(TimeSpan::from_secs(4));
         network.sent - sent
     };
-    // A probe a member and period, and its answer: 64 x 10 x 2 in four seconds.
+    // One probe per member and period, with its acknowledgement, in four seconds.
     let probes = 64 * 10 * 2;
     assert!(sent_after_change(false) <= probes * 11 / 10);
     assert!(sent_after_change(true) > probes * 3 / 2);
--- a/alderhaven-policy/tests/watch_plan.rs
+++ b/alderhaven-policy/tests/watch_plan.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of nodes that watch the store.
+//! Tests of the selection of nodes that watch the store.
 
 use alderhaven_core::config_object::ObjectKind;
 use alderhaven_core::ids::NodeId;
@@ -6,7 +6,7 @@
 
 fn nodes(count: usize) -> Vec<NodeId> {
     (0..count)
-        .map(|index| format!("node-{index}").parse().expect("a valid id"))
+        .map(|index| format!("node-{index}").parse().expect("the id is valid"))
         .collect()
 }
 
@@ -31,7 +31,7 @@
     let removed = all
         .iter()
         .find(|node| watches(node, &all))
-        .expect("some watch")
+        .expect("at least one node watches the kind")
         .clone();
     let remaining: Vec<_> = all
         .iter()
@@ -41,7 +41,7 @@
     for node in remaining.iter().filter(|node| watches(node, &all)) {
         assert!(
             watches(node, &remaining),
-            "{node} stops watching for no reason"
+            "{node} no longer watches although another watcher was removed"
         );
     }
 }
