--- a/alderhaven-policy/src/membership/update_handling.rs
+++ b/alderhaven-policy/src/membership/update_handling.rs
@@ -1,4 +1,4 @@
-//! How news that arrives is judged.
+//! Handling of incoming messages and the updates that they carry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,17 +15,17 @@
 use crate::membership::member_machine::{MemberEvent, MemberMachine};
 use crate::membership::member_record::{MemberState, MemberVersion};
 
-/// A `NewsSource` says how an update came.
+/// How an update arrived.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum UpdateSource {
-    /// With a message, soon after it happened.
+    /// Piggybacked on a message, soon after the change.
     Gossip,
-    /// From a comparison of states, which may be old.
+    /// From a state sync; the change may be old.
     StateSync,
 }
 
 impl GroupMembership {
-    /// Takes a message that came from an address; returns what is to be sent.
+    /// Handles a message from `from`; returns the messages to send.
     pub fn receive(
         &mut self,
         from: SocketAddr,
@@ -88,14 +88,15 @@
             } => self.handle_sync_request(from, *sequence, after.as_ref(), buckets, outgoing),
             GossipBody::SyncReply {
                 sequence,
-                continue_after: next,
+                continue_after,
             } => {
-                self.handle_sync_reply(*sequence, next.clone(), now, outgoing);
+                self.handle_sync_reply(*sequence, continue_after.clone(), now, outgoing);
             }
         }
     }
 
-    /// Takes what a sender says of itself, and tells it where it is believed suspect or dead.
+    /// Records the sender's self-description, and notifies a sender that is considered suspect or
+    /// dead.
     fn handle_header(
         &mut self,
         from: SocketAddr,
@@ -108,9 +109,9 @@
             return;
         }
         self.compare_views(from, sender, now, rng, outgoing);
-        if let Some(sighting) = sender.store_answer {
+        if let Some(answer) = sender.store_answer {
             self.store_answers
-                .record_other(sighting, self.own_fingerprint(), now);
+                .record_other(answer, self.own_fingerprint(), now);
         }
         let Some(member) = self.members.get_mut(&sender.node) else {
             return;
@@ -140,15 +141,15 @@
             now,
         };
         self.apply_event(&sender.node, event, now);
-        // Guards against a frozen process that wakes and does not know that it was declared dead:
-        // it would go on serving while nobody sends it work. Whoever it speaks to tells it.
-        let told = self.members.get(&sender.node).filter(|member| {
+        // A process that resumes after a pause does not know that it was declared dead, and would
+        // keep serving without getting work. The notification lets it refute.
+        let unhealthy_member = self.members.get(&sender.node).filter(|member| {
             matches!(
                 member.machine.state(),
                 MemberState::Suspect | MemberState::Dead
             )
         });
-        if let Some(update) = told.map(|member| member.update(false)) {
+        if let Some(update) = unhealthy_member.map(|member| member.update(false)) {
             outgoing.push(self.message_with_update(from, GossipBody::Updates, Some(update)));
         }
     }
@@ -169,19 +170,19 @@
             self.add_member(update, source, now, rng);
             return;
         };
-        let known = member.machine.version();
+        let known_version = member.machine.version();
         let is_restart = update.version.incarnation > member.record_incarnation;
         if is_restart && update.record.is_none() && update.state != MemberState::Dead {
-            // The old record may name old addresses; the new one comes with its own news or with
-            // the next comparison of views.
+            // The old record may have outdated addresses. The new record arrives with a later
+            // update or a state sync.
             return;
         }
-        let is_ill = matches!(update.state, MemberState::Suspect | MemberState::Dead);
-        let is_newer = (update.version, update.state) > (known, member.machine.state());
-        if source == UpdateSource::StateSync && is_ill && is_newer {
-            // Guards against a split that heals: each side holds the other's members dead, and
-            // taking that over in bulk would make each side doubt itself. Only the member meant is
-            // told; it refutes, or probes will find it dead.
+        let is_unhealthy = matches!(update.state, MemberState::Suspect | MemberState::Dead);
+        let is_newer = (update.version, update.state) > (known_version, member.machine.state());
+        if source == UpdateSource::StateSync && is_unhealthy && is_newer {
+            // After a network split each side considers the other side's members dead. Applying
+            // these states in bulk would make each side suspect its own members. Instead, only the
+            // member is notified: it refutes, or probes find it dead.
             let address = member.record.gossip_address;
             let update = MemberUpdate {
                 record: None,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Takes the record of a member that restarted.
+    /// Replaces the record of a member that has restarted, and queues it for the other members.
     fn apply_restart(&mut self, update: MemberUpdate, now: TimePoint, rng: &mut impl Rng) {
         let Some(member) = self.members.get_mut(&update.node) else {
             return;
@@ -217,7 +218,8 @@
         self.note_change(now);
     }
 
-    /// Takes in a member that was not known.
+    /// Adds a member that was unknown, unless it is dead or its version is not newer than its
+    /// tombstone.
     fn add_member(
         &mut self,
         update: MemberUpdate,
@@ -225,9 +227,9 @@
         now: TimePoint,
         rng: &mut impl Rng,
     ) {
-        let grave = self.tombstones.get(&update.node);
-        let is_buried = grave.is_some_and(|version| *version >= update.version);
-        let Some(record) = update.record.filter(|_| !is_buried) else {
+        let tombstone = self.tombstones.get(&update.node);
+        let is_outdated = tombstone.is_some_and(|version| *version >= update.version);
+        let Some(record) = update.record.filter(|_| !is_outdated) else {
             return;
         };
         if update.state == MemberState::Dead || record.node != update.node {
@@ -240,7 +242,7 @@
         let member = MemberEntry::new(record, machine, now);
         let (bucket, hash) = member.hash_contribution();
         self.buckets[bucket] ^= hash;
-        // What a joining process takes over is known to the others already.
+        // Members learned while joining are already known to the group.
         if source == UpdateSource::Gossip || self.syncing.is_joined {
             self.queue.push(member.update(true));
         }
@@ -251,17 +253,17 @@
         self.note_change(now);
     }
 
-    /// Refutes news of this process that is newer than what it says itself.
+    /// Refutes an update about this process that is newer than its own version and state.
     fn handle_update_about_self(&mut self, update: &MemberUpdate, now: TimePoint) {
-        let own = (self.version, self.own_state);
-        if self.is_superseded || (update.version, update.state) <= own {
+        let own_status = (self.version, self.own_state);
+        if self.is_superseded || (update.version, update.state) <= own_status {
             return;
         }
-        let is_moved = update
+        let has_other_record = update
             .record
             .as_ref()
             .is_some_and(|record| *record != self.record);
-        if is_moved && update.version.incarnation > self.version.incarnation {
+        if has_other_record && update.version.incarnation > self.version.incarnation {
             self.is_superseded = true;
             self.note_change(now);
             return;
