--- a/alderhaven-front/src/admission_permit.rs
+++ b/alderhaven-front/src/admission_permit.rs
@@ -17,7 +17,7 @@
     admission: Arc<QueryAdmission>,
     shards: ShardSetId,
     admitted_at: TimePoint,
-    need: QuerySignal,
+    signal: QuerySignal,
 }
 
 impl AdmissionPermit {
@@ -26,25 +26,25 @@
     pub const fn new(
         admission: Arc<QueryAdmission>,
         shards: ShardSetId,
-        admitted: TimePoint,
+        admitted_at: TimePoint,
     ) -> Self {
         Self {
             admission,
             shards,
-            admitted_at: admitted,
-            need: QuerySignal::Uninformative,
+            admitted_at,
+            signal: QuerySignal::Uninformative,
         }
     }
 
     /// Notes what the query says of the room.
-    pub const fn record_signal(&mut self, need: QuerySignal) {
-        self.need = need;
+    pub const fn record_signal(&mut self, signal: QuerySignal) {
+        self.signal = signal;
     }
 }
 
 impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         self.admission
-            .finish(self.shards, self.admitted_at, self.need);
+            .finish(self.shards, self.admitted_at, self.signal);
     }
 }
--- a/alderhaven-front/src/attempt.rs
+++ b/alderhaven-front/src/attempt.rs
@@ -101,13 +101,13 @@
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let now = self.clock.now();
-        let is_newly_aside = {
-            let mut gauge = self.target.gauge();
-            let was_aside = gauge.is_ejected(now);
-            gauge.end_attempt(self.sent_at, self.typical_latency, self.result, now);
-            gauge.is_ejected(now) && !was_aside
+        let is_newly_ejected = {
+            let mut stats = self.target.stats();
+            let was_ejected = stats.is_ejected(now);
+            stats.end_attempt(self.sent_at, self.typical_latency, self.result, now);
+            stats.is_ejected(now) && !was_ejected
         };
-        if is_newly_aside {
+        if is_newly_ejected {
             let entry = self.target.entry();
             FrontEvent::TargetEjected {
                 target: entry.id.clone(),
@@ -121,18 +121,18 @@
 impl AttemptPlan {
     /// Sends the attempt and reads its reply.
     pub async fn run(self) -> AttemptReport {
-        let sent = self.clock.now();
-        self.target.gauge().begin_attempt(sent);
+        let sent_at = self.clock.now();
+        self.target.stats().begin_attempt(sent_at);
         let mut guard = AttemptGuard {
             target: Arc::clone(&self.target),
-            sent_at: sent,
+            sent_at,
             typical_latency: self.typical_latency,
             clock: self.clock,
             result: AttemptResult::Cancelled,
         };
         let (shard, target, clock) = (self.shard, Arc::clone(&self.target), self.clock);
-        let end = self.exchange().await;
-        guard.result = match &end {
+        let outcome = self.exchange().await;
+        guard.result = match &outcome {
             AttemptOutcome::Success(_) => AttemptResult::Answered,
             AttemptOutcome::Unreachable => AttemptResult::Unreachable,
             AttemptOutcome::Cancelled => AttemptResult::Cancelled,
@@ -142,35 +142,42 @@
         AttemptReport {
             shard,
             target,
-            elapsed: clock.now().since(sent),
-            outcome: end,
+            elapsed: clock.now().since(sent_at),
+            outcome,
         }
     }
 
     async fn exchange(self) -> AttemptOutcome {
-        let Ok(mut taken) = self.target.pool.take(!self.is_idempotent).await else {
+        let Ok(mut connection) = self.target.pool.take(!self.is_idempotent).await else {
             return AttemptOutcome::Unreachable;
         };
         // Built only now: the wait for a connection has used up some of the time that is left.
         let Some(request) = self.build_request() else {
-            self.target.pool.give_back_unused(taken);
+            self.target.pool.give_back_unused(connection);
             return AttemptOutcome::Cancelled;
         };
-        match send(&self.target, &mut taken, request).await {
+        match send(&self.target, &mut connection, request).await {
             Ok(response) => {
                 let request_id = &self.call.request_id;
-                read_reply(&self.target, taken, response, request_id, &*self.dialect).await
+                read_reply(
+                    &self.target,
+                    connection,
+                    response,
+                    request_id,
+                    &*self.dialect,
+                )
+                .await
             }
-            Err(end) => end,
+            Err(outcome) => outcome,
         }
     }
 
     /// Builds the request; none where it is no longer to be sent.
     fn build_request(&self) -> Option<Request<WholeBody>> {
         let now = self.clock.now();
-        let is_late = self.is_request_finished.load(Ordering::Relaxed) || now >= self.deadline;
+        let is_expired = self.is_request_finished.load(Ordering::Relaxed) || now >= self.deadline;
         // The target may have been closed while the attempt waited for a connection.
-        if is_late || self.target.is_closed() || !self.phase.begin_send() {
+        if is_expired || self.target.is_closed() || !self.phase.begin_send() {
             return None;
         }
         let entry = self.target.entry();
@@ -186,10 +193,10 @@
 
 async fn send(
     target: &TargetHandle,
-    taken: &mut PooledConnection,
+    connection: &mut PooledConnection,
     request: Request<WholeBody>,
 ) -> Result<Response<Incoming>, AttemptOutcome> {
-    let mut refused = match taken.sender().try_send_request(request).await {
+    let mut refused = match connection.sender().try_send_request(request).await {
         Ok(response) => return Ok(response),
         Err(refused) => refused,
     };
@@ -197,11 +204,11 @@
     let Some(request) = refused.take_message() else {
         return Err(AttemptOutcome::Lost);
     };
-    if taken.is_new() || target.pool.replace(taken).await.is_err() {
+    if connection.is_new() || target.pool.replace(connection).await.is_err() {
         return Err(AttemptOutcome::Unreachable);
     }
-    let sent = taken.sender().try_send_request(request).await;
-    sent.map_err(|mut refused| match refused.take_message() {
+    let result = connection.sender().try_send_request(request).await;
+    result.map_err(|mut refused| match refused.take_message() {
         Some(_) => AttemptOutcome::Unreachable,
         None => AttemptOutcome::Lost,
     })
@@ -209,7 +216,7 @@
 
 async fn read_reply(
     target: &TargetHandle,
-    taken: PooledConnection,
+    connection: PooledConnection,
     response: Response<Incoming>,
     request_id: &str,
     dialect: &dyn WireDialect,
@@ -230,10 +237,10 @@
     };
     target
         .pool
-        .give_back(taken, keep_alive_timeout(&head.headers));
+        .give_back(connection, keep_alive_timeout(&head.headers));
     let reply = TargetReply {
         proof: dialect.reply_proof(&head.headers),
-        reply: passed_reply(head.status, head.headers, body.to_bytes()),
+        reply: forwarded_reply(head.status, head.headers, body.to_bytes()),
     };
     match kind {
         ReplyKind::Success => AttemptOutcome::Success(reply),
@@ -244,7 +251,7 @@
     }
 }
 
-const fn passed_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> ForwardedReply {
+const fn forwarded_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> ForwardedReply {
     ForwardedReply {
         status,
         headers,
--- a/alderhaven-front/src/attempt_phase.rs
+++ b/alderhaven-front/src/attempt_phase.rs
@@ -30,9 +30,9 @@
     }
 
     fn try_leave_waiting(&self, next: u8) -> bool {
-        let step = self
+        let exchanged = self
             .0
             .compare_exchange(WAITING, next, Ordering::AcqRel, Ordering::Acquire);
-        step.is_ok()
+        exchanged.is_ok()
     }
 }
--- a/alderhaven-front/src/crash_tracker.rs
+++ b/alderhaven-front/src/crash_tracker.rs
@@ -84,7 +84,7 @@
         strikes: Vec<CrashStrike>,
         wall_millis: u64,
     ) -> Option<String> {
-        let news: Vec<StrikeUpdate> = strikes
+        let updates: Vec<StrikeUpdate> = strikes
             .into_iter()
             .map(|strike| StrikeUpdate {
                 fingerprint,
@@ -92,7 +92,7 @@
                 age: TimeSpan::ZERO,
             })
             .collect();
-        self.merge(&news);
+        self.merge(&updates);
         self.encode_strikes(&fingerprint, wall_millis)
     }
 
@@ -122,17 +122,17 @@
         let strikes: Vec<PublishedStrike> =
             serde_json::from_str(body).map_err(|error| error.to_string())?;
         let now = self.clock.now();
-        let news: Result<Vec<StrikeUpdate>, String> = strikes
+        let updates: Result<Vec<StrikeUpdate>, String> = strikes
             .into_iter()
             .map(|strike| strike.into_update(now, wall_millis))
             .collect();
-        self.merge(&news?);
+        self.merge(&updates?);
         Ok(())
     }
 
-    fn merge(&self, news: &[StrikeUpdate]) {
+    fn merge(&self, updates: &[StrikeUpdate]) {
         let mut quarantine = self.lock();
-        let _fresh = quarantine.merge(news, self.clock.now());
+        let _new_updates = quarantine.merge(updates, self.clock.now());
         if !quarantine.is_empty() {
             self.has_strikes.store(true, Ordering::Release);
         }
@@ -140,15 +140,15 @@
 
     fn encode_strikes(&self, fingerprint: &RequestFingerprint, wall_millis: u64) -> Option<String> {
         let strikes = self.lock().strikes(self.clock.now());
-        let shared: Vec<PublishedStrike> = strikes
+        let published: Vec<PublishedStrike> = strikes
             .iter()
-            .filter(|news| news.fingerprint == *fingerprint)
-            .map(|news| PublishedStrike::new(news, wall_millis))
+            .filter(|update| update.fingerprint == *fingerprint)
+            .map(|update| PublishedStrike::new(update, wall_millis))
             .collect();
-        if shared.is_empty() {
+        if published.is_empty() {
             return None;
         }
-        serde_json::to_string(&shared).ok()
+        serde_json::to_string(&published).ok()
     }
 
     fn lock(&self) -> MutexGuard<'_, CrashQuarantine> {
@@ -159,16 +159,16 @@
 }
 
 impl PublishedStrike {
-    fn new(news: &StrikeUpdate, wall_millis: u64) -> Self {
-        let strike = &news.strike;
+    fn new(update: &StrikeUpdate, wall_millis: u64) -> Self {
+        let strike = &update.strike;
         Self {
-            fingerprint: news.fingerprint,
+            fingerprint: update.fingerprint,
             crash: strike.crash_id,
             target: strike.target.to_string(),
             domain: strike.domain.to_string(),
             shard: strike.shard.0,
             in_flight: strike.in_flight,
-            seen_ms: wall_millis.saturating_sub(news.age.as_millis()),
+            seen_ms: wall_millis.saturating_sub(update.age.as_millis()),
             cleared: strike.cleared,
         }
     }
--- a/alderhaven-front/src/group_links.rs
+++ b/alderhaven-front/src/group_links.rs
@@ -115,7 +115,7 @@
     /// Sends an ask to a front of a failure domain; none where no connection to one stands. A
     /// connection is then opened for later asks.
     #[must_use]
-    pub fn send(&self, domain: &FailureDomain, ask: GroupAsk) -> Option<GroupCall> {
+    pub fn send(&self, domain: &FailureDomain, request: GroupAsk) -> Option<GroupCall> {
         let now = self.clock.now();
         let fronts = self.largest_fronts(domain);
         let mut usable: Vec<Arc<GroupLink>> = Vec::new();
@@ -130,19 +130,20 @@
         if usable.is_empty() {
             return None;
         }
-        let place = rand::rng().random_range(0..usable.len());
-        usable.swap_remove(place).send(ask)
+        let index = rand::rng().random_range(0..usable.len());
+        usable.swap_remove(index).send(request)
     }
 
     /// Gets the largest hosts' fronts of a failure domain: a small one would hold its answer up.
     fn largest_fronts(&self, domain: &FailureDomain) -> Vec<SocketAddr> {
         let members = self.group.members();
         let others = members.iter().skip(1);
-        let near: Vec<&MemberView> = others
+        let candidates: Vec<&MemberView> = others
             .filter(|member| member.state == MemberState::Alive && member.record.domain == *domain)
             .collect();
-        let largest = near.iter().map(|member| member.record.capacity).max();
-        near.into_iter()
+        let largest = candidates.iter().map(|member| member.record.capacity).max();
+        candidates
+            .into_iter()
             .filter(|member| Some(member.record.capacity) == largest)
             .filter_map(|member| member.record.peer_address)
             .collect()
@@ -172,35 +173,35 @@
         is_connected && now >= state.paused_until
     }
 
-    fn send(self: Arc<Self>, mut ask: GroupAsk) -> Option<GroupCall> {
+    fn send(self: Arc<Self>, mut request: GroupAsk) -> Option<GroupCall> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
-        ask.number = number;
-        ask.sent_us = self.clock.now().as_micros();
-        let (news_sender, news) = mpsc::unbounded_channel();
+        request.number = number;
+        request.sent_us = self.clock.now().as_micros();
+        let (event_sender, events) = mpsc::unbounded_channel();
         {
             let mut state = self.state();
             let sender = state.sender.clone()?;
-            sender.send(PeerMessage::GroupAsk(ask)).ok()?;
-            let awaited = PendingRequest {
+            sender.send(PeerMessage::GroupAsk(request)).ok()?;
+            let pending = PendingRequest {
                 epoch: state.epoch,
                 sender,
-                event_sender: news_sender,
+                event_sender,
             };
-            state.pending.insert(number, awaited);
+            state.pending.insert(number, pending);
         }
         Some(GroupCall {
             link: self,
             number,
             is_answered: false,
-            events: news,
+            events,
         })
     }
 
     fn dispatch_reply(&self, reply: GroupReply) {
         let state = self.state();
-        if let Some(awaited) = state.pending.get(&reply.number) {
+        if let Some(pending) = state.pending.get(&reply.number) {
             // A query that was answered meanwhile no longer listens.
-            let _is_answered = awaited.event_sender.send(GroupEvent::Reply(reply));
+            let _is_delivered = pending.event_sender.send(GroupEvent::Reply(reply));
         }
     }
 
@@ -224,8 +225,8 @@
         let mut state = self.state();
         let lost: Vec<PendingRequest> = state
             .pending
-            .extract_if(|_, awaited| awaited.epoch == epoch)
-            .map(|(_, awaited)| awaited)
+            .extract_if(|_, pending| pending.epoch == epoch)
+            .map(|(_, pending)| pending)
             .collect();
         let was_current = state.epoch == epoch;
         if was_current {
@@ -236,8 +237,8 @@
         if was_current || !lost.is_empty() {
             self.report_loss(lost.len());
         }
-        for awaited in lost {
-            let _is_answered = awaited.event_sender.send(GroupEvent::Lost);
+        for pending in lost {
+            let _is_delivered = pending.event_sender.send(GroupEvent::Lost);
         }
     }
 
@@ -245,7 +246,7 @@
     /// a while; what is open on it may still be answered.
     fn retire(&self, number: u64) {
         let mut state = self.state();
-        let epoch = state.pending.get(&number).map(|awaited| awaited.epoch);
+        let epoch = state.pending.get(&number).map(|pending| pending.epoch);
         if epoch != Some(state.epoch) {
             return;
         }
@@ -258,7 +259,7 @@
     /// Returns true where a connection was given up and nothing is open on it.
     fn is_retired_and_drained(&self, epoch: u64) -> bool {
         let state = self.state();
-        let is_open = state.pending.values().any(|awaited| awaited.epoch == epoch);
+        let is_open = state.pending.values().any(|pending| pending.epoch == epoch);
         state.epoch != epoch && !is_open
     }
 
@@ -292,7 +293,7 @@
 
 impl Drop for GroupCall {
     fn drop(&mut self) {
-        let Some(awaited) = self.link.state().pending.remove(&self.number) else {
+        let Some(pending) = self.link.state().pending.remove(&self.number) else {
             return;
         };
         let close = GroupClose {
@@ -300,7 +301,7 @@
             is_abandoned: !self.is_answered,
         };
         // Where the connection is lost, the other front breaks the attempts off by itself.
-        let _is_lost = awaited.sender.send(PeerMessage::GroupClose(close));
+        let _is_sent = pending.sender.send(PeerMessage::GroupClose(close));
     }
 }
 
--- a/alderhaven-front/src/group_plan.rs
+++ b/alderhaven-front/src/group_plan.rs
@@ -35,20 +35,20 @@
 pub fn group_cross_domain_shards(
     shards: &[ShardState],
     best: &[Option<Arc<TargetHandle>>],
-    usual: TimeSpan,
+    typical_latency: TimeSpan,
     now: TimePoint,
 ) -> Vec<ShardGroup> {
-    let is_far = |target: &Option<Arc<TargetHandle>>| {
+    let is_cross_domain = |target: &Option<Arc<TargetHandle>>| {
         target
             .as_ref()
             .is_some_and(|target| !target.is_in_own_domain)
     };
-    let mut far: Vec<usize> = (0..shards.len())
-        .filter(|place| is_far(&best[*place]))
+    let mut ungrouped: Vec<usize> = (0..shards.len())
+        .filter(|index| is_cross_domain(&best[*index]))
         .collect();
     let mut groups = Vec::new();
-    while let Some(group) = largest_group(shards, &far, usual, now) {
-        far.retain(|place| group.shards.iter().all(|(grouped, _)| grouped != place));
+    while let Some(group) = largest_group(shards, &ungrouped, typical_latency, now) {
+        ungrouped.retain(|index| group.shards.iter().all(|(grouped, _)| grouped != index));
         groups.push(group);
     }
     groups
@@ -58,14 +58,16 @@
 /// those that are sent directly. A query's hedges are due in the same moment, since its first
 /// attempts were sent in one, and most go to other failure domains.
 #[must_use]
-pub fn group_by_domain(chosen: Vec<ShardAssignment>) -> (Vec<ShardGroup>, Vec<ShardAssignment>) {
+pub fn group_by_domain(
+    assignments: Vec<ShardAssignment>,
+) -> (Vec<ShardGroup>, Vec<ShardAssignment>) {
     let mut by_domain: BTreeMap<FailureDomain, Vec<ShardAssignment>> = BTreeMap::new();
     let mut direct = Vec::new();
-    for (place, target) in chosen {
+    for (index, target) in assignments {
         let domain = target.entry().domain.clone();
         match domain.filter(|_| !target.is_in_own_domain) {
-            Some(domain) => by_domain.entry(domain).or_default().push((place, target)),
-            None => direct.push((place, target)),
+            Some(domain) => by_domain.entry(domain).or_default().push((index, target)),
+            None => direct.push((index, target)),
         }
     }
     let groups = by_domain
@@ -76,17 +78,17 @@
 
 fn largest_group(
     shards: &[ShardState],
-    far: &[usize],
-    usual: TimeSpan,
+    ungrouped: &[usize],
+    typical_latency: TimeSpan,
     now: TimePoint,
 ) -> Option<ShardGroup> {
     let mut by_domain: BTreeMap<FailureDomain, Vec<ShardAssignment>> = BTreeMap::new();
-    for place in far {
-        let Some(service) = &shards[*place].service else {
+    for index in ungrouped {
+        let Some(service) = &shards[*index].service else {
             continue;
         };
-        let costs = service.costs(usual, now);
-        let Some(least) = costs.iter().map(|(cost, _)| *cost).min() else {
+        let costs = service.costs(typical_latency, now);
+        let Some(lowest_cost) = costs.iter().map(|(cost, _)| *cost).min() else {
             continue;
         };
         for (cost, target) in costs {
@@ -95,9 +97,12 @@
                 continue;
             };
             let group = by_domain.entry(domain).or_default();
-            let is_new = group.last().is_none_or(|(last, _)| last != place);
-            if !target.is_in_own_domain && is_new && cost <= least + MAX_GROUPING_COST {
-                group.push((*place, Arc::clone(target)));
+            let is_first_target = group.last().is_none_or(|(last, _)| last != index);
+            if !target.is_in_own_domain
+                && is_first_target
+                && cost <= lowest_cost + MAX_GROUPING_COST
+            {
+                group.push((*index, Arc::clone(target)));
             }
         }
     }
--- a/alderhaven-front/src/group_server.rs
+++ b/alderhaven-front/src/group_server.rs
@@ -52,22 +52,23 @@
 
 async fn serve_front(stream: TcpStream, context: FrontContext) -> io::Result<()> {
     let (sender, mut reader) = connection::split(stream)?;
-    let mut asks: HashMap<u64, OpenRequest> = HashMap::new();
-    let mut age = DeliveryAge::default();
+    let mut requests: HashMap<u64, OpenRequest> = HashMap::new();
+    let mut delivery_age = DeliveryAge::default();
     // The asks go with the connection: an asking front that is gone has no callers any more.
     while let Some(message) = connection::next_message(&mut reader).await {
         match message {
-            PeerMessage::GroupAsk(ask) => {
+            PeerMessage::GroupAsk(request) => {
                 let now = context.clock.now();
-                let late_by = age.record_delivery(TimePoint::from_micros(ask.sent_us), now);
-                asks.retain(|_, open| !open.task.is_finished());
-                asks.insert(
-                    ask.number,
-                    start_request(ask, late_by, &context, sender.clone()),
+                let delay =
+                    delivery_age.record_delivery(TimePoint::from_micros(request.sent_us), now);
+                requests.retain(|_, open| !open.task.is_finished());
+                requests.insert(
+                    request.number,
+                    start_request(request, delay, &context, sender.clone()),
                 );
             }
             PeerMessage::GroupClose(close) => {
-                let Some(open) = asks.remove(&close.number) else {
+                let Some(open) = requests.remove(&close.number) else {
                     continue;
                 };
                 open.is_request_finished.store(true, Ordering::Relaxed);
@@ -83,19 +84,25 @@
 
 /// Lets the attempts of an ask end by themselves for a while, so that their connections are kept.
 async fn drain_attempts(open: OpenRequest, limit: TimeSpan) {
-    let _is_over = time::timeout(limit.as_duration(), open.task).await;
+    let _finished = time::timeout(limit.as_duration(), open.task).await;
 }
 
 fn start_request(
-    ask: GroupAsk,
-    late_by: TimeSpan,
+    request: GroupAsk,
+    delay: TimeSpan,
     context: &FrontContext,
     sender: FrameSender,
 ) -> OpenRequest {
-    let is_over = Arc::new(AtomicBool::new(false));
-    let run = GroupRun::new(ask, late_by, context.clone(), sender, Arc::clone(&is_over));
+    let is_request_finished = Arc::new(AtomicBool::new(false));
+    let run = GroupRun::new(
+        request,
+        delay,
+        context.clone(),
+        sender,
+        Arc::clone(&is_request_finished),
+    );
     OpenRequest {
-        is_request_finished: is_over,
+        is_request_finished,
         task: AbortOnDropHandle::new(tokio::spawn(run.run())),
     }
 }
@@ -113,21 +120,21 @@
 
 impl GroupRun {
     fn new(
-        ask: GroupAsk,
-        late_by: TimeSpan,
+        request: GroupAsk,
+        delay: TimeSpan,
         context: FrontContext,
         sender: FrameSender,
-        is_over: Arc<AtomicBool>,
+        is_request_finished: Arc<AtomicBool>,
     ) -> Self {
         let now = context.clock.now();
-        let left = |micros: u64| TimeSpan::from_micros(micros).saturating_sub(late_by);
+        let remaining = |micros: u64| TimeSpan::from_micros(micros).saturating_sub(delay);
         Self {
-            flush_at: now + left(ask.flush_us),
-            deadline: now + left(ask.remaining_us),
+            flush_at: now + remaining(request.flush_us),
+            deadline: now + remaining(request.remaining_us),
             context,
             sender,
-            request: ask,
-            is_request_finished: is_over,
+            request,
+            is_request_finished,
             attempt_ends: Vec::new(),
             reply_bodies: Vec::new(),
         }
@@ -135,7 +142,7 @@
 
     async fn run(mut self) {
         // A planned stop waits for it.
-        let _flight = self.context.stop.begin_request();
+        let _in_flight = self.context.stop.begin_request();
         self.context.metrics.served_group_requests.inc();
         let mut attempts = self.start_attempts();
         let mut is_flushed = false;
@@ -166,16 +173,16 @@
             return attempts;
         };
         let view = self.context.catalog.view();
-        for (place, id) in self.request.targets.iter().enumerate() {
+        for (index, id) in self.request.targets.iter().enumerate() {
             let target = view.targets.get(id);
             let ready = target.filter(|target| !target.is_closed());
             let Some(target) = ready else {
                 self.attempt_ends
-                    .push(group_end(place, GroupOutcome::NotSent, TimeSpan::ZERO));
+                    .push(group_end(index, GroupOutcome::NotSent, TimeSpan::ZERO));
                 continue;
             };
             let plan = AttemptPlan {
-                shard: place,
+                shard: index,
                 target: Arc::clone(target),
                 call: Arc::clone(&call),
                 is_idempotent: true,
@@ -195,10 +202,10 @@
     fn rebuild_call(&self) -> Option<Arc<QueryCall>> {
         let now = self.context.clock.now();
         let head = request_head(&self.request)?;
-        let forwarded = self.context.dialect.forwarded_head(&head).ok()?;
+        let forwarded_head = self.context.dialect.forwarded_head(&head).ok()?;
         Some(Arc::new(QueryCall {
             head,
-            forwarded_head: forwarded,
+            forwarded_head,
             body: self.request.body.clone(),
             request_id: Arc::from(self.request.request_id.as_str()),
             arrived_at: now,
@@ -239,28 +246,28 @@
         };
         self.reply_bodies.clear();
         // Where the connection is lost the asking front hears of it by itself.
-        let _is_lost = self.sender.send(PeerMessage::GroupReply(reply));
+        let _is_sent = self.sender.send(PeerMessage::GroupReply(reply));
     }
 }
 
-fn group_end(place: usize, outcome: GroupOutcome, took: TimeSpan) -> GroupEnd {
+fn group_end(index: usize, outcome: GroupOutcome, elapsed: TimeSpan) -> GroupEnd {
     GroupEnd {
-        place: u32::try_from(place).unwrap_or(u32::MAX),
+        place: u32::try_from(index).unwrap_or(u32::MAX),
         outcome: outcome.into(),
         proof: Bytes::new(),
-        took_us: took.as_micros(),
+        took_us: elapsed.as_micros(),
     }
 }
 
-fn request_head(ask: &GroupAsk) -> Option<Parts> {
-    let mut request = Request::builder()
-        .method(ask.method.as_str())
-        .uri(ask.path.as_str());
-    for field in &ask.headers {
+fn request_head(request: &GroupAsk) -> Option<Parts> {
+    let mut builder = Request::builder()
+        .method(request.method.as_str())
+        .uri(request.path.as_str());
+    for field in &request.headers {
         let name = HeaderName::from_bytes(field.name.as_bytes()).ok()?;
         let value = HeaderValue::from_bytes(&field.value).ok()?;
-        request = request.header(name, value);
+        builder = builder.header(name, value);
     }
-    let (head, ()) = request.body(()).ok()?.into_parts();
+    let (head, ()) = builder.body(()).ok()?.into_parts();
     Some(head)
 }
--- a/alderhaven-front/src/query_admission.rs
+++ b/alderhaven-front/src/query_admission.rs
@@ -67,7 +67,7 @@
         };
         // The waiter is there before the lock is given up: else the query could be decided on in
         // between, with nobody to tell.
-        let (until, verdict) = {
+        let (until, result) = {
             let mut gates = self.lock();
             remove_idle_gates(&mut gates);
             let state = gates.entry(shards).or_default();
@@ -75,27 +75,27 @@
                 GateDecision::Admit => return Ok(self.permit(shards)),
                 GateDecision::Refuse(refusal) => return Err(refusal),
                 GateDecision::Wait { until, .. } => {
-                    let (sender, verdict) = oneshot::channel();
+                    let (sender, result) = oneshot::channel();
                     state.waiters.insert(query.id, sender);
-                    (until, verdict)
+                    (until, result)
                 }
             }
         };
-        let place = QueuedQuery {
+        let queued = QueuedQuery {
             admission: self,
             shards,
             id: query.id,
-            result: verdict,
+            result,
         };
-        place.wait(until).await
+        queued.wait(until).await
     }
 
     /// Takes back the place of a query that was admitted at `admitted`.
-    pub(crate) fn finish(&self, shards: ShardSetId, admitted: TimePoint, need: QuerySignal) {
+    pub(crate) fn finish(&self, shards: ShardSetId, admitted_at: TimePoint, signal: QuerySignal) {
         let now = self.clock.now();
         let mut gates = self.lock();
         if let Some(state) = gates.get_mut(&shards) {
-            state.gate.record_finished(now.since(admitted), need);
+            state.gate.record_finished(now.since(admitted_at), signal);
             state.admit_ready(now);
         }
     }
@@ -122,7 +122,7 @@
             && let Some(waiter) = outranked.and_then(|id| self.waiters.remove(&id))
         {
             // A caller that has just gone needs no answer.
-            let _is_gone = waiter.send(Err(self.gate.outranked_refusal(now)));
+            let _is_delivered = waiter.send(Err(self.gate.outranked_refusal(now)));
         }
         decision
     }
@@ -131,8 +131,8 @@
     fn admit_ready(&mut self, now: TimePoint) {
         while let Some(id) = self.gate.next_ready(now) {
             let waiter = self.waiters.remove(&id);
-            let is_told = waiter.is_some_and(|waiter| waiter.send(Ok(())).is_ok());
-            if !is_told {
+            let is_delivered = waiter.is_some_and(|waiter| waiter.send(Ok(())).is_ok());
+            if !is_delivered {
                 // Its caller left at this moment, and the room is free again.
                 self.gate.release_unused();
             }
@@ -150,12 +150,12 @@
 
 impl QueuedQuery<'_> {
     async fn wait(mut self, until: TimePoint) -> Result<AdmissionPermit, GateRefusal> {
-        let verdict = tokio::select! {
+        let result = tokio::select! {
             biased;
-            verdict = &mut self.result => verdict.ok(),
+            result = &mut self.result => result.ok(),
             () = front_context::sleep_until(self.admission.clock, until) => None,
         };
-        match verdict {
+        match result {
             Some(Ok(())) => Ok(self.admission.permit(self.shards)),
             Some(Err(refusal)) => Err(refusal),
             None => self.give_up(),
@@ -166,9 +166,9 @@
     fn give_up(&mut self) -> Result<AdmissionPermit, GateRefusal> {
         let now = self.admission.clock.now();
         let mut gates = self.admission.lock();
-        if let Ok(verdict) = self.result.try_recv() {
+        if let Ok(result) = self.result.try_recv() {
             drop(gates);
-            return verdict.map(|()| self.admission.permit(self.shards));
+            return result.map(|()| self.admission.permit(self.shards));
         }
         let state = gates.entry(self.shards).or_default();
         state.waiters.remove(&self.id);
--- a/alderhaven-front/src/query_run.rs
+++ b/alderhaven-front/src/query_run.rs
@@ -99,12 +99,12 @@
             .record_caller_delay(call.time_left, call.arrived_at);
         // A split is dealt before: what finds no room at its part must not go to another one.
         let shards = shards_for_route(view, route);
-        let pass = match Self::admit(context, route, &shards, delay).await {
-            Ok(pass) => pass,
+        let permit = match Self::admit(context, route, &shards, delay).await {
+            Ok(permit) => permit,
             Err(refusal) => return completion::refuse(context, call, refusal),
         };
         let mut run = Self::new(context, call, route, shards, delay);
-        run.permit = pass;
+        run.permit = permit;
         run.send_first_attempts();
         let step = run.wait_for_answer().await;
         run.finish(step)
@@ -128,8 +128,8 @@
         let Some(set) = route.shards.or_else(single) else {
             return Ok(None);
         };
-        let pass = context.admission.admit(&route.rule, set, delay).await?;
-        Ok(Some(pass))
+        let permit = context.admission.admit(&route.rule, set, delay).await?;
+        Ok(Some(permit))
     }
 
     fn new(
@@ -144,10 +144,10 @@
         let target = route.rule.latency_target;
 
         // The request's own way here counts as well as the answer's way back.
-        let way = options.caller_latency + options.caller_latency;
+        let round_trip = options.caller_latency + options.caller_latency;
         // The request may have waited as long to be seen as the answer will wait to be sent.
-        let lag = context.wake_lag();
-        let reserve = way + options.answer_overhead + lag + lag;
+        let timer_lag = context.wake_lag();
+        let reserve = round_trip + options.answer_overhead + timer_lag + timer_lag;
         Self {
             context,
             call,
@@ -234,7 +234,7 @@
             tokio::select! {
                 biased;
                 Some(report) = self.attempts.next() => self.handle_report(report),
-                (place, news) = group_requests::next_event(&mut self.group_requests) => self.handle_group_event(place, news),
+                (index, event) = group_requests::next_event(&mut self.group_requests) => self.handle_group_event(index, event),
                 () = front_context::sleep_until(self.context.clock, until) => {
                     self.context.record_wake(until);
                 }
@@ -243,43 +243,43 @@
     }
 
     fn count_shards(&self) -> ShardCount {
-        let all = self.shards.len();
-        let least = match &self.route.rule.destination {
-            RouteDestination::Shards { min_coverage, .. } => min_shard_count(all, *min_coverage),
+        let total = self.shards.len();
+        let required = match &self.route.rule.destination {
+            RouteDestination::Shards { min_coverage, .. } => min_shard_count(total, *min_coverage),
             _ => 1,
         };
-        let present = self.shards.iter().filter(|shard| shard.reply.is_some());
-        let open = self.shards.iter().filter(|shard| shard.is_open());
+        let answered = self.shards.iter().filter(|shard| shard.reply.is_some());
+        let pending = self.shards.iter().filter(|shard| shard.is_open());
         ShardCount {
-            total: all,
-            answered: present.count(),
-            pending: open.count(),
-            required: least,
+            total,
+            answered: answered.count(),
+            pending: pending.count(),
+            required,
         }
     }
 
     /// Asks another replica of each shard whose attempt is late, those in one other failure domain
     /// together.
     fn send_hedges(&mut self, now: TimePoint) {
-        let mut chosen = Vec::new();
-        for place in 0..self.shards.len() {
-            let shard = &mut self.shards[place];
+        let mut assignments = Vec::new();
+        for index in 0..self.shards.len() {
+            let shard = &mut self.shards[index];
             if shard.hedge_at.is_none_or(|hedge_at| hedge_at > now) {
                 continue;
             }
             shard.hedge_at = None;
             if shard.is_open()
-                && let Some(target) = self.next_repeat_target(place, RepeatReason::Hedge, now)
+                && let Some(target) = self.next_repeat_target(index, RepeatReason::Hedge, now)
             {
-                chosen.push((place, target));
+                assignments.push((index, target));
             }
         }
-        let (groups, mut direct) = group_plan::group_by_domain(chosen);
+        let (groups, mut direct) = group_plan::group_by_domain(assignments);
         for group in groups {
             direct.extend(self.send_group(group, GroupRequestKind::Hedges, now));
         }
-        for (place, target) in direct {
-            self.send(place, target, now);
+        for (index, target) in direct {
+            self.send(index, target, now);
         }
     }
 
@@ -298,7 +298,7 @@
         }
         shard.open_attempts -= 1;
         let mut status = None;
-        let fate = match report.outcome {
+        let reason = match report.outcome {
             AttemptOutcome::Success(reply) => {
                 self.route.state.record_latency(report.elapsed);
                 shard.hedge_at = None;
@@ -332,7 +332,7 @@
         };
         self.record_unanswered(UnansweredAttempt {
             target: report.target.entry().id.clone(),
-            reason: fate,
+            reason,
             status,
             age: report.elapsed,
         });
@@ -342,9 +342,11 @@
         }
     }
 
-    fn record_unanswered(&mut self, lost: UnansweredAttempt) {
-        self.context.metrics.observe_unanswered_attempt(lost.reason);
-        self.unanswered_attempts.push(lost);
+    fn record_unanswered(&mut self, attempt: UnansweredAttempt) {
+        self.context
+            .metrics
+            .observe_unanswered_attempt(attempt.reason);
+        self.unanswered_attempts.push(attempt);
     }
 
     /// Asks one more replica of a shard after a failure, where route, budget and time allow it.
@@ -362,21 +364,21 @@
         reason: RepeatReason,
         now: TimePoint,
     ) -> Option<Arc<TargetHandle>> {
-        let run = &self.shards[shard];
-        let may_run_again = self.route.rule.is_idempotent || run.possible_runs == 0;
-        let is_used_up = run.counted_targets() >= self.route.rule.max_targets;
-        if !may_run_again || is_used_up || now >= self.answer_time.deadline {
+        let state = &self.shards[shard];
+        let may_run_again = self.route.rule.is_idempotent || state.possible_runs == 0;
+        let is_limit_reached = state.counted_targets() >= self.route.rule.max_targets;
+        if !may_run_again || is_limit_reached || now >= self.answer_time.deadline {
             return None;
         }
-        let service = run.service.as_ref()?;
-        let target = run.next_target(self.typical_latency, now)?;
+        let service = state.service.as_ref()?;
+        let target = state.next_target(self.typical_latency, now)?;
         if reason == RepeatReason::Hedge && !self.is_hedge_worthwhile(&target, now) {
             return None;
         }
         // The first arrival at the service is no repeat.
-        let is_repeat = run.has_reached_service();
-        let part = self.context.catalog.share().repeat_share();
-        if is_repeat && !service.budget().take(reason, part, now) {
+        let is_repeat = state.has_reached_service();
+        let share = self.context.catalog.share().repeat_share();
+        if is_repeat && !service.budget().take(reason, share, now) {
             self.context.metrics.refused_repeats.inc();
             return None;
         }
@@ -398,7 +400,7 @@
             is_overdue: false,
         });
         let plan = self.plan_attempt(shard, &target, phase);
-        let hedge_at = self.hedge_time().hedge_at(now);
+        let hedge_at = self.hedge_timing().hedge_at(now);
         self.record_sent(shard, target, hedge_at, now);
         self.attempts.push(Box::pin(plan.run()));
     }
@@ -412,22 +414,22 @@
         now: TimePoint,
     ) {
         let rule = &self.route.rule;
-        let run = &mut self.shards[shard];
-        run.begin_attempt(target, now);
-        let may_hedge = rule.is_idempotent && run.counted_targets() < rule.max_targets;
-        run.hedge_at = may_hedge.then_some(hedge_at);
+        let state = &mut self.shards[shard];
+        state.begin_attempt(target, now);
+        let may_hedge = rule.is_idempotent && state.counted_targets() < rule.max_targets;
+        state.hedge_at = may_hedge.then_some(hedge_at);
         self.attempts_sent += 1;
     }
 
     fn is_hedge_worthwhile(&self, target: &TargetHandle, now: TimePoint) -> bool {
         let slots = target.entry().slots;
-        let expected = target
-            .gauge()
+        let expected_cost = target
+            .stats()
             .expected_cost(self.typical_latency, slots, now);
-        self.hedge_time().is_worthwhile(expected, now)
+        self.hedge_timing().is_worthwhile(expected_cost, now)
     }
 
-    const fn hedge_time(&self) -> HedgeTiming {
+    const fn hedge_timing(&self) -> HedgeTiming {
         HedgeTiming {
             answer_at: self.answer_time.partial_at,
             typical_latency: self.typical_latency,
@@ -471,8 +473,8 @@
         RouteDestination::Service(service) => vec![shard(service)],
         RouteDestination::Split(parts) => {
             let weights: Vec<f64> = parts.iter().map(|part| part.weight).collect();
-            let place = route.state.next_split_index(&weights);
-            let service = place.map(|place| parts[place].service.as_str());
+            let index = route.state.next_split_index(&weights);
+            let service = index.map(|index| parts[index].service.as_str());
             service.map(shard).into_iter().collect()
         }
         RouteDestination::Shards { services, .. } => {
@@ -487,7 +489,7 @@
     clippy::cast_sign_loss,
     reason = "a share of a small count is a small positive number"
 )]
-fn min_shard_count(all: usize, share: f64) -> usize {
+fn min_shard_count(total: usize, share: f64) -> usize {
     // A share such as 0.7 of 10 must not round up to 8 by the error of the product.
-    ((all as f64 * share - 1e-9).ceil().max(1.0)) as usize
+    ((total as f64 * share - 1e-9).ceil().max(1.0)) as usize
 }
--- a/alderhaven-front/src/query_run/completion.rs
+++ b/alderhaven-front/src/query_run/completion.rs
@@ -52,14 +52,14 @@
 
     /// Lets the attempts that are still out go on for a while, so that their connections are kept.
     pub(super) fn drain_attempts(&mut self) {
-        for ask in &mut self.group_requests {
-            ask.call.mark_answered();
+        for request in &mut self.group_requests {
+            request.call.mark_answered();
         }
         if self.attempts.is_empty() {
             return;
         }
         let mut attempts = std::mem::take(&mut self.attempts);
-        let linger = self.context.options.drain_timeout.as_duration();
+        let drain_timeout = self.context.options.drain_timeout.as_duration();
         let state = Arc::clone(&self.route.state);
         tokio::spawn(async move {
             let drain = async {
@@ -69,36 +69,39 @@
                     }
                 }
             };
-            let _is_over = time::timeout(linger, drain).await;
+            let _finished = time::timeout(drain_timeout, drain).await;
         });
     }
 
     pub(super) fn success_answer(&mut self) -> FrontAnswer {
         let RouteDestination::Shards { records, .. } = self.route.rule.destination else {
-            let part = self.shards.iter_mut().find_map(|shard| shard.reply.take());
-            return match part {
-                Some(ShardReply::Single(part)) => FrontAnswer::Forwarded(part.reply),
+            let reply = self.shards.iter_mut().find_map(|shard| shard.reply.take());
+            return match reply {
+                Some(ShardReply::Single(reply)) => FrontAnswer::Forwarded(reply.reply),
                 Some(ShardReply::Merged { .. }) | None => FrontAnswer::Unknown {
                     is_timed_out: false,
                 },
             };
         };
-        let parts: Vec<&ShardReply> = self
+        let replies: Vec<&ShardReply> = self
             .shards
             .iter()
             .filter_map(|shard| shard.reply.as_ref())
             .collect();
-        let own = parts.iter().filter_map(|part| match part {
+        let single_bodies = replies.iter().filter_map(|reply| match reply {
             ShardReply::Single(reply) => Some(&reply.reply.body),
             ShardReply::Merged { .. } => None,
         });
         FrontAnswer::Gathered {
-            proofs: parts
+            proofs: replies
                 .iter()
-                .filter_map(|part| part.proof().cloned())
+                .filter_map(|reply| reply.proof().cloned())
                 .collect(),
-            missing: self.shards.len() - parts.len(),
-            records: top_records::greatest_records(own.chain(&self.merged_blocks), records),
+            missing: self.shards.len() - replies.len(),
+            records: top_records::greatest_records(
+                single_bodies.chain(&self.merged_blocks),
+                records,
+            ),
         }
     }
 
@@ -111,13 +114,13 @@
         }
     }
 
-    pub(super) fn failure_answer(&mut self, is_late: bool) -> FrontAnswer {
+    pub(super) fn failure_answer(&mut self, is_timed_out: bool) -> FrontAnswer {
         self.cancel_unsent();
-        let has_run = self.shards.iter().any(|shard| shard.possible_runs > 0);
-        if !has_run {
-            let is_asked = self.shards.iter().any(|shard| !shard.tried.is_empty());
+        let may_have_run = self.shards.iter().any(|shard| shard.possible_runs > 0);
+        if !may_have_run {
+            let has_sent = self.shards.iter().any(|shard| !shard.tried.is_empty());
             return FrontAnswer::NotRun {
-                reason: if is_asked {
+                reason: if has_sent {
                     RefusalReason::Refused
                 } else {
                     RefusalReason::NoTarget
@@ -132,9 +135,7 @@
             .find_map(|shard| shard.failure.take());
         match failure {
             Some(failure) if !is_gathered => FrontAnswer::Forwarded(failure.reply),
-            _ => FrontAnswer::Unknown {
-                is_timed_out: is_late,
-            },
+            _ => FrontAnswer::Unknown { is_timed_out },
         }
     }
 
@@ -156,7 +157,7 @@
     }
 
     /// Counts how the request ended, and writes a line unless that is ordinary.
-    pub(super) fn report_outcome(&mut self, end: RequestOutcome) {
+    pub(super) fn report_outcome(&mut self, outcome: RequestOutcome) {
         self.is_reported = true;
         self.record_signal();
         let shape = match self.route.rule.destination {
@@ -164,62 +165,64 @@
             _ => QueryShape::Single,
         };
         let now = self.context.clock.now();
-        let took = now.since(self.call.arrived_at);
-        self.context.metrics.observe_request(shape, end, took);
-        if end == RequestOutcome::Complete && !event_log::sample_success() {
+        let elapsed = now.since(self.call.arrived_at);
+        self.context
+            .metrics
+            .observe_request(shape, outcome, elapsed);
+        if outcome == RequestOutcome::Complete && !event_log::sample_success() {
             return;
         }
-        let build = || self.ended_event(end, now);
-        event_log::write_with(Level::Info, end.kind(), build);
+        let build = || self.ended_event(outcome, now);
+        event_log::write_with(Level::Info, outcome.kind(), build);
     }
 
     /// Notes at its pass what the query says of the room at its shards.
     fn record_signal(&mut self) {
-        let need = self.query_signal();
-        if let Some(pass) = &mut self.permit {
-            pass.record_signal(need);
+        let signal = self.query_signal();
+        if let Some(permit) = &mut self.permit {
+            permit.record_signal(signal);
         }
     }
 
     fn query_signal(&self) -> QuerySignal {
         // What a caller has used up before says nothing of the room, and must not close the gate.
         let time = self.usable_time.as_secs_f64();
-        if let Some(enough_at) = self.min_coverage_at {
-            let passed = enough_at.since(self.started_at).as_secs_f64();
+        if let Some(reached_at) = self.min_coverage_at {
+            let passed = reached_at.since(self.started_at).as_secs_f64();
             return QuerySignal::EnoughShards(passed / time.max(1e-3));
         }
         // Shards whose targets are gone or fail say nothing of the room.
         let count = self.count_shards();
         let missing = self.shards.iter().filter(|shard| shard.reply.is_none());
-        let held_up = missing
+        let delayed = missing
             .filter(|shard| shard.is_refused || shard.open_attempts > 0)
             .count();
-        if count.answered + held_up >= count.required {
+        if count.answered + delayed >= count.required {
             QuerySignal::TimedOut
         } else {
             QuerySignal::Uninformative
         }
     }
 
-    fn ended_event(&self, end: RequestOutcome, now: TimePoint) -> FrontEvent {
-        let mut lost = self.unanswered_attempts.clone();
+    fn ended_event(&self, outcome: RequestOutcome, now: TimePoint) -> FrontEvent {
+        let mut unanswered = self.unanswered_attempts.clone();
         let mut present = self.shards.len();
         // A whole answer has taken its parts along, and misses none.
-        if end != RequestOutcome::Complete {
-            lost.extend(self.unanswered_attempts(now));
+        if outcome != RequestOutcome::Complete {
+            unanswered.extend(self.unanswered_attempts(now));
             present = self.count_shards().answered;
         }
         FrontEvent::RequestEnded {
             request: self.call.request_id.to_string(),
             route: self.route.rule.name.clone(),
             version: self.route.version,
-            end,
+            end: outcome,
             took_ms: now.since(self.call.arrived_at).as_millis(),
             shards: self.shards.len(),
             present,
             attempts: self.attempts_sent,
             is_idempotent: self.route.rule.is_idempotent,
-            lost,
+            lost: unanswered,
             without_target: self.services_without_target(),
         }
     }
@@ -274,15 +277,15 @@
         reason,
     }
     .emit(Level::Info);
-    let spread: f64 = rand::rng().random_range(REFUSAL_JITTER_FACTOR);
+    let jitter: f64 = rand::rng().random_range(REFUSAL_JITTER_FACTOR);
     FrontAnswer::NotRun {
         reason,
-        retry_after: refusal.retry_after.mul_f64(spread),
+        retry_after: refusal.retry_after.mul_f64(jitter),
     }
 }
 
 /// Gets when a caller whose targets refused should come back.
 fn retry_after() -> TimeSpan {
-    let spread: f64 = rand::rng().random_range(0.0..1.0);
-    RETRY_AFTER_MIN + RETRY_AFTER_JITTER.mul_f64(spread)
+    let jitter: f64 = rand::rng().random_range(0.0..1.0);
+    RETRY_AFTER_MIN + RETRY_AFTER_JITTER.mul_f64(jitter)
 }
--- a/alderhaven-front/src/query_run/crash_detection.rs
+++ b/alderhaven-front/src/query_run/crash_detection.rs
@@ -47,7 +47,7 @@
             self.crash_suspects.push(CrashSuspect {
                 shard,
                 target: Arc::clone(target),
-                in_flight: target.gauge().in_flight() + 1,
+                in_flight: target.stats().in_flight() + 1,
                 lost_at: self.context.clock.now(),
             });
         }
@@ -80,10 +80,10 @@
         }
         let fingerprint = self.call.fingerprint();
         let shards = self.shards.iter().zip(0..);
-        for (_, place) in shards.filter(|(shard, _)| shard.reply.is_some()) {
+        for (_, index) in shards.filter(|(shard, _)| shard.reply.is_some()) {
             let wall_millis = wall_clock::unix_millis();
-            let board = catalog.crashes();
-            if let Some(body) = board.record_answer(&fingerprint, ShardId(place), wall_millis) {
+            let tracker = catalog.crashes();
+            if let Some(body) = tracker.record_answer(&fingerprint, ShardId(index), wall_millis) {
                 catalog.publish_strikes(&fingerprint, body, wall_millis);
             }
         }
@@ -103,8 +103,8 @@
 /// Returns true where the target's host refuses connections: its process is gone.
 async fn refuses_connections(target: &TargetHandle) -> bool {
     let connecting = TcpStream::connect(target.entry().address);
-    let looked = time::timeout(CRASH_PROBE_TIMEOUT, connecting).await;
-    looked.is_ok_and(|opened| {
+    let probed = time::timeout(CRASH_PROBE_TIMEOUT, connecting).await;
+    probed.is_ok_and(|opened| {
         opened.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused)
     })
 }
--- a/alderhaven-front/src/query_run/group_requests.rs
+++ b/alderhaven-front/src/query_run/group_requests.rs
@@ -64,21 +64,24 @@
     }
 
     /// Notes at the targets that have not answered how long they have been out.
-    fn record_unanswered(&self, usual: TimeSpan, now: TimePoint) {
+    fn record_unanswered(&self, typical_latency: TimeSpan, now: TimePoint) {
         for (_, target) in self.shards.iter().flatten() {
-            target
-                .gauge()
-                .end_attempt(self.sent_at, usual, AttemptResult::Cancelled, now);
+            target.stats().end_attempt(
+                self.sent_at,
+                typical_latency,
+                AttemptResult::Cancelled,
+                now,
+            );
         }
     }
 }
 
 /// Waits for what is heard of any ask; for ever where there is none.
-pub(super) async fn next_event(asks: &mut [PendingGroupRequest]) -> (usize, GroupEvent) {
+pub(super) async fn next_event(requests: &mut [PendingGroupRequest]) -> (usize, GroupEvent) {
     std::future::poll_fn(|context| {
-        for (place, ask) in asks.iter_mut().enumerate() {
-            if let Poll::Ready(Some(news)) = ask.call.events.poll_recv(context) {
-                return Poll::Ready((place, news));
+        for (index, request) in requests.iter_mut().enumerate() {
+            if let Poll::Ready(Some(event)) = request.call.events.poll_recv(context) {
+                return Poll::Ready((index, event));
             }
         }
         Poll::Pending
@@ -95,19 +98,19 @@
         kind: GroupRequestKind,
         now: TimePoint,
     ) -> Vec<ShardAssignment> {
-        let hedge_at = self.hedge_time().hedge_at(now);
-        let ask = self.build_group_request(&group, kind, hedge_at, now);
-        let Some(ticket) = self.context.links.send(&group.domain, ask) else {
+        let hedge_at = self.hedge_timing().hedge_at(now);
+        let request = self.build_group_request(&group, kind, hedge_at, now);
+        let Some(call) = self.context.links.send(&group.domain, request) else {
             return group.shards;
         };
-        for (place, target) in &group.shards {
-            self.record_sent(*place, Arc::clone(target), hedge_at, now);
+        for (index, target) in &group.shards {
+            self.record_sent(*index, Arc::clone(target), hedge_at, now);
             if kind == GroupRequestKind::FirstAttempts {
                 self.context.metrics.observe_attempt(AttemptKind::Relayed);
             }
         }
         self.group_requests.push(PendingGroupRequest {
-            call: ticket,
+            call,
             shards: group.shards.into_iter().map(Some).collect(),
             sent_at: now,
             due_at: hedge_at,
@@ -157,96 +160,93 @@
     /// Gives up the links whose fronts have said nothing although their flush is overdue, and the asks
     /// that are overdue for long.
     pub(super) fn expire_silent_requests(&mut self, now: TimePoint) {
-        for place in 0..self.group_requests.len() {
-            let ask = &self.group_requests[place];
-            if !ask.awaits_first_reply() {
+        for index in 0..self.group_requests.len() {
+            let request = &self.group_requests[index];
+            if !request.awaits_first_reply() {
                 continue;
             }
-            if now >= ask.due_at + FLUSH_GRACE && !ask.is_overdue {
-                ask.call.mark_overdue();
-                self.record_overdue_request(place, now);
+            if now >= request.due_at + FLUSH_GRACE && !request.is_overdue {
+                request.call.mark_overdue();
+                self.record_overdue_request(index, now);
             }
-            if now >= self.group_requests[place].due_at + FIRST_REPLY_GRACE {
-                self.fail_group_request(place);
+            if now >= self.group_requests[index].due_at + FIRST_REPLY_GRACE {
+                self.fail_group_request(index);
             }
         }
     }
 
     /// Gets when an ask that has heard nothing is to be looked at next.
     pub(super) fn next_expiry_check(&self, now: TimePoint) -> Option<TimePoint> {
-        let silent = self
+        let open = self
             .group_requests
             .iter()
-            .filter(|ask| ask.awaits_first_reply());
-        let looks =
-            silent.flat_map(|ask| [ask.due_at + FLUSH_GRACE, ask.due_at + FIRST_REPLY_GRACE]);
-        looks.filter(|look| *look > now).min()
+            .filter(|group| group.awaits_first_reply());
+        let checks =
+            open.flat_map(|group| [group.due_at + FLUSH_GRACE, group.due_at + FIRST_REPLY_GRACE]);
+        checks.filter(|check| *check > now).min()
     }
 
-    pub(super) fn handle_group_event(&mut self, place: usize, news: GroupEvent) {
-        match news {
-            GroupEvent::Reply(reply) => self.handle_group_reply(place, reply),
-            GroupEvent::Lost => self.fail_group_request(place),
+    pub(super) fn handle_group_event(&mut self, index: usize, event: GroupEvent) {
+        match event {
+            GroupEvent::Reply(reply) => self.handle_group_reply(index, reply),
+            GroupEvent::Lost => self.fail_group_request(index),
         }
     }
 
     /// Takes over the ends of attempts that another front made, and the records that it merged.
-    pub(super) fn handle_group_reply(&mut self, place: usize, reply: GroupReply) {
+    pub(super) fn handle_group_reply(&mut self, index: usize, reply: GroupReply) {
         let now = self.context.clock.now();
-        let ask = &mut self.group_requests[place];
-        if ask.is_finished() {
+        let request = &mut self.group_requests[index];
+        if request.is_finished() {
             // The block would hold records of shards that were asked again.
             return;
         }
-        ask.has_reply = true;
+        request.has_reply = true;
         let mut ended = Vec::with_capacity(reply.ends.len());
         for end in reply.ends {
-            let slot = usize::try_from(end.place).unwrap_or(usize::MAX);
-            if let Some(shard) = ask.shards.get_mut(slot).and_then(Option::take) {
+            let position = usize::try_from(end.place).unwrap_or(usize::MAX);
+            if let Some(shard) = request.shards.get_mut(position).and_then(Option::take) {
                 ended.push((shard, end));
             }
         }
-        ask.record_unanswered(self.typical_latency, now);
+        request.record_unanswered(self.typical_latency, now);
         let answered = |end: &GroupEnd| end.outcome() == GroupOutcome::Answered;
         // Records of a shard that is in another block already would count twice.
-        let is_doubled = ended.iter().any(|((shard, _), end)| {
-            let part = &self.shards[*shard].reply;
-            answered(end) && matches!(part, Some(ShardReply::Merged { .. }))
+        let has_duplicate = ended.iter().any(|((shard, _), end)| {
+            let shard_reply = &self.shards[*shard].reply;
+            answered(end) && matches!(shard_reply, Some(ShardReply::Merged { .. }))
         });
         let is_single = ended.iter().filter(|(_, end)| answered(end)).count() == 1;
-        let block = self.merged_blocks.len();
-        if !is_doubled && !is_single {
+        let block_index = self.merged_blocks.len();
+        if !has_duplicate && !is_single {
             self.merged_blocks.push(reply.records.clone());
         }
         for ((shard, target), end) in ended {
             self.shards[shard].open_attempts -= 1;
-            let took = TimeSpan::from_micros(end.took_us);
+            let elapsed = TimeSpan::from_micros(end.took_us);
             if !answered(&end) {
-                self.handle_failed_attempt(shard, &target, end.outcome(), took, now);
+                self.handle_failed_attempt(shard, &target, end.outcome(), elapsed, now);
                 continue;
             }
-            let sent = TimePoint::START + now.since(TimePoint::START).saturating_sub(took);
+            let sent_at = TimePoint::START + now.since(TimePoint::START).saturating_sub(elapsed);
             target
-                .gauge()
-                .end_attempt(sent, self.typical_latency, AttemptResult::Answered, now);
+                .stats()
+                .end_attempt(sent_at, self.typical_latency, AttemptResult::Answered, now);
             silent_domains::record_answer(&target, now);
-            self.route.state.record_latency(took);
+            self.route.state.record_latency(elapsed);
             let Ok(proof) = HeaderValue::from_maybe_shared(end.proof) else {
                 continue;
             };
-            let run = &mut self.shards[shard];
+            let state = &mut self.shards[shard];
             if is_single {
-                run.hedge_at = None;
+                state.hedge_at = None;
                 // One shard's records can be left out again, unlike those of a block.
-                let own = ShardReply::from_records(reply.records.clone(), proof);
-                run.reply.get_or_insert(own);
-            } else if !is_doubled {
-                run.hedge_at = None;
+                let shard_reply = ShardReply::from_records(reply.records.clone(), proof);
+                state.reply.get_or_insert(shard_reply);
+            } else if !has_duplicate {
+                state.hedge_at = None;
                 // The block holds the shard's records: a reply to a hedge gives way to it.
-                run.reply = Some(ShardReply::Merged {
-                    block_index: block,
-                    proof,
-                });
+                state.reply = Some(ShardReply::Merged { block_index, proof });
             }
         }
     }
@@ -254,17 +254,17 @@
     /// Notes an attempt through another front that brought no answer.
     pub(super) fn handle_failed_attempt(
         &mut self,
-        place: usize,
+        index: usize,
         target: &Arc<TargetHandle>,
         outcome: GroupOutcome,
-        took: TimeSpan,
+        elapsed: TimeSpan,
         now: TimePoint,
     ) {
-        let sent = TimePoint::START + now.since(TimePoint::START).saturating_sub(took);
+        let sent_at = TimePoint::START + now.since(TimePoint::START).saturating_sub(elapsed);
         target
-            .gauge()
-            .end_attempt(sent, self.typical_latency, AttemptResult::Failed, now);
-        let shard = &mut self.shards[place];
+            .stats()
+            .end_attempt(sent_at, self.typical_latency, AttemptResult::Failed, now);
+        let shard = &mut self.shards[index];
         match outcome {
             GroupOutcome::NotRun => {
                 shard.record_refused();
@@ -274,7 +274,7 @@
             _ => {}
         }
         if outcome == GroupOutcome::Lost {
-            self.suspect_crash(place, target);
+            self.suspect_crash(index, target);
         }
         self.record_unanswered(UnansweredAttempt {
             target: target.entry().id.clone(),
@@ -285,18 +285,18 @@
                 GroupOutcome::Lost | GroupOutcome::Answered => UnansweredReason::Lost,
             },
             status: None,
-            age: took,
+            age: elapsed,
         });
-        let shard = &self.shards[place];
+        let shard = &self.shards[index];
         if shard.reply.is_none() && shard.open_attempts == 0 {
-            self.retry(place, now);
+            self.retry(index, now);
         }
     }
 
     /// Ends the attempts of an ask whose connection is lost.
-    pub(super) fn fail_group_request(&mut self, place: usize) {
+    pub(super) fn fail_group_request(&mut self, index: usize) {
         let now = self.context.clock.now();
-        let shards: Vec<_> = self.group_requests[place]
+        let shards: Vec<_> = self.group_requests[index]
             .shards
             .iter_mut()
             .filter_map(Option::take)
@@ -307,10 +307,10 @@
                 target: target.entry().id.clone(),
                 reason: UnansweredReason::LinkLost,
                 status: None,
-                age: now.since(self.group_requests[place].sent_at),
+                age: now.since(self.group_requests[index].sent_at),
             });
-            let run = &self.shards[shard];
-            if run.reply.is_none() && run.open_attempts == 0 {
+            let state = &self.shards[shard];
+            if state.reply.is_none() && state.open_attempts == 0 {
                 self.retry(shard, now);
             }
         }
--- a/alderhaven-front/src/query_run/silent_domains.rs
+++ b/alderhaven-front/src/query_run/silent_domains.rs
@@ -45,8 +45,8 @@
     }
 }
 
-fn record_overdue(target: &TargetHandle, sent: TimePoint, now: TimePoint) {
-    if target.silence().record_overdue(sent, now) {
+fn record_overdue(target: &TargetHandle, sent_at: TimePoint, now: TimePoint) {
+    if target.silence().record_overdue(sent_at, now) {
         FrontEvent::DomainSilent {
             domain: domain_name(target),
         }
@@ -81,25 +81,25 @@
     }
 
     /// Tells the failure domain of an ask that its front says nothing.
-    pub(super) fn record_overdue_request(&mut self, place: usize, now: TimePoint) {
-        let ask = &mut self.group_requests[place];
-        ask.is_overdue = true;
-        if let Some((_, target)) = ask.shards.iter().flatten().next() {
-            record_overdue(target, ask.sent_at, now);
+    pub(super) fn record_overdue_request(&mut self, index: usize, now: TimePoint) {
+        let request = &mut self.group_requests[index];
+        request.is_overdue = true;
+        if let Some((_, target)) = request.shards.iter().flatten().next() {
+            record_overdue(target, request.sent_at, now);
         }
     }
 
     /// Gets when the attempts that are out are to be looked at for the silence of their failure domains.
     pub(super) fn next_silence_check(&self, now: TimePoint) -> Option<TimePoint> {
         let wait = domain_silence::source_timeout(self.typical_latency);
-        let looks = self.open_attempts.iter().map(|open| {
+        let checks = self.open_attempts.iter().map(|open| {
             if open.is_overdue {
                 now + SILENCE_CHECK_INTERVAL
             } else {
                 open.sent_at + wait
             }
         });
-        looks.min()
+        checks.min()
     }
 
     /// Gives up the attempts at silent failure domains, and asks replicas elsewhere.
@@ -109,17 +109,17 @@
         }
         let mut silent = self.take_silent_attempts(now);
         silent.extend(self.take_silent_requests(now));
-        for left in silent {
-            self.shards[left.shard].abandon(Arc::clone(&left.target), left.status);
+        for abandoned in silent {
+            self.shards[abandoned.shard].abandon(Arc::clone(&abandoned.target), abandoned.status);
             self.record_unanswered(UnansweredAttempt {
-                target: left.target.entry().id.clone(),
+                target: abandoned.target.entry().id.clone(),
                 reason: UnansweredReason::Silent,
                 status: None,
                 age: domain_silence::source_timeout(self.typical_latency),
             });
-            let run = &self.shards[left.shard];
-            if run.reply.is_none() && run.open_attempts == 0 {
-                self.retry(left.shard, now);
+            let state = &self.shards[abandoned.shard];
+            if state.reply.is_none() && state.open_attempts == 0 {
+                self.retry(abandoned.shard, now);
             }
         }
     }
@@ -134,7 +134,7 @@
 
     /// Takes out the attempts of its own that were out for long at silent failure domains.
     fn take_silent_attempts(&mut self, now: TimePoint) -> Vec<AbandonedAttempt> {
-        let mut left = Vec::new();
+        let mut abandoned = Vec::new();
         let open = std::mem::take(&mut self.open_attempts);
         for open in open {
             let is_wanted = self.shards[open.shard].reply.is_none();
@@ -142,41 +142,41 @@
                 self.open_attempts.push(open);
                 continue;
             }
-            let fate = if open.phase.cancel() {
+            let status = if open.phase.cancel() {
                 AbandonedStatus::Unsent
             } else {
                 status_after_send(&open.target, now)
             };
-            left.push(AbandonedAttempt {
+            abandoned.push(AbandonedAttempt {
                 shard: open.shard,
                 target: open.target,
-                status: fate,
+                status,
             });
         }
-        left
+        abandoned
     }
 
     /// Takes out whole asks at silent failure domains: a block that came yet would hold records of
     /// shards that were asked again.
     fn take_silent_requests(&mut self, now: TimePoint) -> Vec<AbandonedAttempt> {
-        let mut left = Vec::new();
-        for place in 0..self.group_requests.len() {
-            let ask = &self.group_requests[place];
-            let mut targets = ask.shards.iter().flatten();
-            let may_leave = targets.all(|(shard, target)| self.may_abandon(*shard, target, now));
-            if !ask.is_overdue || !may_leave {
+        let mut abandoned = Vec::new();
+        for index in 0..self.group_requests.len() {
+            let request = &self.group_requests[index];
+            let mut targets = request.shards.iter().flatten();
+            let may_abandon = targets.all(|(shard, target)| self.may_abandon(*shard, target, now));
+            if !request.is_overdue || !may_abandon {
                 continue;
             }
-            let taken = self.group_requests[place].shards.iter_mut();
-            left.extend(taken.filter_map(Option::take).map(|(shard, target)| {
-                let fate = status_after_send(&target, now);
+            let taken = self.group_requests[index].shards.iter_mut();
+            abandoned.extend(taken.filter_map(Option::take).map(|(shard, target)| {
+                let status = status_after_send(&target, now);
                 AbandonedAttempt {
                     shard,
                     target,
-                    status: fate,
+                    status,
                 }
             }));
         }
-        left
+        abandoned
     }
 }
--- a/alderhaven-front/src/route_state.rs
+++ b/alderhaven-front/src/route_state.rs
@@ -34,38 +34,39 @@
 
 impl RouteState {
     /// Notes the time of an attempt that was answered.
-    pub fn record_latency(&self, time: TimeSpan) {
-        let mut times = self.lock_latencies();
-        times.window.add(time);
-        times.samples_since_refresh += 1;
-        if times.samples_since_refresh >= QUANTILE_REFRESH_SAMPLES || times.median.is_none() {
-            times.samples_since_refresh = 0;
-            times.median = times.window.quantile(0.5);
-            times.late_threshold = times.window.quantile(LATE_QUANTILE);
+    pub fn record_latency(&self, latency: TimeSpan) {
+        let mut latencies = self.lock_latencies();
+        latencies.window.add(latency);
+        latencies.samples_since_refresh += 1;
+        if latencies.samples_since_refresh >= QUANTILE_REFRESH_SAMPLES || latencies.median.is_none()
+        {
+            latencies.samples_since_refresh = 0;
+            latencies.median = latencies.window.quantile(0.5);
+            latencies.late_threshold = latencies.window.quantile(LATE_QUANTILE);
         }
     }
 
     /// Gets the usual time of an attempt, where the latency target is `target`.
     #[must_use]
     pub fn typical_latency(&self, target: TimeSpan) -> TimeSpan {
-        let usual = self.lock_latencies().median;
-        usual.unwrap_or_else(|| target.mul_f64(DEFAULT_LATENCY_SHARE))
+        let median = self.lock_latencies().median;
+        median.unwrap_or_else(|| target.mul_f64(DEFAULT_LATENCY_SHARE))
     }
 
     /// Gets the time after which an attempt is late, where the latency target is `target`.
     #[must_use]
     pub fn late_threshold(&self, target: TimeSpan) -> TimeSpan {
-        let late = self.lock_latencies().late_threshold;
-        late.unwrap_or_else(|| target.mul_f64(2.0 * DEFAULT_LATENCY_SHARE))
+        let late_threshold = self.lock_latencies().late_threshold;
+        late_threshold.unwrap_or_else(|| target.mul_f64(2.0 * DEFAULT_LATENCY_SHARE))
     }
 
     /// Gets how long a caller has waited already that has `time_left`.
     pub fn record_caller_delay(&self, time_left: TimeSpan, now: TimePoint) -> CallerDelay {
-        let mut wait = self
+        let mut estimator = self
             .caller_delay
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        wait.record_time_left(time_left, now)
+        estimator.record_time_left(time_left, now)
     }
 
     /// Deals the next request of a split.
--- a/alderhaven-front/src/service_targets.rs
+++ b/alderhaven-front/src/service_targets.rs
@@ -37,7 +37,7 @@
     pub fn choose(
         &self,
         tried: &[Arc<TargetHandle>],
-        usual: TimeSpan,
+        typical_latency: TimeSpan,
         now: TimePoint,
     ) -> Option<&Arc<TargetHandle>> {
         let is_tried =
@@ -46,13 +46,13 @@
             .iter()
             .filter(|target| !is_tried(target))
             .filter_map(|target| {
-                let beside = tried.iter().any(|tried| tried.shares_domain_with(target));
-                let penalty = if beside {
+                let shares_domain = tried.iter().any(|tried| tried.shares_domain_with(target));
+                let penalty = if shares_domain {
                     SAME_DOMAIN_PENALTY
                 } else {
                     TimeSpan::ZERO
                 };
-                Some((cost(target, usual, now)? + penalty, target))
+                Some((cost(target, typical_latency, now)? + penalty, target))
             })
             .min_by_key(|(cost, _)| *cost)
             .map(|(_, target)| target)
@@ -62,12 +62,12 @@
     #[must_use]
     pub fn costs(
         &self,
-        usual: TimeSpan,
+        typical_latency: TimeSpan,
         now: TimePoint,
     ) -> SmallVec<[(TimeSpan, &Arc<TargetHandle>); 4]> {
         self.targets
             .iter()
-            .filter_map(|target| Some((cost(target, usual, now)?, target)))
+            .filter_map(|target| Some((cost(target, typical_latency, now)?, target)))
             .collect()
     }
 
@@ -78,8 +78,8 @@
 }
 
 /// Gets what an attempt at the target is expected to cost; none where it may not be used.
-fn cost(target: &TargetHandle, usual: TimeSpan, now: TimePoint) -> Option<TimeSpan> {
-    let lapsed = match target.status() {
+fn cost(target: &TargetHandle, typical_latency: TimeSpan, now: TimePoint) -> Option<TimeSpan> {
+    let expired_penalty = match target.status() {
         TargetStatus::Ready => TimeSpan::ZERO,
         TargetStatus::Expired(until) if now < until => EXPIRED_PENALTY,
         TargetStatus::Expired(_) | TargetStatus::Leaving => return None,
@@ -87,19 +87,24 @@
     if target.is_evacuated() || !target.warmup().allows_request(now) {
         return None;
     }
-    let gauge = target.gauge();
-    if gauge.is_ejected(now) {
+    let stats = target.stats();
+    if stats.is_ejected(now) {
         return None;
     }
-    let far = if target.is_in_own_domain {
+    let cross_domain_penalty = if target.is_in_own_domain {
         TimeSpan::ZERO
     } else {
-        cross_domain_cost::cross_domain_cost(usual)
+        cross_domain_cost::cross_domain_cost(typical_latency)
     };
-    let silent = if target.silence().is_silent(now) {
+    let silent_penalty = if target.silence().is_silent(now) {
         SILENT_PENALTY
     } else {
         TimeSpan::ZERO
     };
-    Some(gauge.expected_cost(usual, target.entry().slots, now) + far + lapsed + silent)
+    Some(
+        stats.expected_cost(typical_latency, target.entry().slots, now)
+            + cross_domain_penalty
+            + expired_penalty
+            + silent_penalty,
+    )
 }
--- a/alderhaven-front/src/shard_state.rs
+++ b/alderhaven-front/src/shard_state.rs
@@ -81,10 +81,10 @@
     }
 
     /// Gives up the open attempt at a target whose failure domain is silent.
-    pub fn abandon(&mut self, target: Arc<TargetHandle>, fate: AbandonedStatus) {
+    pub fn abandon(&mut self, target: Arc<TargetHandle>, status: AbandonedStatus) {
         self.abandoned.push(target);
         self.open_attempts -= 1;
-        match fate {
+        match status {
             AbandonedStatus::Unsent => self.record_unsent(),
             AbandonedStatus::DomainLost => self.lost_with_domain += 1,
             AbandonedStatus::MayRun => {}
@@ -106,14 +106,20 @@
     /// Returns true where the attempt at a target was given up.
     #[must_use]
     pub fn is_abandoned(&self, target: &Arc<TargetHandle>) -> bool {
-        self.abandoned.iter().any(|left| Arc::ptr_eq(left, target))
+        self.abandoned
+            .iter()
+            .any(|abandoned| Arc::ptr_eq(abandoned, target))
     }
 
     /// Chooses the best target that was not asked yet; none where no other may be used now.
     #[must_use]
-    pub fn next_target(&self, usual: TimeSpan, now: TimePoint) -> Option<Arc<TargetHandle>> {
+    pub fn next_target(
+        &self,
+        typical_latency: TimeSpan,
+        now: TimePoint,
+    ) -> Option<Arc<TargetHandle>> {
         let service = self.service.as_ref()?;
-        service.choose(&self.tried, usual, now).cloned()
+        service.choose(&self.tried, typical_latency, now).cloned()
     }
 
     /// Returns true while an answer may still come.
--- a/alderhaven-front/src/target_handle.rs
+++ b/alderhaven-front/src/target_handle.rs
@@ -21,7 +21,7 @@
     pub pool: TargetPool,
     /// Whether it lies in this process's failure domain.
     pub is_in_own_domain: bool,
-    gauge: Mutex<ReplicaStats>,
+    stats: Mutex<ReplicaStats>,
     status: Mutex<TargetStatus>,
     warmup: Mutex<WarmupLimit>,
     /// What was heard of its failure domain, shared by all targets there.
@@ -50,10 +50,10 @@
     pub fn new(
         entry: TargetEntry,
         pool: TargetPool,
-        is_near: bool,
+        is_in_own_domain: bool,
         silence: SharedSilence,
     ) -> Self {
-        let standing = if entry.is_leaving {
+        let status = if entry.is_leaving {
             TargetStatus::Leaving
         } else {
             TargetStatus::Ready
@@ -61,9 +61,9 @@
         Self {
             entry: ArcSwap::from_pointee(entry),
             pool,
-            is_in_own_domain: is_near,
-            gauge: Mutex::default(),
-            status: Mutex::new(standing),
+            is_in_own_domain,
+            stats: Mutex::default(),
+            status: Mutex::new(status),
             warmup: Mutex::default(),
             silence,
             is_evacuated: AtomicBool::new(false),
@@ -94,8 +94,8 @@
     }
 
     /// Changes whether it may be used.
-    pub fn set_status(&self, standing: TargetStatus) {
-        *self.lock_status() = standing;
+    pub fn set_status(&self, status: TargetStatus) {
+        *self.lock_status() = status;
     }
 
     /// Returns true where its failure domain is evacuated: it gets no new work.
@@ -138,8 +138,8 @@
     }
 
     /// Locks what was seen of it.
-    pub fn gauge(&self) -> MutexGuard<'_, ReplicaStats> {
-        self.gauge.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn stats(&self) -> MutexGuard<'_, ReplicaStats> {
+        self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn lock_status(&self) -> MutexGuard<'_, TargetStatus> {
--- a/alderhaven-front/src/target_pool.rs
+++ b/alderhaven-front/src/target_pool.rs
@@ -114,12 +114,12 @@
     ///
     /// # Errors
     /// An error of the operating system, or a time-out: no byte of a request was sent.
-    pub async fn take(&self, is_fresh: bool) -> io::Result<PooledConnection> {
+    pub async fn take(&self, must_be_new: bool) -> io::Result<PooledConnection> {
         let permit = Arc::clone(&self.permits)
             .acquire_owned()
             .await
             .map_err(io::Error::other)?;
-        if !is_fresh && let Some(connection) = self.take_idle() {
+        if !must_be_new && let Some(connection) = self.take_idle() {
             return Ok(PooledConnection {
                 connection,
                 is_new: false,
@@ -145,14 +145,14 @@
 
     /// Gives back a connection whose last request was answered whole; `keep` is how long the target
     /// says that it keeps it.
-    pub fn give_back(&self, taken: PooledConnection, keep: Option<TimeSpan>) {
+    pub fn give_back(&self, taken: PooledConnection, keep_alive_timeout: Option<TimeSpan>) {
         if taken.connection.sender.is_closed() {
             return;
         }
         let idle = IdleConnection {
             connection: taken.connection,
             idle_since: self.clock.now(),
-            idle_timeout: keep
+            idle_timeout: keep_alive_timeout
                 .unwrap_or(DEFAULT_IDLE_TIMEOUT)
                 .mul_f64(IDLE_TIMEOUT_SHARE),
         };
--- a/alderhaven-front/tests/group_links.rs
+++ b/alderhaven-front/tests/group_links.rs
@@ -53,26 +53,26 @@
     async fn accept(listener: &TcpListener) -> Self {
         let (stream, _) = listener.accept().await.expect("a connection");
         let (sender, reader) = connection::split(stream).expect("its halves");
-        let mut end = Self { sender, reader };
+        let mut remote = Self { sender, reader };
         // The first ask is empty: by it the two find out how their clocks differ.
-        let first = end.next_request().await;
-        end.reply(&first);
-        end
+        let first = remote.next_request().await;
+        remote.reply(&first);
+        remote
     }
 
     async fn next_request(&mut self) -> GroupAsk {
         loop {
             match connection::next_message(&mut self.reader).await {
-                Some(PeerMessage::GroupAsk(ask)) => return ask,
+                Some(PeerMessage::GroupAsk(request)) => return request,
                 Some(_) => {}
                 None => panic!("the link has ended"),
             }
         }
     }
 
-    fn reply(&self, ask: &GroupAsk) {
+    fn reply(&self, request: &GroupAsk) {
         let reply = GroupReply {
-            number: ask.number,
+            number: request.number,
             ..GroupReply::default()
         };
         let sent = self.sender.send(PeerMessage::GroupReply(reply));
@@ -98,12 +98,12 @@
         let other = member("b", address, seeds).await;
         let links = GroupLinks::new(own, ProcessClock::default());
         let domain: FailureDomain = "b".parse().expect("a domain");
-        let (first, end) = open_link(&links, &domain, &listener).await;
+        let (first_call, remote) = open_link(&links, &domain, &listener).await;
         Self {
             links,
             domain,
-            first_call: first,
-            remote: end,
+            first_call,
+            remote,
             _other: other,
         }
     }
@@ -115,35 +115,35 @@
     domain: &FailureDomain,
     listener: &TcpListener,
 ) -> (GroupCall, RemoteFront) {
-    let mut end = None;
-    let mut asking = std::pin::pin!(send_until_connected(links, domain));
+    let mut remote = None;
+    let mut sending = std::pin::pin!(send_until_connected(links, domain));
     loop {
         tokio::select! {
-            first = asking.as_mut() => return (first, end.expect("an open connection")),
-            accepted = RemoteFront::accept(listener) => end = Some(accepted),
+            first = sending.as_mut() => return (first, remote.expect("an open connection")),
+            accepted = RemoteFront::accept(listener) => remote = Some(accepted),
         }
     }
 }
 
 /// Asks until a connection stands.
 async fn send_until_connected(links: &GroupLinks, domain: &FailureDomain) -> GroupCall {
-    let asking = async {
+    let sending = async {
         loop {
-            if let Some(ticket) = links.send(domain, GroupAsk::default()) {
-                return ticket;
+            if let Some(call) = links.send(domain, GroupAsk::default()) {
+                return call;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let asked = tokio::time::timeout(CONDITION_TIMEOUT, asking).await;
-    asked.expect("a connection in time")
+    let connected = tokio::time::timeout(CONDITION_TIMEOUT, sending).await;
+    connected.expect("a connection in time")
 }
 
 /// After a restart of all hosts another front is late with its reply. The query that noticed it asks
 /// elsewhere; one that was sent a moment ago on the same connection still gets its reply, where a
 /// link that is given up as a whole would have lost it with all its shards.
 #[tokio::test]
-async fn late_front_still_answers_what_is_open() {
+async fn late_front_still_answers_open_requests() {
     let LinkFixture {
         links,
         domain,
@@ -154,18 +154,18 @@
     let mut recent = links
         .send(&domain, GroupAsk::default())
         .expect("it is open");
-    let _late_ask = remote.next_request().await;
-    let recent_ask = remote.next_request().await;
+    let _late_request = remote.next_request().await;
+    let recent_request = remote.next_request().await;
     late.mark_overdue();
     assert!(links.send(&domain, GroupAsk::default()).is_none());
-    remote.reply(&recent_ask);
-    let news = tokio::time::timeout(CONDITION_TIMEOUT, recent.events.recv()).await;
-    assert!(matches!(news, Ok(Some(GroupEvent::Reply(_)))), "{news:?}");
+    remote.reply(&recent_request);
+    let event = tokio::time::timeout(CONDITION_TIMEOUT, recent.events.recv()).await;
+    assert!(matches!(event, Ok(Some(GroupEvent::Reply(_)))), "{event:?}");
 }
 
 /// The connection to another front ends. Every query that waits for it hears so.
 #[tokio::test]
-async fn lost_link_is_told_to_all_who_wait() {
+async fn lost_link_is_reported_to_all_open_calls() {
     let LinkFixture {
         links,
         domain,
@@ -177,16 +177,16 @@
         .send(&domain, GroupAsk::default())
         .expect("it is open");
     drop(remote);
-    for ticket in [&mut first_call, &mut second] {
-        let news = tokio::time::timeout(CONDITION_TIMEOUT, ticket.events.recv()).await;
-        assert!(matches!(news, Ok(Some(GroupEvent::Lost))), "{news:?}");
+    for call in [&mut first_call, &mut second] {
+        let event = tokio::time::timeout(CONDITION_TIMEOUT, call.events.recv()).await;
+        assert!(matches!(event, Ok(Some(GroupEvent::Lost))), "{event:?}");
     }
 }
 
 /// Another front stands still while the connection to it is made. Its first ask would be taken up late,
 /// with all the time that the caller had at first; it is sent nothing before it has answered.
 #[tokio::test]
-async fn front_that_stands_still_is_not_asked() {
+async fn stalled_front_gets_no_requests() {
     let listener = TcpListener::bind(LOOPBACK).await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let own = member("a", LOOPBACK, Vec::new()).await;
@@ -197,21 +197,25 @@
     let accepting = async {
         let (stream, _) = listener.accept().await.expect("a connection");
         let (_sender, mut reader) = connection::split(stream).expect("its halves");
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         while let Some(message) = connection::next_message(&mut reader).await {
-            asks.push(message);
+            requests.push(message);
         }
-        asks
+        requests
     };
-    let asking = async {
+    let sending = async {
         loop {
             assert!(links.send(&domain, GroupAsk::default()).is_none());
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let heard = tokio::select! {
-        heard = accepting => heard,
-        () = asking => Vec::new(),
+    let received = tokio::select! {
+        received = accepting => received,
+        () = sending => Vec::new(),
     };
-    assert_eq!(heard.len(), 1, "the empty ask alone, and then the end");
+    assert_eq!(
+        received.len(),
+        1,
+        "the empty request alone, and then the end"
+    );
 }
