--- a/alderhaven-front/src/abandoned_status.rs
+++ b/alderhaven-front/src/abandoned_status.rs
@@ -1,12 +1,12 @@
-//! What becomes of an attempt that is given up with its failure domain.
+//! Whether an attempt that was abandoned with its failure domain may still run.
 
-/// A `LeftFate` says whether such an attempt may run all the same.
+/// Chance that an abandoned attempt runs at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonedStatus {
-    /// It was never sent, and will not be.
+    /// Nothing was sent, and nothing will be.
     Unsent,
-    /// It was sent to a failure domain that was lost, and will hardly run.
+    /// Sent to a failure domain that counts as lost. It is assumed not to run.
     DomainLost,
-    /// Its failure domain is silent; it may run.
+    /// Sent to a failure domain that is silent but may still be working. It may run.
     MayRun,
 }
--- a/alderhaven-front/src/admission_permit.rs
+++ b/alderhaven-front/src/admission_permit.rs
@@ -1,4 +1,4 @@
-//! The pass of an admitted query; giving it back, in whatever way, frees its place.
+//! The permit of an admitted query. Dropping it frees its slot at the gate.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 use crate::query_admission::QueryAdmission;
 use crate::shard_set_id::ShardSetId;
 
-/// An `AdmissionPass` stands for one admitted query.
+/// Slot of one admitted query, held while the query runs.
 ///
-/// It is given back when it is dropped: a caller that goes away drops its query at any point, and a
-/// place that was never given back would shrink the front for good.
+/// Released on drop, because a query is dropped at any await point when its caller disconnects. A
+/// leaked permit would lower the concurrency limit of the front permanently.
 #[derive(Debug)]
 pub struct AdmissionPermit {
     admission: Arc<QueryAdmission>,
@@ -21,7 +21,8 @@
 }
 
 impl AdmissionPermit {
-    /// Returns the pass of a query that is admitted at `admitted`.
+    /// Creates the permit of a query that was admitted at `admitted_at`. Its signal is
+    /// [`QuerySignal::Uninformative`] until [`Self::record_signal`] is called.
     #[must_use]
     pub const fn new(
         admission: Arc<QueryAdmission>,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Notes what the query says of the room.
+    /// Sets the capacity signal that the gate receives when the permit is dropped.
     pub const fn record_signal(&mut self, signal: QuerySignal) {
         self.signal = signal;
     }
--- a/alderhaven-front/src/attempt.rs
+++ b/alderhaven-front/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target, from its first byte to the last one of the reply.
+//! One attempt at one target: takes a connection, sends the request and reads the whole reply.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,76 +20,78 @@
 use crate::target_pool::PooledConnection;
 use crate::wire_dialect::{ReplyKind, TargetCall, WholeBody, WireDialect};
 
-/// The largest reply that is read from a target, in bytes. Replies are held whole, and some dozens of
-/// them at a time must fit into a host of 160 MB.
+/// The largest reply body that is read from a target, in bytes. Replies are buffered whole, so
+/// this bounds the memory of concurrent attempts.
 const MAX_REPLY_BYTES: usize = 2 << 20;
 
-/// An `AttemptEnd` is what an attempt came to.
+/// How an attempt ended, and whether the request may have run at the target.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The target ran the request and succeeded.
+    /// The target ran the request and replied with success.
     Success(TargetReply),
-    /// The target ran the request and failed.
+    /// The target ran the request and replied with a failure.
     Failure(TargetReply),
-    /// The target refused without running the request.
+    /// The target rejected the request without running it.
     NotRun,
-    /// Another target has the address; the request did not run.
+    /// The address now belongs to another target, which did not run the request.
     WrongTarget,
-    /// The target could not be reached; nothing was sent.
+    /// No connection could be made, or it was closed before the request was written.
     Unreachable,
-    /// The request was over, or the target closed, before anything was sent.
+    /// The request finished, or the target stopped taking work, before anything was sent.
     Cancelled,
-    /// The request was sent and no whole reply to it came: it may have run.
+    /// The request was sent and no complete reply to it arrived. It may have run.
     Lost,
 }
 
-/// A `TargetReply` is a target's whole reply.
+/// A reply that was read to its end.
 #[derive(Debug)]
 pub struct TargetReply {
-    /// The reply.
+    /// Status, headers and body as the target sent them.
     pub reply: ForwardedReply,
-    /// The proof of it, which callers check.
+    /// Proof header of the reply, passed on for callers to verify.
     pub proof: Option<HeaderValue>,
 }
 
-/// An `AttemptPlan` is an attempt before it is sent.
+/// Everything that one attempt needs before it is sent.
 pub struct AttemptPlan {
-    /// The shard that it is for, by its place in the query.
+    /// Index of the shard within the query.
     pub shard: usize,
-    /// The target.
+    /// Where the request is sent.
     pub target: Arc<TargetHandle>,
-    /// The caller's request.
+    /// The caller's request, shared by all attempts.
     pub call: Arc<QueryCall>,
-    /// Whether the request may run more than once.
+    /// Whether the request may run more than once. If not, a new connection is opened for it.
     pub is_idempotent: bool,
-    /// When the time of the request is over.
+    /// When the attempt is no longer of use. The target is told the time that remains.
     pub deadline: TimePoint,
-    /// Set once the request was answered: nothing more is sent for it then.
+    /// Set when the request has been answered. An attempt that has sent nothing by then is
+    /// cancelled.
     pub is_request_finished: Arc<AtomicBool>,
-    /// Whether the attempt may send, and whether it has begun to.
+    /// Arbitrates between sending the request and cancelling the attempt.
     pub phase: AttemptPhase,
-    /// The usual time of such an attempt.
+    /// Typical latency of attempts of this route, against which the target's statistics are kept.
     pub typical_latency: TimeSpan,
-    /// The protocol.
+    /// Builds the request and classifies the reply.
     pub dialect: Arc<dyn WireDialect>,
-    /// The clock.
+    /// Clock of the process.
     pub clock: ProcessClock,
 }
 
-/// An `AttemptReport` is an attempt after its end.
+/// An attempt that has ended.
 #[derive(Debug)]
 pub struct AttemptReport {
-    /// The shard that it was for.
+    /// Index of the shard within the query.
     pub shard: usize,
-    /// The target.
+    /// Where the request was sent.
     pub target: Arc<TargetHandle>,
-    /// How long it took.
+    /// Time from the start of the attempt to its end, including the wait for a connection.
     pub elapsed: TimeSpan,
-    /// What it came to.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
 
-/// Notes the end of an attempt at its target, also where the attempt is dropped.
+/// Records the end of an attempt in the statistics of its target, also when the attempt is
+/// dropped.
 struct AttemptGuard {
     target: Arc<TargetHandle>,
     sent_at: TimePoint,
@@ -119,7 +121,7 @@
 }
 
 impl AttemptPlan {
-    /// Sends the attempt and reads its reply.
+    /// Runs the attempt to its end and records the result in the statistics of the target.
     pub async fn run(self) -> AttemptReport {
         let sent_at = self.clock.now();
         self.target.stats().begin_attempt(sent_at);
@@ -151,7 +153,7 @@
         let Ok(mut connection) = self.target.pool.take(!self.is_idempotent).await else {
             return AttemptOutcome::Unreachable;
         };
-        // Built only now: the wait for a connection has used up some of the time that is left.
+        // Built after the wait for a connection, which has used up part of the time left.
         let Some(request) = self.build_request() else {
             self.target.pool.give_back_unused(connection);
             return AttemptOutcome::Cancelled;
@@ -172,11 +174,11 @@
         }
     }
 
-    /// Builds the request; none where it is no longer to be sent.
+    /// Builds the request. Returns `None` if it must not be sent any more.
     fn build_request(&self) -> Option<Request<WholeBody>> {
         let now = self.clock.now();
         let is_expired = self.is_request_finished.load(Ordering::Relaxed) || now >= self.deadline;
-        // The target may have been closed while the attempt waited for a connection.
+        // The target may have stopped taking work while the attempt waited for a connection.
         if is_expired || self.target.is_closed() || !self.phase.begin_send() {
             return None;
         }
@@ -200,7 +202,8 @@
         Ok(response) => return Ok(response),
         Err(refused) => refused,
     };
-    // A request that comes back was never written: the target had closed the idle connection.
+    // hyper returns the message only if nothing of it was written: the target had closed the idle
+    // connection.
     let Some(request) = refused.take_message() else {
         return Err(AttemptOutcome::Lost);
     };
@@ -224,8 +227,8 @@
     let (head, body) = response.into_parts();
     let kind = dialect.reply_kind(request_id, head.status, &head.headers);
     if kind == ReplyKind::RequestIdMismatch {
-        // The reply to an earlier request came late or twice: this one's may come or not, and what
-        // else comes on the connection can't be told apart.
+        // A late or duplicate reply to an earlier request. Later replies on this connection cannot
+        // be matched to requests either, so the connection is closed.
         return AttemptOutcome::Lost;
     }
     let Ok(body) = Limited::new(body, MAX_REPLY_BYTES).collect().await else {
@@ -259,7 +262,7 @@
     }
 }
 
-/// Gets how long the target keeps the connection, by the `Keep-Alive` header.
+/// Parses the idle timeout that the target announces in the `Keep-Alive` header.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<TimeSpan> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = text
--- a/alderhaven-front/src/attempt_phase.rs
+++ b/alderhaven-front/src/attempt_phase.rs
@@ -1,9 +1,8 @@
-//! Whether an attempt has begun to send its request.
+//! Decides, once per attempt, whether it sends its request or is cancelled unsent.
 //!
-//! Failure: an attempt waits for a connection until its caller's time is over. The caller was told that
-//! the request may have run, and could not send a booking again, although nothing was ever sent.
-//! The attempt and the end of its request race for one step that only one of them can make: either the
-//! attempt may send, or it never will.
+//! An attempt may still wait for a connection when its request times out. Exactly one side wins
+//! the transition, so the caller of a non-idempotent request is told reliably whether it may have
+//! run.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -12,18 +11,18 @@
 const SENT: u8 = 1;
 const CANCELLED: u8 = 2;
 
-/// An `AttemptPhase` is shared by an attempt and the request that it is for.
+/// Shared by an attempt and the request that it belongs to.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptPhase(Arc<AtomicU8>);
 
 impl AttemptPhase {
-    /// Begins to send; returns false where the request was called off before.
+    /// Claims the right to send. Returns `false` if the attempt was cancelled.
     #[must_use]
     pub fn begin_send(&self) -> bool {
         self.try_leave_waiting(SENT)
     }
 
-    /// Calls the attempt off; returns true where nothing was sent, and never will be.
+    /// Cancels the attempt. Returns `true` if nothing was sent, in which case nothing will be.
     #[must_use]
     pub fn cancel(&self) -> bool {
         self.try_leave_waiting(CANCELLED)
--- a/alderhaven-front/src/crash_tracker.rs
+++ b/alderhaven-front/src/crash_tracker.rs
@@ -1,8 +1,8 @@
-//! What the fronts know of requests that crash targets.
+//! Requests that crash targets, as known to all fronts.
 //!
-//! A front that lost an attempt and finds the target's process gone tells all others, and each of them
-//! refuses the request once it has taken down two targets. The judgement is that of
-//! [`alderhaven_policy::quarantine`]; here its strikes are written for other nodes and read again.
+//! A front that loses an attempt and finds the target's process gone records a crash strike and
+//! publishes it. Each front then rejects requests whose strikes reach the limit of
+//! [`alderhaven_policy::quarantine`].
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -16,16 +16,16 @@
 use alderhaven_policy::quarantine::{CrashQuarantine, QuarantineOptions};
 use serde::{Deserialize, Serialize};
 
-/// A `CrashBoard` is shared by all requests of a process.
+/// Thread-safe quarantine of a process, with the encoding that nodes exchange.
 #[derive(Debug)]
 pub struct CrashTracker {
     clock: ProcessClock,
     quarantine: Mutex<CrashQuarantine>,
-    /// Whether any request has a strike, readable without the lock on each request's way.
+    /// Lets requests check for strikes without taking the lock. It is never cleared.
     has_strikes: AtomicBool,
 }
 
-/// A `SharedStrike` is a strike as it is told to other nodes.
+/// A strike in the JSON that nodes exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct PublishedStrike {
     fingerprint: RequestFingerprint,
@@ -34,14 +34,14 @@
     domain: String,
     shard: u32,
     in_flight: u32,
-    /// The time of day of the crash, in milliseconds. Clocks differ by seconds, and strikes are
-    /// remembered for minutes.
+    /// Unix time of the crash in milliseconds. Clock skew of some seconds is negligible, because
+    /// strikes are kept for minutes.
     seen_ms: u64,
     cleared: bool,
 }
 
 impl CrashTracker {
-    /// Returns a board without strikes.
+    /// Creates a tracker without strikes and with the default quarantine options.
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
         let quarantine = CrashQuarantine::new(PolicyKind::Current, QuarantineOptions::default());
@@ -52,31 +52,32 @@
         }
     }
 
-    /// Returns true where any request has a strike.
+    /// Returns `true` once any strike has been recorded. Does not take the lock.
     #[must_use]
     pub fn has_strikes(&self) -> bool {
         self.has_strikes.load(Ordering::Acquire)
     }
 
-    /// Gets the number of requests with strikes.
+    /// Returns the number of requests with strikes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Returns true where no request has a strike.
+    /// Returns `true` if no strike has ever been recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         !self.has_strikes()
     }
 
-    /// Gets how long a request stays refused; none where it is not.
+    /// Returns how long the request stays quarantined, or `None` if it is not.
     #[must_use]
     pub fn refused_for(&self, fingerprint: &RequestFingerprint) -> Option<TimeSpan> {
         self.lock().refused_for(fingerprint, self.clock.now())
     }
 
-    /// Notes strikes of a request; returns what other nodes are to be told, where that is new.
+    /// Records strikes of a request at the Unix time `wall_millis`. Returns the encoded strikes of
+    /// the request to publish, or `None` if there are none.
     #[must_use]
     pub fn record_strikes(
         &self,
@@ -96,8 +97,8 @@
         self.encode_strikes(&fingerprint, wall_millis)
     }
 
-    /// Notes that a replica of a shard answered a request; returns what other nodes are to be told,
-    /// where that clears a strike.
+    /// Records that a replica of a shard answered the request. Returns the encoded strikes to
+    /// publish if this cleared a strike.
     #[must_use]
     pub fn record_answer(
         &self,
@@ -114,10 +115,10 @@
         self.encode_strikes(fingerprint, wall_millis)
     }
 
-    /// Takes over what another node was told or has seen.
+    /// Merges strikes that another node published.
     ///
     /// # Errors
-    /// Says what can't be read.
+    /// Describes the entry that cannot be decoded. Nothing is merged in that case.
     pub fn merge_remote(&self, body: &str, wall_millis: u64) -> Result<(), String> {
         let strikes: Vec<PublishedStrike> =
             serde_json::from_str(body).map_err(|error| error.to_string())?;
@@ -175,8 +176,14 @@
 
     fn into_update(self, now: TimePoint, wall_millis: u64) -> Result<StrikeUpdate, String> {
         let age = TimeSpan::from_millis(wall_millis.saturating_sub(self.seen_ms));
-        let target = self.target.parse().map_err(|_| "no target's name")?;
-        let domain = self.domain.parse().map_err(|_| "no domain's name")?;
+        let target = self
+            .target
+            .parse()
+            .map_err(|_| "strike with an invalid target id")?;
+        let domain = self
+            .domain
+            .parse()
+            .map_err(|_| "strike with an invalid failure domain name")?;
         Ok(StrikeUpdate {
             fingerprint: self.fingerprint,
             strike: CrashStrike {
--- a/alderhaven-front/src/group_links.rs
+++ b/alderhaven-front/src/group_links.rs
@@ -1,4 +1,4 @@
-//! The connections to fronts in other failure domains, and the asks that are open on them.
+//! Links to fronts in other failure domains, and the group requests that are open on them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -23,24 +23,23 @@
 
 use crate::front_event::FrontEvent;
 
-/// The time within which a connection to a front is made.
+/// Timeout of the TCP connect to a front.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest time that the first ask on a connection, which is an empty one, may take there and back.
-/// By it the other front learns how the two clocks differ, as exactly as that time is short, and so
-/// notices how long later asks were under way. Half a second too much is what targets may be told;
-/// starting fronts take some tenths to answer.
+/// The longest round trip of the empty first request on a connection. The other front derives the
+/// clock offset from it and uses that to detect late deliveries, so the round trip bounds the
+/// error of the time left that targets are told.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a front that missed a flush is not asked: a frozen or silent one would cost each query
-/// its hedges, and asking the targets directly costs only bytes.
+/// How long a front is not used after an overdue reply or a failed connect. Sending to targets
+/// directly costs only bytes, while an unresponsive front costs each query its hedges.
 const UNRESPONSIVE_PAUSE: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// How often a connection on which nothing comes is looked at, whether it was given up. It costs a wake
-/// of the process, and a connection that stays open longer costs nothing.
+/// How often an idle reader checks whether its connection was retired. A longer interval only
+/// keeps the connection open for longer.
 const RETIRED_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
-/// A `GroupLinks` is shared by all requests of a process.
+/// All links of a process; clones share them.
 #[derive(Clone, Debug)]
 pub struct GroupLinks {
     group: NodeGroup,
@@ -48,7 +47,7 @@
     links: Arc<Mutex<BTreeMap<SocketAddr, Arc<GroupLink>>>>,
 }
 
-/// A `GroupLink` is the connection to one front.
+/// The link to one front, over successive connections.
 #[derive(Debug)]
 struct GroupLink {
     address: SocketAddr,
@@ -60,49 +59,51 @@
 #[derive(Debug, Default)]
 struct LinkState {
     sender: Option<FrameSender>,
-    /// Counts the connections, so that each open ask knows its own.
+    /// Number of the current connection, by which pending requests are assigned to theirs.
     epoch: u64,
     is_connecting: bool,
     paused_until: TimePoint,
     pending: HashMap<u64, PendingRequest>,
 }
 
-/// An `AwaitedAsk` is an ask to which replies may come.
+/// A group request to which replies may still come.
 #[derive(Debug)]
 struct PendingRequest {
-    /// The connection that it was sent on.
+    /// Number of the connection that it was sent on.
     epoch: u64,
     sender: FrameSender,
     event_sender: mpsc::UnboundedSender<GroupEvent>,
 }
 
-/// A `GroupNews` is what is heard of an ask.
+/// What the sender of a group request is told.
 #[derive(Debug)]
 pub enum GroupEvent {
-    /// Ends of attempts.
+    /// Some of the attempts have ended.
     Reply(GroupReply),
-    /// The connection is lost: the attempts may have run.
+    /// The connection was lost. Attempts without a reply may have run.
     Lost,
 }
 
-/// A `GroupTicket` is an open ask; dropping it tells the other front that its caller has left.
+/// An open group request. Dropping it closes the request at the other front, and aborts its
+/// attempts unless [`Self::mark_answered`] was called.
 #[derive(Debug)]
 pub struct GroupCall {
     link: Arc<GroupLink>,
     number: u64,
     is_answered: bool,
-    /// What is heard.
+    /// Replies to the request, and the loss of its connection.
     pub events: mpsc::UnboundedReceiver<GroupEvent>,
 }
 
 impl GroupLinks {
-    /// Gets the group.
+    /// Returns the node group whose fronts are linked.
     #[must_use]
     pub const fn group(&self) -> &NodeGroup {
         &self.group
     }
 
-    /// Returns links to the fronts of a group.
+    /// Creates links without connections. They are opened by the first request to a failure
+    /// domain.
     #[must_use]
     pub fn new(group: NodeGroup, clock: ProcessClock) -> Self {
         Self {
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Sends an ask to a front of a failure domain; none where no connection to one stands. A
-    /// connection is then opened for later asks.
+    /// Sends a group request to a front of a failure domain. Returns `None` if no link there is
+    /// usable; connections are then opened in the background for later requests.
     #[must_use]
     pub fn send(&self, domain: &FailureDomain, request: GroupAsk) -> Option<GroupCall> {
         let now = self.clock.now();
@@ -134,7 +135,8 @@
         usable.swap_remove(index).send(request)
     }
 
-    /// Gets the largest hosts' fronts of a failure domain: a small one would hold its answer up.
+    /// Returns the fronts on the largest hosts of a failure domain. Small hosts would delay the
+    /// replies.
     fn largest_fronts(&self, domain: &FailureDomain) -> Vec<SocketAddr> {
         let members = self.group.members();
         let others = members.iter().skip(1);
@@ -200,12 +202,12 @@
     fn dispatch_reply(&self, reply: GroupReply) {
         let state = self.state();
         if let Some(pending) = state.pending.get(&reply.number) {
-            // A query that was answered meanwhile no longer listens.
+            // The receiver is gone if the query has been answered meanwhile.
             let _is_delivered = pending.event_sender.send(GroupEvent::Reply(reply));
         }
     }
 
-    /// Takes over a connection that was opened, or rests where none could be.
+    /// Installs an opened connection, or pauses the link if none could be opened.
     fn finish_connecting(
         &self,
         opened: Option<(FrameSender, FrameReader)>,
@@ -220,7 +222,8 @@
         Some((state.epoch, reader))
     }
 
-    /// Forgets a connection that has ended; every ask that is open on it hears that it is lost.
+    /// Removes a connection that has ended, and reports the loss to every request that is open on
+    /// it.
     fn fail_connection(&self, epoch: u64) {
         let mut state = self.state();
         let lost: Vec<PendingRequest> = state
@@ -242,8 +245,8 @@
         }
     }
 
-    /// Sends nothing more on the connection of an ask that heard nothing, and nothing to this front for
-    /// a while; what is open on it may still be answered.
+    /// Stops using the connection of an overdue request, and pauses the link. Requests that are
+    /// open on the connection can still be answered.
     fn retire(&self, number: u64) {
         let mut state = self.state();
         let epoch = state.pending.get(&number).map(|pending| pending.epoch);
@@ -256,7 +259,7 @@
         self.report_loss(state.pending.len());
     }
 
-    /// Returns true where a connection was given up and nothing is open on it.
+    /// Returns `true` if the connection is retired and no request is open on it.
     fn is_retired_and_drained(&self, epoch: u64) -> bool {
         let state = self.state();
         let is_open = state.pending.values().any(|pending| pending.epoch == epoch);
@@ -277,15 +280,16 @@
 }
 
 impl GroupCall {
-    /// Notes that the query was answered: the attempts may end by themselves.
+    /// Marks the query as answered: the attempts of the request may run to their end.
     pub const fn mark_answered(&mut self) {
         self.is_answered = true;
     }
 
-    /// Notes that nothing came when it was due: the connection or the front is silent, or slow. Later
-    /// asks use another connection, since one may go silent for good without a reset. Those that are
-    /// open stay so: of a front that is only late they would all be lost at once, and with them
-    /// queries that had just been sent.
+    /// Retires the connection, because the first reply is overdue.
+    ///
+    /// A connection can go silent for good without a reset, so later requests use a new one. Open
+    /// requests are kept: failing all of them at once would also lose those that were just sent to
+    /// a front that is only late.
     pub fn mark_overdue(&self) {
         self.link.retire(self.number);
     }
@@ -300,12 +304,13 @@
             number: self.number,
             is_abandoned: !self.is_answered,
         };
-        // Where the connection is lost, the other front breaks the attempts off by itself.
+        // If the connection is lost, the other front aborts the attempts by itself.
         let _is_sent = pending.sender.send(PeerMessage::GroupClose(close));
     }
 }
 
-/// Connects in the background, unless that is under way or the link rests.
+/// Connects in the background, unless a connection exists or is being opened, or the link is
+/// paused.
 fn connect(link: Arc<GroupLink>) {
     {
         let mut state = link.state();
@@ -326,10 +331,10 @@
     });
 }
 
-/// Opens a connection; none where the front can't be reached, or is slow to answer.
+/// Opens a connection. Returns `None` if the front cannot be reached or does not answer in time.
 ///
-/// Guards against a front that stands still when the first ask reaches it: it would take the ask up
-/// late, with all the time that its caller had at first, and pass that on to targets.
+/// The empty first request prevents that a stalled front receives a real one: it would process
+/// that late, with the full time left of the caller, and pass this on to targets.
 async fn open(link: &GroupLink) -> Option<(FrameSender, FrameReader)> {
     let connecting = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(link.address));
     let (sender, mut reader) = connection::split(connecting.await.ok()?.ok()?).ok()?;
@@ -346,7 +351,7 @@
     Some((sender, reader))
 }
 
-/// Hears replies until the connection ends, or until nothing is open on one that was given up.
+/// Reads replies until the connection ends, or until it is retired and has no open requests.
 async fn read_replies(link: &GroupLink, epoch: u64, mut reader: FrameReader) {
     while let Some(message) = next_message(link, epoch, &mut reader).await {
         if let PeerMessage::GroupReply(reply) = message {
--- a/alderhaven-front/src/group_plan.rs
+++ b/alderhaven-front/src/group_plan.rs
@@ -1,8 +1,7 @@
-//! Which shards of a query are asked through a front of another failure domain: all whose target lies
-//! in one, hedges included.
+//! Groups the shards of a query that are sent through a front of another failure domain.
 //!
-//! An ask has the caller's request once for all its shards, and replies have no headers; even for one
-//! shard that is less than a request of its own on a connection across.
+//! A group request carries the caller's request once for all its shards, and replies have no
+//! headers. This saves traffic between failure domains even for a single shard.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,24 +12,24 @@
 use crate::shard_state::ShardState;
 use crate::target_handle::TargetHandle;
 
-/// What a target may be expected to take longer than the best one and still be chosen because it
-/// lies where most others do.
+/// How much more than the best target a target may be expected to cost and still be chosen to join
+/// a larger group.
 const MAX_GROUPING_COST: TimeSpan = TimeSpan::from_millis(6);
 
-/// A `ChosenShard` is a shard, by its place in the query, with the target that it is to be sent to.
+/// Index of a shard within the query, and the target that it is sent to.
 pub type ShardAssignment = (usize, Arc<TargetHandle>);
 
-/// A `ShardGroup` is a group of shards that are asked together.
+/// Shards that are sent in one group request.
 #[derive(Debug)]
 pub struct ShardGroup {
-    /// The failure domain of the targets.
+    /// Failure domain of all the targets.
     pub domain: FailureDomain,
-    /// The shards, by their places in the query, each with its target.
+    /// Shard indices with their targets.
     pub shards: Vec<ShardAssignment>,
 }
 
-/// Groups the shards whose best target lies in another failure domain; those that are in no group
-/// are asked directly. `best` holds the best target of each shard.
+/// Groups the shards whose best target lies in another failure domain. Shards in no group are sent
+/// directly. `best` holds the best target of each shard.
 #[must_use]
 pub fn group_cross_domain_shards(
     shards: &[ShardState],
@@ -54,9 +53,11 @@
     groups
 }
 
-/// Splits attempts into groups that are asked through a front of their targets' failure domain, and
-/// those that are sent directly. A query's hedges are due in the same moment, since its first
-/// attempts were sent in one, and most go to other failure domains.
+/// Splits assignments into one group for each other failure domain, and those that are sent
+/// directly.
+///
+/// The hedges of a query fall due together, because its first attempts were sent together, and
+/// most of them go to other failure domains.
 #[must_use]
 pub fn group_by_domain(
     assignments: Vec<ShardAssignment>,
--- a/alderhaven-front/src/group_server.rs
+++ b/alderhaven-front/src/group_server.rs
@@ -1,6 +1,7 @@
-//! Carries out what fronts of other failure domains ask: attempts at targets, with merged replies.
+//! Serves group requests of fronts in other failure domains: sends the attempts and merges the
+//! replies.
 //!
-//! Nothing is decided here: the asking front chose the targets, hedges and retries.
+//! No policy is applied here. The requesting front chooses targets, hedges and retries.
 
 use std::collections::HashMap;
 use std::io;
@@ -29,10 +30,10 @@
 use crate::query_call::QueryCall;
 use crate::target_handle::TargetStatus;
 
-/// The pause after a failed accept, which is out of descriptors in nearly all cases.
+/// Pause after a failed accept, which in most cases means that file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
 
-/// Serves other fronts for as long as the process runs.
+/// Accepts connections of other fronts for as long as the process runs.
 pub async fn serve(listener: TcpListener, context: FrontContext) {
     loop {
         match listener.accept().await {
@@ -44,7 +45,7 @@
     }
 }
 
-/// An ask that is carried out; dropping it breaks its attempts off.
+/// A group request in progress. Dropping it aborts its attempts.
 struct OpenRequest {
     is_request_finished: Arc<AtomicBool>,
     task: AbortOnDropHandle<()>,
@@ -54,7 +55,7 @@
     let (sender, mut reader) = connection::split(stream)?;
     let mut requests: HashMap<u64, OpenRequest> = HashMap::new();
     let mut delivery_age = DeliveryAge::default();
-    // The asks go with the connection: an asking front that is gone has no callers any more.
+    // Requests end with their connection: the requesting front no longer waits for them.
     while let Some(message) = connection::next_message(&mut reader).await {
         match message {
             PeerMessage::GroupAsk(request) => {
@@ -82,7 +83,7 @@
     Ok(())
 }
 
-/// Lets the attempts of an ask end by themselves for a while, so that their connections are kept.
+/// Lets the attempts of a request end within `limit`, so that their connections can be reused.
 async fn drain_attempts(open: OpenRequest, limit: TimeSpan) {
     let _finished = time::timeout(limit.as_duration(), open.task).await;
 }
@@ -141,7 +142,7 @@
     }
 
     async fn run(mut self) {
-        // A planned stop waits for it.
+        // A graceful stop waits for this request.
         let _in_flight = self.context.stop.begin_request();
         self.context.metrics.served_group_requests.inc();
         let mut attempts = self.start_attempts();
@@ -198,7 +199,7 @@
         attempts
     }
 
-    /// Builds the caller's request again; none where the ask can't be read.
+    /// Rebuilds the caller's request. Returns `None` if the group request is malformed.
     fn rebuild_call(&self) -> Option<Arc<QueryCall>> {
         let now = self.context.clock.now();
         let head = request_head(&self.request)?;
@@ -245,7 +246,7 @@
             records: top_records::greatest_records(&self.reply_bodies, records),
         };
         self.reply_bodies.clear();
-        // Where the connection is lost the asking front hears of it by itself.
+        // If the connection is lost, the requesting front detects that by itself.
         let _is_sent = self.sender.send(PeerMessage::GroupReply(reply));
     }
 }
--- a/alderhaven-front/src/query_admission.rs
+++ b/alderhaven-front/src/query_admission.rs
@@ -1,5 +1,5 @@
-//! The admission of queries: callers wait here for the decisions of [`QueryGate`], one gate for each set
-//! of services.
+//! Admits queries: callers wait here for the decision of a [`QueryGate`]. There is one gate for
+//! each set of services.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,11 +17,11 @@
 use crate::route_rule::RouteRule;
 use crate::shard_set_id::ShardSetId;
 
-/// The sets of services that are kept. Each change of a route's shards begins a new one; those of which nothing is
-/// in flight are forgotten above it.
+/// Number of gates above which idle ones are removed. Each change of a route's services adds a
+/// gate.
 const MAX_GATES: usize = 64;
 
-/// A `QueryAdmission` admits the queries of one front.
+/// Admission control of one front.
 #[derive(Debug)]
 pub struct QueryAdmission {
     clock: ProcessClock,
@@ -38,7 +38,7 @@
 }
 
 impl QueryAdmission {
-    /// Returns an admission without any gate.
+    /// Creates an admission without gates. They are added as queries arrive.
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
         Self {
@@ -48,10 +48,11 @@
         }
     }
 
-    /// Decides on a query of a route over these shards; waits where it has to wait its turn.
+    /// Admits or refuses a query of a route over these services, and waits in the queue if
+    /// necessary.
     ///
     /// # Errors
-    /// The refusal: nothing was sent.
+    /// The refusal of the gate. Nothing has been sent in that case.
     pub async fn admit(
         self: &Arc<Self>,
         rule: &RouteRule,
@@ -65,8 +66,8 @@
             latency_target: rule.latency_target,
             is_late: delay.is_late(rule.latency_target),
         };
-        // The waiter is there before the lock is given up: else the query could be decided on in
-        // between, with nobody to tell.
+        // The waiter is registered under the same lock, so that the gate cannot admit the query
+        // before there is a receiver.
         let (until, result) = {
             let mut gates = self.lock();
             remove_idle_gates(&mut gates);
@@ -90,7 +91,8 @@
         queued.wait(until).await
     }
 
-    /// Takes back the place of a query that was admitted at `admitted`.
+    /// Releases the slot of a query that was admitted at `admitted_at`, and admits waiting
+    /// queries.
     pub(crate) fn finish(&self, shards: ShardSetId, admitted_at: TimePoint, signal: QuerySignal) {
         let now = self.clock.now();
         let mut gates = self.lock();
@@ -121,26 +123,26 @@
         if let GateDecision::Wait { outranked, .. } = decision
             && let Some(waiter) = outranked.and_then(|id| self.waiters.remove(&id))
         {
-            // A caller that has just gone needs no answer.
+            // The send fails if the caller has just disconnected.
             let _is_delivered = waiter.send(Err(self.gate.outranked_refusal(now)));
         }
         decision
     }
 
-    /// Lets waiting queries go for which there is room now.
+    /// Admits the waiting queries that the gate has capacity for.
     fn admit_ready(&mut self, now: TimePoint) {
         while let Some(id) = self.gate.next_ready(now) {
             let waiter = self.waiters.remove(&id);
             let is_delivered = waiter.is_some_and(|waiter| waiter.send(Ok(())).is_ok());
             if !is_delivered {
-                // Its caller left at this moment, and the room is free again.
+                // The caller has just disconnected, so the slot is free again.
                 self.gate.release_unused();
             }
         }
     }
 }
 
-/// A place in line; it is given up where the wait is over or the caller goes away.
+/// A query in the queue of its gate. Dropping it removes the query.
 struct QueuedQuery<'a> {
     admission: &'a Arc<QueryAdmission>,
     shards: ShardSetId,
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Leaves the line, unless its turn came at this moment.
+    /// Removes the query from the queue, unless the gate has just decided.
     fn give_up(&mut self) -> Result<AdmissionPermit, GateRefusal> {
         let now = self.admission.clock.now();
         let mut gates = self.admission.lock();
@@ -177,8 +179,8 @@
 }
 
 impl Drop for QueuedQuery<'_> {
-    /// A caller that goes away while it waits leaves the line, and gives back a turn that it was given
-    /// at this moment.
+    /// Removes a query whose caller disconnects while it waits, and releases the slot if it was
+    /// admitted at the same moment.
     fn drop(&mut self) {
         let now = self.admission.clock.now();
         let mut gates = self.admission.lock();
--- a/alderhaven-front/src/query_call.rs
+++ b/alderhaven-front/src/query_call.rs
@@ -1,4 +1,4 @@
-//! A caller's request as the front took it.
+//! A caller's request, as the front received it.
 
 use std::sync::Arc;
 
@@ -10,25 +10,25 @@
 
 use crate::wire_dialect::ForwardedHead;
 
-/// A `QueryCall` is a caller's request as the front took it.
+/// A received request with its body read in full.
 #[derive(Debug)]
 pub struct QueryCall {
-    /// The head.
+    /// Method, URI and headers as received.
     pub head: Parts,
-    /// The head as targets get it.
+    /// Head that is sent to targets.
     pub forwarded_head: ForwardedHead,
-    /// The body.
+    /// Complete request body.
     pub body: Bytes,
-    /// The caller's id of this attempt.
+    /// Request id that the caller gave to this attempt of its own.
     pub request_id: Arc<str>,
-    /// When it arrived.
+    /// Arrival time at this front.
     pub arrived_at: TimePoint,
-    /// How long the caller waits, counted from its arrival.
+    /// How long the caller waits, counted from `arrived_at`.
     pub time_left: TimeSpan,
 }
 
 impl QueryCall {
-    /// Gets what makes this request the same as another one: its method, site, path and body.
+    /// Identifies equal requests, whoever sends them: method, site, path and body.
     #[must_use]
     pub fn fingerprint(&self) -> RequestFingerprint {
         let site = self.head.headers.get(header::HOST);
--- a/alderhaven-front/src/query_run.rs
+++ b/alderhaven-front/src/query_run.rs
@@ -1,7 +1,7 @@
-//! A request on its way: its attempts, and when it is answered.
+//! Runs one request: its attempts, hedges and retries, and when it is answered.
 //!
-//! A request to one service is a query with one shard: choice, hedges and retries are the same, only
-//! the answer differs.
+//! A request to a single service runs as a query with one shard. Target choice, hedging and
+//! retries are the same, only the answer differs.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -40,7 +40,8 @@
 mod group_requests;
 mod silent_domains;
 
-/// A `QueryRun` carries one request to its answer.
+/// One request in progress. Dropping it early cancels its attempts and reports that the caller
+/// left.
 pub struct QueryRun<'a> {
     context: &'a FrontContext,
     call: &'a Arc<QueryCall>,
@@ -50,7 +51,7 @@
     late_threshold: TimeSpan,
     shards: Vec<ShardState>,
     attempts: FuturesUnordered<BoxFuture<'static, AttemptReport>>,
-    /// The attempts of its own that are out.
+    /// Unfinished attempts that this front sends itself.
     open_attempts: Vec<OpenAttempt>,
     group_requests: Vec<PendingGroupRequest>,
     merged_blocks: Vec<Bytes>,
@@ -61,24 +62,24 @@
     is_reported: bool,
     permit: Option<AdmissionPermit>,
     started_at: TimePoint,
-    /// The time until the answer of a caller that had not waited before.
+    /// Time from arrival to the partial answer for a caller without prior delay.
     usable_time: TimeSpan,
-    /// When enough shards were in.
+    /// When the number of answered shards first reached the minimum coverage.
     min_coverage_at: Option<TimePoint>,
 }
 
-/// An `OpenAttempt` is an attempt of which no end was heard yet.
+/// An attempt whose end has not been seen yet.
 struct OpenAttempt {
     shard: usize,
     target: Arc<TargetHandle>,
     phase: AttemptPhase,
     sent_at: TimePoint,
-    /// Whether its failure domain was told that it says nothing.
+    /// Whether it was counted as overdue against its failure domain.
     is_overdue: bool,
 }
 
 impl Drop for QueryRun<'_> {
-    /// Reports a request whose caller closed the connection: it is dropped with its attempts.
+    /// Reports a request that is dropped because its caller closed the connection.
     fn drop(&mut self) {
         if !self.is_reported {
             self.report_outcome(RequestOutcome::CallerLeft);
@@ -87,7 +88,7 @@
 }
 
 impl<'a> QueryRun<'a> {
-    /// Runs a request to its answer.
+    /// Runs a request and returns its answer, or the refusal of admission.
     pub async fn answer(
         context: &'a FrontContext,
         view: &CatalogView,
@@ -97,7 +98,8 @@
         let delay = route
             .state
             .record_caller_delay(call.time_left, call.arrived_at);
-        // A split is dealt before: what finds no room at its part must not go to another one.
+        // The split chooses its service before admission, so that a request which is refused there
+        // does not move to another service.
         let shards = shards_for_route(view, route);
         let permit = match Self::admit(context, route, &shards, delay).await {
             Ok(permit) => permit,
@@ -110,8 +112,8 @@
         run.finish(step)
     }
 
-    /// Waits for the turn of a request among those to the same services. One whose service is not known
-    /// needs none.
+    /// Waits for admission among the requests to the same services. A request to an unknown
+    /// service needs no permit.
     async fn admit(
         context: &FrontContext,
         route: &LiveRoute,
@@ -143,9 +145,9 @@
         let limit = call.time_left.min(route.rule.timeout);
         let target = route.rule.latency_target;
 
-        // The request's own way here counts as well as the answer's way back.
+        // Caller latency counts twice: the request on its way here and the answer on its way back.
         let round_trip = options.caller_latency + options.caller_latency;
-        // The request may have waited as long to be seen as the answer will wait to be sent.
+        // The event loop may be late both in reading the request and in sending the answer.
         let timer_lag = context.wake_lag();
         let reserve = round_trip + options.answer_overhead + timer_lag + timer_lag;
         Self {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Sends the first attempt of each shard, to its best target.
+    /// Sends the first attempt of every shard to its best target.
     fn send_first_attempts(&mut self) {
         let now = self.context.clock.now();
         let best: Vec<Option<Arc<TargetHandle>>> = self
@@ -192,7 +194,7 @@
                 self.typical_latency,
                 now,
             ) {
-                // What can't be asked so is sent directly below.
+                // Shards that were not sent because no link is usable are sent directly below.
                 let _direct = self.send_group(group, GroupRequestKind::FirstAttempts, now);
             }
         }
@@ -200,7 +202,7 @@
             if let Some(service) = &self.shards[shard].service {
                 service.budget().record_request(now);
             }
-            // Those that were asked through another front are under way.
+            // Already sent through another front.
             if !self.shards[shard].tried.is_empty() {
                 continue;
             }
@@ -258,8 +260,8 @@
         }
     }
 
-    /// Asks another replica of each shard whose attempt is late, those in one other failure domain
-    /// together.
+    /// Sends a hedge for each shard whose attempt is late. Hedges to targets in one other failure
+    /// domain share a group request.
     fn send_hedges(&mut self, now: TimePoint) {
         let mut assignments = Vec::new();
         for index in 0..self.shards.len() {
@@ -317,7 +319,7 @@
             }
             AttemptOutcome::WrongTarget => {
                 shard.record_refused();
-                // The target's process has ended, and its address belongs to another one.
+                // Another process has taken over the address, so this target has ended.
                 report.target.set_status(TargetStatus::Leaving);
                 UnansweredReason::WrongTarget
             }
@@ -349,15 +351,15 @@
         self.unanswered_attempts.push(attempt);
     }
 
-    /// Asks one more replica of a shard after a failure, where route, budget and time allow it.
+    /// Sends the shard to one more replica after a failure, if route, budget and time allow it.
     fn retry(&mut self, shard: usize, now: TimePoint) {
         if let Some(target) = self.next_repeat_target(shard, RepeatReason::Retry, now) {
             self.send(shard, target, now);
         }
     }
 
-    /// Gets the target that a shard is sent to once more, and takes the repeat from the budget; none
-    /// where route, budget or time do not allow it.
+    /// Chooses the target of a hedge or retry and takes the repeat from the budget. Returns `None`
+    /// if route, budget or time do not allow it.
     fn next_repeat_target(
         &self,
         shard: usize,
@@ -375,7 +377,7 @@
         if reason == RepeatReason::Hedge && !self.is_hedge_worthwhile(&target, now) {
             return None;
         }
-        // The first arrival at the service is no repeat.
+        // An attempt counts as a repeat only if an earlier one may have reached the service.
         let is_repeat = state.has_reached_service();
         let share = self.context.catalog.share().repeat_share();
         if is_repeat && !service.budget().take(reason, share, now) {
@@ -389,7 +391,7 @@
         Some(target)
     }
 
-    /// Sends an attempt of a shard.
+    /// Sends an attempt directly to a target.
     fn send(&mut self, shard: usize, target: Arc<TargetHandle>, now: TimePoint) {
         let phase = AttemptPhase::default();
         self.open_attempts.push(OpenAttempt {
@@ -405,7 +407,7 @@
         self.attempts.push(Box::pin(plan.run()));
     }
 
-    /// Notes an attempt of a shard that is sent, by this front or through another one.
+    /// Records an attempt that this front or another one sends.
     fn record_sent(
         &mut self,
         shard: usize,
@@ -437,7 +439,7 @@
         }
     }
 
-    /// Gets when an attempt that is sent now is of no more use.
+    /// Returns when an attempt that is sent now stops being of use.
     fn attempt_deadline(&self) -> TimePoint {
         if self.shards.len() < 2 {
             return self.answer_time.deadline;
@@ -483,13 +485,13 @@
     }
 }
 
-/// Gets the least number of shards that is at least this share of all.
+/// Returns the smallest number of shards that covers at least `share` of `total`, and at least 1.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a share of a small count is a small positive number"
 )]
 fn min_shard_count(total: usize, share: f64) -> usize {
-    // A share such as 0.7 of 10 must not round up to 8 by the error of the product.
+    // Subtracting the epsilon keeps rounding errors of the product from adding a shard.
     ((total as f64 * share - 1e-9).ceil().max(1.0)) as usize
 }
--- a/alderhaven-front/src/query_run/completion.rs
+++ b/alderhaven-front/src/query_run/completion.rs
@@ -1,4 +1,4 @@
-//! What a request is answered, and what is noted of it.
+//! Builds the answer of a request and records its outcome in metrics and log.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -24,13 +24,13 @@
 use crate::route_destination::RouteDestination;
 use crate::shard_reply::ShardReply;
 
-/// The shortest time after which a caller should come back.
+/// The shortest `Retry-After` of a caller whose targets all refused.
 const RETRY_AFTER_MIN: TimeSpan = TimeSpan::from_millis(60);
-/// What is added to it at random, so that callers who were refused together come back one by one.
+/// Upper bound of the random delay added to it, so that rejected callers do not retry at once.
 const RETRY_AFTER_JITTER: TimeSpan = TimeSpan::from_millis(120);
 
-/// What the time to come back after a refusal for want of room is spread over, so that callers who were
-/// refused together come back one by one.
+/// Random factor on the retry delay of an admission refusal, so that rejected callers do not retry
+/// at once.
 const REFUSAL_JITTER_FACTOR: std::ops::Range<f64> = 0.5..1.5;
 
 impl QueryRun<'_> {
@@ -50,7 +50,8 @@
         answer
     }
 
-    /// Lets the attempts that are still out go on for a while, so that their connections are kept.
+    /// Lets unfinished attempts run in the background until the drain timeout, so that their
+    /// connections can be reused.
     pub(super) fn drain_attempts(&mut self) {
         for request in &mut self.group_requests {
             request.call.mark_answered();
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Calls off the attempts that have sent nothing yet: the request has not run there.
+    /// Cancels the attempts that have sent nothing. They do not count as possible runs.
     fn cancel_unsent(&mut self) {
         for open in self.open_attempts.drain(..) {
             if open.phase.cancel() {
@@ -156,7 +157,8 @@
         }
     }
 
-    /// Counts how the request ended, and writes a line unless that is ordinary.
+    /// Records the outcome in the metrics, and logs it. Complete requests are logged as a sample
+    /// only.
     pub(super) fn report_outcome(&mut self, outcome: RequestOutcome) {
         self.is_reported = true;
         self.record_signal();
@@ -176,7 +178,7 @@
         event_log::write_with(Level::Info, outcome.kind(), build);
     }
 
-    /// Notes at its pass what the query says of the room at its shards.
+    /// Passes the capacity signal of the query on to its permit.
     fn record_signal(&mut self) {
         let signal = self.query_signal();
         if let Some(permit) = &mut self.permit {
@@ -185,13 +187,15 @@
     }
 
     fn query_signal(&self) -> QuerySignal {
-        // What a caller has used up before says nothing of the room, and must not close the gate.
+        // Measured against the time of a caller without prior delay: a late caller says nothing
+        // about capacity and must not lower the concurrency limit.
         let time = self.usable_time.as_secs_f64();
         if let Some(reached_at) = self.min_coverage_at {
             let passed = reached_at.since(self.started_at).as_secs_f64();
             return QuerySignal::EnoughShards(passed / time.max(1e-3));
         }
-        // Shards whose targets are gone or fail say nothing of the room.
+        // Only shards that were refused or are still running indicate missing capacity, not those
+        // whose targets are gone or fail.
         let count = self.count_shards();
         let missing = self.shards.iter().filter(|shard| shard.reply.is_none());
         let delayed = missing
@@ -207,7 +211,7 @@
     fn ended_event(&self, outcome: RequestOutcome, now: TimePoint) -> FrontEvent {
         let mut unanswered = self.unanswered_attempts.clone();
         let mut present = self.shards.len();
-        // A whole answer has taken its parts along, and misses none.
+        // A complete answer has taken the replies out of the shards, and misses none.
         if outcome != RequestOutcome::Complete {
             unanswered.extend(self.unanswered_attempts(now));
             present = self.count_shards().answered;
@@ -227,7 +231,8 @@
         }
     }
 
-    /// Gets the attempts of missing shards that are still out: their targets are slow or silent.
+    /// Returns the unfinished attempts of missing shards, which the slow or silent targets still
+    /// hold.
     fn unanswered_attempts(&self, now: TimePoint) -> Vec<UnansweredAttempt> {
         let missing = self.shards.iter().filter(|shard| shard.reply.is_none());
         let tried = missing.flat_map(|shard| shard.tried.iter().zip(&shard.sent_at));
@@ -252,7 +257,7 @@
         untried
             .filter_map(|(shard, service)| match (&shard.service, destination) {
                 (Some(known), _) => Some(known.name.clone()),
-                // A split has dealt one of its parts, which the place does not tell.
+                // Which of its services a split chose cannot be told from the position.
                 (None, RouteDestination::Split(_)) => None,
                 (None, _) => Some(service.to_owned()),
             })
@@ -260,7 +265,7 @@
     }
 }
 
-/// Refuses a query that is not admitted.
+/// Builds the answer to a query that was not admitted, and records the refusal.
 pub(super) fn refuse(
     context: &FrontContext,
     call: &QueryCall,
@@ -284,7 +289,7 @@
     }
 }
 
-/// Gets when a caller whose targets refused should come back.
+/// Returns the retry delay of a caller whose targets all refused.
 fn retry_after() -> TimeSpan {
     let jitter: f64 = rand::rng().random_range(0.0..1.0);
     RETRY_AFTER_MIN + RETRY_AFTER_JITTER.mul_f64(jitter)
--- a/alderhaven-front/src/query_run/crash_detection.rs
+++ b/alderhaven-front/src/query_run/crash_detection.rs
@@ -1,8 +1,9 @@
-//! Whether attempts were lost because their targets' processes died, and what follows from it.
+//! Detects attempts that were lost because the target's process crashed, and publishes crash
+//! strikes.
 //!
-//! Most lost attempts have other causes: an answer that was lost on its way, a connection that was
-//! reset. Only a shard that stays unanswered is looked into, after its request has ended: a request
-//! that another replica answered has crashed nothing.
+//! Only shards that remain unanswered are probed, after their request has ended: a reset
+//! connection or a lost reply is far more common than a crash, and a request that another replica
+//! answers is not at fault.
 
 use std::io;
 use std::sync::Arc;
@@ -24,24 +25,24 @@
 use crate::target_handle::TargetHandle;
 use crate::wall_clock;
 
-/// The lost attempts of a request that are looked into: two targets are enough for a judgement, and
-/// each look is a connection.
+/// The most lost attempts of a request that are probed. Two targets already decide, and each probe
+/// opens a connection.
 const MAX_CRASH_PROBES: usize = 4;
 
-/// How long a look waits: a host whose process is gone refuses within a millisecond or two.
+/// Timeout of a probe. A host whose process is gone refuses the connection almost at once.
 const CRASH_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A `CrashSuspect` is a target that lost an attempt.
+/// A target that lost an attempt and may have crashed.
 pub(super) struct CrashSuspect {
     shard: usize,
     target: Arc<TargetHandle>,
-    /// The attempts of this process that were at the target.
+    /// Attempts of this process that were in flight at the target, the lost one included.
     in_flight: usize,
     lost_at: TimePoint,
 }
 
 impl QueryRun<'_> {
-    /// Notes that an attempt was sent and its connection ended without an answer.
+    /// Records a sent attempt whose connection ended without a reply.
     pub(super) fn suspect_crash(&mut self, shard: usize, target: &Arc<TargetHandle>) {
         if self.crash_suspects.len() < MAX_CRASH_PROBES {
             self.crash_suspects.push(CrashSuspect {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Looks into the lost attempts of shards that stay unanswered, beside the answer's way.
+    /// Probes the suspects of unanswered shards in the background, without delaying the answer.
     pub(super) fn probe_crash_suspects(&mut self) {
         let mut suspects = std::mem::take(&mut self.crash_suspects);
         suspects.retain(|suspect| self.shards[suspect.shard].reply.is_none());
@@ -72,7 +73,7 @@
         });
     }
 
-    /// Clears the strikes of shards that have answered.
+    /// Clears the strikes of shards that have answered, and publishes the change.
     pub(super) fn clear_strikes(&self) {
         let catalog = &self.context.catalog;
         if !catalog.crashes().has_strikes() {
@@ -100,7 +101,7 @@
     strikes
 }
 
-/// Returns true where the target's host refuses connections: its process is gone.
+/// Returns `true` if the host refuses connections, which means that the target's process is gone.
 async fn refuses_connections(target: &TargetHandle) -> bool {
     let connecting = TcpStream::connect(target.entry().address);
     let probed = time::timeout(CRASH_PROBE_TIMEOUT, connecting).await;
@@ -109,7 +110,8 @@
     })
 }
 
-/// Returns the strike; none where the target has a name or a domain that the product does not allow.
+/// Builds the strike. Returns `None` if the target id is invalid or the target has no failure
+/// domain.
 fn build_strike(suspect: &CrashSuspect, now: TimePoint) -> Option<CrashStrike> {
     let entry = suspect.target.entry();
     Some(CrashStrike {
--- a/alderhaven-front/src/query_run/group_requests.rs
+++ b/alderhaven-front/src/query_run/group_requests.rs
@@ -1,4 +1,4 @@
-//! Shards that are asked through a front of another failure domain.
+//! Group requests: shards that are sent through a front of another failure domain.
 
 use std::sync::Arc;
 use std::task::Poll;
@@ -18,52 +18,53 @@
 use crate::shard_reply::ShardReply;
 use crate::target_handle::TargetHandle;
 
-/// How long before its hedges a query wants the replies of another front: the way between failure
-/// domains, and the work at both ends.
+/// How long before the hedges of a query the other front is to flush its replies. Covers the
+/// latency between failure domains and the work at both ends.
 const FLUSH_LEAD: TimeSpan = TimeSpan::from_millis(3);
 
-/// How long after its hedges a query that has heard nothing sends no more on that connection.
+/// How long after the due time of its first reply a group request becomes overdue and its link is
+/// retired.
 const FLUSH_GRACE: TimeSpan = TimeSpan::from_millis(60);
 
-/// How long after its hedges a query gives up an ask that has heard nothing: a front that is busy or
-/// paused has answered by then.
+/// How long after the due time of its first reply a group request is given up. A front that is
+/// only busy or paused has replied by then.
 const FIRST_REPLY_GRACE: TimeSpan = TimeSpan::from_millis(240);
 
-/// An `AskKind` is what another front is asked for.
+/// Which attempts a group request carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GroupRequestKind {
-    /// The first attempts of shards, whose records it merges.
+    /// First attempts of shards. The other front merges their records.
     FirstAttempts,
-    /// Hedges, whose replies it sends one by one.
+    /// Hedges. The other front sends each reply by itself as soon as it arrives.
     Hedges,
 }
 
-/// An ask of a query that is open at another front.
+/// A group request in progress at another front.
 pub(super) struct PendingGroupRequest {
     pub(super) call: GroupCall,
-    /// The shards with their targets; none where the attempt has ended.
+    /// Shard index and target of each attempt; `None` once the attempt has ended.
     pub(super) shards: Vec<Option<(usize, Arc<TargetHandle>)>>,
     pub(super) sent_at: TimePoint,
-    /// When its first reply is due.
+    /// When the first reply is expected.
     due_at: TimePoint,
-    /// Whether any reply has come.
+    /// Whether any reply has arrived.
     has_reply: bool,
-    /// Whether its connection was given up, because nothing was heard when it was due.
+    /// Whether the first reply was overdue and the link was retired.
     pub(super) is_overdue: bool,
 }
 
 impl PendingGroupRequest {
-    /// Returns true where nothing was heard yet.
+    /// Returns `true` while attempts are open and no reply has arrived.
     fn awaits_first_reply(&self) -> bool {
         !self.has_reply && !self.is_finished()
     }
 
-    /// Returns true where all its shards have ended or were given up.
+    /// Returns `true` if every attempt has ended or was abandoned.
     fn is_finished(&self) -> bool {
         self.shards.iter().all(Option::is_none)
     }
 
-    /// Notes at the targets that have not answered how long they have been out.
+    /// Records at the targets without a reply how long their attempts have been out.
     fn record_unanswered(&self, typical_latency: TimeSpan, now: TimePoint) {
         for (_, target) in self.shards.iter().flatten() {
             target.stats().end_attempt(
@@ -76,7 +77,7 @@
     }
 }
 
-/// Waits for what is heard of any ask; for ever where there is none.
+/// Waits for the next event of any group request. Never completes if there is none.
 pub(super) async fn next_event(requests: &mut [PendingGroupRequest]) -> (usize, GroupEvent) {
     std::future::poll_fn(|context| {
         for (index, request) in requests.iter_mut().enumerate() {
@@ -90,8 +91,8 @@
 }
 
 impl QueryRun<'_> {
-    /// Asks a group of shards through a front of their targets' failure domain; where none is
-    /// connected they come back to be asked directly.
+    /// Sends a group of shards through a front of their targets' failure domain. Returns the
+    /// shards if no link is usable, so that they are sent directly.
     pub(super) fn send_group(
         &mut self,
         group: ShardGroup,
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Gives up the links whose fronts have said nothing although their flush is overdue, and the asks
-    /// that are overdue for long.
+    /// Retires the links of overdue group requests, and fails requests that have been overdue for
+    /// too long.
     pub(super) fn expire_silent_requests(&mut self, now: TimePoint) {
         for index in 0..self.group_requests.len() {
             let request = &self.group_requests[index];
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Gets when an ask that has heard nothing is to be looked at next.
+    /// Returns when group requests without a reply are to be checked next.
     pub(super) fn next_expiry_check(&self, now: TimePoint) -> Option<TimePoint> {
         let open = self
             .group_requests
@@ -193,12 +194,12 @@
         }
     }
 
-    /// Takes over the ends of attempts that another front made, and the records that it merged.
+    /// Applies the ends of attempts that another front made, and the records that it merged.
     pub(super) fn handle_group_reply(&mut self, index: usize, reply: GroupReply) {
         let now = self.context.clock.now();
         let request = &mut self.group_requests[index];
         if request.is_finished() {
-            // The block would hold records of shards that were asked again.
+            // The block would contain records of shards that were sent again.
             return;
         }
         request.has_reply = true;
@@ -211,7 +212,7 @@
         }
         request.record_unanswered(self.typical_latency, now);
         let answered = |end: &GroupEnd| end.outcome() == GroupOutcome::Answered;
-        // Records of a shard that is in another block already would count twice.
+        // Records of a shard that is already part of another block would count twice.
         let has_duplicate = ended.iter().any(|((shard, _), end)| {
             let shard_reply = &self.shards[*shard].reply;
             answered(end) && matches!(shard_reply, Some(ShardReply::Merged { .. }))
@@ -240,18 +241,19 @@
             let state = &mut self.shards[shard];
             if is_single {
                 state.hedge_at = None;
-                // One shard's records can be left out again, unlike those of a block.
+                // Records of a single shard can still be replaced, unlike those of a block.
                 let shard_reply = ShardReply::from_records(reply.records.clone(), proof);
                 state.reply.get_or_insert(shard_reply);
             } else if !has_duplicate {
                 state.hedge_at = None;
-                // The block holds the shard's records: a reply to a hedge gives way to it.
+                // The block already contains the records of the shard, so it replaces the reply of
+                // a hedge.
                 state.reply = Some(ShardReply::Merged { block_index, proof });
             }
         }
     }
 
-    /// Notes an attempt through another front that brought no answer.
+    /// Records an attempt through another front that brought no reply, and retries its shard.
     pub(super) fn handle_failed_attempt(
         &mut self,
         index: usize,
@@ -293,7 +295,8 @@
         }
     }
 
-    /// Ends the attempts of an ask whose connection is lost.
+    /// Fails the open attempts of a group request whose link was lost or which timed out, and
+    /// retries their shards.
     pub(super) fn fail_group_request(&mut self, index: usize) {
         let now = self.context.clock.now();
         let shards: Vec<_> = self.group_requests[index]
--- a/alderhaven-front/src/query_run/silent_domains.rs
+++ b/alderhaven-front/src/query_run/silent_domains.rs
@@ -1,4 +1,4 @@
-//! Attempts at failure domains that have fallen silent.
+//! Abandons attempts at failure domains that have fallen silent, and retries them elsewhere.
 
 use std::sync::Arc;
 
@@ -13,17 +13,17 @@
 use crate::query_run::QueryRun;
 use crate::target_handle::TargetHandle;
 
-/// How often attempts at silent failure domains are looked at.
+/// Interval at which overdue attempts are checked against the state of their failure domain.
 const SILENCE_CHECK_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 
-/// A `LeftAttempt` is an attempt that is given up with its failure domain.
+/// An attempt that is abandoned with its failure domain.
 struct AbandonedAttempt {
     shard: usize,
     target: Arc<TargetHandle>,
     status: AbandonedStatus,
 }
 
-/// Notes an answer of a target as one of its failure domain.
+/// Records a reply of a target as a sign of life of its failure domain.
 pub(super) fn record_answer(target: &TargetHandle, now: TimePoint) {
     if target.silence().record_answer(now) {
         FrontEvent::DomainHeard {
@@ -33,14 +33,14 @@
     }
 }
 
-/// Notes what the end of an attempt says of its target's failure domain.
+/// Records what the end of an attempt shows about the failure domain of its target.
 pub(super) fn record_outcome(report: &AttemptReport, now: TimePoint) {
     match report.outcome {
         AttemptOutcome::Success(_)
         | AttemptOutcome::Failure(_)
         | AttemptOutcome::NotRun
         | AttemptOutcome::WrongTarget => record_answer(&report.target, now),
-        // A connection that can't be made, or ends, may do so on this side.
+        // Connection errors may have their cause on this host.
         AttemptOutcome::Unreachable | AttemptOutcome::Cancelled | AttemptOutcome::Lost => {}
     }
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Gets what becomes of an attempt that was sent.
+/// Returns the status of an abandoned attempt that was sent.
 fn status_after_send(target: &TargetHandle, now: TimePoint) -> AbandonedStatus {
     if target.silence().is_lost(now) {
         AbandonedStatus::DomainLost
@@ -69,7 +69,8 @@
 }
 
 impl QueryRun<'_> {
-    /// Tells the failure domains of attempts that were out for long that they say nothing.
+    /// Counts attempts that are out for too long as overdue against their failure domains, once
+    /// each.
     pub(super) fn record_overdue_attempts(&mut self, now: TimePoint) {
         let wait = domain_silence::source_timeout(self.typical_latency);
         for open in &mut self.open_attempts {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Tells the failure domain of an ask that its front says nothing.
+    /// Counts a group request without a reply as overdue against its failure domain.
     pub(super) fn record_overdue_request(&mut self, index: usize, now: TimePoint) {
         let request = &mut self.group_requests[index];
         request.is_overdue = true;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Gets when the attempts that are out are to be looked at for the silence of their failure domains.
+    /// Returns when open attempts are to be checked next for the silence of their failure domains.
     pub(super) fn next_silence_check(&self, now: TimePoint) -> Option<TimePoint> {
         let wait = domain_silence::source_timeout(self.typical_latency);
         let checks = self.open_attempts.iter().map(|open| {
@@ -102,7 +103,8 @@
         checks.min()
     }
 
-    /// Gives up the attempts at silent failure domains, and asks replicas elsewhere.
+    /// Abandons the attempts at silent failure domains and retries their shards elsewhere. Applies
+    /// to idempotent requests only.
     pub(super) fn abandon_silent(&mut self, now: TimePoint) {
         if !self.route.rule.is_idempotent {
             return;
@@ -124,15 +126,15 @@
         }
     }
 
-    /// Returns true where an attempt at a silent failure domain may be given up: another replica may be
-    /// asked, or the domain is lost.
+    /// Returns `true` if an attempt at a silent failure domain may be abandoned: the route allows
+    /// another target, or the domain counts as lost.
     fn may_abandon(&self, shard: usize, target: &TargetHandle, now: TimePoint) -> bool {
         let silence = *target.silence();
         let has_more = self.shards[shard].counted_targets() < self.route.rule.max_targets;
         silence.is_silent(now) && (has_more || silence.is_lost(now))
     }
 
-    /// Takes out the attempts of its own that were out for long at silent failure domains.
+    /// Removes direct attempts that are overdue at silent failure domains.
     fn take_silent_attempts(&mut self, now: TimePoint) -> Vec<AbandonedAttempt> {
         let mut abandoned = Vec::new();
         let open = std::mem::take(&mut self.open_attempts);
@@ -156,8 +158,8 @@
         abandoned
     }
 
-    /// Takes out whole asks at silent failure domains: a block that came yet would hold records of
-    /// shards that were asked again.
+    /// Removes group requests at silent failure domains, always as a whole: a late block would
+    /// contain records of shards that were sent again.
     fn take_silent_requests(&mut self, now: TimePoint) -> Vec<AbandonedAttempt> {
         let mut abandoned = Vec::new();
         for index in 0..self.group_requests.len() {
--- a/alderhaven-front/src/route_destination.rs
+++ b/alderhaven-front/src/route_destination.rs
@@ -1,40 +1,40 @@
-//! Where the requests of a route go.
+//! Services that the requests of a route go to.
 
 use serde::{Deserialize, Serialize};
 
 use crate::shard_set_id::ShardSetId;
 
-/// A `RouteDestination` is the service, or the services, of a route.
+/// How a route chooses among its services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteDestination {
-    /// One server of a service answers.
+    /// Any server of the service answers.
     Service(String),
-    /// One server of one of the services answers; they are dealt requests by weight.
+    /// Any server of one service answers. The service is chosen by weight.
     Split(Vec<WeightedService>),
-    /// One server of each service answers, and the answers are merged.
+    /// Scatter-gather: one server of each service answers, and the records are merged.
     Shards {
-        /// The services; each holds one shard.
+        /// Services, each holding one shard.
         services: Vec<String>,
-        /// The records of a merged answer.
+        /// Number of records in a merged answer.
         records: usize,
-        /// The least share of the shards that makes an answer.
+        /// Smallest fraction of the shards that is enough for an answer.
         min_coverage: f64,
     },
 }
 
-/// A `WeightedService` is a service with its weight in a split.
+/// One service of a weighted split.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its weight against the others.
+    /// Weight relative to the other services of the split.
     pub weight: f64,
 }
 
 impl RouteDestination {
-    /// Gets the set of shards; none where a request goes to one service.
+    /// Returns the id of the shard set, or `None` if a request goes to a single service.
     #[must_use]
     pub fn shard_set_id(&self) -> Option<ShardSetId> {
         match self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Gets all services that a request may go to.
+    /// Iterates over all services that a request may go to.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         let (one, split, shards) = match self {
             Self::Service(service) => (Some(service), [].as_slice(), [].as_slice()),
--- a/alderhaven-front/src/route_rule.rs
+++ b/alderhaven-front/src/route_rule.rs
@@ -1,30 +1,30 @@
-//! One route: which requests it takes, where they go and what is promised to their callers.
+//! One configured route: the requests that it matches, where they go, and their latency limits.
 
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
 use crate::route_destination::RouteDestination;
 
-/// A `RouteRule` is one route of the configuration.
+/// Settings of one route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, bon::Builder)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRule {
-    /// The name by which operators know it.
+    /// Name that operators and logs refer to.
     pub name: String,
-    /// The name of the site that callers address, without a port.
+    /// Site name that callers address, without a port.
     pub site: String,
-    /// The beginning of the paths that it takes; begins and ends with a slash.
+    /// Path prefix of matching requests; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether a request may run more than once.
+    /// Whether a request may run more than once, which allows hedges and retries after a send.
     pub is_idempotent: bool,
-    /// The longest that a caller is kept waiting.
+    /// Longest time until a caller is answered.
     pub timeout: TimeSpan,
-    /// The time within which an answer is worth most to its caller.
+    /// Latency up to which an answer has its full value to the caller.
     pub latency_target: TimeSpan,
-    /// The most servers that a request may be sent to, for each shard.
+    /// Most targets that a request may be sent to, for each shard.
     pub max_targets: usize,
-    /// The rank among routes; 0 goes first.
+    /// Admission priority among routes; 0 is the highest.
     pub rank: u32,
-    /// Where its requests go.
+    /// Service or services that answer.
     pub destination: RouteDestination,
 }
--- a/alderhaven-front/src/route_state.rs
+++ b/alderhaven-front/src/route_state.rs
@@ -1,4 +1,4 @@
-//! What this process has learnt of a route; it outlives versions of the configuration.
+//! Latency statistics and balancing state of a route. They are kept across configuration versions.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -7,16 +7,16 @@
 use alderhaven_policy::latency_window::LatencyWindow;
 use alderhaven_policy::weighted_round_robin::WeightedRoundRobin;
 
-/// The samples between two readings of the quantiles, which cost more than a sample.
+/// Samples between two updates of the quantiles, which cost more than adding a sample.
 const QUANTILE_REFRESH_SAMPLES: u32 = 32;
 
-/// The quantile of parts' times after which one counts as late.
+/// Latency quantile above which an attempt counts as late.
 const LATE_QUANTILE: f64 = 0.88;
 
-/// The share of the latency target that an attempt takes while nothing was measured.
+/// Typical latency as a share of the latency target while there are no samples.
 const DEFAULT_LATENCY_SHARE: f64 = 0.2;
 
-/// A `RouteState` holds the times of a route's attempts and the dealing of a split.
+/// Measured state of one route, shared by all its requests.
 #[derive(Debug, Default)]
 pub struct RouteState {
     latencies: Mutex<RouteLatencies>,
@@ -33,7 +33,7 @@
 }
 
 impl RouteState {
-    /// Notes the time of an attempt that was answered.
+    /// Records the latency of an attempt that was answered.
     pub fn record_latency(&self, latency: TimeSpan) {
         let mut latencies = self.lock_latencies();
         latencies.window.add(latency);
@@ -46,21 +46,24 @@
         }
     }
 
-    /// Gets the usual time of an attempt, where the latency target is `target`.
+    /// Returns the median latency of attempts, or a share of the latency target `target` while
+    /// there are no samples.
     #[must_use]
     pub fn typical_latency(&self, target: TimeSpan) -> TimeSpan {
         let median = self.lock_latencies().median;
         median.unwrap_or_else(|| target.mul_f64(DEFAULT_LATENCY_SHARE))
     }
 
-    /// Gets the time after which an attempt is late, where the latency target is `target`.
+    /// Returns the latency above which an attempt is late, or a share of the latency target
+    /// `target` while there are no samples.
     #[must_use]
     pub fn late_threshold(&self, target: TimeSpan) -> TimeSpan {
         let late_threshold = self.lock_latencies().late_threshold;
         late_threshold.unwrap_or_else(|| target.mul_f64(2.0 * DEFAULT_LATENCY_SHARE))
     }
 
-    /// Gets how long a caller has waited already that has `time_left`.
+    /// Records the time left of a caller, and returns the estimated time that it has already
+    /// waited.
     pub fn record_caller_delay(&self, time_left: TimeSpan, now: TimePoint) -> CallerDelay {
         let mut estimator = self
             .caller_delay
@@ -69,7 +72,7 @@
         estimator.record_time_left(time_left, now)
     }
 
-    /// Deals the next request of a split.
+    /// Returns the index of the service that gets the next request of a split.
     pub fn next_split_index(&self, weights: &[f64]) -> Option<usize> {
         let mut split = self
             .weighted_split
--- a/alderhaven-front/src/routing_config.rs
+++ b/alderhaven-front/src/routing_config.rs
@@ -1,4 +1,4 @@
-//! A whole configuration of a front: one version of it is in force at a time.
+//! Complete routing configuration of a front. One version is in force at a time.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 use crate::route_rule::RouteRule;
 use crate::service_rule::ServiceRule;
 
-/// A `RoutingConfig` is one version of the configuration.
+/// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutingConfig {
-    /// Its version; a higher one is newer.
+    /// Version number; a higher one is newer.
     pub version: u64,
-    /// The routes.
+    /// Routes that match requests.
     pub routes: Vec<RouteRule>,
-    /// What is known of each service, by name.
+    /// Settings of each service, by service name.
     pub services: BTreeMap<String, ServiceRule>,
-    /// What a caller may send and how long it may take.
+    /// Limits on the size and duration of requests.
     pub limits: CallerLimits,
 }
--- a/alderhaven-front/src/service_rule.rs
+++ b/alderhaven-front/src/service_rule.rs
@@ -1,15 +1,15 @@
-//! What the configuration says of a service.
+//! Settings of a service.
 
 use serde::{Deserialize, Serialize};
 
 use crate::warmup_rule::WarmupRule;
 
-/// A `ServiceRule` holds what all servers of a service have in common.
+/// Settings that apply to every server of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRule {
-    /// The connections that one server accepts from all nodes together.
+    /// Connections that one server accepts from all nodes together.
     pub max_connections: usize,
-    /// What a cold server tolerates; none where it tolerates any load.
+    /// Load limit of a cold server, or `None` if a cold server takes any load.
     pub warmup: Option<WarmupRule>,
 }
--- a/alderhaven-front/src/service_targets.rs
+++ b/alderhaven-front/src/service_targets.rs
@@ -1,4 +1,4 @@
-//! The targets of one service, the choice among them and the budget of repeats towards them.
+//! Targets of one service, the choice among them, and the shared budget of repeats.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,29 +10,31 @@
 
 use crate::target_handle::{TargetHandle, TargetStatus};
 
-/// What a target whose registration has lapsed must be faster by: it is used only where all others
-/// are stuck.
+/// Expected cost added to a target whose registration has expired, so that it is used only if all
+/// others are stuck.
 const EXPIRED_PENALTY: TimeSpan = TimeSpan::from_millis(200);
 
-/// What a target in a silent failure domain must be faster by: it is used only where there is no other.
+/// Expected cost added to a target in a silent failure domain, so that it is used only if there is
+/// no other.
 const SILENT_PENALTY: TimeSpan = TimeSpan::from_millis(400);
 
-/// What a target must be faster by that lies in the failure domain of one that was tried already.
+/// Expected cost added to a target that shares its failure domain with one that was already tried.
 const SAME_DOMAIN_PENALTY: TimeSpan = TimeSpan::from_millis(100);
 
-/// A `ServiceTargets` is a service as one view of the catalog shows it.
+/// One service within a catalog view.
 #[derive(Clone, Debug)]
 pub struct ServiceTargets {
-    /// The name of the service.
+    /// Name of the service.
     pub name: String,
-    /// Its targets, those that leave too.
+    /// All known targets, including those that are leaving.
     pub targets: Vec<Arc<TargetHandle>>,
-    /// The budget of repeats, shared by all views.
+    /// Budget of hedges and retries, shared by all catalog views.
     pub budget: Arc<Mutex<RepeatBudget>>,
 }
 
 impl ServiceTargets {
-    /// Chooses a target that is not among `tried`; none where no other may be used now.
+    /// Chooses the target with the lowest expected cost that is not in `tried`. Returns `None` if
+    /// no other can be used now.
     #[must_use]
     pub fn choose(
         &self,
@@ -58,7 +60,7 @@
             .map(|(_, target)| target)
     }
 
-    /// Gets the targets that may be used now, with what an attempt at each is expected to cost.
+    /// Returns the targets that can be used now, with the expected cost of an attempt at each.
     #[must_use]
     pub fn costs(
         &self,
@@ -71,13 +73,13 @@
             .collect()
     }
 
-    /// Locks the budget of repeats.
+    /// Locks the budget of hedges and retries.
     pub fn budget(&self) -> MutexGuard<'_, RepeatBudget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Gets what an attempt at the target is expected to cost; none where it may not be used.
+/// Returns the expected cost of an attempt as a time, or `None` if the target must not be used.
 fn cost(target: &TargetHandle, typical_latency: TimeSpan, now: TimePoint) -> Option<TimeSpan> {
     let expired_penalty = match target.status() {
         TargetStatus::Ready => TimeSpan::ZERO,
--- a/alderhaven-front/src/shard_reply.rs
+++ b/alderhaven-front/src/shard_reply.rs
@@ -1,4 +1,4 @@
-//! The answer of one shard.
+//! Reply of one shard.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, StatusCode};
@@ -6,22 +6,22 @@
 use crate::attempt::TargetReply;
 use crate::front_answer::ForwardedReply;
 
-/// A `ShardPart` is what stands for a shard in an answer.
+/// Records of one shard in an answer, alone or within a merged block.
 #[derive(Debug)]
 pub enum ShardReply {
-    /// A target's own reply, or its records alone.
+    /// Reply of a target, or only its records if it came through another front.
     Single(TargetReply),
-    /// The shard's records are among those of a block, which another front has merged.
+    /// The records of the shard are part of a block that another front has merged.
     Merged {
-        /// The place of the block in the query.
+        /// Index of the block within the query.
         block_index: usize,
-        /// The proof of the target's reply.
+        /// Proof header of the reply of the target.
         proof: HeaderValue,
     },
 }
 
 impl ShardReply {
-    /// Returns the answer of one shard that came through another front.
+    /// Wraps the records of a single shard that came through another front.
     #[must_use]
     pub fn from_records(records: Bytes, proof: HeaderValue) -> Self {
         Self::Single(TargetReply {
@@ -34,7 +34,7 @@
         })
     }
 
-    /// Gets the proof of the target's reply.
+    /// Returns the proof header of the reply, if the target sent one.
     #[must_use]
     pub const fn proof(&self) -> Option<&HeaderValue> {
         match self {
--- a/alderhaven-front/src/shard_set_id.rs
+++ b/alderhaven-front/src/shard_set_id.rs
@@ -1,20 +1,20 @@
-//! What tells one set of shards from another.
+//! Identifies a set of services.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// A `ShardSet` stands for the services of a gathered route: routes over the same ones share it.
+/// Hash of an ordered list of services. Routes over the same list share one admission gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ShardSetId(u64);
 
 impl ShardSetId {
-    /// Gets the set of one service.
+    /// Returns the id of a set with a single service.
     #[must_use]
     pub fn of_service(service: &str) -> Self {
         Self::of_services(&[service])
     }
 
-    /// Gets the set of these services.
+    /// Returns the id of these services, which depends on their order.
     #[must_use]
     pub fn of_services<S: Hash>(services: &[S]) -> Self {
         let mut hasher = DefaultHasher::new();
--- a/alderhaven-front/src/shard_state.rs
+++ b/alderhaven-front/src/shard_state.rs
@@ -1,4 +1,4 @@
-//! One shard of a query that is under way.
+//! State of one shard of a query in progress.
 
 use std::sync::Arc;
 
@@ -11,37 +11,38 @@
 use crate::shard_reply::ShardReply;
 use crate::target_handle::TargetHandle;
 
-/// A `ShardRun` is the state of one shard, or of the one service of a query without shards.
+/// State of one shard, or of the single service of a query without shards.
 #[derive(Debug)]
 pub struct ShardState {
-    /// Its targets; none where no target of the service is known.
+    /// Targets of the service, or `None` if no target of it is known.
     pub service: Option<Arc<ServiceTargets>>,
-    /// The targets that were asked.
+    /// Targets that an attempt was started at, in order.
     pub tried: SmallVec<[Arc<TargetHandle>; 2]>,
-    /// When each of them was asked.
+    /// Start of the attempt at each of the tried targets.
     pub sent_at: SmallVec<[TimePoint; 2]>,
-    /// The targets that may have run the request.
+    /// Number of targets that may have run the request.
     pub possible_runs: usize,
-    /// The attempts that were never sent.
+    /// Number of attempts that were never sent.
     pub unsent: usize,
-    /// The attempts that were sent to a failure domain which was lost, where they will hardly run.
+    /// Number of attempts that were sent to a failure domain which was then lost. They are assumed
+    /// not to run.
     pub lost_with_domain: usize,
-    /// The targets that were given up with their failure domain, though they may still answer.
+    /// Targets that were abandoned with their failure domain. They may still reply.
     pub abandoned: SmallVec<[Arc<TargetHandle>; 2]>,
-    /// The attempts that are out.
+    /// Number of attempts without an end, not counting abandoned ones.
     pub open_attempts: usize,
-    /// When another replica is asked too; none where that is not due any more.
+    /// When the next hedge is due, or `None` if none is planned.
     pub hedge_at: Option<TimePoint>,
-    /// Whether a target refused it.
+    /// Whether a target rejected an attempt without running it.
     pub is_refused: bool,
-    /// The answer.
+    /// Reply that goes into the answer.
     pub reply: Option<ShardReply>,
-    /// The latest failure that a target answered with.
+    /// Latest reply in which a target reported a failure.
     pub failure: Option<TargetReply>,
 }
 
 impl ShardState {
-    /// Returns a shard of which no target was asked yet.
+    /// Creates a shard without attempts.
     #[must_use]
     pub fn new(service: Option<Arc<ServiceTargets>>) -> Self {
         Self {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Notes that a target is asked.
+    /// Records the start of an attempt, which counts as a possible run until it is known not to
+    /// have run.
     pub fn begin_attempt(&mut self, target: Arc<TargetHandle>, now: TimePoint) {
         target.warmup().record_sent(now);
         self.tried.push(target);
@@ -69,18 +71,18 @@
         self.possible_runs += 1;
     }
 
-    /// Notes that a target refused an attempt without running it.
+    /// Records that a target rejected an attempt without running it.
     pub const fn record_refused(&mut self) {
         self.possible_runs -= 1;
     }
 
-    /// Notes that an attempt was never sent.
+    /// Records that an attempt was never sent.
     pub const fn record_unsent(&mut self) {
         self.possible_runs -= 1;
         self.unsent += 1;
     }
 
-    /// Gives up the open attempt at a target whose failure domain is silent.
+    /// Abandons the open attempt at a target whose failure domain is silent.
     pub fn abandon(&mut self, target: Arc<TargetHandle>, status: AbandonedStatus) {
         self.abandoned.push(target);
         self.open_attempts -= 1;
@@ -91,19 +93,20 @@
         }
     }
 
-    /// Gets the targets that count towards the most that the route allows: not those that were cut off.
+    /// Returns the number of targets that count towards the limit of the route: possible runs,
+    /// except those lost with their failure domain.
     #[must_use]
     pub const fn counted_targets(&self) -> usize {
         self.possible_runs - self.lost_with_domain
     }
 
-    /// Returns true where the request has arrived at the service, as far as can be told.
+    /// Returns `true` if any attempt may have reached the service.
     #[must_use]
     pub fn has_reached_service(&self) -> bool {
         self.tried.len() > self.unsent + self.lost_with_domain
     }
 
-    /// Returns true where the attempt at a target was given up.
+    /// Returns `true` if the attempt at this target was abandoned.
     #[must_use]
     pub fn is_abandoned(&self, target: &Arc<TargetHandle>) -> bool {
         self.abandoned
@@ -111,7 +114,7 @@
             .any(|abandoned| Arc::ptr_eq(abandoned, target))
     }
 
-    /// Chooses the best target that was not asked yet; none where no other may be used now.
+    /// Chooses the best untried target. Returns `None` if no other can be used now.
     #[must_use]
     pub fn next_target(
         &self,
@@ -122,7 +125,7 @@
         service.choose(&self.tried, typical_latency, now).cloned()
     }
 
-    /// Returns true while an answer may still come.
+    /// Returns `true` while a reply is missing and may still come.
     #[must_use]
     pub const fn is_open(&self) -> bool {
         self.reply.is_none() && self.open_attempts > 0
--- a/alderhaven-front/src/target_entry.rs
+++ b/alderhaven-front/src/target_entry.rs
@@ -1,4 +1,4 @@
-//! What a target says of itself.
+//! Registration data of a target.
 
 use std::net::SocketAddr;
 
@@ -6,24 +6,24 @@
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// A `TargetEntry` is the registration of one target.
+/// Registration of one target, as the target published it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, bon::Builder)]
 #[serde(deny_unknown_fields)]
 pub struct TargetEntry {
-    /// The id; a target may start again under the id that it had.
+    /// Target id. A restarted target may register under the same id.
     pub id: String,
-    /// The start of its process, as it says itself; another start is another process.
+    /// Start of its process, as the target reports it. A different value means another process.
     pub started: u64,
-    /// The service that it belongs to.
+    /// Service that it belongs to.
     pub service: String,
-    /// Where it is reached.
+    /// Address that requests are sent to.
     pub address: SocketAddr,
-    /// Its failure domain, if that has a usable name.
+    /// Failure domain, or `None` if the registered name is not valid.
     pub domain: Option<FailureDomain>,
-    /// The requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it leaves and takes no new work.
+    /// Whether it is leaving and takes no new work.
     pub is_leaving: bool,
-    /// How much longer it is slow after its start, when it said so.
+    /// Remaining warm-up time as the target reported it; zero if it reported none.
     pub warmup_left: TimeSpan,
 }
--- a/alderhaven-front/src/target_handle.rs
+++ b/alderhaven-front/src/target_handle.rs
@@ -1,4 +1,4 @@
-//! A target as this process knows it: its registration, its connections and what was seen of it.
+//! A target as seen by this process: registration, connections, statistics and status.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,40 +12,40 @@
 use crate::target_entry::TargetEntry;
 use crate::target_pool::TargetPool;
 
-/// A `TargetHandle` is one process of a target. A process that starts again gets a new one.
+/// One process of a target. A restarted target gets a new handle.
 #[derive(Debug)]
 pub struct TargetHandle {
-    /// The registration as it was first seen; [`TargetHandle::entry`] is the latest.
+    /// Latest registration.
     entry: ArcSwap<TargetEntry>,
-    /// The connections.
+    /// Connection pool of the target.
     pub pool: TargetPool,
-    /// Whether it lies in this process's failure domain.
+    /// Whether the target is in the failure domain of this process.
     pub is_in_own_domain: bool,
     stats: Mutex<ReplicaStats>,
     status: Mutex<TargetStatus>,
     warmup: Mutex<WarmupLimit>,
-    /// What was heard of its failure domain, shared by all targets there.
+    /// Reachability of its failure domain, shared by all targets there.
     silence: SharedSilence,
     is_evacuated: AtomicBool,
     has_preconnected: AtomicBool,
 }
 
-/// What was heard of a failure domain, shared by its targets.
+/// Reachability of a failure domain, shared by its targets.
 pub type SharedSilence = Arc<Mutex<DomainSilence>>;
 
-/// A `TargetStanding` says whether a target may be used.
+/// Whether a target may be used, by its registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetStatus {
-    /// It takes work.
+    /// Registered and taking work.
     Ready,
-    /// Its registration has lapsed, so that it is used where there is no other, until this moment.
+    /// The registration has expired. Until this time the target is used if there is no other.
     Expired(TimePoint),
-    /// It gets no new work.
+    /// Leaving or gone: it gets no new work.
     Leaving,
 }
 
 impl TargetHandle {
-    /// Returns a target of which nothing was seen yet.
+    /// Creates a handle without statistics. Its status follows from the registration.
     #[must_use]
     pub fn new(
         entry: TargetEntry,
@@ -71,13 +71,14 @@
         }
     }
 
-    /// Gets the latest registration.
+    /// Returns the latest registration.
     #[must_use]
     pub fn entry(&self) -> Arc<TargetEntry> {
         self.entry.load_full()
     }
 
-    /// Takes over a newer registration of the same process.
+    /// Replaces the registration by a newer one of the same process, and resets the status
+    /// accordingly.
     pub fn update(&self, entry: TargetEntry) {
         self.set_status(if entry.is_leaving {
             TargetStatus::Leaving
@@ -87,57 +88,59 @@
         self.entry.store(Arc::new(entry));
     }
 
-    /// Gets whether it may be used.
+    /// Returns whether the target may be used.
     #[must_use]
     pub fn status(&self) -> TargetStatus {
         *self.lock_status()
     }
 
-    /// Changes whether it may be used.
+    /// Sets whether the target may be used.
     pub fn set_status(&self, status: TargetStatus) {
         *self.lock_status() = status;
     }
 
-    /// Returns true where its failure domain is evacuated: it gets no new work.
+    /// Returns `true` if its failure domain is evacuated, in which case it gets no new work.
     #[must_use]
     pub fn is_evacuated(&self) -> bool {
         self.is_evacuated.load(Ordering::Relaxed)
     }
 
-    /// Changes whether its failure domain is evacuated.
+    /// Sets whether its failure domain is evacuated.
     pub fn set_evacuated(&self, is_evacuated: bool) {
         self.is_evacuated.store(is_evacuated, Ordering::Relaxed);
     }
 
-    /// Returns true where it gets no new work, also from requests that have chosen it before.
+    /// Returns `true` if the target gets no new work, not even from requests that have already
+    /// chosen it.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.is_evacuated() || self.status() == TargetStatus::Leaving
     }
 
-    /// Locks what was heard of its failure domain.
+    /// Locks the reachability of its failure domain.
     pub fn silence(&self) -> MutexGuard<'_, DomainSilence> {
         self.silence.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns true where both lie in one failure domain.
+    /// Returns `true` if both targets are known to be in the same failure domain.
     #[must_use]
     pub fn shares_domain_with(&self, other: &Self) -> bool {
         let domain = self.entry().domain.clone();
         domain.is_some() && domain == other.entry().domain
     }
 
-    /// Locks what holds requests back while it is cold.
+    /// Locks the limit on requests while the target is cold.
     pub fn warmup(&self) -> MutexGuard<'_, WarmupLimit> {
         self.warmup.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns true the first time: its connections should be opened ahead of requests.
+    /// Returns `true` on the first call only. The caller then opens a connection ahead of
+    /// requests.
     pub fn start_preconnect(&self) -> bool {
         !self.has_preconnected.swap(true, Ordering::Relaxed)
     }
 
-    /// Locks what was seen of it.
+    /// Locks the latency and failure statistics.
     pub fn stats(&self) -> MutexGuard<'_, ReplicaStats> {
         self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/alderhaven-front/src/target_pool.rs
+++ b/alderhaven-front/src/target_pool.rs
@@ -1,8 +1,8 @@
-//! The kept connections to one target.
+//! Pool of HTTP/1 connections to one target.
 //!
-//! A new connection costs a target several milliseconds and one of its slots, so one that has
-//! answered is kept. A connection carries one request at a time and is given back only when the whole
-//! reply to its request was read: no reply can be taken for that of another request.
+//! Connections are reused, because opening one costs the target time and one of its slots. A
+//! connection carries one request at a time and is returned only after the whole reply was read,
+//! so a reply cannot be taken for that of another request.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,18 +21,18 @@
 
 use crate::wire_dialect::WholeBody;
 
-/// The time to open a connection. A packet that is dropped because the target's queue is full comes again
+/// Timeout of the TCP connect. A SYN that is dropped because the accept queue is full is resent
 /// only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a connection is kept where the target does not say how long it keeps it.
+/// Idle timeout if the target announces none.
 const DEFAULT_IDLE_TIMEOUT: TimeSpan = TimeSpan::from_secs(4);
 
-/// The share of the target's own idle timeout after which a connection is no longer used: what is
-/// sent into the moment of its close is lost.
+/// Share of the target's idle timeout after which an idle connection is no longer used. A request
+/// that is sent while the target closes the connection is lost.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 
-/// A `TargetPool` keeps the connections to one target.
+/// Idle connections to one target, and a limit on those in use.
 #[derive(Debug)]
 pub struct TargetPool {
     address: SocketAddr,
@@ -56,14 +56,14 @@
 }
 
 impl Drop for OpenConnection {
-    /// Closes the connection at once, with all that is under way on it: a target stops working on a
-    /// request when its connection closes.
+    /// Closes the connection at once together with a request in flight. A target stops working on
+    /// a request when its connection closes.
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-/// A `PooledConnection` is a connection that was taken for one request.
+/// A connection that is taken from the pool for one request.
 #[derive(Debug)]
 pub struct PooledConnection {
     connection: OpenConnection,
@@ -72,12 +72,12 @@
 }
 
 impl PooledConnection {
-    /// Gets the sender.
+    /// Returns the HTTP/1 request sender.
     pub fn sender(&mut self) -> &mut SendRequest<WholeBody> {
         &mut self.connection.sender
     }
 
-    /// Returns true where the connection was opened for this request.
+    /// Returns `true` if the connection was opened for this request.
     #[must_use]
     pub const fn is_new(&self) -> bool {
         self.is_new
@@ -85,7 +85,7 @@
 }
 
 impl TargetPool {
-    /// Returns an empty pool of at most `limit` connections.
+    /// Creates an empty pool that allows `limit` connections in use.
     #[must_use]
     pub fn new(address: SocketAddr, limit: usize, clock: ProcessClock) -> Self {
         Self {
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Changes the most connections that are open.
+    /// Sets the limit of connections in use. A decrease takes back free permits only; the rest
+    /// follows with later calls.
     pub fn set_limit(&self, limit: usize) {
         let mut current = self.limit.lock().unwrap_or_else(PoisonError::into_inner);
         if limit > *current {
@@ -108,12 +109,14 @@
         }
     }
 
-    /// Takes a connection, and waits while as many as allowed carry requests. For a request that may
-    /// run once only, `is_fresh` asks for one that is opened now: a kept one may have gone silent or
-    /// may be closed at this moment, and what is sent on it is then lost without a trace.
+    /// Takes a connection, and waits while the limit is reached.
+    ///
+    /// With `must_be_new` the connection is opened now, for requests that may run only once: a
+    /// request on an idle connection that has gone silent or is being closed is lost, and whether
+    /// it ran is unknown.
     ///
     /// # Errors
-    /// An error of the operating system, or a time-out: no byte of a request was sent.
+    /// The connection cannot be opened in time. Nothing of a request has been sent.
     pub async fn take(&self, must_be_new: bool) -> io::Result<PooledConnection> {
         let permit = Arc::clone(&self.permits)
             .acquire_owned()
@@ -136,15 +139,15 @@
     /// Replaces a connection that was found closed before anything was sent on it.
     ///
     /// # Errors
-    /// An error of the operating system, or a time-out.
+    /// The connection cannot be opened in time.
     pub async fn replace(&self, taken: &mut PooledConnection) -> io::Result<()> {
         taken.connection = self.connect().await?;
         taken.is_new = true;
         Ok(())
     }
 
-    /// Gives back a connection whose last request was answered whole; `keep` is how long the target
-    /// says that it keeps it.
+    /// Returns a connection after a complete reply. `keep_alive_timeout` is the idle timeout that
+    /// the target announced.
     pub fn give_back(&self, taken: PooledConnection, keep_alive_timeout: Option<TimeSpan>) {
         if taken.connection.sender.is_closed() {
             return;
@@ -157,34 +160,34 @@
                 .mul_f64(IDLE_TIMEOUT_SHARE),
         };
         let mut kept = self.idle();
-        // Requests that want fresh connections leave theirs behind: all of them count at the target.
+        // Requests that open new connections return them as well. Limiting the idle ones keeps the
+        // total at the target bounded.
         if kept.len() < self.max_idle() {
             kept.push(idle);
         }
     }
 
-    /// Gives back a connection that nothing was sent on, because its request was over before.
+    /// Returns a connection on which nothing was sent, because its request ended while it waited.
     ///
-    /// Failure: while targets are full, attempts wait for connections until they are too late. Closing
-    /// what was opened for them costs the next attempt a new connection, which holds one of the
-    /// target's slots for some milliseconds: the target has the less room the more it is asked.
+    /// Closing it would cost the next attempt a new connection, which occupies a slot of a target
+    /// that is already full.
     pub fn give_back_unused(&self, taken: PooledConnection) {
         self.give_back(taken, None);
     }
 
-    /// Gets the most connections that are kept beside those in use.
+    /// Returns the limit of idle connections, given those in use.
     fn max_idle(&self) -> usize {
         let limit = *self.limit.lock().unwrap_or_else(PoisonError::into_inner);
-        // The connection that is given back still counts as in use.
+        // The connection that is being returned still holds its permit.
         self.permits.available_permits().min(limit) + 1
     }
 
-    /// Opens a connection ahead of its first request, unless there is one.
+    /// Opens an idle connection ahead of the first request, unless there is one.
     pub async fn preconnect(&self) {
         if !self.idle().is_empty() {
             return;
         }
-        // A target that can't be reached shows it to the first request.
+        // Connect errors are left for the first request to handle.
         if let Ok(connection) = self.connect().await {
             let idle = IdleConnection {
                 connection,
@@ -195,10 +198,10 @@
         }
     }
 
-    /// Closes the connections that are idle.
+    /// Closes the idle connections.
     ///
-    /// The path may have lost track of all connections that were open: they stay silent while new
-    /// ones work, and each of them would cost one more attempt.
+    /// After a network failure, established connections may stay silent while new ones work. Each
+    /// of them would cost one more attempt.
     pub fn close_idle(&self) {
         self.idle().clear();
     }
@@ -222,7 +225,7 @@
             .await
             .map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
-            // An error of the connection reaches the request on it through its sender.
+            // Connection errors reach the request through its sender.
             let _ended = driver.await;
         });
         Ok(OpenConnection {
--- a/alderhaven-front/src/warmup_rule.rs
+++ b/alderhaven-front/src/warmup_rule.rs
@@ -1,15 +1,15 @@
-//! What the configuration says of cold servers.
+//! Warm-up settings of a service.
 
 use alderhaven_core::quantities::RatePerSecond;
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// A `WarmupRule` says how a server is to be loaded after its start.
+/// Load limit of a server after its start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WarmupRule {
-    /// How long a server stays cold.
+    /// How long a server stays cold after its start.
     pub span: TimeSpan,
-    /// The requests a second that a cold server tolerates from all nodes together.
+    /// Requests per second that a cold server tolerates from all nodes together.
     pub rate: RatePerSecond,
 }
--- a/alderhaven-front/tests/attempt_phase.rs
+++ b/alderhaven-front/tests/attempt_phase.rs
@@ -1,15 +1,14 @@
-//! The race between an attempt and the end of its request.
+//! Race between sending an attempt and cancelling it.
 
 use std::sync::{Arc, Barrier};
 use std::thread;
 
 use alderhaven_front::attempt_phase::AttemptPhase;
 
-/// A caller's time is over at the moment at which a connection for its booking is ready. Either the booking is
-/// sent and the caller hears that it may have run, or it is never sent and the caller may book again: both
-/// together would book twice.
+/// If both sides won, the caller would be told that a request was never sent although it was, and
+/// a resend would run it twice.
 #[test]
-fn call_off_and_begin_send_never_both_succeed() {
+fn cancel_and_begin_send_never_both_succeed() {
     for _ in 0..500 {
         let phase = AttemptPhase::default();
         let start = Arc::new(Barrier::new(2));
@@ -19,14 +18,14 @@
             sender.begin_send()
         });
         start.wait();
-        let is_called_off = phase.cancel();
-        let is_sent = sending.join().expect("the thread ends");
-        assert_ne!(is_sent, is_called_off);
+        let is_cancelled = phase.cancel();
+        let is_sent = sending.join().expect("the sending thread panicked");
+        assert_ne!(is_sent, is_cancelled);
     }
 }
 
 #[test]
-fn call_off_after_begin_send_says_that_it_may_have_run() {
+fn cancel_after_begin_send_fails() {
     let phase = AttemptPhase::default();
     assert!(phase.begin_send());
     assert!(!phase.cancel());
--- a/alderhaven-front/tests/group_links.rs
+++ b/alderhaven-front/tests/group_links.rs
@@ -1,4 +1,4 @@
-//! The connections to fronts in other failure domains.
+//! Links to fronts in other failure domains.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -15,19 +15,19 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// How long a condition may take to become true before a test fails: far above what a busy machine
-/// needs.
+/// How long a condition may take to become true before a test fails.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A member of the group in a failure domain, that other fronts ask at `peer_address`.
+/// Starts a member of the node group, in a failure domain of its own name, that serves group
+/// requests at `peer_address`.
 async fn member(name: &str, peer_address: SocketAddr, seeds: Vec<SocketAddr>) -> NodeGroup {
     let options = GroupOptions::builder()
-        .node(name.parse().expect("a name"))
+        .node(name.parse().expect("invalid name"))
         .role(MemberRole::Entry)
-        .host(name.parse().expect("a name"))
-        .domain(name.parse().expect("a name"))
+        .host(name.parse().expect("invalid name"))
+        .domain(name.parse().expect("invalid name"))
         .gossip_listen(LOOPBACK)
         .seeds(seeds)
         .peer_address(peer_address)
@@ -40,10 +40,10 @@
         .changed(watch::Sender::new(0).subscribe())
         .build();
     let group = NodeGroup::start_with(options, access).await;
-    group.expect("a group")
+    group.expect("the node group did not start")
 }
 
-/// The other front's end of a link.
+/// The remote front of a link, driven by the test.
 struct RemoteFront {
     sender: FrameSender,
     reader: FrameReader,
@@ -51,10 +51,10 @@
 
 impl RemoteFront {
     async fn accept(listener: &TcpListener) -> Self {
-        let (stream, _) = listener.accept().await.expect("a connection");
-        let (sender, reader) = connection::split(stream).expect("its halves");
+        let (stream, _) = listener.accept().await.expect("accept failed");
+        let (sender, reader) = connection::split(stream).expect("failed to split the connection");
         let mut remote = Self { sender, reader };
-        // The first ask is empty: by it the two find out how their clocks differ.
+        // The first request is empty and serves to measure the clock offset.
         let first = remote.next_request().await;
         remote.reply(&first);
         remote
@@ -65,7 +65,7 @@
             match connection::next_message(&mut self.reader).await {
                 Some(PeerMessage::GroupAsk(request)) => return request,
                 Some(_) => {}
-                None => panic!("the link has ended"),
+                None => panic!("the connection ended before a group request"),
             }
         }
     }
@@ -76,11 +76,11 @@
             ..GroupReply::default()
         };
         let sent = self.sender.send(PeerMessage::GroupReply(reply));
-        sent.expect("the link is open");
+        sent.expect("the connection is closed");
     }
 }
 
-/// An `OpenLink` is a link to a front of another failure domain, with the first ask on it.
+/// A link to a front of another failure domain, with the first request open on it.
 struct LinkFixture {
     links: GroupLinks,
     domain: FailureDomain,
@@ -91,13 +91,15 @@
 
 impl LinkFixture {
     async fn start() -> Self {
-        let listener = TcpListener::bind(LOOPBACK).await.expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind(LOOPBACK)
+            .await
+            .expect("failed to bind the listener");
+        let address = listener.local_addr().expect("the listener has no address");
         let own = member("a", LOOPBACK, Vec::new()).await;
         let seeds = own.gossip_address().into_iter().collect();
         let other = member("b", address, seeds).await;
         let links = GroupLinks::new(own, ProcessClock::default());
-        let domain: FailureDomain = "b".parse().expect("a domain");
+        let domain: FailureDomain = "b".parse().expect("invalid failure domain name");
         let (first_call, remote) = open_link(&links, &domain, &listener).await;
         Self {
             links,
@@ -109,7 +111,8 @@
     }
 }
 
-/// Asks until a connection stands; where the machine is busy it may be the second one.
+/// Sends requests and accepts connections until one is usable. On a busy machine the first
+/// connection may time out.
 async fn open_link(
     links: &GroupLinks,
     domain: &FailureDomain,
@@ -119,13 +122,13 @@
     let mut sending = std::pin::pin!(send_until_connected(links, domain));
     loop {
         tokio::select! {
-            first = sending.as_mut() => return (first, remote.expect("an open connection")),
+            first = sending.as_mut() => return (first, remote.expect("no connection was accepted")),
             accepted = RemoteFront::accept(listener) => remote = Some(accepted),
         }
     }
 }
 
-/// Asks until a connection stands.
+/// Sends requests until one finds a usable connection.
 async fn send_until_connected(links: &GroupLinks, domain: &FailureDomain) -> GroupCall {
     let sending = async {
         loop {
@@ -136,12 +139,11 @@
         }
     };
     let connected = tokio::time::timeout(CONDITION_TIMEOUT, sending).await;
-    connected.expect("a connection in time")
+    connected.expect("no usable connection in time")
 }
 
-/// After a restart of all hosts another front is late with its reply. The query that noticed it asks
-/// elsewhere; one that was sent a moment ago on the same connection still gets its reply, where a
-/// link that is given up as a whole would have lost it with all its shards.
+/// Guards against dropping every open request when one is overdue: a front that is only late still
+/// replies to requests that were sent a moment ago.
 #[tokio::test]
 async fn late_front_still_answers_open_requests() {
     let LinkFixture {
@@ -153,7 +155,7 @@
     } = LinkFixture::start().await;
     let mut recent = links
         .send(&domain, GroupAsk::default())
-        .expect("it is open");
+        .expect("the link is not usable");
     let _late_request = remote.next_request().await;
     let recent_request = remote.next_request().await;
     late.mark_overdue();
@@ -163,7 +165,7 @@
     assert!(matches!(event, Ok(Some(GroupEvent::Reply(_)))), "{event:?}");
 }
 
-/// The connection to another front ends. Every query that waits for it hears so.
+/// Guards against calls that wait for replies on a lost connection.
 #[tokio::test]
 async fn lost_link_is_reported_to_all_open_calls() {
     let LinkFixture {
@@ -175,7 +177,7 @@
     } = LinkFixture::start().await;
     let mut second = links
         .send(&domain, GroupAsk::default())
-        .expect("it is open");
+        .expect("the link is not usable");
     drop(remote);
     for call in [&mut first_call, &mut second] {
         let event = tokio::time::timeout(CONDITION_TIMEOUT, call.events.recv()).await;
@@ -183,20 +185,23 @@
     }
 }
 
-/// Another front stands still while the connection to it is made. Its first ask would be taken up late,
-/// with all the time that the caller had at first; it is sent nothing before it has answered.
+/// Guards against requests to a front that stalls while the connection is opened: it would process
+/// them late, with the full time left of the caller.
 #[tokio::test]
 async fn stalled_front_gets_no_requests() {
-    let listener = TcpListener::bind(LOOPBACK).await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind(LOOPBACK)
+        .await
+        .expect("failed to bind the listener");
+    let address = listener.local_addr().expect("the listener has no address");
     let own = member("a", LOOPBACK, Vec::new()).await;
     let seeds = own.gossip_address().into_iter().collect();
     let _other = member("b", address, seeds).await;
     let links = GroupLinks::new(own, ProcessClock::default());
-    let domain: FailureDomain = "b".parse().expect("a domain");
+    let domain: FailureDomain = "b".parse().expect("invalid failure domain name");
     let accepting = async {
-        let (stream, _) = listener.accept().await.expect("a connection");
-        let (_sender, mut reader) = connection::split(stream).expect("its halves");
+        let (stream, _) = listener.accept().await.expect("accept failed");
+        let (_sender, mut reader) =
+            connection::split(stream).expect("failed to split the connection");
         let mut requests = Vec::new();
         while let Some(message) = connection::next_message(&mut reader).await {
             requests.push(message);
@@ -213,9 +218,5 @@
         received = accepting => received,
         () = sending => Vec::new(),
     };
-    assert_eq!(
-        received.len(),
-        1,
-        "the empty request alone, and then the end"
-    );
+    assert_eq!(received.len(), 1, "expected the empty first request only");
 }
