--- a/alderhaven-front/src/query_run.rs
+++ b/alderhaven-front/src/query_run.rs
@@ -379,8 +379,8 @@
         }
         // An attempt counts as a repeat only if an earlier one may have reached the service.
         let is_repeat = state.has_reached_service();
-        let share = self.context.catalog.share().repeat_share();
-        if is_repeat && !service.budget().take(reason, share, now) {
+        let repeat_share = self.context.catalog.share().repeat_share();
+        if is_repeat && !service.budget().take(reason, repeat_share, now) {
             self.context.metrics.refused_repeats.inc();
             return None;
         }
--- a/alderhaven-front/src/query_run/completion.rs
+++ b/alderhaven-front/src/query_run/completion.rs
@@ -26,11 +26,12 @@
 
 /// The shortest `Retry-After` of a caller whose targets all refused.
 const RETRY_AFTER_MIN: TimeSpan = TimeSpan::from_millis(60);
-/// Upper bound of the random delay added to it, so that rejected callers do not retry at once.
+/// Upper bound of the random delay added to it, which spreads the retries of callers that were
+/// rejected together.
 const RETRY_AFTER_JITTER: TimeSpan = TimeSpan::from_millis(120);
 
-/// Random factor on the retry delay of an admission refusal, so that rejected callers do not retry
-/// at once.
+/// Random factor on the retry delay of an admission refusal, which spreads the retries of callers
+/// that were refused together.
 const REFUSAL_JITTER_FACTOR: std::ops::Range<f64> = 0.5..1.5;
 
 impl QueryRun<'_> {
--- a/alderhaven-front/src/query_run/group_requests.rs
+++ b/alderhaven-front/src/query_run/group_requests.rs
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Records an attempt through another front that brought no reply, and retries its shard.
+    /// Records an attempt through another front that did not succeed, and retries its shard.
     pub(super) fn handle_failed_attempt(
         &mut self,
         index: usize,
