--- a/alderhaven-front/src/group_plan.rs
+++ b/alderhaven-front/src/group_plan.rs
@@ -1,8 +1,7 @@
-//! Which shards of a query are asked through a front of another failure domain: all whose target lies
-//! in one, hedges included.
+//! Groups the shards of a query that are sent through a front of another failure domain.
 //!
-//! An ask has the caller's request once for all its shards, and replies have no headers; even for one
-//! shard that is less than a request of its own on a connection across.
+//! A group request carries the caller's request once for all its shards, and replies have no
+//! headers. This saves traffic between failure domains even for a single shard.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,59 +12,63 @@
 use crate::shard_state::ShardState;
 use crate::target_handle::TargetHandle;
 
-/// What a target may be expected to take longer than the best one and still be chosen because it
-/// lies where most others do.
+/// How much more than the best target a target may be expected to cost and still be chosen to join
+/// a larger group.
 const MAX_GROUPING_COST: TimeSpan = TimeSpan::from_millis(6);
 
-/// A `ChosenShard` is a shard, by its place in the query, with the target that it is to be sent to.
+/// Index of a shard within the query, and the target that it is sent to.
 pub type ShardAssignment = (usize, Arc<TargetHandle>);
 
-/// A `ShardGroup` is a group of shards that are asked together.
+/// Shards that are sent in one group request.
 #[derive(Debug)]
 pub struct ShardGroup {
-    /// The failure domain of the targets.
+    /// Failure domain of all the targets.
     pub domain: FailureDomain,
-    /// The shards, by their places in the query, each with its target.
+    /// Shard indices with their targets.
     pub shards: Vec<ShardAssignment>,
 }
 
-/// Groups the shards whose best target lies in another failure domain; those that are in no group
-/// are asked directly. `best` holds the best target of each shard.
+/// Groups the shards whose best target lies in another failure domain. Shards in no group are sent
+/// directly. `best` holds the best target of each shard.
 #[must_use]
 pub fn group_cross_domain_shards(
     shards: &[ShardState],
     best: &[Option<Arc<TargetHandle>>],
-    usual: TimeSpan,
+    typical_latency: TimeSpan,
     now: TimePoint,
 ) -> Vec<ShardGroup> {
-    let is_far = |target: &Option<Arc<TargetHandle>>| {
+    let is_cross_domain = |target: &Option<Arc<TargetHandle>>| {
         target
             .as_ref()
             .is_some_and(|target| !target.is_in_own_domain)
     };
-    let mut far: Vec<usize> = (0..shards.len())
-        .filter(|place| is_far(&best[*place]))
+    let mut ungrouped: Vec<usize> = (0..shards.len())
+        .filter(|index| is_cross_domain(&best[*index]))
         .collect();
     let mut groups = Vec::new();
-    while let Some(group) = largest_group(shards, &far, usual, now) {
-        far.retain(|place| group.shards.iter().all(|(grouped, _)| grouped != place));
+    while let Some(group) = largest_group(shards, &ungrouped, typical_latency, now) {
+        ungrouped.retain(|index| group.shards.iter().all(|(grouped, _)| grouped != index));
         groups.push(group);
     }
     groups
 }
 
-/// Splits attempts into groups that are asked through a front of their targets' failure domain, and
-/// those that are sent directly. A query's hedges are due in the same moment, since its first
-/// attempts were sent in one, and most go to other failure domains.
+/// Splits assignments into one group for each other failure domain, and those that are sent
+/// directly.
+///
+/// The hedges of a query fall due together, because its first attempts were sent together, and
+/// most of them go to other failure domains.
 #[must_use]
-pub fn group_by_domain(chosen: Vec<ShardAssignment>) -> (Vec<ShardGroup>, Vec<ShardAssignment>) {
+pub fn group_by_domain(
+    assignments: Vec<ShardAssignment>,
+) -> (Vec<ShardGroup>, Vec<ShardAssignment>) {
     let mut by_domain: BTreeMap<FailureDomain, Vec<ShardAssignment>> = BTreeMap::new();
     let mut direct = Vec::new();
-    for (place, target) in chosen {
+    for (index, target) in assignments {
         let domain = target.entry().domain.clone();
         match domain.filter(|_| !target.is_in_own_domain) {
-            Some(domain) => by_domain.entry(domain).or_default().push((place, target)),
-            None => direct.push((place, target)),
+            Some(domain) => by_domain.entry(domain).or_default().push((index, target)),
+            None => direct.push((index, target)),
         }
     }
     let groups = by_domain
@@ -76,17 +79,17 @@
 
 fn largest_group(
     shards: &[ShardState],
-    far: &[usize],
-    usual: TimeSpan,
+    ungrouped: &[usize],
+    typical_latency: TimeSpan,
     now: TimePoint,
 ) -> Option<ShardGroup> {
     let mut by_domain: BTreeMap<FailureDomain, Vec<ShardAssignment>> = BTreeMap::new();
-    for place in far {
-        let Some(service) = &shards[*place].service else {
+    for index in ungrouped {
+        let Some(service) = &shards[*index].service else {
             continue;
         };
-        let costs = service.costs(usual, now);
-        let Some(least) = costs.iter().map(|(cost, _)| *cost).min() else {
+        let costs = service.costs(typical_latency, now);
+        let Some(lowest_cost) = costs.iter().map(|(cost, _)| *cost).min() else {
             continue;
         };
         for (cost, target) in costs {
@@ -95,9 +98,12 @@
                 continue;
             };
             let group = by_domain.entry(domain).or_default();
-            let is_new = group.last().is_none_or(|(last, _)| last != place);
-            if !target.is_in_own_domain && is_new && cost <= least + MAX_GROUPING_COST {
-                group.push((*place, Arc::clone(target)));
+            let is_first_target = group.last().is_none_or(|(last, _)| last != index);
+            if !target.is_in_own_domain
+                && is_first_target
+                && cost <= lowest_cost + MAX_GROUPING_COST
+            {
+                group.push((*index, Arc::clone(target)));
             }
         }
     }
--- a/alderhaven-front/src/query_run.rs
+++ b/alderhaven-front/src/query_run.rs
@@ -1,7 +1,7 @@
-//! A request on its way: its attempts, and when it is answered.
+//! Runs one request: its attempts, hedges and retries, and when it is answered.
 //!
-//! A request to one service is a query with one shard: choice, hedges and retries are the same, only
-//! the answer differs.
+//! A request to a single service runs as a query with one shard. Target choice, hedging and
+//! retries are the same, only the answer differs.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -40,7 +40,8 @@
 mod group_requests;
 mod silent_domains;
 
-/// A `QueryRun` carries one request to its answer.
+/// One request in progress. Dropping it early cancels its attempts and reports that the caller
+/// left.
 pub struct QueryRun<'a> {
     context: &'a FrontContext,
     call: &'a Arc<QueryCall>,
@@ -50,7 +51,7 @@
     late_threshold: TimeSpan,
     shards: Vec<ShardState>,
     attempts: FuturesUnordered<BoxFuture<'static, AttemptReport>>,
-    /// The attempts of its own that are out.
+    /// Unfinished attempts that this front sends itself.
     open_attempts: Vec<OpenAttempt>,
     group_requests: Vec<PendingGroupRequest>,
     merged_blocks: Vec<Bytes>,
@@ -61,24 +62,24 @@
     is_reported: bool,
     permit: Option<AdmissionPermit>,
     started_at: TimePoint,
-    /// The time until the answer of a caller that had not waited before.
+    /// Time from arrival to the partial answer for a caller without prior delay.
     usable_time: TimeSpan,
-    /// When enough shards were in.
+    /// When the number of answered shards first reached the minimum coverage.
     min_coverage_at: Option<TimePoint>,
 }
 
-/// An `OpenAttempt` is an attempt of which no end was heard yet.
+/// An attempt whose end has not been seen yet.
 struct OpenAttempt {
     shard: usize,
     target: Arc<TargetHandle>,
     phase: AttemptPhase,
     sent_at: TimePoint,
-    /// Whether its failure domain was told that it says nothing.
+    /// Whether it was counted as overdue against its failure domain.
     is_overdue: bool,
 }
 
 impl Drop for QueryRun<'_> {
-    /// Reports a request whose caller closed the connection: it is dropped with its attempts.
+    /// Reports a request that is dropped because its caller closed the connection.
     fn drop(&mut self) {
         if !self.is_reported {
             self.report_outcome(RequestOutcome::CallerLeft);
@@ -87,7 +88,7 @@
 }
 
 impl<'a> QueryRun<'a> {
-    /// Runs a request to its answer.
+    /// Runs a request and returns its answer, or the refusal of admission.
     pub async fn answer(
         context: &'a FrontContext,
         view: &CatalogView,
@@ -97,21 +98,22 @@
         let delay = route
             .state
             .record_caller_delay(call.time_left, call.arrived_at);
-        // A split is dealt before: what finds no room at its part must not go to another one.
+        // The split chooses its service before admission, so that a request which is refused there
+        // does not move to another service.
         let shards = shards_for_route(view, route);
-        let pass = match Self::admit(context, route, &shards, delay).await {
-            Ok(pass) => pass,
+        let permit = match Self::admit(context, route, &shards, delay).await {
+            Ok(permit) => permit,
             Err(refusal) => return completion::refuse(context, call, refusal),
         };
         let mut run = Self::new(context, call, route, shards, delay);
-        run.permit = pass;
+        run.permit = permit;
         run.send_first_attempts();
         let step = run.wait_for_answer().await;
         run.finish(step)
     }
 
-    /// Waits for the turn of a request among those to the same services. One whose service is not known
-    /// needs none.
+    /// Waits for admission among the requests to the same services. A request to an unknown
+    /// service needs no permit.
     async fn admit(
         context: &FrontContext,
         route: &LiveRoute,
@@ -128,8 +130,8 @@
         let Some(set) = route.shards.or_else(single) else {
             return Ok(None);
         };
-        let pass = context.admission.admit(&route.rule, set, delay).await?;
-        Ok(Some(pass))
+        let permit = context.admission.admit(&route.rule, set, delay).await?;
+        Ok(Some(permit))
     }
 
     fn new(
@@ -143,11 +145,11 @@
         let limit = call.time_left.min(route.rule.timeout);
         let target = route.rule.latency_target;
 
-        // The request's own way here counts as well as the answer's way back.
-        let way = options.caller_latency + options.caller_latency;
-        // The request may have waited as long to be seen as the answer will wait to be sent.
-        let lag = context.wake_lag();
-        let reserve = way + options.answer_overhead + lag + lag;
+        // Caller latency counts twice: the request on its way here and the answer on its way back.
+        let round_trip = options.caller_latency + options.caller_latency;
+        // The event loop may be late both in reading the request and in sending the answer.
+        let timer_lag = context.wake_lag();
+        let reserve = round_trip + options.answer_overhead + timer_lag + timer_lag;
         Self {
             context,
             call,
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Sends the first attempt of each shard, to its best target.
+    /// Sends the first attempt of every shard to its best target.
     fn send_first_attempts(&mut self) {
         let now = self.context.clock.now();
         let best: Vec<Option<Arc<TargetHandle>>> = self
@@ -192,7 +194,7 @@
                 self.typical_latency,
                 now,
             ) {
-                // What can't be asked so is sent directly below.
+                // Shards that were not sent because no link is usable are sent directly below.
                 let _direct = self.send_group(group, GroupRequestKind::FirstAttempts, now);
             }
         }
@@ -200,7 +202,7 @@
             if let Some(service) = &self.shards[shard].service {
                 service.budget().record_request(now);
             }
-            // Those that were asked through another front are under way.
+            // Already sent through another front.
             if !self.shards[shard].tried.is_empty() {
                 continue;
             }
@@ -234,7 +236,7 @@
             tokio::select! {
                 biased;
                 Some(report) = self.attempts.next() => self.handle_report(report),
-                (place, news) = group_requests::next_event(&mut self.group_requests) => self.handle_group_event(place, news),
+                (index, event) = group_requests::next_event(&mut self.group_requests) => self.handle_group_event(index, event),
                 () = front_context::sleep_until(self.context.clock, until) => {
                     self.context.record_wake(until);
                 }
@@ -243,43 +245,43 @@
     }
 
     fn count_shards(&self) -> ShardCount {
-        let all = self.shards.len();
-        let least = match &self.route.rule.destination {
-            RouteDestination::Shards { min_coverage, .. } => min_shard_count(all, *min_coverage),
+        let total = self.shards.len();
+        let required = match &self.route.rule.destination {
+            RouteDestination::Shards { min_coverage, .. } => min_shard_count(total, *min_coverage),
             _ => 1,
         };
-        let present = self.shards.iter().filter(|shard| shard.reply.is_some());
-        let open = self.shards.iter().filter(|shard| shard.is_open());
+        let answered = self.shards.iter().filter(|shard| shard.reply.is_some());
+        let pending = self.shards.iter().filter(|shard| shard.is_open());
         ShardCount {
-            total: all,
-            answered: present.count(),
-            pending: open.count(),
-            required: least,
+            total,
+            answered: answered.count(),
+            pending: pending.count(),
+            required,
         }
     }
 
-    /// Asks another replica of each shard whose attempt is late, those in one other failure domain
-    /// together.
+    /// Sends a hedge for each shard whose attempt is late. Hedges to targets in one other failure
+    /// domain share a group request.
     fn send_hedges(&mut self, now: TimePoint) {
-        let mut chosen = Vec::new();
-        for place in 0..self.shards.len() {
-            let shard = &mut self.shards[place];
+        let mut assignments = Vec::new();
+        for index in 0..self.shards.len() {
+            let shard = &mut self.shards[index];
             if shard.hedge_at.is_none_or(|hedge_at| hedge_at > now) {
                 continue;
             }
             shard.hedge_at = None;
             if shard.is_open()
-                && let Some(target) = self.next_repeat_target(place, RepeatReason::Hedge, now)
+                && let Some(target) = self.next_repeat_target(index, RepeatReason::Hedge, now)
             {
-                chosen.push((place, target));
+                assignments.push((index, target));
             }
         }
-        let (groups, mut direct) = group_plan::group_by_domain(chosen);
+        let (groups, mut direct) = group_plan::group_by_domain(assignments);
         for group in groups {
             direct.extend(self.send_group(group, GroupRequestKind::Hedges, now));
         }
-        for (place, target) in direct {
-            self.send(place, target, now);
+        for (index, target) in direct {
+            self.send(index, target, now);
         }
     }
 
@@ -298,7 +300,7 @@
         }
         shard.open_attempts -= 1;
         let mut status = None;
-        let fate = match report.outcome {
+        let reason = match report.outcome {
             AttemptOutcome::Success(reply) => {
                 self.route.state.record_latency(report.elapsed);
                 shard.hedge_at = None;
@@ -317,7 +319,7 @@
             }
             AttemptOutcome::WrongTarget => {
                 shard.record_refused();
-                // The target's process has ended, and its address belongs to another one.
+                // Another process has taken over the address, so this target has ended.
                 report.target.set_status(TargetStatus::Leaving);
                 UnansweredReason::WrongTarget
             }
@@ -332,7 +334,7 @@
         };
         self.record_unanswered(UnansweredAttempt {
             target: report.target.entry().id.clone(),
-            reason: fate,
+            reason,
             status,
             age: report.elapsed,
         });
@@ -342,41 +344,43 @@
         }
     }
 
-    fn record_unanswered(&mut self, lost: UnansweredAttempt) {
-        self.context.metrics.observe_unanswered_attempt(lost.reason);
-        self.unanswered_attempts.push(lost);
+    fn record_unanswered(&mut self, attempt: UnansweredAttempt) {
+        self.context
+            .metrics
+            .observe_unanswered_attempt(attempt.reason);
+        self.unanswered_attempts.push(attempt);
     }
 
-    /// Asks one more replica of a shard after a failure, where route, budget and time allow it.
+    /// Sends the shard to one more replica after a failure, if route, budget and time allow it.
     fn retry(&mut self, shard: usize, now: TimePoint) {
         if let Some(target) = self.next_repeat_target(shard, RepeatReason::Retry, now) {
             self.send(shard, target, now);
         }
     }
 
-    /// Gets the target that a shard is sent to once more, and takes the repeat from the budget; none
-    /// where route, budget or time do not allow it.
+    /// Chooses the target of a hedge or retry and takes the repeat from the budget. Returns `None`
+    /// if route, budget or time do not allow it.
     fn next_repeat_target(
         &self,
         shard: usize,
         reason: RepeatReason,
         now: TimePoint,
     ) -> Option<Arc<TargetHandle>> {
-        let run = &self.shards[shard];
-        let may_run_again = self.route.rule.is_idempotent || run.possible_runs == 0;
-        let is_used_up = run.counted_targets() >= self.route.rule.max_targets;
-        if !may_run_again || is_used_up || now >= self.answer_time.deadline {
+        let state = &self.shards[shard];
+        let may_run_again = self.route.rule.is_idempotent || state.possible_runs == 0;
+        let is_limit_reached = state.counted_targets() >= self.route.rule.max_targets;
+        if !may_run_again || is_limit_reached || now >= self.answer_time.deadline {
             return None;
         }
-        let service = run.service.as_ref()?;
-        let target = run.next_target(self.typical_latency, now)?;
+        let service = state.service.as_ref()?;
+        let target = state.next_target(self.typical_latency, now)?;
         if reason == RepeatReason::Hedge && !self.is_hedge_worthwhile(&target, now) {
             return None;
         }
-        // The first arrival at the service is no repeat.
-        let is_repeat = run.has_reached_service();
-        let part = self.context.catalog.share().repeat_share();
-        if is_repeat && !service.budget().take(reason, part, now) {
+        // An attempt counts as a repeat only if an earlier one may have reached the service.
+        let is_repeat = state.has_reached_service();
+        let repeat_share = self.context.catalog.share().repeat_share();
+        if is_repeat && !service.budget().take(reason, repeat_share, now) {
             self.context.metrics.refused_repeats.inc();
             return None;
         }
@@ -387,7 +391,7 @@
         Some(target)
     }
 
-    /// Sends an attempt of a shard.
+    /// Sends an attempt directly to a target.
     fn send(&mut self, shard: usize, target: Arc<TargetHandle>, now: TimePoint) {
         let phase = AttemptPhase::default();
         self.open_attempts.push(OpenAttempt {
@@ -398,12 +402,12 @@
             is_overdue: false,
         });
         let plan = self.plan_attempt(shard, &target, phase);
-        let hedge_at = self.hedge_time().hedge_at(now);
+        let hedge_at = self.hedge_timing().hedge_at(now);
         self.record_sent(shard, target, hedge_at, now);
         self.attempts.push(Box::pin(plan.run()));
     }
 
-    /// Notes an attempt of a shard that is sent, by this front or through another one.
+    /// Records an attempt that this front or another one sends.
     fn record_sent(
         &mut self,
         shard: usize,
@@ -412,22 +416,22 @@
         now: TimePoint,
     ) {
         let rule = &self.route.rule;
-        let run = &mut self.shards[shard];
-        run.begin_attempt(target, now);
-        let may_hedge = rule.is_idempotent && run.counted_targets() < rule.max_targets;
-        run.hedge_at = may_hedge.then_some(hedge_at);
+        let state = &mut self.shards[shard];
+        state.begin_attempt(target, now);
+        let may_hedge = rule.is_idempotent && state.counted_targets() < rule.max_targets;
+        state.hedge_at = may_hedge.then_some(hedge_at);
         self.attempts_sent += 1;
     }
 
     fn is_hedge_worthwhile(&self, target: &TargetHandle, now: TimePoint) -> bool {
         let slots = target.entry().slots;
-        let expected = target
-            .gauge()
+        let expected_cost = target
+            .stats()
             .expected_cost(self.typical_latency, slots, now);
-        self.hedge_time().is_worthwhile(expected, now)
+        self.hedge_timing().is_worthwhile(expected_cost, now)
     }
 
-    const fn hedge_time(&self) -> HedgeTiming {
+    const fn hedge_timing(&self) -> HedgeTiming {
         HedgeTiming {
             answer_at: self.answer_time.partial_at,
             typical_latency: self.typical_latency,
@@ -435,7 +439,7 @@
         }
     }
 
-    /// Gets when an attempt that is sent now is of no more use.
+    /// Returns when an attempt that is sent now stops being of use.
     fn attempt_deadline(&self) -> TimePoint {
         if self.shards.len() < 2 {
             return self.answer_time.deadline;
@@ -471,8 +475,8 @@
         RouteDestination::Service(service) => vec![shard(service)],
         RouteDestination::Split(parts) => {
             let weights: Vec<f64> = parts.iter().map(|part| part.weight).collect();
-            let place = route.state.next_split_index(&weights);
-            let service = place.map(|place| parts[place].service.as_str());
+            let index = route.state.next_split_index(&weights);
+            let service = index.map(|index| parts[index].service.as_str());
             service.map(shard).into_iter().collect()
         }
         RouteDestination::Shards { services, .. } => {
@@ -481,13 +485,13 @@
     }
 }
 
-/// Gets the least number of shards that is at least this share of all.
+/// Returns the smallest number of shards that covers at least `share` of `total`, and at least 1.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a share of a small count is a small positive number"
 )]
-fn min_shard_count(all: usize, share: f64) -> usize {
-    // A share such as 0.7 of 10 must not round up to 8 by the error of the product.
-    ((all as f64 * share - 1e-9).ceil().max(1.0)) as usize
+fn min_shard_count(total: usize, share: f64) -> usize {
+    // Subtracting the epsilon keeps rounding errors of the product from adding a shard.
+    ((total as f64 * share - 1e-9).ceil().max(1.0)) as usize
 }
