--- a/alderhaven-front/src/caller_service.rs
+++ b/alderhaven-front/src/caller_service.rs
@@ -45,10 +45,10 @@
     context: FrontContext,
     request: Request<Incoming>,
 ) -> Result<Response<WholeBody>, Infallible> {
-    let _flight = context.stop.begin_request();
-    let arrived = context.clock.now();
+    let _in_flight = context.stop.begin_request();
+    let arrived_at = context.clock.now();
     let (head, body) = request.into_parts();
-    let answer = answer(&context, head, body, arrived).await;
+    let answer = answer(&context, head, body, arrived_at).await;
     let mut response = context.dialect.caller_response(answer);
     if context.stop.state() != DrainState::Serving {
         // The caller should ask for another front before its next request.
@@ -62,14 +62,14 @@
     context: &FrontContext,
     head: Parts,
     body: Incoming,
-    arrived: TimePoint,
+    arrived_at: TimePoint,
 ) -> FrontAnswer {
     let CallerHead {
         request_id,
         time_left,
     } = context.dialect.caller_head(&head);
-    let patience = time_left.unwrap_or(context.options.default_deadline);
-    let limit = patience
+    let caller_timeout = time_left.unwrap_or(context.options.default_deadline);
+    let limit = caller_timeout
         .mul_f64(MAX_CONFIG_WAIT_FRACTION)
         .min(MAX_CONFIG_WAIT);
     let view = context.catalog.view_with_routing(limit).await;
@@ -80,24 +80,24 @@
     let Some(route) = view.find_route(&site, head.uri.path()).cloned() else {
         return refuse_bad_request(request_id, BadRequest::NoRoute, routing.version);
     };
-    let limit = patience.min(route.rule.timeout).as_duration();
+    let limit = caller_timeout.min(route.rule.timeout).as_duration();
     let body = match read_body(body, routing.limits.max_body.as_bytes(), limit).await {
         Ok(body) => body,
         Err(reason) => return refuse_bad_request(request_id, reason, routing.version),
     };
-    let Ok(forwarded) = context.dialect.forwarded_head(&head) else {
+    let Ok(forwarded_head) = context.dialect.forwarded_head(&head) else {
         return refuse_bad_request(request_id, BadRequest::Unreadable, routing.version);
     };
     let call = Arc::new(QueryCall {
         head,
-        forwarded_head: forwarded,
+        forwarded_head,
         body,
         request_id: Arc::from(request_id),
-        arrived_at: arrived,
-        time_left: patience,
+        arrived_at,
+        time_left: caller_timeout,
     });
-    if let Some(wait) = crash_retry_after(context, &call) {
-        return refuse_crashing_request(&call, wait);
+    if let Some(retry_after) = crash_retry_after(context, &call) {
+        return refuse_crashing_request(&call, retry_after);
     }
     QueryRun::answer(context, &view, &route, &call).await
 }
@@ -111,7 +111,7 @@
     crashes.refused_for(&call.fingerprint())
 }
 
-fn refuse_crashing_request(call: &QueryCall, wait: TimeSpan) -> FrontAnswer {
+fn refuse_crashing_request(call: &QueryCall, retry_after: TimeSpan) -> FrontAnswer {
     let reason = RefusalReason::Crashes;
     FrontEvent::RequestRefused {
         request: call.request_id.to_string(),
@@ -120,7 +120,7 @@
     .emit(Level::Warn);
     FrontAnswer::NotRun {
         reason,
-        retry_after: wait,
+        retry_after,
     }
 }
 
@@ -131,10 +131,10 @@
         reason,
     }
     .emit(Level::Warn);
-    let spread: f64 = rand::rng().random_range(0.0..1.0);
+    let jitter: f64 = rand::rng().random_range(0.0..1.0);
     FrontAnswer::NotRun {
         reason,
-        retry_after: NO_CONFIG_RETRY_MIN + NO_CONFIG_RETRY_JITTER.mul_f64(spread),
+        retry_after: NO_CONFIG_RETRY_MIN + NO_CONFIG_RETRY_JITTER.mul_f64(jitter),
     }
 }
 
@@ -156,11 +156,11 @@
     name.to_ascii_lowercase()
 }
 
-async fn read_body(body: Incoming, most: usize, limit: Duration) -> Result<Bytes, BadRequest> {
+async fn read_body(body: Incoming, max_bytes: usize, limit: Duration) -> Result<Bytes, BadRequest> {
     if hyper::body::Body::is_end_stream(&body) {
         return Ok(Bytes::new());
     }
-    let read = time::timeout(limit, Limited::new(body, most).collect()).await;
+    let read = time::timeout(limit, Limited::new(body, max_bytes).collect()).await;
     match read {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::BodyTooLarge),
--- a/alderhaven-front/src/catalog.rs
+++ b/alderhaven-front/src/catalog.rs
@@ -153,8 +153,8 @@
     #[must_use]
     pub fn is_kind_listed(&self, kind: ObjectKind) -> bool {
         let state = self.state();
-        let is_any = state.objects.keys().any(|key| key.kind == kind);
-        is_any || state.is_fully_listed() || state.listed_kinds.contains(&kind)
+        let has_object = state.objects.keys().any(|key| key.kind == kind);
+        has_object || state.is_fully_listed() || state.listed_kinds.contains(&kind)
     }
 
     /// Returns true where requests can be served: a configuration is known, and the targets are.
@@ -216,17 +216,17 @@
     pub fn accept(&self, objects: Vec<StoredObject>) {
         let mut state = self.state();
         let mut is_new = false;
-        let mut is_rebuilt = false;
+        let mut needs_rebuild = false;
         for object in objects {
             let known = state.objects.get(&object.key).map(|known| known.version);
             if known >= Some(object.version) {
                 continue;
             }
             is_new = true;
-            is_rebuilt |= self.apply_object(&mut state, &object);
+            needs_rebuild |= self.apply_object(&mut state, &object);
             state.objects.insert(object.key.clone(), object);
         }
-        if is_rebuilt {
+        if needs_rebuild {
             self.rebuild_view(&mut state);
         }
         drop(state);
@@ -339,7 +339,7 @@
             known.warmup().record_cold(warmup_left, self.clock.now());
             return;
         }
-        let is_near = entry.domain.as_ref() == Some(&self.options.domain);
+        let is_in_own_domain = entry.domain.as_ref() == Some(&self.options.domain);
         let pool = TargetPool::new(entry.address, DEFAULT_MAX_CONNECTIONS, self.clock);
         let id = entry.id.clone();
         let is_evacuated = entry
@@ -347,7 +347,7 @@
             .as_ref()
             .is_some_and(|domain| state.evacuated_domains.contains_key(domain));
         let silence = state.domain_silence(entry.domain.as_ref());
-        let handle = TargetHandle::new(entry, pool, is_near, silence);
+        let handle = TargetHandle::new(entry, pool, is_in_own_domain, silence);
         handle.set_evacuated(is_evacuated);
         handle.warmup().record_cold(warmup_left, self.clock.now());
         state.targets.insert(id, Arc::new(handle));
@@ -357,17 +357,17 @@
         let Some(target) = state.targets.get(id) else {
             return;
         };
-        let standing = match target.status() {
+        let status = match target.status() {
             TargetStatus::Ready => {
                 TargetStatus::Expired(self.clock.now() + EXPIRED_TARGET_RETENTION)
             }
             other => other,
         };
-        target.set_status(standing);
+        target.set_status(status);
         FrontEvent::TargetDeregistered {
             target: id.to_owned(),
             service: target.entry().service.clone(),
-            was_leaving: standing == TargetStatus::Leaving,
+            was_leaving: status == TargetStatus::Leaving,
         }
         .emit(Level::Info);
     }
@@ -382,14 +382,17 @@
         let mut changed = self.changed();
         loop {
             self.preconnect_own_domain_targets();
-            let lapse_over = EXPIRED_TARGET_RETENTION.as_duration() + Duration::from_millis(50);
-            if time::timeout(lapse_over, changed.changed()).await.is_err() {
+            let check_interval = EXPIRED_TARGET_RETENTION.as_duration() + Duration::from_millis(50);
+            if time::timeout(check_interval, changed.changed())
+                .await
+                .is_err()
+            {
                 let mut state = self.state();
-                let has_lapsed = state
+                let has_expired = state
                     .targets
                     .values()
                     .any(|target| matches!(target.status(), TargetStatus::Expired(_)));
-                if has_lapsed {
+                if has_expired {
                     self.rebuild_view(&mut state);
                 }
             }
--- a/alderhaven-front/src/catalog_state.rs
+++ b/alderhaven-front/src/catalog_state.rs
@@ -82,8 +82,8 @@
 
     /// Returns true where all objects are known.
     pub fn is_fully_listed(&self) -> bool {
-        let is_known = |kind| self.listed_kinds.contains(kind);
-        self.is_listed_by_peer || self.store_kinds.iter().all(is_known)
+        let is_listed = |kind| self.listed_kinds.contains(kind);
+        self.is_listed_by_peer || self.store_kinds.iter().all(is_listed)
     }
 
     /// Builds the view of what is known; targets whose time as a last resort is over are dropped.
@@ -116,16 +116,17 @@
     fn remove_expired_targets(&mut self, now: TimePoint) {
         let objects = &self.objects;
         self.targets.retain(|id, target| {
-            let is_over = matches!(target.status(), TargetStatus::Expired(until) if until <= now);
+            let is_expired =
+                matches!(target.status(), TargetStatus::Expired(until) if until <= now);
             let key = ObjectKey {
                 kind: ObjectKind::Target,
                 name: id.clone(),
             };
-            let is_gone = objects
+            let is_removed = objects
                 .get(&key)
                 .is_some_and(|object| object.body.is_none());
-            let has_left = is_gone && target.status() == TargetStatus::Leaving;
-            !is_over && !has_left
+            let has_left = is_removed && target.status() == TargetStatus::Leaving;
+            !is_expired && !has_left
         });
     }
 
@@ -192,11 +193,11 @@
         };
         let mut routes: HashMap<String, Vec<Arc<LiveRoute>>> = HashMap::new();
         for rule in &routing.routes {
-            let learnt = self.route_states.entry(rule.name.clone()).or_default();
+            let state = self.route_states.entry(rule.name.clone()).or_default();
             let route = LiveRoute {
                 rule: rule.clone(),
                 version: routing.version,
-                state: Arc::clone(learnt),
+                state: Arc::clone(state),
                 shards: rule.destination.shard_set_id(),
             };
             routes
--- a/alderhaven-front/src/directory_service.rs
+++ b/alderhaven-front/src/directory_service.rs
@@ -16,8 +16,8 @@
     request: &Request<Incoming>,
 ) -> Response<WholeBody> {
     let head = request_head(request);
-    if let Some(question) = context.dialect.directory_query(&head) {
-        let fronts = directory.choose_fronts(&question);
+    if let Some(query) = context.dialect.directory_query(&head) {
+        let fronts = directory.choose_fronts(&query);
         if fronts.is_empty() {
             return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/alderhaven-front/src/front_directory.rs
+++ b/alderhaven-front/src/front_directory.rs
@@ -73,19 +73,19 @@
 
     /// Chooses the fronts for a caller.
     #[must_use]
-    pub fn choose_fronts(&self, question: &DirectoryQuery) -> SmallVec<[SocketAddr; 8]> {
-        let turn = rand::rng().random_range(0..usize::from(u16::MAX));
-        let offers = self.offers(MemberState::Alive);
-        let domain = question.domain.as_ref();
-        let chosen = front_choice::choose_fronts(&offers, domain, &self.options, turn);
+    pub fn choose_fronts(&self, query: &DirectoryQuery) -> SmallVec<[SocketAddr; 8]> {
+        let rotation = rand::rng().random_range(0..usize::from(u16::MAX));
+        let candidates = self.candidates(MemberState::Alive);
+        let domain = query.domain.as_ref();
+        let chosen = front_choice::choose_fronts(&candidates, domain, &self.options, rotation);
         if !chosen.is_empty() {
             return chosen;
         }
-        let offers = self.offers(MemberState::Suspect);
-        front_choice::choose_fronts(&offers, domain, &self.options, turn)
+        let candidates = self.candidates(MemberState::Suspect);
+        front_choice::choose_fronts(&candidates, domain, &self.options, rotation)
     }
 
-    fn offers(&self, state: MemberState) -> Vec<FrontCandidate> {
+    fn candidates(&self, state: MemberState) -> Vec<FrontCandidate> {
         let view = self.catalog.view();
         let now = self.group.now();
         let own = self.is_ready().then(|| FrontCandidate {
@@ -98,7 +98,7 @@
         let others = members.iter().skip(1).filter_map(|member| {
             let has_config = member.config.is_some_and(|config| config.version_sum > 0);
             let record = &member.record;
-            let offer = FrontCandidate {
+            let candidate = FrontCandidate {
                 address: record.caller_address?,
                 domain: record.domain.clone(),
                 relative_size: view.share.relative_size(record.capacity),
@@ -107,7 +107,7 @@
                     now.since(member.discovered_at),
                 ),
             };
-            (member.state == state).then_some(offer)
+            (member.state == state).then_some(candidate)
         });
         own.into_iter().chain(others).collect()
     }
--- a/alderhaven-front/src/front_node.rs
+++ b/alderhaven-front/src/front_node.rs
@@ -90,7 +90,7 @@
             addresses,
         };
         node.serve(listeners, &options);
-        let reach = Arc::new(StoreAvailability::default());
+        let availability = Arc::new(StoreAvailability::default());
         for kind in catalog_state::store_kinds(options.has_evacuations) {
             let (store, group) = (Arc::clone(&store), node.group.clone());
             let follower = StoreFollower::new(
@@ -102,7 +102,7 @@
             );
             let follower = follower.with_metrics(metrics.clone());
             let follower = follower.with_group_start(options.start);
-            let follower = follower.with_availability(Arc::clone(&reach));
+            let follower = follower.with_availability(Arc::clone(&availability));
             tokio::spawn(follower.run());
         }
         tokio::spawn(Arc::clone(&catalog).run_maintenance());
@@ -216,13 +216,13 @@
 #[must_use]
 pub fn drain_options(options: &FrontOptions) -> DrainOptions {
     let reserved = IN_FLIGHT_RESERVE + LEAVE_PROPAGATION_TIME;
-    let most = options.stop_limit.saturating_sub(reserved);
+    let max_lifetime = options.stop_limit.saturating_sub(reserved);
     DrainOptions {
         leave_propagation_time: LEAVE_PROPAGATION_TIME,
         directory_lifetime: options
             .directory_ttl
             .mul_f64(DIRECTORY_TTL_MULTIPLE)
-            .min(most),
+            .min(max_lifetime),
         limit: options.stop_limit,
     }
 }
--- a/alderhaven-front/src/store_availability.rs
+++ b/alderhaven-front/src/store_availability.rs
@@ -23,22 +23,22 @@
     /// Notes an answer.
     pub fn record_success(&self) {
         self.probing_kind
-            .send_if_modified(|lost| lost.take().is_some());
+            .send_if_modified(|probing| probing.take().is_some());
     }
 
     /// Notes a call of a kind's follower that was not answered.
     pub fn record_failure(&self, kind: ObjectKind) {
-        self.probing_kind.send_if_modified(|lost| {
-            let is_first = lost.is_none();
-            lost.get_or_insert(kind);
+        self.probing_kind.send_if_modified(|probing| {
+            let is_first = probing.is_none();
+            probing.get_or_insert(kind);
             is_first
         });
     }
 
     /// Waits while the follower of another kind asks again.
     pub async fn wait_while_probed(&self, kind: ObjectKind) {
-        let mut lost = self.probing_kind.subscribe();
-        let is_free = lost.wait_for(|lost| lost.is_none_or(|asking| asking == kind));
+        let mut probing = self.probing_kind.subscribe();
+        let is_free = probing.wait_for(|probing| probing.is_none_or(|prober| prober == kind));
         // Where the time is up, this kind may be answered though the other is not.
         let _is_over = time::timeout(MAX_PROBE_WAIT, is_free).await.is_err();
     }
--- a/alderhaven-front/src/store_follower.rs
+++ b/alderhaven-front/src/store_follower.rs
@@ -123,8 +123,8 @@
 
     /// Shares with the other followers of the process whether the store answers.
     #[must_use]
-    pub fn with_availability(mut self, reach: Arc<StoreAvailability>) -> Self {
-        self.availability = reach;
+    pub fn with_availability(mut self, availability: Arc<StoreAvailability>) -> Self {
+        self.availability = availability;
         self
     }
 
@@ -184,8 +184,8 @@
     /// Asks the store until something is known, at short intervals: until then each request is refused.
     async fn load_initial_list(&mut self) {
         while !self.catalog.is_kind_listed(self.kind) {
-            let asked = time::timeout(INITIAL_LIST_TIMEOUT, self.list_initial()).await;
-            match asked {
+            let result = time::timeout(INITIAL_LIST_TIMEOUT, self.list_initial()).await;
+            match result {
                 Ok(Ok(())) => self.record_success(),
                 Ok(Err(error)) => self.record_failure(&error),
                 Err(_) => self.record_failure(&StoreError::unknown("no answer in time")),
@@ -199,12 +199,12 @@
     /// Waits before the next try of the first list, or until a peer has told it.
     async fn wait_before_initial_retry(&self) {
         let random: f64 = rand::rng().random_range(0.0..1.0);
-        let is_ahead = self.group_start.lists_store_first(self.start_view());
-        let pause = group_start::retry_pause(is_ahead, random);
+        let lists_store_first = self.group_start.lists_store_first(self.start_view());
+        let pause = group_start::retry_pause(lists_store_first, random);
         let mut changed = self.catalog.changed();
-        let told = changed.wait_for(|_| self.catalog.is_kind_listed(self.kind));
+        let listed = changed.wait_for(|_| self.catalog.is_kind_listed(self.kind));
         // Where the time is up, the store is asked again.
-        let _is_over = time::timeout(pause.as_duration(), told).await.is_err();
+        let _is_over = time::timeout(pause.as_duration(), listed).await.is_err();
         self.availability.wait_while_probed(self.kind).await;
     }
 
--- a/alderhaven-front/tests/drain_options.rs
+++ b/alderhaven-front/tests/drain_options.rs
@@ -34,7 +34,7 @@
 /// seconds after it asked it to stop. A front that waited for all lists to lapse served new requests up
 /// to its limit and ended in the midst of them: their callers saw connections close without an answer.
 #[test]
-fn stop_with_long_lists_leaves_time_for_its_last_requests() {
+fn drain_with_long_directory_ttl_reserves_time_for_in_flight_requests() {
     let limit = TimeSpan::from_millis(5_500);
     let spans = front_node::drain_options(&options(TimeSpan::from_secs(4), limit));
     let mut sequence = DrainSequence::new(spans);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn stop_with_short_lists_waits_for_them() {
+fn drain_with_short_directory_ttl_waits_for_cached_entries() {
     let limit = TimeSpan::from_millis(5_500);
     let spans = front_node::drain_options(&options(TimeSpan::from_secs(1), limit));
     assert_eq!(spans.directory_lifetime, TimeSpan::from_secs(3));
