--- a/alderhaven-front/src/front_context.rs
+++ b/alderhaven-front/src/front_context.rs
@@ -104,6 +104,6 @@
 
 /// Sleeps until a time of the process clock.
 pub async fn sleep_until(clock: ProcessClock, point: TimePoint) {
-    let left: Duration = point.since(clock.now()).as_duration();
-    tokio::time::sleep(left).await;
+    let delay: Duration = point.since(clock.now()).as_duration();
+    tokio::time::sleep(delay).await;
 }
--- a/alderhaven-front/src/front_metrics.rs
+++ b/alderhaven-front/src/front_metrics.rs
@@ -242,26 +242,22 @@
     fn registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("alderhaven_front");
         let own = self.clone();
-        registry.register("requests", "Requests by outcome", own.requests);
-        registry.register(
-            "request_seconds",
-            "Request latency in seconds",
-            own.request_seconds,
-        );
-        registry.register("attempts", "Attempts sent, by cause", own.attempts);
+        registry.register("requests", "Requests by their end", own.requests);
+        registry.register("request_seconds", "Time to the answer", own.request_seconds);
+        registry.register("attempts", "Attempts sent, by reason", own.attempts);
         registry.register(
             "lost_attempts",
-            "Attempts without an answer, by cause",
+            "Attempts without answer, by fate",
             own.unanswered_attempts,
         );
         registry.register(
             "store_calls",
-            "Store calls by object kind and result",
+            "Calls of the store by kind of object and result",
             own.store_calls,
         );
         registry.register(
             "refusals",
-            "Requests refused before any target was tried",
+            "Requests refused before any target was asked",
             own.refusals,
         );
         registry.register(
@@ -276,35 +272,31 @@
         );
         registry.register(
             "missing_parts",
-            "Shards missing in answers",
+            "Shards left out of answers",
             own.missing_parts,
         );
         registry.register(
             "refused_repeats",
-            "Hedges and retries refused by the budget",
+            "Repeats above the budget",
             own.refused_repeats,
         );
         registry.register(
             "carried_asks",
-            "Group requests served for other fronts",
+            "Asks of other fronts carried out",
             own.served_group_requests,
         );
         registry.register(
             "config_version",
-            "Configuration version in force",
+            "Configuration in force",
             own.config_version,
         );
-        registry.register("nodes", "Live nodes of the group", own.nodes);
+        registry.register("nodes", "Nodes of the group that are alive", own.nodes);
         registry.register(
             "evacuated_domains",
-            "Failure domains whose targets get no new requests",
+            "Failure domains whose targets get no new work",
             own.evacuated_domains,
         );
-        registry.register(
-            "omitted_log_lines",
-            "Log lines suppressed by rate limits",
-            own.omitted_lines,
-        );
+        registry.register("omitted_log_lines", "Log lines left out", own.omitted_lines);
         registry
     }
 }
--- a/alderhaven-front/src/store_follower.rs
+++ b/alderhaven-front/src/store_follower.rs
@@ -78,12 +78,15 @@
 /// Gets the watch plan's settings for a kind. The configuration has more watchers, because its
 /// changes must reach all nodes even if two watchers are lost at once.
 fn watch_options(kind: ObjectKind) -> WatchOptions {
-    let usual = WatchOptions::default();
+    let defaults = WatchOptions::default();
     let watchers = match kind {
-        ObjectKind::Routing => usual.watchers,
+        ObjectKind::Routing => defaults.watchers,
         _ => NON_CONFIG_WATCHERS,
     };
-    WatchOptions { watchers, ..usual }
+    WatchOptions {
+        watchers,
+        ..defaults
+    }
 }
 
 impl<S: ObjectStore> StoreFollower<S> {
@@ -210,12 +213,12 @@
     /// are.
     async fn wait_before_retry(&self, backoff: &mut RetryBackoff) {
         let random: f64 = rand::rng().random_range(0.0..1.0);
-        let usual = backoff.next(random);
+        let backoff_pause = backoff.next(random);
         let others = self.other_live_nodes();
         let pause = if self.is_among_first(&others) {
-            usual
+            backoff_pause
         } else {
-            usual.max(store_watch_plan::group_retry_pause(others.len(), random))
+            backoff_pause.max(store_watch_plan::group_retry_pause(others.len(), random))
         };
         time::sleep(pause.as_duration()).await;
     }
