--- a/alderhaven-front/src/catalog_state.rs
+++ b/alderhaven-front/src/catalog_state.rs
@@ -25,13 +25,17 @@
 
 /// Gets the object kinds that the store keeps; node reports are exchanged between nodes only.
 pub(crate) const fn store_kinds(has_evacuations: bool) -> &'static [ObjectKind] {
-    const ALL: [ObjectKind; 3] = [
+    const WITH_EVACUATIONS: [ObjectKind; 3] = [
         ObjectKind::Routing,
         ObjectKind::Target,
         ObjectKind::Evacuation,
     ];
-    const USUAL: [ObjectKind; 2] = [ObjectKind::Routing, ObjectKind::Target];
-    if has_evacuations { &ALL } else { &USUAL }
+    const WITHOUT_EVACUATIONS: [ObjectKind; 2] = [ObjectKind::Routing, ObjectKind::Target];
+    if has_evacuations {
+        &WITH_EVACUATIONS
+    } else {
+        &WITHOUT_EVACUATIONS
+    }
 }
 
 /// The state behind the catalog's lock.
