--- a/alderhaven-front/src/front_directory.rs
+++ b/alderhaven-front/src/front_directory.rs
@@ -1,4 +1,4 @@
-//! The fronts that callers may be told of.
+//! Selects the fronts that the directory returns to callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::catalog::Catalog;
 use crate::wire_dialect::DirectoryQuery;
 
-/// A `FrontDirectory` answers which fronts a caller should use.
+/// Answers directory queries from the live members of the group.
 #[derive(Clone, Debug)]
 pub struct FrontDirectory {
     catalog: Arc<Catalog>,
@@ -27,19 +27,19 @@
     ttl: TimeSpan,
 }
 
-/// An `OwnFront` is this process as a front that may be named.
+/// This process as a candidate of its own directory.
 #[derive(Clone, Debug)]
 pub struct OwnFront {
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain of this process.
     pub domain: FailureDomain,
-    /// Its processor time.
+    /// The processor time of this process.
     pub capacity: CpuCapacity,
 }
 
 impl FrontDirectory {
-    /// Returns a directory whose answers callers keep for `ttl`.
+    /// Creates a directory whose answers callers may cache for `ttl`.
     #[must_use]
     pub const fn new(
         catalog: Arc<Catalog>,
@@ -59,33 +59,33 @@
         }
     }
 
-    /// Gets how long an answer may be kept.
+    /// Gets how long callers may cache an answer.
     #[must_use]
     pub const fn ttl(&self) -> TimeSpan {
         self.ttl
     }
 
-    /// Returns true where this process serves callers.
+    /// Returns true if this process accepts requests and knows configuration and targets.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.stop.state() == DrainState::Serving && self.catalog.can_serve_requests()
     }
 
-    /// Chooses the fronts for a caller.
+    /// Chooses the fronts for a caller; suspected members are used only if no live one qualifies.
     #[must_use]
-    pub fn choose_fronts(&self, question: &DirectoryQuery) -> SmallVec<[SocketAddr; 8]> {
-        let turn = rand::rng().random_range(0..usize::from(u16::MAX));
-        let offers = self.offers(MemberState::Alive);
-        let domain = question.domain.as_ref();
-        let chosen = front_choice::choose_fronts(&offers, domain, &self.options, turn);
+    pub fn choose_fronts(&self, query: &DirectoryQuery) -> SmallVec<[SocketAddr; 8]> {
+        let rotation = rand::rng().random_range(0..usize::from(u16::MAX));
+        let candidates = self.candidates(MemberState::Alive);
+        let domain = query.domain.as_ref();
+        let chosen = front_choice::choose_fronts(&candidates, domain, &self.options, rotation);
         if !chosen.is_empty() {
             return chosen;
         }
-        let offers = self.offers(MemberState::Suspect);
-        front_choice::choose_fronts(&offers, domain, &self.options, turn)
+        let candidates = self.candidates(MemberState::Suspect);
+        front_choice::choose_fronts(&candidates, domain, &self.options, rotation)
     }
 
-    fn offers(&self, state: MemberState) -> Vec<FrontCandidate> {
+    fn candidates(&self, state: MemberState) -> Vec<FrontCandidate> {
         let view = self.catalog.view();
         let now = self.group.now();
         let own = self.is_ready().then(|| FrontCandidate {
@@ -98,7 +98,7 @@
         let others = members.iter().skip(1).filter_map(|member| {
             let has_config = member.config.is_some_and(|config| config.version_sum > 0);
             let record = &member.record;
-            let offer = FrontCandidate {
+            let candidate = FrontCandidate {
                 address: record.caller_address?,
                 domain: record.domain.clone(),
                 relative_size: view.share.relative_size(record.capacity),
@@ -107,7 +107,7 @@
                     now.since(member.discovered_at),
                 ),
             };
-            (member.state == state).then_some(offer)
+            (member.state == state).then_some(candidate)
         });
         own.into_iter().chain(others).collect()
     }
