--- a/alderhaven-front/src/attempt.rs
+++ b/alderhaven-front/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one target, from its first byte to the last one of the reply.
+//! One attempt at one target: takes a connection, sends the request and reads the whole reply.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,76 +20,78 @@
 use crate::target_pool::PooledConnection;
 use crate::wire_dialect::{ReplyKind, TargetCall, WholeBody, WireDialect};
 
-/// The largest reply that is read from a target, in bytes. Replies are held whole, and some dozens of
-/// them at a time must fit into a host of 160 MB.
+/// The largest reply body that is read from a target, in bytes. Replies are buffered whole, so
+/// this bounds the memory of concurrent attempts.
 const MAX_REPLY_BYTES: usize = 2 << 20;
 
-/// An `AttemptEnd` is what an attempt came to.
+/// How an attempt ended, and whether the request may have run at the target.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The target ran the request and succeeded.
+    /// The target ran the request and replied with success.
     Success(TargetReply),
-    /// The target ran the request and failed.
+    /// The target ran the request and replied with a failure.
     Failure(TargetReply),
-    /// The target refused without running the request.
+    /// The target rejected the request without running it.
     NotRun,
-    /// Another target has the address; the request did not run.
+    /// The address now belongs to another target, which did not run the request.
     WrongTarget,
-    /// The target could not be reached; nothing was sent.
+    /// No connection could be made, or it was closed before the request was written.
     Unreachable,
-    /// The request was over, or the target closed, before anything was sent.
+    /// The request finished, or the target stopped taking work, before anything was sent.
     Cancelled,
-    /// The request was sent and no whole reply to it came: it may have run.
+    /// The request was sent and no complete reply to it arrived. It may have run.
     Lost,
 }
 
-/// A `TargetReply` is a target's whole reply.
+/// A reply that was read to its end.
 #[derive(Debug)]
 pub struct TargetReply {
-    /// The reply.
+    /// Status, headers and body as the target sent them.
     pub reply: ForwardedReply,
-    /// The proof of it, which callers check.
+    /// Proof header of the reply, passed on for callers to verify.
     pub proof: Option<HeaderValue>,
 }
 
-/// An `AttemptPlan` is an attempt before it is sent.
+/// Everything that one attempt needs before it is sent.
 pub struct AttemptPlan {
-    /// The shard that it is for, by its place in the query.
+    /// Index of the shard within the query.
     pub shard: usize,
-    /// The target.
+    /// Where the request is sent.
     pub target: Arc<TargetHandle>,
-    /// The caller's request.
+    /// The caller's request, shared by all attempts.
     pub call: Arc<QueryCall>,
-    /// Whether the request may run more than once.
+    /// Whether the request may run more than once. If not, a new connection is opened for it.
     pub is_idempotent: bool,
-    /// When the time of the request is over.
+    /// When the attempt is no longer of use. The target is told the time that remains.
     pub deadline: TimePoint,
-    /// Set once the request was answered: nothing more is sent for it then.
+    /// Set when the request has been answered. An attempt that has sent nothing by then is
+    /// cancelled.
     pub is_request_finished: Arc<AtomicBool>,
-    /// Whether the attempt may send, and whether it has begun to.
+    /// Arbitrates between sending the request and cancelling the attempt.
     pub phase: AttemptPhase,
-    /// The usual time of such an attempt.
+    /// Typical latency of attempts of this route, against which the target's statistics are kept.
     pub typical_latency: TimeSpan,
-    /// The protocol.
+    /// Builds the request and classifies the reply.
     pub dialect: Arc<dyn WireDialect>,
-    /// The clock.
+    /// Clock of the process.
     pub clock: ProcessClock,
 }
 
-/// An `AttemptReport` is an attempt after its end.
+/// An attempt that has ended.
 #[derive(Debug)]
 pub struct AttemptReport {
-    /// The shard that it was for.
+    /// Index of the shard within the query.
     pub shard: usize,
-    /// The target.
+    /// Where the request was sent.
     pub target: Arc<TargetHandle>,
-    /// How long it took.
+    /// Time from the start of the attempt to its end, including the wait for a connection.
     pub elapsed: TimeSpan,
-    /// What it came to.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
 
-/// Notes the end of an attempt at its target, also where the attempt is dropped.
+/// Records the end of an attempt in the statistics of its target, also when the attempt is
+/// dropped.
 struct AttemptGuard {
     target: Arc<TargetHandle>,
     sent_at: TimePoint,
@@ -101,13 +103,13 @@
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let now = self.clock.now();
-        let is_newly_aside = {
-            let mut gauge = self.target.gauge();
-            let was_aside = gauge.is_ejected(now);
-            gauge.end_attempt(self.sent_at, self.typical_latency, self.result, now);
-            gauge.is_ejected(now) && !was_aside
+        let is_newly_ejected = {
+            let mut stats = self.target.stats();
+            let was_ejected = stats.is_ejected(now);
+            stats.end_attempt(self.sent_at, self.typical_latency, self.result, now);
+            stats.is_ejected(now) && !was_ejected
         };
-        if is_newly_aside {
+        if is_newly_ejected {
             let entry = self.target.entry();
             FrontEvent::TargetEjected {
                 target: entry.id.clone(),
@@ -119,20 +121,20 @@
 }
 
 impl AttemptPlan {
-    /// Sends the attempt and reads its reply.
+    /// Runs the attempt to its end and records the result in the statistics of the target.
     pub async fn run(self) -> AttemptReport {
-        let sent = self.clock.now();
-        self.target.gauge().begin_attempt(sent);
+        let sent_at = self.clock.now();
+        self.target.stats().begin_attempt(sent_at);
         let mut guard = AttemptGuard {
             target: Arc::clone(&self.target),
-            sent_at: sent,
+            sent_at,
             typical_latency: self.typical_latency,
             clock: self.clock,
             result: AttemptResult::Cancelled,
         };
         let (shard, target, clock) = (self.shard, Arc::clone(&self.target), self.clock);
-        let end = self.exchange().await;
-        guard.result = match &end {
+        let outcome = self.exchange().await;
+        guard.result = match &outcome {
             AttemptOutcome::Success(_) => AttemptResult::Answered,
             AttemptOutcome::Unreachable => AttemptResult::Unreachable,
             AttemptOutcome::Cancelled => AttemptResult::Cancelled,
@@ -142,35 +144,42 @@
         AttemptReport {
             shard,
             target,
-            elapsed: clock.now().since(sent),
-            outcome: end,
+            elapsed: clock.now().since(sent_at),
+            outcome,
         }
     }
 
     async fn exchange(self) -> AttemptOutcome {
-        let Ok(mut taken) = self.target.pool.take(!self.is_idempotent).await else {
+        let Ok(mut connection) = self.target.pool.take(!self.is_idempotent).await else {
             return AttemptOutcome::Unreachable;
         };
-        // Built only now: the wait for a connection has used up some of the time that is left.
+        // Built after the wait for a connection, which has used up part of the time left.
         let Some(request) = self.build_request() else {
-            self.target.pool.give_back_unused(taken);
+            self.target.pool.give_back_unused(connection);
             return AttemptOutcome::Cancelled;
         };
-        match send(&self.target, &mut taken, request).await {
+        match send(&self.target, &mut connection, request).await {
             Ok(response) => {
                 let request_id = &self.call.request_id;
-                read_reply(&self.target, taken, response, request_id, &*self.dialect).await
+                read_reply(
+                    &self.target,
+                    connection,
+                    response,
+                    request_id,
+                    &*self.dialect,
+                )
+                .await
             }
-            Err(end) => end,
+            Err(outcome) => outcome,
         }
     }
 
-    /// Builds the request; none where it is no longer to be sent.
+    /// Builds the request. Returns `None` if it must not be sent any more.
     fn build_request(&self) -> Option<Request<WholeBody>> {
         let now = self.clock.now();
-        let is_late = self.is_request_finished.load(Ordering::Relaxed) || now >= self.deadline;
-        // The target may have been closed while the attempt waited for a connection.
-        if is_late || self.target.is_closed() || !self.phase.begin_send() {
+        let is_expired = self.is_request_finished.load(Ordering::Relaxed) || now >= self.deadline;
+        // The target may have stopped taking work while the attempt waited for a connection.
+        if is_expired || self.target.is_closed() || !self.phase.begin_send() {
             return None;
         }
         let entry = self.target.entry();
@@ -186,22 +195,23 @@
 
 async fn send(
     target: &TargetHandle,
-    taken: &mut PooledConnection,
+    connection: &mut PooledConnection,
     request: Request<WholeBody>,
 ) -> Result<Response<Incoming>, AttemptOutcome> {
-    let mut refused = match taken.sender().try_send_request(request).await {
+    let mut refused = match connection.sender().try_send_request(request).await {
         Ok(response) => return Ok(response),
         Err(refused) => refused,
     };
-    // A request that comes back was never written: the target had closed the idle connection.
+    // hyper returns the message only if nothing of it was written: the target had closed the idle
+    // connection.
     let Some(request) = refused.take_message() else {
         return Err(AttemptOutcome::Lost);
     };
-    if taken.is_new() || target.pool.replace(taken).await.is_err() {
+    if connection.is_new() || target.pool.replace(connection).await.is_err() {
         return Err(AttemptOutcome::Unreachable);
     }
-    let sent = taken.sender().try_send_request(request).await;
-    sent.map_err(|mut refused| match refused.take_message() {
+    let result = connection.sender().try_send_request(request).await;
+    result.map_err(|mut refused| match refused.take_message() {
         Some(_) => AttemptOutcome::Unreachable,
         None => AttemptOutcome::Lost,
     })
@@ -209,7 +219,7 @@
 
 async fn read_reply(
     target: &TargetHandle,
-    taken: PooledConnection,
+    connection: PooledConnection,
     response: Response<Incoming>,
     request_id: &str,
     dialect: &dyn WireDialect,
@@ -217,8 +227,8 @@
     let (head, body) = response.into_parts();
     let kind = dialect.reply_kind(request_id, head.status, &head.headers);
     if kind == ReplyKind::RequestIdMismatch {
-        // The reply to an earlier request came late or twice: this one's may come or not, and what
-        // else comes on the connection can't be told apart.
+        // A late or duplicate reply to an earlier request. Later replies on this connection cannot
+        // be matched to requests either, so the connection is closed.
         return AttemptOutcome::Lost;
     }
     let Ok(body) = Limited::new(body, MAX_REPLY_BYTES).collect().await else {
@@ -230,10 +240,10 @@
     };
     target
         .pool
-        .give_back(taken, keep_alive_timeout(&head.headers));
+        .give_back(connection, keep_alive_timeout(&head.headers));
     let reply = TargetReply {
         proof: dialect.reply_proof(&head.headers),
-        reply: passed_reply(head.status, head.headers, body.to_bytes()),
+        reply: forwarded_reply(head.status, head.headers, body.to_bytes()),
     };
     match kind {
         ReplyKind::Success => AttemptOutcome::Success(reply),
@@ -244,7 +254,7 @@
     }
 }
 
-const fn passed_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> ForwardedReply {
+const fn forwarded_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> ForwardedReply {
     ForwardedReply {
         status,
         headers,
@@ -252,7 +262,7 @@
     }
 }
 
-/// Gets how long the target keeps the connection, by the `Keep-Alive` header.
+/// Parses the idle timeout that the target announces in the `Keep-Alive` header.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<TimeSpan> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = text
--- a/alderhaven-front/src/caller_service.rs
+++ b/alderhaven-front/src/caller_service.rs
@@ -1,4 +1,5 @@
-//! Callers' requests, from their heads to their answers.
+//! Handles a caller's request: reads it, finds its route, refuses what can't run and starts the
+//! query.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -24,17 +25,16 @@
 
 use alderhaven_policy::drain::DrainState;
 
-/// When a caller should come back to a front without a configuration.
+/// The minimum `Retry-After` of a front without a configuration.
 const NO_CONFIG_RETRY_MIN: TimeSpan = TimeSpan::from_millis(150);
-/// What is added to it at random.
+/// The maximum random addition to it.
 const NO_CONFIG_RETRY_JITTER: TimeSpan = TimeSpan::from_millis(250);
 
-/// The longest that a request waits for the first configuration. A refusal would send its caller to fronts
-/// that start in the same moment.
+/// The longest wait of a request for the first configuration. Refusing at once would send callers
+/// to other fronts that are starting as well.
 const MAX_CONFIG_WAIT: TimeSpan = TimeSpan::from_millis(600);
 
-/// The share of the caller's patience that such a wait may take, so that enough is left for another
-/// front.
+/// The share of the caller's timeout that this wait may use; the rest is left for another front.
 const MAX_CONFIG_WAIT_FRACTION: f64 = 0.4;
 
 /// Answers one request of a caller.
@@ -45,13 +45,13 @@
     context: FrontContext,
     request: Request<Incoming>,
 ) -> Result<Response<WholeBody>, Infallible> {
-    let _flight = context.stop.begin_request();
-    let arrived = context.clock.now();
+    let _in_flight = context.stop.begin_request();
+    let arrived_at = context.clock.now();
     let (head, body) = request.into_parts();
-    let answer = answer(&context, head, body, arrived).await;
+    let answer = answer(&context, head, body, arrived_at).await;
     let mut response = context.dialect.caller_response(answer);
     if context.stop.state() != DrainState::Serving {
-        // The caller should ask for another front before its next request.
+        // Makes the caller ask the directory for another front before its next request.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
@@ -62,14 +62,14 @@
     context: &FrontContext,
     head: Parts,
     body: Incoming,
-    arrived: TimePoint,
+    arrived_at: TimePoint,
 ) -> FrontAnswer {
     let CallerHead {
         request_id,
         time_left,
     } = context.dialect.caller_head(&head);
-    let patience = time_left.unwrap_or(context.options.default_deadline);
-    let limit = patience
+    let caller_timeout = time_left.unwrap_or(context.options.default_deadline);
+    let limit = caller_timeout
         .mul_f64(MAX_CONFIG_WAIT_FRACTION)
         .min(MAX_CONFIG_WAIT);
     let view = context.catalog.view_with_routing(limit).await;
@@ -80,29 +80,29 @@
     let Some(route) = view.find_route(&site, head.uri.path()).cloned() else {
         return refuse_bad_request(request_id, BadRequest::NoRoute, routing.version);
     };
-    let limit = patience.min(route.rule.timeout).as_duration();
+    let limit = caller_timeout.min(route.rule.timeout).as_duration();
     let body = match read_body(body, routing.limits.max_body.as_bytes(), limit).await {
         Ok(body) => body,
         Err(reason) => return refuse_bad_request(request_id, reason, routing.version),
     };
-    let Ok(forwarded) = context.dialect.forwarded_head(&head) else {
+    let Ok(forwarded_head) = context.dialect.forwarded_head(&head) else {
         return refuse_bad_request(request_id, BadRequest::Unreadable, routing.version);
     };
     let call = Arc::new(QueryCall {
         head,
-        forwarded_head: forwarded,
+        forwarded_head,
         body,
         request_id: Arc::from(request_id),
-        arrived_at: arrived,
-        time_left: patience,
+        arrived_at,
+        time_left: caller_timeout,
     });
-    if let Some(wait) = crash_retry_after(context, &call) {
-        return refuse_crashing_request(&call, wait);
+    if let Some(retry_after) = crash_retry_after(context, &call) {
+        return refuse_crashing_request(&call, retry_after);
     }
     QueryRun::answer(context, &view, &route, &call).await
 }
 
-/// Gets how long the request is refused because it crashes targets; none where it is not.
+/// Gets how long the request is still refused for crashing targets; none if it may run.
 fn crash_retry_after(context: &FrontContext, call: &QueryCall) -> Option<TimeSpan> {
     let crashes = context.catalog.crashes();
     if !crashes.has_strikes() {
@@ -111,7 +111,7 @@
     crashes.refused_for(&call.fingerprint())
 }
 
-fn refuse_crashing_request(call: &QueryCall, wait: TimeSpan) -> FrontAnswer {
+fn refuse_crashing_request(call: &QueryCall, retry_after: TimeSpan) -> FrontAnswer {
     let reason = RefusalReason::Crashes;
     FrontEvent::RequestRefused {
         request: call.request_id.to_string(),
@@ -120,7 +120,7 @@
     .emit(Level::Warn);
     FrontAnswer::NotRun {
         reason,
-        retry_after: wait,
+        retry_after,
     }
 }
 
@@ -131,10 +131,10 @@
         reason,
     }
     .emit(Level::Warn);
-    let spread: f64 = rand::rng().random_range(0.0..1.0);
+    let jitter: f64 = rand::rng().random_range(0.0..1.0);
     FrontAnswer::NotRun {
         reason,
-        retry_after: NO_CONFIG_RETRY_MIN + NO_CONFIG_RETRY_JITTER.mul_f64(spread),
+        retry_after: NO_CONFIG_RETRY_MIN + NO_CONFIG_RETRY_JITTER.mul_f64(jitter),
     }
 }
 
@@ -148,7 +148,7 @@
     FrontAnswer::BadRequest(reason)
 }
 
-/// Gets the name of the site that a request is for, without a port and in small letters.
+/// Gets the site from the URI or the `Host` header, in lower case and without the port.
 fn site_name(head: &Parts) -> String {
     let from_header = || head.headers.get(header::HOST)?.to_str().ok();
     let host = head.uri.host().or_else(from_header).unwrap_or_default();
@@ -156,11 +156,11 @@
     name.to_ascii_lowercase()
 }
 
-async fn read_body(body: Incoming, most: usize, limit: Duration) -> Result<Bytes, BadRequest> {
+async fn read_body(body: Incoming, max_bytes: usize, limit: Duration) -> Result<Bytes, BadRequest> {
     if hyper::body::Body::is_end_stream(&body) {
         return Ok(Bytes::new());
     }
-    let read = time::timeout(limit, Limited::new(body, most).collect()).await;
+    let read = time::timeout(limit, Limited::new(body, max_bytes).collect()).await;
     match read {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::BodyTooLarge),
--- a/alderhaven-front/src/group_server.rs
+++ b/alderhaven-front/src/group_server.rs
@@ -1,6 +1,7 @@
-//! Carries out what fronts of other failure domains ask: attempts at targets, with merged replies.
+//! Serves group requests of fronts in other failure domains: sends the attempts and merges the
+//! replies.
 //!
-//! Nothing is decided here: the asking front chose the targets, hedges and retries.
+//! No policy is applied here. The requesting front chooses targets, hedges and retries.
 
 use std::collections::HashMap;
 use std::io;
@@ -29,10 +30,10 @@
 use crate::query_call::QueryCall;
 use crate::target_handle::TargetStatus;
 
-/// The pause after a failed accept, which is out of descriptors in nearly all cases.
+/// Pause after a failed accept, which in most cases means that file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
 
-/// Serves other fronts for as long as the process runs.
+/// Accepts connections of other fronts for as long as the process runs.
 pub async fn serve(listener: TcpListener, context: FrontContext) {
     loop {
         match listener.accept().await {
@@ -44,7 +45,7 @@
     }
 }
 
-/// An ask that is carried out; dropping it breaks its attempts off.
+/// A group request in progress. Dropping it aborts its attempts.
 struct OpenRequest {
     is_request_finished: Arc<AtomicBool>,
     task: AbortOnDropHandle<()>,
@@ -52,22 +53,23 @@
 
 async fn serve_front(stream: TcpStream, context: FrontContext) -> io::Result<()> {
     let (sender, mut reader) = connection::split(stream)?;
-    let mut asks: HashMap<u64, OpenRequest> = HashMap::new();
-    let mut age = DeliveryAge::default();
-    // The asks go with the connection: an asking front that is gone has no callers any more.
+    let mut requests: HashMap<u64, OpenRequest> = HashMap::new();
+    let mut delivery_age = DeliveryAge::default();
+    // Requests end with their connection: the requesting front no longer waits for them.
     while let Some(message) = connection::next_message(&mut reader).await {
         match message {
-            PeerMessage::GroupAsk(ask) => {
+            PeerMessage::GroupAsk(request) => {
                 let now = context.clock.now();
-                let late_by = age.record_delivery(TimePoint::from_micros(ask.sent_us), now);
-                asks.retain(|_, open| !open.task.is_finished());
-                asks.insert(
-                    ask.number,
-                    start_request(ask, late_by, &context, sender.clone()),
+                let delay =
+                    delivery_age.record_delivery(TimePoint::from_micros(request.sent_us), now);
+                requests.retain(|_, open| !open.task.is_finished());
+                requests.insert(
+                    request.number,
+                    start_request(request, delay, &context, sender.clone()),
                 );
             }
             PeerMessage::GroupClose(close) => {
-                let Some(open) = asks.remove(&close.number) else {
+                let Some(open) = requests.remove(&close.number) else {
                     continue;
                 };
                 open.is_request_finished.store(true, Ordering::Relaxed);
@@ -81,21 +83,27 @@
     Ok(())
 }
 
-/// Lets the attempts of an ask end by themselves for a while, so that their connections are kept.
+/// Lets the attempts of a request end within `limit`, so that their connections can be reused.
 async fn drain_attempts(open: OpenRequest, limit: TimeSpan) {
-    let _is_over = time::timeout(limit.as_duration(), open.task).await;
+    let _finished = time::timeout(limit.as_duration(), open.task).await;
 }
 
 fn start_request(
-    ask: GroupAsk,
-    late_by: TimeSpan,
+    request: GroupAsk,
+    delay: TimeSpan,
     context: &FrontContext,
     sender: FrameSender,
 ) -> OpenRequest {
-    let is_over = Arc::new(AtomicBool::new(false));
-    let run = GroupRun::new(ask, late_by, context.clone(), sender, Arc::clone(&is_over));
+    let is_request_finished = Arc::new(AtomicBool::new(false));
+    let run = GroupRun::new(
+        request,
+        delay,
+        context.clone(),
+        sender,
+        Arc::clone(&is_request_finished),
+    );
     OpenRequest {
-        is_request_finished: is_over,
+        is_request_finished,
         task: AbortOnDropHandle::new(tokio::spawn(run.run())),
     }
 }
@@ -113,29 +121,29 @@
 
 impl GroupRun {
     fn new(
-        ask: GroupAsk,
-        late_by: TimeSpan,
+        request: GroupAsk,
+        delay: TimeSpan,
         context: FrontContext,
         sender: FrameSender,
-        is_over: Arc<AtomicBool>,
+        is_request_finished: Arc<AtomicBool>,
     ) -> Self {
         let now = context.clock.now();
-        let left = |micros: u64| TimeSpan::from_micros(micros).saturating_sub(late_by);
+        let remaining = |micros: u64| TimeSpan::from_micros(micros).saturating_sub(delay);
         Self {
-            flush_at: now + left(ask.flush_us),
-            deadline: now + left(ask.remaining_us),
+            flush_at: now + remaining(request.flush_us),
+            deadline: now + remaining(request.remaining_us),
             context,
             sender,
-            request: ask,
-            is_request_finished: is_over,
+            request,
+            is_request_finished,
             attempt_ends: Vec::new(),
             reply_bodies: Vec::new(),
         }
     }
 
     async fn run(mut self) {
-        // A planned stop waits for it.
-        let _flight = self.context.stop.begin_request();
+        // A graceful stop waits for this request.
+        let _in_flight = self.context.stop.begin_request();
         self.context.metrics.served_group_requests.inc();
         let mut attempts = self.start_attempts();
         let mut is_flushed = false;
@@ -166,16 +174,16 @@
             return attempts;
         };
         let view = self.context.catalog.view();
-        for (place, id) in self.request.targets.iter().enumerate() {
+        for (index, id) in self.request.targets.iter().enumerate() {
             let target = view.targets.get(id);
             let ready = target.filter(|target| !target.is_closed());
             let Some(target) = ready else {
                 self.attempt_ends
-                    .push(group_end(place, GroupOutcome::NotSent, TimeSpan::ZERO));
+                    .push(group_end(index, GroupOutcome::NotSent, TimeSpan::ZERO));
                 continue;
             };
             let plan = AttemptPlan {
-                shard: place,
+                shard: index,
                 target: Arc::clone(target),
                 call: Arc::clone(&call),
                 is_idempotent: true,
@@ -191,14 +199,14 @@
         attempts
     }
 
-    /// Builds the caller's request again; none where the ask can't be read.
+    /// Rebuilds the caller's request. Returns `None` if the group request is malformed.
     fn rebuild_call(&self) -> Option<Arc<QueryCall>> {
         let now = self.context.clock.now();
         let head = request_head(&self.request)?;
-        let forwarded = self.context.dialect.forwarded_head(&head).ok()?;
+        let forwarded_head = self.context.dialect.forwarded_head(&head).ok()?;
         Some(Arc::new(QueryCall {
             head,
-            forwarded_head: forwarded,
+            forwarded_head,
             body: self.request.body.clone(),
             request_id: Arc::from(self.request.request_id.as_str()),
             arrived_at: now,
@@ -238,29 +246,29 @@
             records: top_records::greatest_records(&self.reply_bodies, records),
         };
         self.reply_bodies.clear();
-        // Where the connection is lost the asking front hears of it by itself.
-        let _is_lost = self.sender.send(PeerMessage::GroupReply(reply));
+        // If the connection is lost, the requesting front detects that by itself.
+        let _is_sent = self.sender.send(PeerMessage::GroupReply(reply));
     }
 }
 
-fn group_end(place: usize, outcome: GroupOutcome, took: TimeSpan) -> GroupEnd {
+fn group_end(index: usize, outcome: GroupOutcome, elapsed: TimeSpan) -> GroupEnd {
     GroupEnd {
-        place: u32::try_from(place).unwrap_or(u32::MAX),
+        place: u32::try_from(index).unwrap_or(u32::MAX),
         outcome: outcome.into(),
         proof: Bytes::new(),
-        took_us: took.as_micros(),
+        took_us: elapsed.as_micros(),
     }
 }
 
-fn request_head(ask: &GroupAsk) -> Option<Parts> {
-    let mut request = Request::builder()
-        .method(ask.method.as_str())
-        .uri(ask.path.as_str());
-    for field in &ask.headers {
+fn request_head(request: &GroupAsk) -> Option<Parts> {
+    let mut builder = Request::builder()
+        .method(request.method.as_str())
+        .uri(request.path.as_str());
+    for field in &request.headers {
         let name = HeaderName::from_bytes(field.name.as_bytes()).ok()?;
         let value = HeaderValue::from_bytes(&field.value).ok()?;
-        request = request.header(name, value);
+        builder = builder.header(name, value);
     }
-    let (head, ()) = request.body(()).ok()?.into_parts();
+    let (head, ()) = builder.body(()).ok()?.into_parts();
     Some(head)
 }
--- a/alderhaven-front/src/service_targets.rs
+++ b/alderhaven-front/src/service_targets.rs
@@ -1,4 +1,4 @@
-//! The targets of one service, the choice among them and the budget of repeats towards them.
+//! Targets of one service, the choice among them, and the shared budget of repeats.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,34 +10,36 @@
 
 use crate::target_handle::{TargetHandle, TargetStatus};
 
-/// What a target whose registration has lapsed must be faster by: it is used only where all others
-/// are stuck.
+/// Expected cost added to a target whose registration has expired, so that it is used only if all
+/// others are stuck.
 const EXPIRED_PENALTY: TimeSpan = TimeSpan::from_millis(200);
 
-/// What a target in a silent failure domain must be faster by: it is used only where there is no other.
+/// Expected cost added to a target in a silent failure domain, so that it is used only if there is
+/// no other.
 const SILENT_PENALTY: TimeSpan = TimeSpan::from_millis(400);
 
-/// What a target must be faster by that lies in the failure domain of one that was tried already.
+/// Expected cost added to a target that shares its failure domain with one that was already tried.
 const SAME_DOMAIN_PENALTY: TimeSpan = TimeSpan::from_millis(100);
 
-/// A `ServiceTargets` is a service as one view of the catalog shows it.
+/// One service within a catalog view.
 #[derive(Clone, Debug)]
 pub struct ServiceTargets {
-    /// The name of the service.
+    /// Name of the service.
     pub name: String,
-    /// Its targets, those that leave too.
+    /// All known targets, including those that are leaving.
     pub targets: Vec<Arc<TargetHandle>>,
-    /// The budget of repeats, shared by all views.
+    /// Budget of hedges and retries, shared by all catalog views.
     pub budget: Arc<Mutex<RepeatBudget>>,
 }
 
 impl ServiceTargets {
-    /// Chooses a target that is not among `tried`; none where no other may be used now.
+    /// Chooses the target with the lowest expected cost that is not in `tried`. Returns `None` if
+    /// no other can be used now.
     #[must_use]
     pub fn choose(
         &self,
         tried: &[Arc<TargetHandle>],
-        usual: TimeSpan,
+        typical_latency: TimeSpan,
         now: TimePoint,
     ) -> Option<&Arc<TargetHandle>> {
         let is_tried =
@@ -46,40 +48,40 @@
             .iter()
             .filter(|target| !is_tried(target))
             .filter_map(|target| {
-                let beside = tried.iter().any(|tried| tried.shares_domain_with(target));
-                let penalty = if beside {
+                let shares_domain = tried.iter().any(|tried| tried.shares_domain_with(target));
+                let penalty = if shares_domain {
                     SAME_DOMAIN_PENALTY
                 } else {
                     TimeSpan::ZERO
                 };
-                Some((cost(target, usual, now)? + penalty, target))
+                Some((cost(target, typical_latency, now)? + penalty, target))
             })
             .min_by_key(|(cost, _)| *cost)
             .map(|(_, target)| target)
     }
 
-    /// Gets the targets that may be used now, with what an attempt at each is expected to cost.
+    /// Returns the targets that can be used now, with the expected cost of an attempt at each.
     #[must_use]
     pub fn costs(
         &self,
-        usual: TimeSpan,
+        typical_latency: TimeSpan,
         now: TimePoint,
     ) -> SmallVec<[(TimeSpan, &Arc<TargetHandle>); 4]> {
         self.targets
             .iter()
-            .filter_map(|target| Some((cost(target, usual, now)?, target)))
+            .filter_map(|target| Some((cost(target, typical_latency, now)?, target)))
             .collect()
     }
 
-    /// Locks the budget of repeats.
+    /// Locks the budget of hedges and retries.
     pub fn budget(&self) -> MutexGuard<'_, RepeatBudget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Gets what an attempt at the target is expected to cost; none where it may not be used.
-fn cost(target: &TargetHandle, usual: TimeSpan, now: TimePoint) -> Option<TimeSpan> {
-    let lapsed = match target.status() {
+/// Returns the expected cost of an attempt as a time, or `None` if the target must not be used.
+fn cost(target: &TargetHandle, typical_latency: TimeSpan, now: TimePoint) -> Option<TimeSpan> {
+    let expired_penalty = match target.status() {
         TargetStatus::Ready => TimeSpan::ZERO,
         TargetStatus::Expired(until) if now < until => EXPIRED_PENALTY,
         TargetStatus::Expired(_) | TargetStatus::Leaving => return None,
@@ -87,19 +89,24 @@
     if target.is_evacuated() || !target.warmup().allows_request(now) {
         return None;
     }
-    let gauge = target.gauge();
-    if gauge.is_ejected(now) {
+    let stats = target.stats();
+    if stats.is_ejected(now) {
         return None;
     }
-    let far = if target.is_in_own_domain {
+    let cross_domain_penalty = if target.is_in_own_domain {
         TimeSpan::ZERO
     } else {
-        cross_domain_cost::cross_domain_cost(usual)
+        cross_domain_cost::cross_domain_cost(typical_latency)
     };
-    let silent = if target.silence().is_silent(now) {
+    let silent_penalty = if target.silence().is_silent(now) {
         SILENT_PENALTY
     } else {
         TimeSpan::ZERO
     };
-    Some(gauge.expected_cost(usual, target.entry().slots, now) + far + lapsed + silent)
+    Some(
+        stats.expected_cost(typical_latency, target.entry().slots, now)
+            + cross_domain_penalty
+            + expired_penalty
+            + silent_penalty,
+    )
 }
--- a/alderhaven-policy/src/exchange/fetching.rs
+++ b/alderhaven-policy/src/exchange/fetching.rs
@@ -1,4 +1,4 @@
-//! How objects that are known of are got from peers, one message at a time.
+//! Fetching of missing objects from peers, with one open request per peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,23 +11,24 @@
 use crate::exchange::object_exchange::{self, MissingObject, ObjectExchange};
 use crate::exchange::peer_set::PeerSet;
 
-/// How often an object is asked for before it is left to the next comparison.
+/// Number of requests for an object before it is left to the next comparison.
 const MAX_FETCH_TRIES: u32 = 3;
 
 impl ObjectExchange {
-    /// Asks for what is newer than what the node holds.
+    /// Marks versions newer than the held ones as missing, and fetches them from the peer that has
+    /// them.
     pub(super) fn request_newer(
         &mut self,
         from: &NodeId,
         stamps: &[ObjectStamp],
         hops: u32,
         now: TimePoint,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         for stamp in stamps {
-            let held = self.index.version(&stamp.key);
-            let asked = self.missing.get(&stamp.key).map(|missing| missing.version);
-            let is_known = held.max(asked) >= Some(stamp.version);
+            let held_version = self.index.version(&stamp.key);
+            let requested_version = self.missing.get(&stamp.key).map(|missing| missing.version);
+            let is_known = held_version.max(requested_version) >= Some(stamp.version);
             if is_known || !object_exchange::is_configuration(&stamp.key) {
                 continue;
             }
@@ -40,11 +41,11 @@
             };
             self.missing.insert(stamp.key.clone(), missing);
         }
-        self.fetch(from, now, step);
+        self.fetch(from, now, output);
     }
 
-    /// Asks a peer for the next of what it is to give, one message at a time.
-    fn fetch(&mut self, from: &NodeId, now: TimePoint, step: &mut ExchangeOutput) {
+    /// Requests the next missing objects from a peer, unless a request to it is open.
+    fn fetch(&mut self, from: &NodeId, now: TimePoint, output: &mut ExchangeOutput) {
         if self.open_fetches.contains_key(from) {
             return;
         }
@@ -61,11 +62,13 @@
             .collect();
         if !keys.is_empty() {
             self.open_fetches.insert(from.clone(), now);
-            step.send
+            output
+                .send
                 .push((from.clone(), ExchangeMessage::Fetch { keys }));
         }
     }
 
+    /// Accepts fetched objects, announces them to other peers and requests the next ones.
     pub(super) fn handle_objects(
         &mut self,
         from: &NodeId,
@@ -73,7 +76,7 @@
         peers: &PeerSet,
         now: TimePoint,
         rng: &mut impl Rng,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         let mut by_hops: BTreeMap<u32, Vec<ObjectStamp>> = BTreeMap::new();
         let missing_before = self.missing.len();
@@ -82,28 +85,28 @@
                 .missing
                 .get(&object.key)
                 .map_or(0, |missing| missing.hops);
-            if let Some(stamp) = self.accept_object(object, step) {
+            if let Some(stamp) = self.accept_object(object, output) {
                 by_hops.entry(hops).or_default().push(stamp);
             }
         }
         for (hops, stamps) in by_hops {
-            self.announce(&stamps, hops, Some(from), peers, rng, step);
+            self.announce(&stamps, hops, Some(from), peers, rng, output);
         }
-        // A full message leaves some out; they are asked for again at once. Where none came, the
-        // peer does not hold them, and they are asked for elsewhere in time.
+        // Objects that did not fit into the message are requested again immediately. If none
+        // arrived, the peer does not hold them, and another peer is asked after the timeout.
         self.open_fetches.remove(from);
         if self.missing.len() < missing_before {
-            self.fetch(from, now, step);
+            self.fetch(from, now, output);
         }
     }
 
-    /// Asks elsewhere for what was not answered.
+    /// Requests objects that did not arrive in time from another peer.
     pub(super) fn retry_fetches(
         &mut self,
         peers: &PeerSet,
         now: TimePoint,
         rng: &mut impl Rng,
-        step: &mut ExchangeOutput,
+        output: &mut ExchangeOutput,
     ) {
         let timeout = self.options.answer_timeout;
         self.open_fetches
@@ -125,27 +128,28 @@
             true
         });
         if self.missing.len() < missing_before {
-            // Something was given up, so the open comparison must not count as complete.
+            // An object was abandoned, so the comparison must not make this node complete.
             self.comparison = None;
         }
         for peer in sources {
-            self.fetch(&peer, now, step);
+            self.fetch(&peer, now, output);
         }
     }
 
+    /// Returns as many objects as fit into one message, at least one.
     pub(super) fn take_within_limits(
         &self,
         objects: impl Iterator<Item = StoredObject>,
     ) -> Vec<StoredObject> {
         let mut bytes = 0;
-        let mut taken = Vec::new();
+        let mut selected = Vec::new();
         for object in objects.take(self.options.max_stamps) {
             bytes += object.body.as_ref().map_or(0, String::len);
-            if bytes > self.options.max_object_bytes.as_bytes() && !taken.is_empty() {
+            if bytes > self.options.max_object_bytes.as_bytes() && !selected.is_empty() {
                 break;
             }
-            taken.push(object);
+            selected.push(object);
         }
-        taken
+        selected
     }
 }
--- a/alderhaven-policy/src/membership/maintenance.rs
+++ b/alderhaven-policy/src/membership/maintenance.rs
@@ -1,4 +1,5 @@
-//! What a process does for its view from time to time, beside probing and spreading.
+//! Periodic tasks besides probing, gossip and state sync: pauses, suspicions, reconnection and the
+//! removal of dead members.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,17 +13,18 @@
 use crate::membership::member_machine::MemberEvent;
 use crate::membership::member_record::MemberState;
 
-/// The most members whose death is remembered after their record was dropped.
+/// Maximum number of dead members whose version is kept after their record was dropped.
 const MAX_TOMBSTONES: usize = 1 << 12;
 
-/// How often a process asks a suspected member itself before it gives it up.
+/// Number of direct pings that a suspected member gets before its suspicion expires.
 const PINGS_PER_SUSPICION: u32 = 2;
 
 impl GroupMembership {
-    /// Guards against judging others after this process itself was paused: answers that came
-    /// meanwhile are still unread, so a probe in flight would count as failed and suspicions as
-    /// lapsed, and a host that froze for seconds would declare everyone dead when it wakes. A late
-    /// tick shows the pause; the probe is then dropped and suspicions begin anew.
+    /// Detects from a late tick that this process was paused; cancels the running probe and
+    /// restarts all suspicion timeouts.
+    ///
+    /// Answers that arrived during the pause are still unread. Without this check, a process that
+    /// resumes would declare the members dead that it had been waiting for.
     pub(super) fn detect_pause(&mut self, now: TimePoint) {
         let is_paused = self
             .ticked_at
@@ -34,41 +36,41 @@
         self.ticked_at = Some(now);
     }
 
-    /// Ends suspicions that were not refuted in time.
+    /// Declares members dead whose suspicion has expired.
     ///
-    /// Guards against lossy paths: the refutation may miss this process, which would then give up
-    /// a member that all others know to be well. Each process therefore asks the member itself,
-    /// once after a third and once after two thirds of the time.
+    /// On lossy paths the refutation may not reach this process. It therefore pings the member
+    /// directly after one third and after two thirds of the timeout.
     pub(super) fn expire_suspicions(
         &mut self,
         now: TimePoint,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        let suspicion = self.options.suspicion_timeout(self.live_member_count());
-        let mut lapsed = Vec::new();
-        let mut asked = Vec::new();
-        for (node, asks) in &mut self.suspects {
+        let timeout = self.options.suspicion_timeout(self.live_member_count());
+        let mut expired = Vec::new();
+        let mut to_ping = Vec::new();
+        for (node, ping_count) in &mut self.suspects {
             let Some(member) = self.members.get(node) else {
                 continue;
             };
-            let lasted = now.since(member.machine.since().max(self.resumed_at));
-            if lasted >= suspicion {
-                lapsed.push(node.clone());
-            } else if lasted
-                >= suspicion.mul_f64(f64::from(*asks + 1) / f64::from(PINGS_PER_SUSPICION + 1))
+            let elapsed = now.since(member.machine.since().max(self.resumed_at));
+            if elapsed >= timeout {
+                expired.push(node.clone());
+            } else if elapsed
+                >= timeout.mul_f64(f64::from(*ping_count + 1) / f64::from(PINGS_PER_SUSPICION + 1))
             {
-                *asks += 1;
-                asked.push((node.clone(), member.record.gossip_address));
+                *ping_count += 1;
+                to_ping.push((node.clone(), member.record.gossip_address));
             }
         }
-        for (node, address) in asked {
+        for (node, address) in to_ping {
             outgoing.push(self.ping(address, &node));
         }
-        for node in lapsed {
+        for node in expired {
             self.apply_event(&node, MemberEvent::SuspicionExpired { now }, now);
         }
     }
 
+    /// Queues a report if the configuration in force has changed and a report is due.
     pub(super) fn report_config(&mut self, now: TimePoint) {
         let is_due = now.since(self.reported_at) >= self.options.report_period;
         if !self.options.is_reporting || !is_due {
@@ -83,9 +85,9 @@
         }
     }
 
-    /// Tries to reach a member that is dead or a seed that is not known: after a split heals,
-    /// nobody else would speak across it again. The chance falls with the size, so that a dead
-    /// host is not called by the whole fleet.
+    /// Tries to reach a dead member or an unknown seed, since after a network split no other
+    /// message crosses between the two sides. The probability decreases with the group size, so
+    /// that a failed host does not get a message from every member.
     pub(super) fn reconnect(
         &mut self,
         now: TimePoint,
@@ -96,19 +98,21 @@
             return;
         }
         self.next_reconnect_at = now + jittered(self.options.reconnect_period, rng);
-        let lost: Vec<(SocketAddr, Option<NodeId>)> = self.reconnect_candidates();
-        if lost.is_empty()
-            || !rng
-                .random_bool((10.0 * lost.len() as f64 / self.live_member_count() as f64).min(1.0))
+        let candidates: Vec<(SocketAddr, Option<NodeId>)> = self.reconnect_candidates();
+        if candidates.is_empty()
+            || !rng.random_bool(
+                (10.0 * candidates.len() as f64 / self.live_member_count() as f64).min(1.0),
+            )
         {
             return;
         }
-        match &lost[rng.random_range(0..lost.len())] {
+        match &candidates[rng.random_range(0..candidates.len())] {
             (address, Some(node)) => outgoing.push(self.ping(*address, node)),
             (address, None) => self.begin_sync(*address, now, outgoing),
         }
     }
 
+    /// Returns dead members, and seeds that belong to no known member.
     fn reconnect_candidates(&self) -> Vec<(SocketAddr, Option<NodeId>)> {
         let dead = self
             .members
@@ -131,24 +135,24 @@
         dead.chain(seeds.map(|seed| (*seed, None))).collect()
     }
 
-    /// Drops the records of members that have been dead for long.
+    /// Drops the records of members that have been dead for `forget_after`.
     ///
-    /// Their versions are kept: a process that was frozen all the while still believes them alive
-    /// and says so when it wakes, which would bring them back into answers until a probe fails.
+    /// Their versions are kept as tombstones: a process that resumes after a long pause may still
+    /// report them as alive.
     pub(super) fn forget_dead_members(&mut self, now: TimePoint) {
         if now.since(self.forgot_at) < self.options.reconnect_period {
             return;
         }
         self.forgot_at = now;
         let forget_after = self.options.forget_after;
-        let old: Vec<NodeId> = self
+        let forgotten: Vec<NodeId> = self
             .members
             .values()
             .filter(|member| member.machine.state() == MemberState::Dead)
             .filter(|member| now.since(member.machine.since()) >= forget_after)
             .map(|member| member.record.node.clone())
             .collect();
-        for node in old {
+        for node in forgotten {
             if let Some(member) = self.members.remove(&node) {
                 self.tombstones.insert(node, member.machine.version());
             }
@@ -161,14 +165,19 @@
             };
             self.tombstones.remove(&node);
         }
-        let mut known: BTreeSet<u32> = self.members.values().map(|m| m.fingerprint).collect();
-        known.insert(self.own_fingerprint());
-        self.config_reports.retain(|member| known.contains(&member));
+        let mut known_fingerprints: BTreeSet<u32> = self
+            .members
+            .values()
+            .map(|member| member.fingerprint)
+            .collect();
+        known_fingerprints.insert(self.own_fingerprint());
+        self.config_reports
+            .retain(|fingerprint| known_fingerprints.contains(&fingerprint));
     }
 }
 
-/// Spreads a period by a quarter to either side, so that processes that started together do not
-/// act together.
+/// Varies a period by up to a quarter, so that processes started together do not act at the same
+/// time.
 pub(super) fn jittered(period: TimeSpan, rng: &mut impl Rng) -> TimeSpan {
     period.mul_f64(rng.random_range(0.75..1.25))
 }
--- a/alderhaven-policy/src/membership/state_sync.rs
+++ b/alderhaven-policy/src/membership/state_sync.rs
@@ -1,8 +1,8 @@
-//! Comparison of views and transfer of what differs, in bounded chunks.
+//! Anti-entropy: comparison of views and transfer of the differences in bounded chunks.
 //!
-//! Each message carries a hash of its sender's view. Where two views differ although news has
-//! settled, the one that notices asks for the members in the parts that differ. A process that
-//! joins asks with an empty view and so gets everything.
+//! Each message carries a hash of the sender's view. If two views still differ once updates have
+//! settled, the process that notices asks for the members in the buckets that differ. A joining
+//! process asks with an empty view and so receives all members.
 
 use std::net::SocketAddr;
 use std::ops::Bound;
@@ -19,20 +19,21 @@
 use crate::membership::group_membership::GroupMembership;
 use crate::membership::maintenance;
 
-/// How often a chunk is asked for before the sync is given up.
+/// Number of requests for one chunk before the sync is abandoned.
 const MAX_SYNC_TRIES: u32 = 3;
 
-/// The time without changes after which a difference of views is not just news under way.
+/// Time without changes after which a difference between views is not explained by updates in
+/// transit.
 const VIEW_SETTLE_TIME: TimeSpan = TimeSpan::from_secs(1);
 
-/// The time that a joining process waits for one member's answer before it asks another that speaks
-/// to it; above a round trip between two regions.
+/// Time that a joining process waits for a reply before it asks another member; must exceed the
+/// round-trip time between regions.
 const JOIN_REPLY_TIMEOUT: TimeSpan = TimeSpan::from_millis(150);
 
-/// The bytes of a chunk that are kept free for reports.
+/// Bytes of a chunk that are reserved for reports.
 const RESERVED_REPORT_BYTES: usize = 100;
 
-/// A `SyncSchedule` says when to compare next and what is awaited.
+/// Times of the next syncs, and the one that is under way.
 #[derive(Debug, Default)]
 pub(super) struct SyncSchedule {
     pub(super) is_joined: bool,
@@ -43,12 +44,13 @@
 }
 
 impl SyncSchedule {
-    /// Returns true where the process has joined, and no comparison is under way.
+    /// Returns true if the process has joined and no sync is under way.
     pub(super) const fn is_idle(&self) -> bool {
         self.is_joined && self.current.is_none()
     }
 }
 
+/// A sync that waits for its next chunk.
 #[derive(Debug)]
 struct CurrentSync {
     peer: SocketAddr,
@@ -59,6 +61,7 @@
 }
 
 impl GroupMembership {
+    /// Continues or repeats the current sync, or starts one to join or to resolve a difference.
     pub(super) fn sync(
         &mut self,
         now: TimePoint,
@@ -79,6 +82,7 @@
         }
     }
 
+    /// Starts a sync with a peer, unless one is under way.
     pub(super) fn begin_sync(
         &mut self,
         peer: SocketAddr,
@@ -90,11 +94,10 @@
         }
     }
 
-    /// Notes a sender whose view differs.
+    /// Notes a sender whose view differs as a candidate for a sync.
     ///
-    /// A process that has not joined yet joins through whoever speaks to it. This guards against
-    /// the loss of all seeds: a restarted process then knows nobody, but those that knew it before
-    /// still probe its address.
+    /// A process that has not joined yet joins through any member that contacts it. If all seeds
+    /// are down, a restarted process is still probed by members that knew its address before.
     pub(super) fn compare_views(
         &mut self,
         from: SocketAddr,
@@ -108,14 +111,16 @@
         if is_differing && self.contacts.should_sync_with(&sender.node, rng) {
             self.syncing.differing_peer = Some(from);
         }
-        let is_joining = self.syncing.current.as_ref().is_some_and(|sync| {
+        let is_awaiting_reply = self.syncing.current.as_ref().is_some_and(|sync| {
             sync.after.is_some() || now.since(sync.asked_at) < JOIN_REPLY_TIMEOUT
         });
-        if !self.syncing.is_joined && !is_joining {
+        if !self.syncing.is_joined && !is_awaiting_reply {
             self.send_sync_request(from, None, 0, now, outgoing);
         }
     }
 
+    /// Sends the members after `after` in the buckets that differ, as far as they fit into one
+    /// message.
     pub(super) fn handle_sync_request(
         &mut self,
         from: SocketAddr,
@@ -127,45 +132,48 @@
         if buckets.len() != VIEW_BUCKETS {
             return;
         }
-        let mut left = self
+        let mut bytes_left = self
             .options
             .max_message_bytes
             .saturating_sub(ENVELOPE_BYTES + RESERVED_REPORT_BYTES);
         let mut updates: Vec<MemberUpdate> = Vec::new();
         let mut fingerprints = Vec::new();
-        let mut next = None;
+        let mut continue_after = None;
         if after.is_none() {
-            // The answering member itself is part of the first chunk.
+            // The first chunk includes the replying process itself.
             let own = self.own_update(true);
-            left = left.saturating_sub(own.size_bound());
+            bytes_left = bytes_left.saturating_sub(own.size_bound());
             updates.push(own);
             fingerprints.push(self.own_fingerprint());
         }
-        let mut last: Option<NodeId> = None;
-        let start = after.map_or(Bound::Unbounded, Bound::Excluded);
-        for (node, member) in self.members.range::<NodeId, _>((start, Bound::Unbounded)) {
+        let mut last_node: Option<NodeId> = None;
+        let lower_bound = after.map_or(Bound::Unbounded, Bound::Excluded);
+        for (node, member) in self
+            .members
+            .range::<NodeId, _>((lower_bound, Bound::Unbounded))
+        {
             let bucket = member.bucket();
             if self.buckets[bucket] == buckets[bucket] {
                 continue;
             }
             let update = member.update(true);
-            let Some(rest) = left.checked_sub(update.size_bound()) else {
-                next = last;
+            let Some(remaining_bytes) = bytes_left.checked_sub(update.size_bound()) else {
+                continue_after = last_node;
                 break;
             };
-            left = rest;
+            bytes_left = remaining_bytes;
             updates.push(update);
             fingerprints.push(member.fingerprint);
-            last = Some(node.clone());
+            last_node = Some(node.clone());
         }
         let reports = self
             .config_reports
-            .groups_of(&fingerprints, left + RESERVED_REPORT_BYTES);
+            .groups_of(&fingerprints, bytes_left + RESERVED_REPORT_BYTES);
         let message = GossipMessage {
             sender: self.sender_header(),
             body: GossipBody::SyncReply {
                 sequence,
-                continue_after: next,
+                continue_after,
             },
             updates,
             reports,
@@ -173,10 +181,11 @@
         outgoing.push(OutgoingMessage { to: from, message });
     }
 
+    /// Requests the next chunk, or completes the sync after the last one.
     pub(super) fn handle_sync_reply(
         &mut self,
         sequence: u32,
-        next: Option<NodeId>,
+        continue_after: Option<NodeId>,
         now: TimePoint,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
@@ -187,22 +196,23 @@
         else {
             return;
         };
-        if next.is_some() {
-            self.send_sync_request(sync.peer, next, 0, now, outgoing);
+        if continue_after.is_some() {
+            self.send_sync_request(sync.peer, continue_after, 0, now, outgoing);
         } else {
             self.syncing.is_joined = true;
             self.syncing.differing_peer = None;
         }
     }
 
+    /// Syncs with a random seed, once a join period; without seeds, the process counts as joined.
     fn join(&mut self, now: TimePoint, rng: &mut impl Rng, outgoing: &mut Vec<OutgoingMessage>) {
-        let own = self.record.gossip_address;
+        let own_address = self.record.gossip_address;
         let seeds: SmallVec<[SocketAddr; 8]> = self
             .options
             .seeds
             .iter()
             .copied()
-            .filter(|seed| *seed != own)
+            .filter(|seed| *seed != own_address)
             .collect();
         if seeds.is_empty() {
             self.syncing.is_joined = true;
@@ -215,7 +225,7 @@
         }
     }
 
-    /// Asks again for a chunk that did not come; returns true while a sync goes on.
+    /// Repeats a request whose reply is overdue; returns true while a sync is under way.
     fn retry_sync(&mut self, now: TimePoint, outgoing: &mut Vec<OutgoingMessage>) -> bool {
         let join_period = self.options.join_period;
         let late = self
@@ -245,7 +255,7 @@
             after: after.clone(),
             buckets: SmallVec::from_slice(&self.buckets),
         };
-        // The first question introduces this process.
+        // The first request introduces this process.
         let introduction = after.is_none().then(|| self.own_update(true));
         outgoing.push(self.message_with_update(peer, body, introduction));
         self.syncing.current = Some(CurrentSync {
