--- a/alderhaven-core/src/config_object.rs
+++ b/alderhaven-core/src/config_object.rs
@@ -32,9 +32,9 @@
     /// One target, as it registers itself.
     Target,
     /// A node's last word on whether it reaches the store.
-    Contact,
+    StoreContact,
     /// What a node has seen of the crashes that one request was part of.
-    Strike,
+    CrashStrike,
     /// A failure domain whose targets get no new work until the object is removed; named after it.
     Evacuation,
 }
@@ -53,8 +53,8 @@
             | Self::Drain
             | Self::Routing
             | Self::Target
-            | Self::Contact
-            | Self::Strike
+            | Self::StoreContact
+            | Self::CrashStrike
             | Self::Evacuation => true,
             Self::Claims | Self::History => false,
         }
@@ -72,8 +72,8 @@
             Self::History => "history",
             Self::Routing => "routing",
             Self::Target => "target",
-            Self::Contact => "contact",
-            Self::Strike => "strike",
+            Self::StoreContact => "contact",
+            Self::CrashStrike => "strike",
             Self::Evacuation => "evacuation",
         }
     }
@@ -98,8 +98,8 @@
             "history" => Ok(Self::History),
             "routing" => Ok(Self::Routing),
             "target" => Ok(Self::Target),
-            "contact" => Ok(Self::Contact),
-            "strike" => Ok(Self::Strike),
+            "contact" => Ok(Self::StoreContact),
+            "strike" => Ok(Self::CrashStrike),
             "evacuation" => Ok(Self::Evacuation),
             _ => Err(Error::parse(
                 "object kind",
@@ -198,8 +198,8 @@
             | ObjectKind::History
             | ObjectKind::Routing
             | ObjectKind::Target
-            | ObjectKind::Contact
-            | ObjectKind::Strike
+            | ObjectKind::StoreContact
+            | ObjectKind::CrashStrike
             | ObjectKind::Evacuation => {
                 return Err(vec![Error::invalid(
                     key.to_string(),
--- a/alderhaven-core/src/coverage.rs
+++ b/alderhaven-core/src/coverage.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CoverageReport {
     /// The number of shards that the query selects in the pinned manifest.
-    pub asked: usize,
+    pub requested: usize,
     /// The number of those shards whose verified reply is part of the answer.
     pub answered: usize,
     /// The shards that are not part of the answer.
@@ -63,16 +63,16 @@
     /// Returns true where every asked shard is covered.
     #[must_use]
     pub fn is_complete(&self) -> bool {
-        self.answered == self.asked && self.missing.is_empty()
+        self.answered == self.requested && self.missing.is_empty()
     }
 
     /// Gets the covered share of the asked shards, 1 where none was asked.
     #[must_use]
-    pub fn share(&self) -> f64 {
-        if self.asked == 0 {
+    pub fn covered_share(&self) -> f64 {
+        if self.requested == 0 {
             1.0
         } else {
-            self.answered as f64 / self.asked as f64
+            self.answered as f64 / self.requested as f64
         }
     }
 }
--- a/alderhaven-core/src/fingerprint.rs
+++ b/alderhaven-core/src/fingerprint.rs
@@ -21,7 +21,7 @@
     /// Computes the fingerprint of a request.
     #[must_use]
     pub fn of(template: &TemplateName, parameters: &ParameterSet) -> Self {
-        Self::of_canonical(template.as_str(), parameters.canonical().as_bytes())
+        Self::of_canonical(template.as_str(), parameters.canonical_json().as_bytes())
     }
 
     /// Computes the fingerprint of a request from the canonical text of its parameters.
@@ -39,7 +39,7 @@
 
     /// Gets the first eight bytes as a number.
     #[must_use]
-    pub fn head(&self) -> u64 {
+    pub fn leading_u64(&self) -> u64 {
         let mut head = [0; 8];
         head.copy_from_slice(&self.0[..8]);
         u64::from_le_bytes(head)
--- a/alderhaven-core/src/ids.rs
+++ b/alderhaven-core/src/ids.rs
@@ -13,7 +13,7 @@
 const NAME_RULE: &str =
     "1 to 63 of a-z, 0-9, `-`, `_`, `.` and `:`, beginning with a letter or digit";
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let first_is_alphanumeric = text
         .bytes()
         .next()
@@ -52,7 +52,7 @@
             type Err = Error;
 
             fn from_str(text: &str) -> Result<Self> {
-                if is_name(text) {
+                if is_valid_name(text) {
                     Ok(Self(text.to_owned()))
                 } else {
                     Err(Error::parse($kind, text, NAME_RULE))
--- a/alderhaven-core/src/log_queue.rs
+++ b/alderhaven-core/src/log_queue.rs
@@ -13,27 +13,27 @@
 use std::time::Duration;
 
 /// The lines that may wait: at 300 bytes each about a megabyte.
-const MAX_WAITING: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// The bytes after which a batch is written.
 const BATCH_BYTES: usize = 32 << 10;
 
 /// How long the first line of a batch waits for others. Each write costs a system call and a wake-up,
 /// which on a small host are more than the line; an engineer who reads along notices nothing.
-const BATCH_WAIT: Duration = Duration::from_millis(250);
+const BATCH_DELAY: Duration = Duration::from_millis(250);
 
 /// How often the end of a process looks whether its last lines are written.
-const FINISH_LOOKS: u32 = 25;
+const MAX_DRAIN_POLLS: u32 = 25;
 /// The pause between two of those.
-const FINISH_PAUSE: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A `LogQueue` takes whole lines; its clones share the queue.
 #[derive(Clone, Debug)]
 pub struct LogQueue {
     lines: SyncSender<Vec<u8>>,
-    left_out: Arc<AtomicU64>,
-    waiting: Arc<AtomicU64>,
-    line: Vec<u8>,
+    dropped_lines: Arc<AtomicU64>,
+    queued_lines: Arc<AtomicU64>,
+    partial_line: Vec<u8>,
 }
 
 impl LogQueue {
@@ -42,7 +42,7 @@
     /// # Errors
     /// The thread can't be started.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<Self> {
-        let (sender, receiver) = sync_channel(MAX_WAITING);
+        let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
         let left_out = Arc::new(AtomicU64::new(0));
         let waiting = Arc::new(AtomicU64::new(0));
         let (counted, written) = (Arc::clone(&left_out), Arc::clone(&waiting));
@@ -52,39 +52,39 @@
             .spawn(writer)?;
         Ok(Self {
             lines: sender,
-            left_out,
-            waiting,
-            line: Vec::new(),
+            dropped_lines: left_out,
+            queued_lines: waiting,
+            partial_line: Vec::new(),
         })
     }
 
     /// Waits until all lines are written, for half a second at most: the end of a process must not
     /// hang on the reader of its log.
-    pub fn finish(&self) {
-        for _ in 0..FINISH_LOOKS {
-            if self.waiting.load(Ordering::Relaxed) == 0 {
+    pub fn wait_until_written(&self) {
+        for _ in 0..MAX_DRAIN_POLLS {
+            if self.queued_lines.load(Ordering::Relaxed) == 0 {
                 return;
             }
-            thread::sleep(FINISH_PAUSE);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 
     /// Gets the lines that were left out since the last ones that were written.
     #[must_use]
-    pub fn left_out(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+    pub fn dropped_lines(&self) -> u64 {
+        self.dropped_lines.load(Ordering::Relaxed)
     }
 }
 
 impl Write for LogQueue {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.line.extend_from_slice(bytes);
-        if self.line.ends_with(b"\n") {
-            let line = std::mem::take(&mut self.line);
-            self.waiting.fetch_add(1, Ordering::Relaxed);
+        self.partial_line.extend_from_slice(bytes);
+        if self.partial_line.ends_with(b"\n") {
+            let line = std::mem::take(&mut self.partial_line);
+            self.queued_lines.fetch_add(1, Ordering::Relaxed);
             if self.lines.try_send(line).is_err() {
-                self.waiting.fetch_sub(1, Ordering::Relaxed);
-                self.left_out.fetch_add(1, Ordering::Relaxed);
+                self.queued_lines.fetch_sub(1, Ordering::Relaxed);
+                self.dropped_lines.fetch_add(1, Ordering::Relaxed);
             }
         }
         Ok(bytes.len())
@@ -103,7 +103,7 @@
     waiting: &AtomicU64,
 ) {
     while let Ok(first) = lines.recv() {
-        thread::sleep(BATCH_WAIT);
+        thread::sleep(BATCH_DELAY);
         let mut batch = first;
         let mut count = 1;
         while batch.len() < BATCH_BYTES {
--- a/alderhaven-core/src/logging.rs
+++ b/alderhaven-core/src/logging.rs
@@ -15,7 +15,7 @@
 use crate::log_queue::LogQueue;
 
 /// The prefix of the modules whose messages are logged.
-const OWN_CRATES: &str = "alderhaven";
+const CRATE_NAME_PREFIX: &str = "alderhaven";
 
 /// A `LogLine` is one event with the time at which it was logged.
 #[derive(Serialize)]
@@ -30,7 +30,7 @@
 /// Starts the log on standard error at `level`; a second call in the same process changes nothing.
 pub fn start(level: LevelFilter) {
     // A second logger in one process (the quickstart) is refused, and the first goes on.
-    let _already_started = WriteLogger::init(level, config(), io::stderr());
+    let _already_started = WriteLogger::init(level, logger_config(), io::stderr());
 }
 
 /// Starts the log on standard output at `level`, through a queue that no one waits for.
@@ -39,18 +39,18 @@
 /// The thread that writes can't be started.
 pub fn start_queued(level: LevelFilter) -> io::Result<LogQueue> {
     let queue = LogQueue::start(io::stdout())?;
-    let _already_started = WriteLogger::init(level, config(), queue.clone());
+    let _already_started = WriteLogger::init(level, logger_config(), queue.clone());
     Ok(queue)
 }
 
-fn config() -> Config {
+fn logger_config() -> Config {
     ConfigBuilder::new()
         .set_max_level(LevelFilter::Off)
         .set_time_level(LevelFilter::Off)
         .set_thread_level(LevelFilter::Off)
         .set_target_level(LevelFilter::Off)
         .set_location_level(LevelFilter::Off)
-        .add_filter_allow_str(OWN_CRATES)
+        .add_filter_allow_str(CRATE_NAME_PREFIX)
         .build()
 }
 
@@ -68,6 +68,6 @@
         event,
     };
     if let Ok(text) = serde_json::to_string(&line) {
-        log::log!(target: OWN_CRATES, level, "{text}");
+        log::log!(target: CRATE_NAME_PREFIX, level, "{text}");
     }
 }
--- a/alderhaven-core/src/parameters.rs
+++ b/alderhaven-core/src/parameters.rs
@@ -13,7 +13,7 @@
 pub const MAX_PARAMETERS: usize = 32;
 
 /// The longest text, in bytes, that a parameter may hold when its specification sets no bound.
-pub const DEFAULT_MAX_LENGTH: usize = 1024;
+pub const DEFAULT_MAX_TEXT_BYTES: usize = 1024;
 
 /// A `ParameterValue` is the value of one parameter.
 #[derive(Clone, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize)]
@@ -57,21 +57,21 @@
 
     /// Gets the canonical JSON text: names in order and no white space.
     #[must_use]
-    pub fn canonical(&self) -> String {
+    pub fn canonical_json(&self) -> String {
         serde_json::to_string(&self.0).unwrap_or_default()
     }
 }
 
 impl<'de> Deserialize<'de> for ParameterSet {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> std::result::Result<Self, D::Error> {
-        deserializer.deserialize_map(SetVisitor)
+        deserializer.deserialize_map(ParameterSetVisitor)
     }
 }
 
 /// Reads a set value by value, so that one with too many is given up early.
-struct SetVisitor;
+struct ParameterSetVisitor;
 
-impl<'de> Visitor<'de> for SetVisitor {
+impl<'de> Visitor<'de> for ParameterSetVisitor {
     type Value = ParameterSet;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -127,12 +127,12 @@
     /// One of the listed texts.
     Choice {
         /// The texts that are allowed.
-        of: Vec<String>,
+        allowed_values: Vec<String>,
     },
 }
 
 const fn default_max_length() -> usize {
-    DEFAULT_MAX_LENGTH
+    DEFAULT_MAX_TEXT_BYTES
 }
 
 impl ParameterKind {
@@ -153,7 +153,9 @@
             {
                 return Ok(());
             }
-            (Self::Choice { of }, ParameterValue::Text(text)) if of.contains(text) => {
+            (Self::Choice { allowed_values: of }, ParameterValue::Text(text))
+                if of.contains(text) =>
+            {
                 return Ok(());
             }
             (kind, _) => kind.to_string(),
@@ -175,7 +177,7 @@
             Self::Text { max_length } => {
                 write!(formatter, "a text of at most {max_length} bytes")
             }
-            Self::Choice { of } => write!(formatter, "one of {}", of.join(", ")),
+            Self::Choice { allowed_values: of } => write!(formatter, "one of {}", of.join(", ")),
         }
     }
 }
--- a/alderhaven-core/src/process_clock.rs
+++ b/alderhaven-core/src/process_clock.rs
@@ -22,12 +22,12 @@
     /// Gets the time now.
     #[must_use]
     pub fn now(&self) -> TimePoint {
-        self.point(Instant::now())
+        self.time_point(Instant::now())
     }
 
     /// Gets an instant as a point in time; one before the start is the start.
     #[must_use]
-    pub fn point(&self, instant: Instant) -> TimePoint {
+    pub fn time_point(&self, instant: Instant) -> TimePoint {
         let elapsed = TimeSpan::from(instant.saturating_duration_since(self.start));
         TimePoint::START + elapsed
     }
--- a/alderhaven-core/src/program.rs
+++ b/alderhaven-core/src/startup.rs
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// The exit code, after the help (0) or what is wrong (2) was printed.
-pub fn arguments<T: FromArgs>(name: &str) -> Result<T, ExitCode> {
+pub fn parse_arguments<T: FromArgs>(name: &str) -> Result<T, ExitCode> {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     T::from_args(&[name], &words).map_err(|exit| {
@@ -64,15 +64,18 @@
 ///
 /// # Errors
 /// The exit code, after the result was printed: 0 for a good check, 2 for wrong settings.
-pub fn load<T: CheckedSettings>(path: &str, request: SettingsRequest) -> Result<T, ExitCode> {
-    let loaded: T = settings::read_file(path).map_err(|error| fail(&[error]))?;
+pub fn load_settings<T: CheckedSettings>(
+    path: &str,
+    request: SettingsRequest,
+) -> Result<T, ExitCode> {
+    let loaded: T = settings::read_file(path).map_err(|error| report_errors(&[error]))?;
     let errors: Vec<Error> = loaded
         .check()
         .into_iter()
         .map(|error| Error::file(path, error))
         .collect();
     if !errors.is_empty() {
-        return Err(fail(&errors));
+        return Err(report_errors(&errors));
     }
     match request {
         SettingsRequest::Run => Ok(loaded),
@@ -83,14 +86,14 @@
         SettingsRequest::Print => {
             match serde_saphyr::to_string(&loaded) {
                 Ok(text) => println!("{text}"),
-                Err(error) => return Err(fail(&[Error::file(path, error)])),
+                Err(error) => return Err(report_errors(&[Error::file(path, error)])),
             }
             Err(ExitCode::SUCCESS)
         }
     }
 }
 
-fn fail(errors: &[Error]) -> ExitCode {
+fn report_errors(errors: &[Error]) -> ExitCode {
     for error in errors {
         eprintln!("error: {error}");
     }
--- a/alderhaven-core/src/time.rs
+++ b/alderhaven-core/src/time.rs
@@ -19,7 +19,7 @@
 pub struct TimeSpan(u64);
 
 /// The units of a `TimeSpan` in microseconds, largest first.
-const UNITS: [(&str, u64); 5] = [
+const SPAN_UNITS: [(&str, u64); 5] = [
     ("h", 3_600_000_000),
     ("m", 60_000_000),
     ("s", 1_000_000),
@@ -107,7 +107,7 @@
 
 impl fmt::Display for TimeSpan {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (unit, size) = UNITS
+        let (unit, size) = SPAN_UNITS
             .into_iter()
             .find(|(_, size)| self.0 >= *size && self.0.is_multiple_of(*size))
             .unwrap_or(("us", 1));
@@ -122,7 +122,7 @@
         let bad = || Error::parse("time span", text, "a whole number with us, ms, s, m or h");
         let digits = text.bytes().take_while(u8::is_ascii_digit).count();
         let (number, unit) = text.split_at(digits);
-        let size = UNITS
+        let size = SPAN_UNITS
             .into_iter()
             .find_map(|(name, size)| (name == unit).then_some(size))
             .ok_or_else(bad)?;
--- a/alderhaven-core/tests/log_queue.rs
+++ b/alderhaven-core/tests/log_queue.rs
@@ -8,13 +8,13 @@
 
 /// An output whose first write takes until the test lets it go on.
 struct StalledOutput {
-    go_on: Receiver<()>,
+    resume: Receiver<()>,
     written: Sender<Vec<u8>>,
 }
 
 impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.go_on.recv().map_err(io::Error::other)?;
+        self.resume.recv().map_err(io::Error::other)?;
         self.written
             .send(bytes.to_vec())
             .map_err(io::Error::other)?;
@@ -33,14 +33,14 @@
     let (go_on, stalled) = channel();
     let (written, read) = channel();
     let output = StalledOutput {
-        go_on: stalled,
+        resume: stalled,
         written,
     };
     let mut queue = LogQueue::start(output).expect("a queue");
     for number in 0..10_000 {
         writeln!(queue, "{{\"event\":\"line\",\"number\":{number}}}").expect("it is taken");
     }
-    assert!(queue.left_out() > 0);
+    assert!(queue.dropped_lines() > 0);
     let mut text = Vec::new();
     while !String::from_utf8_lossy(&text).contains("log_lines_left_out") {
         go_on.send(()).expect("the writer lives");
@@ -55,7 +55,7 @@
     let (written, read) = channel();
     drop((go_on, read));
     let output = StalledOutput {
-        go_on: stalled,
+        resume: stalled,
         written,
     };
     let mut queue = LogQueue::start(output).expect("a queue");
--- a/alderhaven-ctl/src/bin/alderctl/arguments.rs
+++ b/alderhaven-ctl/src/bin/alderctl/arguments.rs
@@ -83,7 +83,7 @@
     #[argh(switch)]
     pub wait: bool,
     /// how long to wait (default 30s)
-    #[argh(option, default = "in_force::DEFAULT_LIMIT")]
+    #[argh(option, default = "in_force::DEFAULT_WAIT_LIMIT")]
     pub limit: TimeSpan,
 }
 
--- a/alderhaven-ctl/src/bin/alderctl/main.rs
+++ b/alderhaven-ctl/src/bin/alderctl/main.rs
@@ -16,7 +16,7 @@
 use alderhaven_ctl::change_plan::ChangePlan;
 use alderhaven_ctl::command_report::{CommandReport, TokenReport};
 use alderhaven_ctl::commands::CommandContext;
-use alderhaven_ctl::ctl_settings::ControlSettings;
+use alderhaven_ctl::control_settings::ControlSettings;
 use alderhaven_ctl::exit_status::ExitStatus;
 use alderhaven_ctl::file_check::CheckReport;
 use alderhaven_ctl::in_force::{self, InForceReport, WaitOptions};
@@ -34,14 +34,14 @@
 /// The switch that may stand after the command as well.
 const JSON_SWITCH: &str = "--json";
 /// The operator's name where a command publishes nothing.
-const READER: &str = "reader";
+const READ_ONLY_OPERATOR: &str = "reader";
 
-type Nodes = NodeContext<OperatorClient>;
-type Context = CommandContext<HttpStore, OperatorClient>;
+type HttpNodeContext = NodeContext<OperatorClient>;
+type HttpCommandContext = CommandContext<HttpStore, OperatorClient>;
 
 fn main() -> ExitCode {
     let mut words: Vec<String> = std::env::args().collect();
-    hoist_json(&mut words);
+    move_json_switch(&mut words);
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let arguments = match ControlArgs::from_args(&["alderctl"], words.get(1..).unwrap_or_default())
     {
@@ -58,19 +58,19 @@
     let is_json = arguments.json;
     let report = run(arguments)
         .unwrap_or_else(|error| CommandReport::failure(ExitStatus::Invalid, format!("{error:#}")));
-    print(&report, is_json);
+    print_report(&report, is_json);
     report.exit_status().into()
 }
 
 /// Moves a `--json` after the command to where it is understood.
-fn hoist_json(words: &mut Vec<String>) {
+fn move_json_switch(words: &mut Vec<String>) {
     if words.iter().skip(1).any(|word| word == JSON_SWITCH) {
         words.retain(|word| word != JSON_SWITCH);
         words.insert(1, JSON_SWITCH.to_owned());
     }
 }
 
-fn print(report: &CommandReport, is_json: bool) {
+fn print_report(report: &CommandReport, is_json: bool) {
     if is_json {
         match serde_json::to_string(report) {
             Ok(text) => println!("{text}"),
@@ -98,16 +98,18 @@
         ControlCommand::Publish(publish_args) => publish(&settings, publish_args).await,
         ControlCommand::Drain(drain_args) => drain(&settings, drain_args).await,
         ControlCommand::Rollback(rollback_args) => rollback(&settings, rollback_args).await,
-        ControlCommand::History(history) => Ok(reader(&settings)?.history(&history.object).await),
+        ControlCommand::History(history) => {
+            Ok(read_only_context(&settings)?.history(&history.object).await)
+        }
         ControlCommand::Status(status) if status.objects.is_empty() => {
-            Ok(nodes(&settings)?.status().await)
+            Ok(require_nodes(&settings)?.status().await)
         }
         ControlCommand::Status(status) => {
-            nodes(&settings)?;
-            Ok(reader(&settings)?.status(&status.objects).await)
+            require_nodes(&settings)?;
+            Ok(read_only_context(&settings)?.status(&status.objects).await)
         }
-        ControlCommand::Members(_) => Ok(nodes(&settings)?.members().await),
-        ControlCommand::Dump(_) => Ok(nodes(&settings)?.dump().await),
+        ControlCommand::Members(_) => Ok(require_nodes(&settings)?.members().await),
+        ControlCommand::Dump(_) => Ok(require_nodes(&settings)?.dump().await),
     }
 }
 
@@ -128,15 +130,15 @@
     Ok(read)
 }
 
-fn nodes(settings: &ControlSettings) -> eyre::Result<Nodes> {
+fn require_nodes(settings: &ControlSettings) -> eyre::Result<HttpNodeContext> {
     ensure!(
         !settings.nodes.is_empty(),
         "no nodes are given: `nodes` in --settings, or --node"
     );
-    Ok(all_nodes(settings))
+    Ok(node_context(settings))
 }
 
-fn all_nodes(settings: &ControlSettings) -> Nodes {
+fn node_context(settings: &ControlSettings) -> HttpNodeContext {
     NodeContext {
         probe: Arc::new(OperatorClient::default()),
         addresses: settings.nodes.clone(),
@@ -144,37 +146,42 @@
 }
 
 /// Returns the context of a command that only reads.
-fn reader(settings: &ControlSettings) -> eyre::Result<Context> {
-    let operator = READER.parse().wrap_err("the reader's name is a name")?;
-    context(settings, operator, None)
+fn read_only_context(settings: &ControlSettings) -> eyre::Result<HttpCommandContext> {
+    let operator = READ_ONLY_OPERATOR
+        .parse()
+        .wrap_err("the reader's name is a name")?;
+    build_context(settings, operator, None)
 }
 
 /// Returns the context of a command that publishes, and waits for `limit` where it is given.
-fn writer(settings: &ControlSettings, limit: Option<TimeSpan>) -> eyre::Result<Context> {
+fn publishing_context(
+    settings: &ControlSettings,
+    limit: Option<TimeSpan>,
+) -> eyre::Result<HttpCommandContext> {
     let operator = settings
         .operator
         .clone()
         .ok_or_eyre("no operator is given: `operator` in --settings, or --operator")?;
     if limit.is_some() {
-        nodes(settings)?;
+        require_nodes(settings)?;
     }
-    context(settings, operator, limit)
+    build_context(settings, operator, limit)
 }
 
-fn context(
+fn build_context(
     settings: &ControlSettings,
     operator: OperatorName,
     limit: Option<TimeSpan>,
-) -> eyre::Result<Context> {
+) -> eyre::Result<HttpCommandContext> {
     let platform = settings
         .platform
         .ok_or_eyre("no platform is given: `platform` in --settings, or --platform")?;
     Ok(CommandContext {
         store: HttpStore::new(platform, HttpStoreOptions::default()),
-        nodes: all_nodes(settings),
+        nodes: node_context(settings),
         operator,
-        retries: RetryOptions::default(),
-        waiting: limit.map(|limit| WaitOptions {
+        retry_options: RetryOptions::default(),
+        wait_options: limit.map(|limit| WaitOptions {
             limit,
             ..WaitOptions::default()
         }),
@@ -183,7 +190,7 @@
 
 async fn diff(settings: &ControlSettings, arguments: DiffArgs) -> eyre::Result<CommandReport> {
     ensure!(!arguments.paths.is_empty(), "diff needs files or folders");
-    let (report, plan) = reader(settings)?.diff(&arguments.paths).await;
+    let (report, plan) = read_only_context(settings)?.diff(&arguments.paths).await;
     if let (Some(path), Some(plan)) = (&arguments.plan, plan) {
         let text = serde_json::to_string_pretty(&plan)?;
         fs::write(path, text).wrap_err_with(|| path.display().to_string())?;
@@ -195,7 +202,7 @@
     settings: &ControlSettings,
     arguments: PublishArgs,
 ) -> eyre::Result<CommandReport> {
-    let context = writer(settings, arguments.wait.then_some(arguments.limit))?;
+    let context = publishing_context(settings, arguments.wait.then_some(arguments.limit))?;
     if let Some(path) = &arguments.plan {
         ensure!(
             arguments.paths.is_empty(),
@@ -214,13 +221,16 @@
 async fn drain(settings: &ControlSettings, arguments: DrainArgs) -> eyre::Result<CommandReport> {
     match (&arguments.target, arguments.node) {
         (Some(target), None) => {
-            let context = writer(settings, arguments.wait.then_some(in_force::DEFAULT_LIMIT))?;
+            let context = publishing_context(
+                settings,
+                arguments.wait.then_some(in_force::DEFAULT_WAIT_LIMIT),
+            )?;
             let is_end = arguments.end;
             Ok(context.drain_target(target, is_end, show_progress).await)
         }
         (None, Some(node)) => {
             ensure!(!arguments.end, "--end goes with --target");
-            Ok(all_nodes(settings).drain(node).await)
+            Ok(node_context(settings).drain(node).await)
         }
         _ => Err(eyre::eyre!("drain needs either --target or --node")),
     }
@@ -230,7 +240,10 @@
     settings: &ControlSettings,
     arguments: RollbackArgs,
 ) -> eyre::Result<CommandReport> {
-    let context = writer(settings, arguments.wait.then_some(in_force::DEFAULT_LIMIT))?;
+    let context = publishing_context(
+        settings,
+        arguments.wait.then_some(in_force::DEFAULT_WAIT_LIMIT),
+    )?;
     let report = context.rollback(&arguments.object, arguments.to, show_progress);
     Ok(report.await)
 }
@@ -254,7 +267,7 @@
 fn show_progress(report: &InForceReport) {
     eprintln!(
         "in force on {} of {}",
-        report.in_force(),
+        report.in_force_count(),
         report.nodes.len()
     );
 }
--- a/alderhaven-ctl/src/change_plan.rs
+++ b/alderhaven-ctl/src/change_plan.rs
@@ -31,7 +31,7 @@
     /// The object.
     pub key: ObjectKey,
     /// What the store held; none where it held nothing.
-    pub seen: Option<StoredObject>,
+    pub observed: Option<StoredObject>,
     /// The JSON text to publish; none to delete the object.
     pub body: Option<String>,
 }
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// The store's error; nothing was written.
-    pub async fn read<S: ObjectStore>(
+    pub async fn build<S: ObjectStore>(
         store: &S,
         objects: &[ObjectFile],
         options: RetryOptions,
@@ -61,11 +61,11 @@
             let change = match stored.remove(&object.key) {
                 Some(seen) => PlannedChange {
                     key: object.key.clone(),
-                    seen: Some(seen),
+                    observed: Some(seen),
                     body,
                 },
                 // A list leaves tombstones out.
-                None => PlannedChange::read(store, object.key.clone(), body, options).await?,
+                None => PlannedChange::build(store, object.key.clone(), body, options).await?,
             };
             changes.push(change);
         }
@@ -77,10 +77,10 @@
     ///
     /// Their difference has to be looked at before they are published.
     #[must_use]
-    pub fn replacing_others(&self, operator: &OperatorName) -> Vec<&PlannedChange> {
+    pub fn replacing_other_operators(&self, operator: &OperatorName) -> Vec<&PlannedChange> {
         self.changes
             .iter()
-            .filter(|change| !change.is_unchanged() && change.replaces_other(operator))
+            .filter(|change| !change.is_unchanged() && change.replaces_other_operator(operator))
             .collect()
     }
 }
@@ -90,14 +90,18 @@
     ///
     /// # Errors
     /// The store's error; nothing was written.
-    pub async fn read<S: ObjectStore>(
+    pub async fn build<S: ObjectStore>(
         store: &S,
         key: ObjectKey,
         body: Option<String>,
         options: RetryOptions,
     ) -> StoreResult<Self> {
         let seen = options.get(store, &key).await?;
-        Ok(Self { key, seen, body })
+        Ok(Self {
+            key,
+            observed: seen,
+            body,
+        })
     }
 
     /// Gets the version that was seen, 0 for none; the write demands it.
@@ -105,8 +109,8 @@
     /// A tombstone's own version is demanded too: a late copy of the write could otherwise bring
     /// back an object that was created and deleted meanwhile.
     #[must_use]
-    pub fn seen_version(&self) -> StoreVersion {
-        self.seen
+    pub fn observed_version(&self) -> StoreVersion {
+        self.observed
             .as_ref()
             .map(|seen| seen.version)
             .unwrap_or_default()
@@ -115,7 +119,7 @@
     /// Returns true where the store holds the content already.
     #[must_use]
     pub fn is_unchanged(&self) -> bool {
-        self.differences().is_empty() && self.seen_body().is_some() == self.body.is_some()
+        self.field_changes().is_empty() && self.observed_body().is_some() == self.body.is_some()
     }
 
     /// Gets the outcome of a change that met another content than the one that was seen.
@@ -123,7 +127,7 @@
     /// Where that is the very content to publish, nothing is left to do: a plan was published
     /// twice, or two operators made the same change.
     #[must_use]
-    pub fn outcome_of_conflict(&self, current: Option<StoredObject>) -> PublishOutcome {
+    pub fn conflict_outcome(&self, current: Option<StoredObject>) -> PublishOutcome {
         let body = current.as_ref().and_then(|current| current.body.as_deref());
         let is_wanted = body.is_some() == self.body.is_some()
             && FieldChange::between(body, self.body.as_deref()).is_empty();
@@ -137,18 +141,18 @@
 
     /// Gets the fields that differ between what was seen and what is published.
     #[must_use]
-    pub fn differences(&self) -> Vec<FieldChange> {
-        FieldChange::between(self.seen_body(), self.body.as_deref())
+    pub fn field_changes(&self) -> Vec<FieldChange> {
+        FieldChange::between(self.observed_body(), self.body.as_deref())
     }
 
     /// Gets the JSON text that was seen; none where the store held nothing or a tombstone.
     #[must_use]
-    pub fn seen_body(&self) -> Option<&str> {
-        self.seen.as_ref()?.body.as_deref()
+    pub fn observed_body(&self) -> Option<&str> {
+        self.observed.as_ref()?.body.as_deref()
     }
 
-    fn replaces_other(&self, operator: &OperatorName) -> bool {
-        let Some(seen) = self.seen.as_ref().filter(|seen| seen.body.is_some()) else {
+    fn replaces_other_operator(&self, operator: &OperatorName) -> bool {
+        let Some(seen) = self.observed.as_ref().filter(|seen| seen.body.is_some()) else {
             return false;
         };
         let writer: Option<PublicationId> = seen.write_id.parse().ok();
@@ -166,8 +170,8 @@
         | ObjectKind::History
         | ObjectKind::Routing
         | ObjectKind::Target
-        | ObjectKind::Contact
-        | ObjectKind::Strike
+        | ObjectKind::StoreContact
+        | ObjectKind::CrashStrike
         | ObjectKind::Evacuation => 3,
     }
 }
--- a/alderhaven-ctl/src/command_report.rs
+++ b/alderhaven-ctl/src/command_report.rs
@@ -65,7 +65,7 @@
     pub publications: Vec<PublicationReport>,
     /// Changes that replace another operator's publication and were not looked at; if there are
     /// any, nothing was published.
-    pub unseen: Vec<ChangeReport>,
+    pub unreviewed: Vec<ChangeReport>,
     /// The nodes' progress, where it was waited for.
     pub in_force: Option<InForceReport>,
 }
@@ -184,8 +184,8 @@
         let is_lagging = self
             .in_force
             .as_ref()
-            .is_some_and(|report| !report.is_everywhere());
-        if !self.unseen.is_empty() {
+            .is_some_and(|report| !report.is_in_force_everywhere());
+        if !self.unreviewed.is_empty() {
             ExitStatus::Conflict
         } else if worst == ExitStatus::Done && is_lagging {
             ExitStatus::Lagging
@@ -201,7 +201,7 @@
             return ExitStatus::Failed;
         }
         match &self.in_force {
-            Some(report) if !report.is_everywhere() => ExitStatus::Lagging,
+            Some(report) if !report.is_in_force_everywhere() => ExitStatus::Lagging,
             _ => ExitStatus::Done,
         }
     }
@@ -210,9 +210,9 @@
 impl DiffReport {
     /// Returns the report of a plan.
     #[must_use]
-    pub fn of(plan: &ChangePlan) -> Self {
+    pub fn from_plan(plan: &ChangePlan) -> Self {
         Self {
-            changes: plan.changes.iter().map(ChangeReport::of).collect(),
+            changes: plan.changes.iter().map(ChangeReport::from_change).collect(),
         }
     }
 }
@@ -220,11 +220,11 @@
 impl ChangeReport {
     /// Returns the report of one change.
     #[must_use]
-    pub fn of(change: &PlannedChange) -> Self {
+    pub fn from_change(change: &PlannedChange) -> Self {
         Self {
             key: change.key.clone(),
-            stored_by: change.seen.as_ref().map(publish_outcome::writer_text),
-            fields: change.differences(),
+            stored_by: change.observed.as_ref().map(publish_outcome::writer_text),
+            fields: change.field_changes(),
             unchanged: change.is_unchanged(),
         }
     }
@@ -233,11 +233,11 @@
 impl PublicationReport {
     /// Returns the report of one publication.
     #[must_use]
-    pub fn of(change: &PlannedChange, outcome: PublishOutcome) -> Self {
+    pub fn from_outcome(change: &PlannedChange, outcome: PublishOutcome) -> Self {
         let winner_changed = match &outcome {
             PublishOutcome::Conflict {
                 current: Some(current),
-            } => FieldChange::between(change.seen_body(), current.body.as_deref()),
+            } => FieldChange::between(change.observed_body(), current.body.as_deref()),
             _ => Vec::new(),
         };
         Self {
@@ -250,7 +250,7 @@
 
 impl<T> NodeAnswer<T> {
     /// Returns the answer of a node.
-    pub fn of<E: fmt::Display>(address: SocketAddr, answer: Result<T, E>) -> Self {
+    pub fn from_result<E: fmt::Display>(address: SocketAddr, answer: Result<T, E>) -> Self {
         match answer {
             Ok(answer) => Self {
                 address,
--- a/alderhaven-ctl/src/commands.rs
+++ b/alderhaven-ctl/src/commands.rs
@@ -31,9 +31,9 @@
     /// The operator on whose behalf the command runs.
     pub operator: OperatorName,
     /// How long calls to the store are tried.
-    pub retries: RetryOptions,
+    pub retry_options: RetryOptions,
     /// Whether and how long to wait until publications are in force.
-    pub waiting: Option<WaitOptions>,
+    pub wait_options: Option<WaitOptions>,
 }
 
 impl<S: ObjectStore, P: NodeProbe> CommandContext<S, P> {
@@ -41,9 +41,9 @@
     ///
     /// The plan leaves out what is unchanged: by the time it is published that may be so no more.
     pub async fn diff(&self, paths: &[PathBuf]) -> (CommandReport, Option<ChangePlan>) {
-        match self.plan(paths).await {
+        match self.build_plan(paths).await {
             Ok(mut plan) => {
-                let report = CommandReport::Diff(DiffReport::of(&plan));
+                let report = CommandReport::Diff(DiffReport::from_plan(&plan));
                 plan.changes.retain(|change| !change.is_unchanged());
                 (report, Some(plan))
             }
@@ -57,18 +57,18 @@
         paths: &[PathBuf],
         show: impl FnMut(&InForceReport),
     ) -> CommandReport {
-        let plan = match self.plan(paths).await {
+        let plan = match self.build_plan(paths).await {
             Ok(plan) => plan,
             Err(report) => return report,
         };
         let unseen: Vec<ChangeReport> = plan
-            .replacing_others(&self.operator)
+            .replacing_other_operators(&self.operator)
             .into_iter()
-            .map(ChangeReport::of)
+            .map(ChangeReport::from_change)
             .collect();
         if !unseen.is_empty() {
             return CommandReport::Publish(PublishReport {
-                unseen,
+                unreviewed: unseen,
                 ..PublishReport::default()
             });
         }
@@ -81,7 +81,8 @@
         plan: &ChangePlan,
         show: impl FnMut(&InForceReport),
     ) -> CommandReport {
-        let publisher = ObjectPublisher::new(&self.store, self.operator.clone(), self.retries);
+        let publisher =
+            ObjectPublisher::new(&self.store, self.operator.clone(), self.retry_options);
         let mut publications = Vec::with_capacity(plan.changes.len());
         let mut wanted = Vec::new();
         for change in &plan.changes {
@@ -92,17 +93,17 @@
                     version,
                 });
             }
-            publications.push(PublicationReport::of(change, outcome));
+            publications.push(PublicationReport::from_outcome(change, outcome));
         }
-        let in_force = match self.waiting {
+        let in_force = match self.wait_options {
             Some(options) if !wanted.is_empty() => {
-                Some(self.nodes.wait(&wanted, options, show).await)
+                Some(self.nodes.wait_until_in_force(&wanted, options, show).await)
             }
             _ => None,
         };
         CommandReport::Publish(PublishReport {
             publications,
-            unseen: Vec::new(),
+            unreviewed: Vec::new(),
             in_force,
         })
     }
@@ -118,13 +119,13 @@
             Ok(report) => report,
             Err(report) => return report,
         };
-        let Some(entry) = history.history.entry_of(version) else {
+        let Some(entry) = history.history.entry_for_version(version) else {
             let reason = format!("the history of {key} has no version {version}");
             return CommandReport::failure(ExitStatus::Invalid, reason);
         };
         let change = PlannedChange {
             key: key.clone(),
-            seen: history.current.clone(),
+            observed: history.current.clone(),
             body: entry.body.clone(),
         };
         let changes = vec![change];
@@ -151,7 +152,7 @@
             name: target.to_string(),
         };
         let body = (!is_end).then(|| "{}".to_owned());
-        match PlannedChange::read(&self.store, key, body, self.retries).await {
+        match PlannedChange::build(&self.store, key, body, self.retry_options).await {
             Ok(change) => {
                 let changes = vec![change];
                 self.publish_plan(&ChangePlan { changes }, show).await
@@ -162,7 +163,7 @@
 
     /// Gets the nodes' status, and whether the store's versions of `keys` are in force on them.
     pub async fn status(&self, keys: &[ObjectKey]) -> CommandReport {
-        let wanted = match self.wanted(keys).await {
+        let wanted = match self.stored_versions(keys).await {
             Ok(wanted) => wanted,
             Err(error) => return CommandReport::failure(ExitStatus::Failed, error),
         };
@@ -172,15 +173,15 @@
         };
         CommandReport::Status(StatusReport {
             nodes: self.nodes.statuses().await,
-            in_force: Some(self.nodes.wait(&wanted, once, |_| {}).await),
+            in_force: Some(self.nodes.wait_until_in_force(&wanted, once, |_| {}).await),
         })
     }
 
-    async fn plan(&self, paths: &[PathBuf]) -> Result<ChangePlan, CommandReport> {
+    async fn build_plan(&self, paths: &[PathBuf]) -> Result<ChangePlan, CommandReport> {
         let failed = |error| CommandReport::failure(ExitStatus::Failed, error);
         let mut report = CheckReport::read(paths);
         let listed = self
-            .retries
+            .retry_options
             .list(&self.store, &[ObjectKind::Team])
             .await
             .map_err(failed)?;
@@ -193,16 +194,16 @@
         if !report.is_clean() {
             return Err(CommandReport::Check(report));
         }
-        ChangePlan::read(&self.store, &report.objects, self.retries)
+        ChangePlan::build(&self.store, &report.objects, self.retry_options)
             .await
             .map_err(failed)
     }
 
     async fn read_history(&self, key: &ObjectKey) -> Result<HistoryReport, CommandReport> {
         let failed = |error| CommandReport::failure(ExitStatus::Failed, error);
-        let current = self.get(key).await.map_err(failed)?;
+        let current = self.read_object(key).await.map_err(failed)?;
         let stored = self
-            .get(&ObjectHistory::key_of(key))
+            .read_object(&ObjectHistory::history_key(key))
             .await
             .map_err(failed)?;
         let history = ObjectHistory::read(stored.as_ref())
@@ -214,14 +215,14 @@
         })
     }
 
-    async fn get(&self, key: &ObjectKey) -> StoreResult<Option<StoredObject>> {
-        self.retries.get(&self.store, key).await
+    async fn read_object(&self, key: &ObjectKey) -> StoreResult<Option<StoredObject>> {
+        self.retry_options.get(&self.store, key).await
     }
 
-    async fn wanted(&self, keys: &[ObjectKey]) -> StoreResult<Vec<WantedVersion>> {
+    async fn stored_versions(&self, keys: &[ObjectKey]) -> StoreResult<Vec<WantedVersion>> {
         let mut wanted = Vec::with_capacity(keys.len());
         for key in keys {
-            let stored = self.get(key).await?;
+            let stored = self.read_object(key).await?;
             wanted.push(WantedVersion {
                 key: key.clone(),
                 version: stored.map(|object| object.version).unwrap_or_default(),
--- a/alderhaven-ctl/src/field_change.rs
+++ b/alderhaven-ctl/src/field_change.rs
@@ -21,7 +21,7 @@
     /// Gets all fields that differ between two JSON texts; none stands for no object.
     #[must_use]
     pub fn between(old: Option<&str>, new: Option<&str>) -> Vec<Self> {
-        let (old, new) = (fields_of(old), fields_of(new));
+        let (old, new) = (flatten_fields(old), flatten_fields(new));
         let mut changes: Vec<Self> = old
             .iter()
             .filter(|(field, value)| new.get(*field) != Some(value))
@@ -57,16 +57,16 @@
 }
 
 /// Gets the leaves of a JSON object by path; a text that is no JSON is one leaf.
-fn fields_of(text: Option<&str>) -> BTreeMap<String, Value> {
+fn flatten_fields(text: Option<&str>) -> BTreeMap<String, Value> {
     let mut fields = BTreeMap::new();
     if let Some(text) = text {
         let value = serde_json::from_str(text).unwrap_or_else(|_| Value::String(text.to_owned()));
-        collect(String::new(), value, &mut fields);
+        collect_leaves(String::new(), value, &mut fields);
     }
     fields
 }
 
-fn collect(path: String, value: Value, fields: &mut BTreeMap<String, Value>) {
+fn collect_leaves(path: String, value: Value, fields: &mut BTreeMap<String, Value>) {
     match value {
         Value::Object(members) if !members.is_empty() => {
             for (name, member) in members {
@@ -75,7 +75,7 @@
                 } else {
                     format!("{path}.{name}")
                 };
-                collect(child, member, fields);
+                collect_leaves(child, member, fields);
             }
         }
         leaf => {
--- a/alderhaven-ctl/src/file_check.rs
+++ b/alderhaven-ctl/src/file_check.rs
@@ -13,7 +13,7 @@
 use crate::object_file::{self, ObjectFile};
 
 /// How deep folders are followed, which ends a loop of links.
-const MAX_DEPTH: usize = 8;
+const MAX_FOLDER_DEPTH: usize = 8;
 
 /// A `CheckReport` holds the objects that were read and everything that is wrong with them.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -34,13 +34,13 @@
         let mut report = Self::default();
         let mut files = BTreeSet::new();
         for path in paths {
-            collect_files(path, MAX_DEPTH, &mut files, &mut report.problems);
+            collect_files(path, MAX_FOLDER_DEPTH, &mut files, &mut report.problems);
         }
         if files.is_empty() && report.problems.is_empty() {
             let first = paths.first().map_or(Path::new("."), PathBuf::as_path);
             report
                 .problems
-                .push(FileProblem::of_file(first, "no YAML file is at this path"));
+                .push(FileProblem::for_file(first, "no YAML file is at this path"));
         }
         report.files = files.len();
         for file in &files {
@@ -53,8 +53,8 @@
             }
         }
         report.objects.sort_by(|a, b| a.key.cmp(&b.key));
-        report.check_names();
-        report.sort();
+        report.check_unique_keys();
+        report.sort_problems();
         report
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Two files with one key would overwrite each other in the order of reading.
-    fn check_names(&mut self) {
+    fn check_unique_keys(&mut self) {
         let mut first_of: BTreeMap<&ObjectKey, &ObjectFile> = BTreeMap::new();
         let mut problems = Vec::new();
         for object in &self.objects {
@@ -83,7 +83,7 @@
                     object.key,
                     first.path.display()
                 );
-                problems.push(object.problem("name", reason));
+                problems.push(object.field_problem("name", reason));
             } else {
                 first_of.insert(&object.key, object);
             }
@@ -112,10 +112,10 @@
             }
         }
         self.problems.extend(problems);
-        self.sort();
+        self.sort_problems();
     }
 
-    fn sort(&mut self) {
+    fn sort_problems(&mut self) {
         self.problems
             .sort_by(|a, b| (&a.path, a.line).cmp(&(&b.path, b.line)));
     }
@@ -129,15 +129,15 @@
     let unknown = |team: &TeamId| !known.contains(team.as_str());
     let mut problems = Vec::new();
     for team in template.teams.iter().filter(|team| unknown(team)) {
-        problems.push(object.problem("teams", format!("team `{team}` is not known")));
+        problems.push(object.field_problem("teams", format!("team `{team}` is not known")));
     }
     for team in template.team_values.keys() {
         let field = format!("team_values.{team}");
         if unknown(team) {
-            problems.push(object.problem(&field, format!("team `{team}` is not known")));
+            problems.push(object.field_problem(&field, format!("team `{team}` is not known")));
         } else if !template.allows(team) {
             let reason = format!("team `{team}` may not use the template: see `teams`");
-            problems.push(object.problem(&field, reason));
+            problems.push(object.field_problem(&field, reason));
         }
     }
     problems
@@ -154,13 +154,13 @@
         return;
     }
     if depth == 0 {
-        problems.push(FileProblem::of_file(path, "folders are nested too deep"));
+        problems.push(FileProblem::for_file(path, "folders are nested too deep"));
         return;
     }
     let entries = match fs::read_dir(path) {
         Ok(entries) => entries,
         Err(error) => {
-            problems.push(FileProblem::of_file(path, error));
+            problems.push(FileProblem::for_file(path, error));
             return;
         }
     };
--- a/alderhaven-ctl/src/file_problem.rs
+++ b/alderhaven-ctl/src/file_problem.rs
@@ -22,7 +22,7 @@
 
 impl FileProblem {
     /// Returns a problem with the file as a whole.
-    pub fn of_file(path: impl AsRef<Path>, reason: impl fmt::Display) -> Self {
+    pub fn for_file(path: impl AsRef<Path>, reason: impl fmt::Display) -> Self {
         Self {
             path: path.as_ref().display().to_string(),
             line: None,
--- a/alderhaven-ctl/src/in_force.rs
+++ b/alderhaven-ctl/src/in_force.rs
@@ -17,15 +17,15 @@
 /// The most nodes that are asked at a time: the operator's host makes one connection for each.
 const MAX_CONCURRENT_PROBES: usize = 64;
 /// The default pause between rounds.
-pub const DEFAULT_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
+pub const DEFAULT_POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
 /// The default wait. The users ask for 9 s; a node that restarts meanwhile needs some more.
-pub const DEFAULT_LIMIT: TimeSpan = TimeSpan::from_secs(30);
+pub const DEFAULT_WAIT_LIMIT: TimeSpan = TimeSpan::from_secs(30);
 
 /// The `WaitOptions` say how long and how often nodes are asked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WaitOptions {
     /// The pause between rounds.
-    pub interval: TimeSpan,
+    pub poll_interval: TimeSpan,
     /// The time after which the wait ends; zero asks once.
     pub limit: TimeSpan,
 }
@@ -33,8 +33,8 @@
 impl Default for WaitOptions {
     fn default() -> Self {
         Self {
-            interval: DEFAULT_INTERVAL,
-            limit: DEFAULT_LIMIT,
+            poll_interval: DEFAULT_POLL_INTERVAL,
+            limit: DEFAULT_WAIT_LIMIT,
         }
     }
 }
@@ -95,7 +95,7 @@
 impl NodeProgress {
     /// Judges a node by its status.
     #[must_use]
-    pub fn judge(status: &NodeStatus, wanted: &[WantedVersion]) -> Self {
+    pub fn evaluate(status: &NodeStatus, wanted: &[WantedVersion]) -> Self {
         for want in wanted {
             let key = want.key.to_string();
             let refused = status
@@ -124,7 +124,7 @@
 impl InForceReport {
     /// Gets the number of nodes with everything in force.
     #[must_use]
-    pub fn in_force(&self) -> usize {
+    pub fn in_force_count(&self) -> usize {
         self.nodes
             .iter()
             .filter(|report| report.progress == NodeProgress::InForce)
@@ -133,8 +133,8 @@
 
     /// Returns true where everything is in force on every node.
     #[must_use]
-    pub fn is_everywhere(&self) -> bool {
-        self.in_force() == self.nodes.len()
+    pub fn is_in_force_everywhere(&self) -> bool {
+        self.in_force_count() == self.nodes.len()
     }
 
     /// Returns true where more waiting changes nothing: every node that lags refuses the content.
@@ -154,7 +154,7 @@
         write!(
             formatter,
             "in force on {} of {}",
-            self.in_force(),
+            self.in_force_count(),
             self.nodes.len()
         )?;
         let lagging = self
@@ -193,7 +193,7 @@
 /// Asks the nodes until everything is in force everywhere, waiting is of no use or the time is up.
 ///
 /// A node that has everything in force is not asked again. `show` is called after each round.
-pub async fn wait<P: NodeProbe>(
+pub async fn wait_until_in_force<P: NodeProbe>(
     probe: &Arc<P>,
     nodes: &[SocketAddr],
     wanted: &[WantedVersion],
@@ -208,12 +208,12 @@
             .collect(),
     };
     loop {
-        ask_lagging(probe, wanted, &mut report).await;
+        probe_lagging(probe, wanted, &mut report).await;
         show(&report);
         if report.is_final() || Instant::now() >= deadline {
             return report;
         }
-        tokio::time::sleep(options.interval.as_duration()).await;
+        tokio::time::sleep(options.poll_interval.as_duration()).await;
     }
 }
 
@@ -229,7 +229,7 @@
     }
 }
 
-async fn ask_lagging<P: NodeProbe>(
+async fn probe_lagging<P: NodeProbe>(
     probe: &Arc<P>,
     wanted: &[WantedVersion],
     report: &mut InForceReport,
@@ -252,7 +252,7 @@
             node.progress = match answer {
                 Ok(status) => {
                     node.node = Some(status.node.clone());
-                    NodeProgress::judge(&status, wanted)
+                    NodeProgress::evaluate(&status, wanted)
                 }
                 Err(error) => NodeProgress::Silent {
                     reason: error.reason,
--- a/alderhaven-ctl/src/lib.rs
+++ b/alderhaven-ctl/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod change_plan;
 pub mod command_report;
 pub mod commands;
-pub mod ctl_settings;
+pub mod control_settings;
 pub mod exit_status;
 pub mod field_change;
 pub mod file_check;
--- a/alderhaven-ctl/src/line_index.rs
+++ b/alderhaven-ctl/src/line_index.rs
@@ -5,7 +5,7 @@
 /// A field is a path such as `parameters.title`. The search follows the indentation of block
 /// mappings; a path that goes on within a flow mapping (`{…}`) ends at the line of that mapping.
 #[must_use]
-pub fn line_of(text: &str, field: &str) -> Option<usize> {
+pub fn field_line(text: &str, field: &str) -> Option<usize> {
     let lines: Vec<&str> = text.lines().collect();
     let mut found = None;
     let mut start = 0;
@@ -40,14 +40,14 @@
         }
         // Only direct children count: a deeper line belongs to a key between.
         let is_child = indent == *child_indent.get_or_insert(indent);
-        if is_child && key_of(content) == Some(key) {
+        if is_child && mapping_key(content) == Some(key) {
             return Some((line, indent));
         }
     }
     None
 }
 
-fn key_of(content: &str) -> Option<&str> {
+fn mapping_key(content: &str) -> Option<&str> {
     let (key, _) = content.split_once(':')?;
     Some(key.trim().trim_matches(['"', '\'']))
 }
--- a/alderhaven-ctl/src/node_commands.rs
+++ b/alderhaven-ctl/src/node_commands.rs
@@ -32,7 +32,10 @@
     pub async fn dump(&self) -> CommandReport {
         let mut nodes = Vec::with_capacity(self.addresses.len());
         for address in self.addresses.iter().copied() {
-            nodes.push(NodeAnswer::of(address, self.probe.dump(address).await));
+            nodes.push(NodeAnswer::from_result(
+                address,
+                self.probe.dump(address).await,
+            ));
         }
         CommandReport::Nodes(NodesReport { nodes })
     }
@@ -48,7 +51,7 @@
                 Ok(_) => Err("its dump is no JSON object".to_owned()),
                 Err(error) => Err(error.reason),
             };
-            nodes.push(NodeAnswer::of(address, answer));
+            nodes.push(NodeAnswer::from_result(address, answer));
         }
         CommandReport::Nodes(NodesReport { nodes })
     }
@@ -58,7 +61,7 @@
         let answer = self.probe.drain(address).await;
         let answer = answer.map(|()| serde_json::json!({ "draining": true }));
         CommandReport::Nodes(NodesReport {
-            nodes: vec![NodeAnswer::of(address, answer)],
+            nodes: vec![NodeAnswer::from_result(address, answer)],
         })
     }
 
@@ -66,18 +69,21 @@
     pub async fn statuses(&self) -> Vec<NodeAnswer<NodeStatus>> {
         let mut nodes = Vec::with_capacity(self.addresses.len());
         for address in self.addresses.iter().copied() {
-            nodes.push(NodeAnswer::of(address, self.probe.status(address).await));
+            nodes.push(NodeAnswer::from_result(
+                address,
+                self.probe.status(address).await,
+            ));
         }
         nodes
     }
 
     /// Waits until the versions are in force on all nodes.
-    pub async fn wait(
+    pub async fn wait_until_in_force(
         &self,
         wanted: &[WantedVersion],
         options: WaitOptions,
         show: impl FnMut(&InForceReport),
     ) -> InForceReport {
-        in_force::wait(&self.probe, &self.addresses, wanted, options, show).await
+        in_force::wait_until_in_force(&self.probe, &self.addresses, wanted, options, show).await
     }
 }
--- a/alderhaven-ctl/src/object_file.rs
+++ b/alderhaven-ctl/src/object_file.rs
@@ -18,7 +18,7 @@
 pub const MAX_OBJECT_BYTES: usize = 256 << 10;
 
 /// The folders of the kinds that have files.
-const FOLDERS: [(&str, ObjectKind); 3] = [
+const KIND_FOLDERS: [(&str, ObjectKind); 3] = [
     ("templates", ObjectKind::Template),
     ("teams", ObjectKind::Team),
     ("manifests", ObjectKind::Manifest),
@@ -47,13 +47,13 @@
     /// # Errors
     /// The problem that keeps the file from being read as an object, with its line.
     pub fn read(path: &Path) -> Result<Self, FileProblem> {
-        let kind = kind_of(path).ok_or_else(|| unknown_folder(path))?;
-        let size = fs::metadata(path).map_err(|error| FileProblem::of_file(path, error))?;
+        let kind = folder_kind(path).ok_or_else(|| unknown_folder_problem(path))?;
+        let size = fs::metadata(path).map_err(|error| FileProblem::for_file(path, error))?;
         if size.len() > settings::MAX_SETTINGS_BYTES {
             let reason = format!("larger than {} bytes", settings::MAX_SETTINGS_BYTES);
-            return Err(FileProblem::of_file(path, reason));
+            return Err(FileProblem::for_file(path, reason));
         }
-        let text = fs::read_to_string(path).map_err(|error| FileProblem::of_file(path, error))?;
+        let text = fs::read_to_string(path).map_err(|error| FileProblem::for_file(path, error))?;
         Self::read_text(path, kind, text)
     }
 
@@ -64,17 +64,18 @@
     pub fn read_text(path: &Path, kind: ObjectKind, text: String) -> Result<Self, FileProblem> {
         let (content, name, errors) = match kind {
             ObjectKind::Template => {
-                let template: alderhaven_core::template::QueryTemplate = parse(path, &text)?;
+                let template: alderhaven_core::template::QueryTemplate = parse_yaml(path, &text)?;
                 let (name, errors) = (template.name.to_string(), template.check());
                 (ConfigObject::Template(template), name, errors)
             }
             ObjectKind::Team => {
-                let team: alderhaven_core::team::TeamPolicy = parse(path, &text)?;
+                let team: alderhaven_core::team::TeamPolicy = parse_yaml(path, &text)?;
                 let (name, errors) = (team.name.to_string(), team.check());
                 (ConfigObject::Team(team), name, errors)
             }
             ObjectKind::Manifest => {
-                let manifest: alderhaven_core::manifest::SnapshotManifest = parse(path, &text)?;
+                let manifest: alderhaven_core::manifest::SnapshotManifest =
+                    parse_yaml(path, &text)?;
                 let (name, errors) = (manifest.service.to_string(), manifest.check());
                 (ConfigObject::Manifest(manifest), name, errors)
             }
@@ -83,20 +84,20 @@
             | ObjectKind::History
             | ObjectKind::Routing
             | ObjectKind::Target
-            | ObjectKind::Contact
-            | ObjectKind::Strike
+            | ObjectKind::StoreContact
+            | ObjectKind::CrashStrike
             | ObjectKind::Evacuation => {
-                return Err(unknown_folder(path));
+                return Err(unknown_folder_problem(path));
             }
         };
         let mut problems: Vec<FileProblem> = errors
             .into_iter()
-            .map(|error| problem_of(path, &text, error))
+            .map(|error| located_problem(path, &text, error))
             .collect();
-        let body = body_of(&content);
+        let body = json_body(&content);
         if body.len() > MAX_OBJECT_BYTES {
             let reason = format!("larger than {MAX_OBJECT_BYTES} bytes of JSON");
-            problems.push(FileProblem::of_file(path, reason));
+            problems.push(FileProblem::for_file(path, reason));
         }
         Ok(Self {
             path: path.to_owned(),
@@ -110,16 +111,16 @@
 
     /// Returns a problem with a field of this file.
     #[must_use]
-    pub fn problem(&self, field: &str, reason: impl Into<String>) -> FileProblem {
-        problem_of(&self.path, &self.text, Error::invalid(field, reason))
+    pub fn field_problem(&self, field: &str, reason: impl Into<String>) -> FileProblem {
+        located_problem(&self.path, &self.text, Error::invalid(field, reason))
     }
 }
 
 /// Gets the kind that a file's folder names.
 #[must_use]
-pub fn kind_of(path: &Path) -> Option<ObjectKind> {
+pub fn folder_kind(path: &Path) -> Option<ObjectKind> {
     let folder = path.parent()?.file_name()?.to_str()?;
-    FOLDERS
+    KIND_FOLDERS
         .into_iter()
         .find_map(|(name, kind)| (name == folder).then_some(kind))
 }
@@ -133,7 +134,7 @@
 
 /// Gets the JSON text that is published for a checked object.
 #[must_use]
-pub fn body_of(content: &ConfigObject) -> String {
+pub fn json_body(content: &ConfigObject) -> String {
     fn json<T: Serialize>(value: &T) -> String {
         serde_json::to_string(value).expect("the types of the vocabulary serialise")
     }
@@ -145,7 +146,7 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, FileProblem> {
+fn parse_yaml<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, FileProblem> {
     serde_saphyr::from_str(text).map_err(|error| {
         let line = error
             .location()
@@ -159,7 +160,7 @@
     })
 }
 
-fn problem_of(path: &Path, text: &str, error: Error) -> FileProblem {
+fn located_problem(path: &Path, text: &str, error: Error) -> FileProblem {
     let (field, reason) = match error {
         Error::Invalid { field, reason } => (Some(field), reason),
         other => (None, other.to_string()),
@@ -168,15 +169,15 @@
         path: path.display().to_string(),
         line: field
             .as_deref()
-            .and_then(|field| line_index::line_of(text, field)),
+            .and_then(|field| line_index::field_line(text, field)),
         field,
         reason,
     }
 }
 
-fn unknown_folder(path: &Path) -> FileProblem {
-    let folders: Vec<&str> = FOLDERS.iter().map(|(name, _)| *name).collect();
-    FileProblem::of_file(
+fn unknown_folder_problem(path: &Path) -> FileProblem {
+    let folders: Vec<&str> = KIND_FOLDERS.iter().map(|(name, _)| *name).collect();
+    FileProblem::for_file(
         path,
         format!(
             "the folder names no kind: allowed is {}",
--- a/alderhaven-ctl/src/object_history.rs
+++ b/alderhaven-ctl/src/object_history.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The most earlier contents that are kept of an object.
-pub const MAX_ENTRIES: usize = 16;
+pub const MAX_HISTORY_ENTRIES: usize = 16;
 /// The most bytes of JSON of a history, below the platform's largest value of 1 MB.
 pub const MAX_HISTORY_BYTES: usize = 900 << 10;
 
@@ -37,7 +37,7 @@
 impl ObjectHistory {
     /// Gets the key of the history of an object.
     #[must_use]
-    pub fn key_of(key: &ObjectKey) -> ObjectKey {
+    pub fn history_key(key: &ObjectKey) -> ObjectKey {
         ObjectKey {
             kind: ObjectKind::History,
             name: format!("{}.{}", key.kind, key.name),
@@ -59,19 +59,19 @@
 
     /// Gets the entry of a version.
     #[must_use]
-    pub fn entry_of(&self, version: StoreVersion) -> Option<&HistoryEntry> {
+    pub fn entry_for_version(&self, version: StoreVersion) -> Option<&HistoryEntry> {
         self.entries.iter().find(|entry| entry.version == version)
     }
 
     /// Gets the entry that was written under a write id.
     #[must_use]
-    pub fn entry_written_as(&self, write_id: &str) -> Option<&HistoryEntry> {
+    pub fn entry_for_write_id(&self, write_id: &str) -> Option<&HistoryEntry> {
         self.entries.iter().find(|entry| entry.write_id == write_id)
     }
 
     /// Adds a content, and drops the oldest ones that no longer fit.
     pub fn record(&mut self, object: &StoredObject) {
-        if self.entry_of(object.version).is_some() {
+        if self.entry_for_version(object.version).is_some() {
             return;
         }
         self.entries.push(HistoryEntry {
@@ -81,7 +81,8 @@
         });
         self.entries.sort_by_key(|entry| entry.version);
         while self.entries.len() > 1
-            && (self.entries.len() > MAX_ENTRIES || self.to_body().len() > MAX_HISTORY_BYTES)
+            && (self.entries.len() > MAX_HISTORY_ENTRIES
+                || self.to_json().len() > MAX_HISTORY_BYTES)
         {
             self.entries.remove(0);
         }
@@ -89,7 +90,7 @@
 
     /// Gets the JSON text that is stored.
     #[must_use]
-    pub fn to_body(&self) -> String {
+    pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
--- a/alderhaven-ctl/src/operator_client.rs
+++ b/alderhaven-ctl/src/operator_client.rs
@@ -17,9 +17,9 @@
 use crate::node_status::NodeStatus;
 
 /// The time within which a node must have answered.
-pub const DEFAULT_TIMEOUT: TimeSpan = TimeSpan::from_secs(2);
+pub const DEFAULT_CALL_TIMEOUT: TimeSpan = TimeSpan::from_secs(2);
 /// The largest answer that is read; a dump of a busy relay is a few MB.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// An `OperatorClient` makes one connection for each call: a stale one can't deceive it.
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +31,7 @@
 impl Default for OperatorClient {
     fn default() -> Self {
         Self {
-            timeout: DEFAULT_TIMEOUT,
+            timeout: DEFAULT_CALL_TIMEOUT,
         }
     }
 }
@@ -43,7 +43,7 @@
         method: Method,
         path: &str,
     ) -> ProbeResult<T> {
-        let calling = exchange(node, method, path);
+        let calling = send_and_receive(node, method, path);
         let body = tokio::time::timeout(self.timeout.as_duration(), calling)
             .await
             .map_err(|_| ProbeError::new(format!("no answer within {}", self.timeout)))??;
@@ -67,7 +67,7 @@
     }
 }
 
-async fn exchange(node: SocketAddr, method: Method, path: &str) -> ProbeResult<Bytes> {
+async fn send_and_receive(node: SocketAddr, method: Method, path: &str) -> ProbeResult<Bytes> {
     let stream = TcpStream::connect(node).await.map_err(ProbeError::new)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
@@ -84,7 +84,7 @@
             .await
             .map_err(ProbeError::new)?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
             .map_err(ProbeError::new)?
--- a/alderhaven-ctl/src/publisher.rs
+++ b/alderhaven-ctl/src/publisher.rs
@@ -24,7 +24,7 @@
     id: PublicationId,
     write: ConditionalWrite,
     /// Whether a try's answer was lost, so that the write may have taken effect.
-    may_have_landed: bool,
+    may_have_taken_effect: bool,
 }
 
 impl<'a, S: ObjectStore> ObjectPublisher<'a, S> {
@@ -40,11 +40,11 @@
     /// Publishes one change against the version that its plan has seen.
     pub async fn publish(&self, change: &PlannedChange) -> PublishOutcome {
         if change.is_unchanged() {
-            let version = change.seen_version();
+            let version = change.observed_version();
             return PublishOutcome::Unchanged { version };
         }
-        if let Some(seen) = &change.seen
-            && let Err(reason) = self.record(seen).await
+        if let Some(seen) = &change.observed
+            && let Err(reason) = self.record_in_history(seen).await
         {
             let reason = format!("the earlier content could not be kept: {reason}");
             return PublishOutcome::NotPublished { reason };
@@ -52,11 +52,11 @@
         let id = PublicationId {
             operator: self.operator.clone(),
             id: Uuid::now_v7(),
-            base: change.seen_version(),
+            base: change.observed_version(),
         };
         let write = ConditionalWrite {
             key: change.key.clone(),
-            expected: change.seen_version(),
+            expected: change.observed_version(),
             write_id: id.to_string(),
             body: change.body.clone(),
         };
@@ -64,9 +64,9 @@
             change,
             id,
             write,
-            may_have_landed: false,
+            may_have_taken_effect: false,
         };
-        self.write(attempt).await
+        self.write_with_retries(attempt).await
     }
 
     /// Tries the write until its fate is known or the tries are used up.
@@ -74,7 +74,7 @@
     /// A write whose answer was lost may also arrive late, after a read that does not show it. It
     /// is therefore tried again under the same write id and the same expected version: of all
     /// copies of it at most one can take effect, whichever arrives first.
-    async fn write(&self, mut attempt: WriteAttempt<'_>) -> PublishOutcome {
+    async fn write_with_retries(&self, mut attempt: WriteAttempt<'_>) -> PublishOutcome {
         let mut reason = String::new();
         for round in 0..self.options.attempts {
             let error = match self.store.write(attempt.write.clone()).await {
@@ -87,17 +87,17 @@
                 }
                 Err(error) => error,
             };
-            attempt.may_have_landed |= matches!(error, StoreError::Unknown { .. });
+            attempt.may_have_taken_effect |= matches!(error, StoreError::Unknown { .. });
             reason = error.to_string();
-            self.options.pause(round, &error).await;
-            if attempt.may_have_landed
+            self.options.back_off(round, &error).await;
+            if attempt.may_have_taken_effect
                 && let Ok(current) = self.store.get(&attempt.write.key).await
-                && !attempt.shows_seen(current.as_ref())
+                && !attempt.is_still_observed(current.as_ref())
             {
                 return self.resolve_conflict(attempt, current).await;
             }
         }
-        if attempt.may_have_landed {
+        if attempt.may_have_taken_effect {
             let id = attempt.id;
             PublishOutcome::Unknown { id, reason }
         } else {
@@ -122,8 +122,8 @@
             let version = current.version;
             return PublishOutcome::Published { version, id };
         }
-        if !attempt.may_have_landed {
-            return attempt.change.outcome_of_conflict(current);
+        if !attempt.may_have_taken_effect {
+            return attempt.change.conflict_outcome(current);
         }
         let Some(by) = current else {
             let reason = "the answer was lost, and the object is gone".to_owned();
@@ -133,11 +133,11 @@
             Ok(history) => history,
             Err(reason) => return PublishOutcome::Unknown { id, reason },
         };
-        if let Some(own) = history.entry_written_as(&attempt.write.write_id) {
+        if let Some(own) = history.entry_for_write_id(&attempt.write.write_id) {
             let version = own.version;
             return PublishOutcome::Superseded { version, id, by };
         }
-        if leads_back_to(&history, &by, attempt.change) {
+        if descends_from_observed(&history, &by, attempt.change) {
             return PublishOutcome::Conflict { current: Some(by) };
         }
         let reason = "the answer was lost, and the history does not reach back".to_owned();
@@ -145,23 +145,23 @@
     }
 
     async fn read_history(&self, object: &StoredObject) -> Result<ObjectHistory, String> {
-        let key = ObjectHistory::key_of(&object.key);
+        let key = ObjectHistory::history_key(&object.key);
         let read = self.options.get(self.store, &key).await;
         let stored = read.map_err(|error| error.to_string())?;
         ObjectHistory::read(stored.as_ref()).map_err(|error| error.to_string())
     }
 
     /// Records a content in its object's history, before it is replaced.
-    async fn record(&self, seen: &StoredObject) -> Result<(), String> {
-        let key = ObjectHistory::key_of(&seen.key);
+    async fn record_in_history(&self, seen: &StoredObject) -> Result<(), String> {
+        let key = ObjectHistory::history_key(&seen.key);
         let mut reason = String::new();
         for round in 0..self.options.attempts {
-            match self.try_record(&key, seen).await {
+            match self.try_record_in_history(&key, seen).await {
                 Ok(true) => return Ok(()),
                 Ok(false) => "other publishers write the history".clone_into(&mut reason),
                 Err(error) => {
                     reason = error.to_string();
-                    self.options.pause(round, &error).await;
+                    self.options.back_off(round, &error).await;
                 }
             }
         }
@@ -169,10 +169,14 @@
     }
 
     /// Tries once to record a content; false where another publisher came between.
-    async fn try_record(&self, key: &ObjectKey, seen: &StoredObject) -> Result<bool, StoreError> {
+    async fn try_record_in_history(
+        &self,
+        key: &ObjectKey,
+        seen: &StoredObject,
+    ) -> Result<bool, StoreError> {
         let stored = self.store.get(key).await?;
         let mut history = ObjectHistory::read(stored.as_ref()).map_err(StoreError::not_done)?;
-        if history.entry_of(seen.version).is_some() {
+        if history.entry_for_version(seen.version).is_some() {
             return Ok(true);
         }
         history.record(seen);
@@ -181,7 +185,7 @@
             key: key.clone(),
             expected,
             write_id: format!("{}/{}", self.operator, Uuid::now_v7()),
-            body: Some(history.to_body()),
+            body: Some(history.to_json()),
         };
         let outcome = self.store.write(write).await?;
         Ok(matches!(outcome, WriteOutcome::Written(_)))
@@ -190,10 +194,10 @@
 
 impl WriteAttempt<'_> {
     /// Returns true where the store still holds what the plan has seen.
-    fn shows_seen(&self, current: Option<&StoredObject>) -> bool {
+    fn is_still_observed(&self, current: Option<&StoredObject>) -> bool {
         match current {
-            Some(current) => current.version == self.change.seen_version(),
-            None => self.change.seen.is_none(),
+            Some(current) => current.version == self.change.observed_version(),
+            None => self.change.observed.is_none(),
         }
     }
 }
@@ -202,18 +206,22 @@
 ///
 /// Each names the version that it replaced. If the first of them replaced the very version that
 /// ours demanded, ours can't have taken effect before it, and will not after it.
-fn leads_back_to(history: &ObjectHistory, current: &StoredObject, change: &PlannedChange) -> bool {
+fn descends_from_observed(
+    history: &ObjectHistory,
+    current: &StoredObject,
+    change: &PlannedChange,
+) -> bool {
     let mut version = current.version;
     let mut write_id = current.write_id.clone();
     while let Ok(publication) = write_id.parse::<PublicationId>() {
-        if publication.base == change.seen_version() {
+        if publication.base == change.observed_version() {
             return true;
         }
         // Bases only fall; anything else was not written by a publisher.
         if publication.base >= version {
             return false;
         }
-        let Some(entry) = history.entry_of(publication.base) else {
+        let Some(entry) = history.entry_for_version(publication.base) else {
             return false;
         };
         version = entry.version;
--- a/alderhaven-ctl/src/report_text.rs
+++ b/alderhaven-ctl/src/report_text.rs
@@ -71,14 +71,14 @@
 
 impl Display for PublishReport {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        if !self.unseen.is_empty() {
+        if !self.unreviewed.is_empty() {
             writeln!(
                 formatter,
                 "nothing was published: these objects were last written by someone else. Look at \
                  the difference with `diff --plan FILE`, then `publish --plan FILE`."
             )?;
         }
-        for change in &self.unseen {
+        for change in &self.unreviewed {
             writeln!(formatter, "{change}")?;
         }
         for publication in &self.publications {
--- a/alderhaven-ctl/src/retry_options.rs
+++ b/alderhaven-ctl/src/retry_options.rs
@@ -9,7 +9,7 @@
 /// How often a call is tried before it is given up: with the delays below, after 1.5 s.
 pub const DEFAULT_ATTEMPTS: u32 = 6;
 /// The wait after the first failed call; it doubles with each further one.
-pub const DEFAULT_FIRST_DELAY: TimeSpan = TimeSpan::from_millis(50);
+pub const DEFAULT_INITIAL_DELAY: TimeSpan = TimeSpan::from_millis(50);
 /// The longest wait between calls.
 pub const DEFAULT_MAX_DELAY: TimeSpan = TimeSpan::from_secs(2);
 
@@ -19,7 +19,7 @@
     /// How often each call is tried, 1 or more.
     pub attempts: u32,
     /// The wait after the first failed call.
-    pub first_delay: TimeSpan,
+    pub initial_delay: TimeSpan,
     /// The longest wait between calls.
     pub max_delay: TimeSpan,
 }
@@ -28,7 +28,7 @@
     fn default() -> Self {
         Self {
             attempts: DEFAULT_ATTEMPTS,
-            first_delay: DEFAULT_FIRST_DELAY,
+            initial_delay: DEFAULT_INITIAL_DELAY,
             max_delay: DEFAULT_MAX_DELAY,
         }
     }
@@ -47,7 +47,7 @@
         let mut round = 0;
         loop {
             match store.get(key).await {
-                Err(error) if round + 1 < self.attempts => self.pause(round, &error).await,
+                Err(error) if round + 1 < self.attempts => self.back_off(round, &error).await,
                 answer => return answer,
             }
             round += 1;
@@ -66,7 +66,7 @@
         let mut round = 0;
         loop {
             match store.list(kinds).await {
-                Err(error) if round + 1 < self.attempts => self.pause(round, &error).await,
+                Err(error) if round + 1 < self.attempts => self.back_off(round, &error).await,
                 answer => return answer,
             }
             round += 1;
@@ -74,8 +74,10 @@
     }
 
     /// Waits after a failed call: longer with each round, and as long as the store asks for.
-    pub async fn pause(&self, round: u32, error: &StoreError) {
-        let backoff = self.first_delay.mul_f64(f64::from(1_u32 << round.min(16)));
+    pub async fn back_off(&self, round: u32, error: &StoreError) {
+        let backoff = self
+            .initial_delay
+            .mul_f64(f64::from(1_u32 << round.min(16)));
         let asked = match error {
             StoreError::NotDone { retry_after, .. } => retry_after.unwrap_or_default(),
             StoreError::Unknown { .. } => TimeSpan::ZERO,
--- a/alderhaven-ctl/tests/alderctl.rs
+++ b/alderhaven-ctl/tests/alderctl.rs
@@ -9,14 +9,14 @@
 use alderhaven_standin::platform_server::{PlatformOptions, PlatformServer};
 use serde_json::Value;
 
-fn examples(folder: &str) -> PathBuf {
+fn example_path(folder: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../examples")
         .join(folder)
 }
 
 /// Runs the binary while the platform goes on in this process.
-async fn alderctl(words: &[&str]) -> Output {
+async fn run_alderctl(words: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_alderctl"));
     command.args(words);
     tokio::task::spawn_blocking(move || command.output().expect("the binary runs"))
@@ -25,20 +25,20 @@
 }
 
 /// Runs the binary on behalf of an operator; standard output is JSON.
-async fn as_operator(platform: &PlatformServer, operator: &str, words: &[&str]) -> Output {
+async fn run_as_operator(platform: &PlatformServer, operator: &str, words: &[&str]) -> Output {
     let address = platform.address().to_string();
     let base = ["--json", "--operator", operator, "--platform", &address];
     let words: Vec<&str> = base.into_iter().chain(words.iter().copied()).collect();
-    alderctl(&words).await
+    run_alderctl(&words).await
 }
 
-async fn platform() -> PlatformServer {
+async fn start_platform() -> PlatformServer {
     PlatformServer::start(PlatformOptions::default())
         .await
         .expect("a port is free")
 }
 
-fn json_of(output: &Output) -> Value {
+fn stdout_json(output: &Output) -> Value {
     serde_json::from_slice(&output.stdout).expect("standard output is one JSON document")
 }
 
@@ -46,14 +46,14 @@
 /// not hear of a conflict with the own write, and the object must have been written once.
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_survives_a_lost_answer() {
-    let platform = platform().await;
+    let platform = start_platform().await;
     platform.store().set_faults(PlatformFaults {
         lose_write_replies: 1,
         drop_writes: 1,
         ..PlatformFaults::default()
     });
     let address = platform.address().to_string();
-    let file = examples("volta/templates/record-fetch.yaml");
+    let file = example_path("volta/templates/record-fetch.yaml");
     let file = file.display().to_string();
     let words = [
         "--operator",
@@ -64,8 +64,8 @@
         &file,
         "--json",
     ];
-    let output = alderctl(&words).await;
-    let report = json_of(&output);
+    let output = run_alderctl(&words).await;
+    let report = stdout_json(&output);
     assert_eq!(output.status.code(), Some(0), "{report}");
     assert_eq!(report["publications"][0]["outcome"], "published");
     let key = ObjectKey {
@@ -80,10 +80,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_ends_and_rolls_back_over_http() {
-    let platform = platform().await;
-    let begun = as_operator(&platform, "ama", &["drain", "--target", "desk-1"]).await;
+    let platform = start_platform().await;
+    let begun = run_as_operator(&platform, "ama", &["drain", "--target", "desk-1"]).await;
     assert_eq!(begun.status.code(), Some(0));
-    let ended = as_operator(&platform, "kofi", &["drain", "--target", "desk-1", "--end"]).await;
+    let ended = run_as_operator(&platform, "kofi", &["drain", "--target", "desk-1", "--end"]).await;
     assert_eq!(ended.status.code(), Some(0));
     let key: ObjectKey = "drain/desk-1".parse().expect("it is a key");
     let body_of = || {
@@ -95,25 +95,28 @@
     };
     assert_eq!(body_of(), None);
 
-    let history = as_operator(&platform, "ama", &["history", "drain/desk-1"]).await;
-    let entry = &json_of(&history)["entries"][0];
+    let history = run_as_operator(&platform, "ama", &["history", "drain/desk-1"]).await;
+    let entry = &stdout_json(&history)["entries"][0];
     assert_eq!(entry["body"], "{}");
     let version = entry["version"].to_string();
     let words = ["rollback", "drain/desk-1", "--to", &version];
-    let rolled_back = as_operator(&platform, "ama", &words).await;
+    let rolled_back = run_as_operator(&platform, "ama", &words).await;
     assert_eq!(rolled_back.status.code(), Some(0));
     assert_eq!(body_of().as_deref(), Some("{}"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_twice_finds_nothing_to_do() {
-    let platform = platform().await;
-    let teams = examples("volta/teams").display().to_string();
-    let first = as_operator(&platform, "ama", &["publish", &teams]).await;
+    let platform = start_platform().await;
+    let teams = example_path("volta/teams").display().to_string();
+    let first = run_as_operator(&platform, "ama", &["publish", &teams]).await;
     assert_eq!(first.status.code(), Some(0));
     let revision = platform.store().table().revision();
-    let second = as_operator(&platform, "kofi", &["publish", &teams]).await;
-    assert_eq!(json_of(&second)["publications"][0]["outcome"], "unchanged");
+    let second = run_as_operator(&platform, "kofi", &["publish", &teams]).await;
+    assert_eq!(
+        stdout_json(&second)["publications"][0]["outcome"],
+        "unchanged"
+    );
     assert_eq!(platform.store().table().revision(), revision);
 }
 
@@ -130,7 +133,7 @@
         (&["--settings", "absent.yaml", "status"], "absent.yaml"),
     ];
     for (words, expected) in cases {
-        let output = alderctl(words).await;
+        let output = run_alderctl(words).await;
         let text = [output.stdout, output.stderr].concat();
         let text = String::from_utf8_lossy(&text);
         assert_eq!(output.status.code(), Some(2), "{words:?}: {text}");
@@ -151,5 +154,5 @@
     drop(input);
     let output = child.wait_with_output().expect("it ends");
     let hash = alderhaven_core::team::hash_token("volta-example-token");
-    assert_eq!(json_of(&output)["token_hash"], hash.as_str());
+    assert_eq!(stdout_json(&output)["token_hash"], hash.as_str());
 }
--- a/alderhaven-ctl/tests/examples.rs
+++ b/alderhaven-ctl/tests/examples.rs
@@ -7,12 +7,12 @@
 use alderhaven_core::template::QueryTemplate;
 use alderhaven_ctl::file_check::CheckReport;
 
-fn report_of(deployment: &str) -> CheckReport {
+fn check_deployment(deployment: &str) -> CheckReport {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples");
     CheckReport::read_offline(&[examples.join(deployment)])
 }
 
-fn template_of<'a>(report: &'a CheckReport, name: &str) -> &'a QueryTemplate {
+fn find_template<'a>(report: &'a CheckReport, name: &str) -> &'a QueryTemplate {
     report
         .objects
         .iter()
@@ -26,7 +26,7 @@
 #[test]
 fn examples_check_without_problems() {
     for deployment in ["volta", "lagerblik"] {
-        let report = report_of(deployment);
+        let report = check_deployment(deployment);
         assert_eq!(report.problems, [], "{deployment}");
         let teams = report
             .objects
@@ -40,7 +40,7 @@
 #[test]
 fn examples_publish_what_nodes_accept() {
     for deployment in ["volta", "lagerblik"] {
-        for object in report_of(deployment).objects {
+        for object in check_deployment(deployment).objects {
             let read = ConfigObject::read(&object.key, &object.body);
             assert_eq!(read, Ok(object.content), "{}", object.key);
         }
@@ -49,21 +49,21 @@
 
 #[test]
 fn examples_keep_what_must_hold_for_each_template() {
-    let volta = report_of("volta");
-    let duplicates = template_of(&volta, "duplicate-check");
+    let volta = check_deployment("volta");
+    let duplicates = find_template(&volta, "duplicate-check");
     assert_eq!(duplicates.preference, AnswerPreference::Coverage);
     assert_eq!(duplicates.class, QueryClass::Urgent);
-    assert!(!template_of(&volta, "assign-isbn").idempotent);
-    let lagerblik = report_of("lagerblik");
-    let sweep = template_of(&lagerblik, "stock-sweep");
+    assert!(!find_template(&volta, "assign-isbn").idempotent);
+    let lagerblik = check_deployment("lagerblik");
+    let sweep = find_template(&lagerblik, "stock-sweep");
     assert_eq!(sweep.preference, AnswerPreference::Latency);
-    assert!(!template_of(&lagerblik, "reserve-stock").idempotent);
+    assert!(!find_template(&lagerblik, "reserve-stock").idempotent);
 }
 
 #[test]
 fn examples_token_is_accepted() {
     for (deployment, team) in [("volta", "registry-staff"), ("lagerblik", "shortage-desk")] {
-        let report = report_of(deployment);
+        let report = check_deployment(deployment);
         let policy = report
             .objects
             .iter()
--- a/alderhaven-ctl/tests/file_check.rs
+++ b/alderhaven-ctl/tests/file_check.rs
@@ -6,7 +6,7 @@
 use alderhaven_ctl::line_index;
 
 /// What an operator sees for `tests/data/refused`, in the order of files and lines.
-const EXPECTED: [&str; 16] = [
+const EXPECTED_PROBLEMS: [&str; 16] = [
     "extras/x.yaml: the folder names no kind: allowed is templates, teams, manifests",
     "teams/heavy.yaml:2: weight: 1001 is refused: allowed is 1 to 1000",
     "teams/heavy.yaml:3: max_in_flight: allowed is 1 or more",
@@ -38,7 +38,7 @@
         .iter()
         .map(|problem| problem.to_string().replace(&root, ""))
         .collect();
-    assert_eq!(lines, EXPECTED);
+    assert_eq!(lines, EXPECTED_PROBLEMS);
     assert_eq!(report.files, 7);
 }
 
@@ -62,8 +62,8 @@
 #[test]
 fn line_of_follows_the_indentation() {
     let text = "a:\n  # b: no\n  deep:\n    b: 1\n  b: 2\nb: 3\n";
-    assert_eq!(line_index::line_of(text, "a.b"), Some(5));
-    assert_eq!(line_index::line_of(text, "b"), Some(6));
-    assert_eq!(line_index::line_of(text, "a.deep.b.c"), Some(4));
-    assert_eq!(line_index::line_of(text, "c"), None);
+    assert_eq!(line_index::field_line(text, "a.b"), Some(5));
+    assert_eq!(line_index::field_line(text, "b"), Some(6));
+    assert_eq!(line_index::field_line(text, "a.deep.b.c"), Some(4));
+    assert_eq!(line_index::field_line(text, "c"), None);
 }
--- a/alderhaven-ctl/tests/publish/commands.rs
+++ b/alderhaven-ctl/tests/publish/commands.rs
@@ -14,12 +14,12 @@
 use alderhaven_ctl::object_history::ObjectHistory;
 use alderhaven_ctl::retry_options::RetryOptions;
 
-use crate::nodes::{FakeNodes, NodeBehaviour};
+use crate::nodes::{FakeNodes, NodeBehavior};
 use crate::support::ScriptedStore;
 
 type FakeContext = CommandContext<ScriptedStore, FakeNodes>;
 
-fn context(operator: &str, behaviours: &[NodeBehaviour]) -> FakeContext {
+fn fake_context(operator: &str, behaviours: &[NodeBehavior]) -> FakeContext {
     let probe = Arc::new(FakeNodes::new(behaviours));
     CommandContext {
         store: ScriptedStore::default(),
@@ -28,12 +28,12 @@
             probe,
         },
         operator: operator.parse().expect("it is a name"),
-        retries: RetryOptions::default(),
-        waiting: None,
+        retry_options: RetryOptions::default(),
+        wait_options: None,
     }
 }
 
-fn examples(folder: &str) -> Vec<PathBuf> {
+fn example_paths(folder: &str) -> Vec<PathBuf> {
     vec![
         Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../examples")
@@ -41,14 +41,14 @@
     ]
 }
 
-fn team(name: &str) -> ObjectKey {
+fn team_key(name: &str) -> ObjectKey {
     ObjectKey {
         kind: ObjectKind::Team,
         name: name.to_owned(),
     }
 }
 
-fn body_of(context: &FakeContext, key: &ObjectKey) -> Option<String> {
+fn stored_body(context: &FakeContext, key: &ObjectKey) -> Option<String> {
     context.store.peek(key)?.body
 }
 
@@ -57,15 +57,17 @@
 #[tokio::test(start_paused = true)]
 async fn publish_wait_names_who_lags() {
     let behaviours = [
-        NodeBehaviour::InForceAfter(0),
-        NodeBehaviour::InForceAfter(3),
-        NodeBehaviour::Refuses,
-        NodeBehaviour::Silent,
+        NodeBehavior::InForceAfter(0),
+        NodeBehavior::InForceAfter(3),
+        NodeBehavior::Refuses,
+        NodeBehavior::Silent,
     ];
-    let mut context = context("ama", &behaviours);
-    context.waiting = Some(WaitOptions::default());
+    let mut context = fake_context("ama", &behaviours);
+    context.wait_options = Some(WaitOptions::default());
     let mut rounds = 0;
-    let report = context.publish(&examples("volta"), |_| rounds += 1).await;
+    let report = context
+        .publish(&example_paths("volta"), |_| rounds += 1)
+        .await;
     let text = report.to_string();
     assert_eq!(report.exit_status(), ExitStatus::Lagging, "{text}");
     assert!(text.contains("in force on 2 of 4"), "{text}");
@@ -75,7 +77,10 @@
         "{text}"
     );
     assert_eq!(
-        (context.nodes.probe.asked(0), context.nodes.probe.asked(1)),
+        (
+            context.nodes.probe.probe_count(0),
+            context.nodes.probe.probe_count(1)
+        ),
         (1, 4)
     );
     assert!(rounds > 100, "progress is shown in each of {rounds} rounds");
@@ -83,9 +88,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn publish_wait_ends_when_in_force_everywhere() {
-    let mut context = context("ama", &[NodeBehaviour::InForceAfter(2); 8]);
-    context.waiting = Some(WaitOptions::default());
-    let report = context.publish(&examples("lagerblik"), |_| {}).await;
+    let mut context = fake_context("ama", &[NodeBehavior::InForceAfter(2); 8]);
+    context.wait_options = Some(WaitOptions::default());
+    let report = context.publish(&example_paths("lagerblik"), |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Done, "{report}");
     assert!(report.to_string().contains("in force on 8 of 8"));
     let json = serde_json::to_value(&report).expect("a report serialises");
@@ -97,12 +102,12 @@
 /// has not seen it: nothing is published until she has looked at the difference.
 #[tokio::test(start_paused = true)]
 async fn publish_refuses_to_replace_what_was_not_looked_at() {
-    let mut context = context("kofi", &[]);
+    let mut context = fake_context("kofi", &[]);
     let theirs = r#"{"name":"publishers","weight":9}"#;
-    let key = team("publishers");
+    let key = team_key("publishers");
     context.store.seed(&key, "someone", Some(theirs));
     context.operator = "ama".parse().expect("it is a name");
-    let report = context.publish(&examples("volta"), |_| {}).await;
+    let report = context.publish(&example_paths("volta"), |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Conflict, "{report}");
     assert_eq!(
         context.store.finish().len(),
@@ -110,24 +115,24 @@
         "nothing else was published either"
     );
 
-    let (report, plan) = context.diff(&examples("volta")).await;
+    let (report, plan) = context.diff(&example_paths("volta")).await;
     assert!(report.to_string().contains("~ weight: 9 -> 4"), "{report}");
     let plan = plan.expect("the files check");
     let report = context.publish_plan(&plan, |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Done, "{report}");
-    assert_ne!(body_of(&context, &key).as_deref(), Some(theirs));
+    assert_ne!(stored_body(&context, &key).as_deref(), Some(theirs));
 }
 
 /// Between Ama's look at the difference and her publication Kofi publishes. His content stays, and
 /// she is shown what he changed.
 #[tokio::test(start_paused = true)]
 async fn publish_plan_shows_what_the_winner_changed() {
-    let context = context("ama", &[]);
-    let key = team("publishers");
+    let context = fake_context("ama", &[]);
+    let key = team_key("publishers");
     context
         .store
         .seed(&key, "seed", Some(r#"{"name":"publishers","weight":1}"#));
-    let (_, plan) = context.diff(&examples("volta/teams")).await;
+    let (_, plan) = context.diff(&example_paths("volta/teams")).await;
     let theirs = r#"{"name":"publishers","weight":7}"#;
     context.store.seed(
         &key,
@@ -143,16 +148,16 @@
         text.contains("changed by kofi") && text.contains("~ weight: 1 -> 7"),
         "{text}"
     );
-    assert_eq!(body_of(&context, &key).as_deref(), Some(theirs));
+    assert_eq!(stored_body(&context, &key).as_deref(), Some(theirs));
     assert!(
-        body_of(&context, &team("libraries")).is_some(),
+        stored_body(&context, &team_key("libraries")).is_some(),
         "each object by itself"
     );
 }
 
 #[tokio::test(start_paused = true)]
 async fn publish_refuses_files_that_do_not_check() {
-    let context = context("ama", &[]);
+    let context = fake_context("ama", &[]);
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/refused");
     let report = context.publish(&[folder], |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Invalid);
@@ -161,9 +166,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn publish_knows_the_teams_of_the_store() {
-    let context = context("ama", &[]);
-    let template = examples("volta/templates/assign-isbn.yaml");
-    context.store.seed(&team("publishers"), "seed", Some("{}"));
+    let context = fake_context("ama", &[]);
+    let template = example_paths("volta/templates/assign-isbn.yaml");
+    context
+        .store
+        .seed(&team_key("publishers"), "seed", Some("{}"));
     let report = context.publish(&template, |_| {}).await;
     assert!(
         report.to_string().contains("`registry-staff` is not known"),
@@ -171,23 +178,23 @@
     );
     context
         .store
-        .seed(&team("registry-staff"), "seed", Some("{}"));
+        .seed(&team_key("registry-staff"), "seed", Some("{}"));
     let report = context.publish(&template, |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Done, "{report}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn rollback_publishes_an_earlier_content_again() {
-    let context = context("ama", &[]);
-    let key = team("publishers");
+    let context = fake_context("ama", &[]);
+    let key = team_key("publishers");
     let first = r#"{"name":"publishers","weight":1}"#;
     let version = context.store.seed(
         &key,
         "ama/01a238cf-9af3-70a8-8e9d-a07cb02ebd20/0",
         Some(first),
     );
-    context.publish(&examples("volta/teams"), |_| {}).await;
-    assert_ne!(body_of(&context, &key).as_deref(), Some(first));
+    context.publish(&example_paths("volta/teams"), |_| {}).await;
+    assert_ne!(stored_body(&context, &key).as_deref(), Some(first));
 
     let report = context.rollback(&key, version, |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Done, "{report}");
@@ -197,7 +204,7 @@
         stored.version > version,
         "a rollback is a publication of its own"
     );
-    let history = context.store.peek(&ObjectHistory::key_of(&key));
+    let history = context.store.peek(&ObjectHistory::history_key(&key));
     let history = ObjectHistory::read(history.as_ref()).expect("a history is readable");
     assert_eq!(history.entries.len(), 2);
 
@@ -207,14 +214,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn drain_target_begins_and_ends() {
-    let context = context("ama", &[]);
+    let context = fake_context("ama", &[]);
     let target = "desk-3-a".parse().expect("it is a name");
     let key = ObjectKey {
         kind: ObjectKind::Drain,
         name: "desk-3-a".to_owned(),
     };
     context.drain_target(&target, false, |_| {}).await;
-    assert!(body_of(&context, &key).is_some());
+    assert!(stored_body(&context, &key).is_some());
     context.drain_target(&target, true, |_| {}).await;
     assert!(
         context
@@ -225,21 +232,21 @@
     let report = context.drain_target(&target, false, |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Done, "{report}");
     assert!(
-        body_of(&context, &key).is_some(),
+        stored_body(&context, &key).is_some(),
         "a tombstone is no obstacle"
     );
 }
 
 #[tokio::test(start_paused = true)]
 async fn status_tells_of_nodes_and_objects() {
-    let mut context = context(
+    let mut context = fake_context(
         "ama",
-        &[NodeBehaviour::InForceAfter(0), NodeBehaviour::Silent],
+        &[NodeBehavior::InForceAfter(0), NodeBehavior::Silent],
     );
     let report = context.nodes.status().await;
     assert_eq!(report.exit_status(), ExitStatus::Failed);
     context.nodes.addresses.pop();
-    let report = context.status(&[team("publishers")]).await;
+    let report = context.status(&[team_key("publishers")]).await;
     assert_eq!(report.exit_status(), ExitStatus::Done);
     assert!(
         report.to_string().contains("entry-9000 in accra-a"),
--- a/alderhaven-ctl/tests/publish/nodes.rs
+++ b/alderhaven-ctl/tests/publish/nodes.rs
@@ -11,7 +11,7 @@
 
 /// A `NodeBehaviour` is how a fake node takes up what is published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NodeBehaviour {
+pub enum NodeBehavior {
     /// It has every version in force from that question on, counted from 0.
     InForceAfter(u32),
     /// It refuses every version of the team `publishers`.
@@ -22,36 +22,39 @@
 
 /// The `FakeNodes` answer by their behaviour; the version that they report is the newest possible.
 pub struct FakeNodes {
-    behaviours: BTreeMap<SocketAddr, NodeBehaviour>,
-    asked: Mutex<BTreeMap<SocketAddr, u32>>,
+    behaviors: BTreeMap<SocketAddr, NodeBehavior>,
+    probe_counts: Mutex<BTreeMap<SocketAddr, u32>>,
 }
 
 impl FakeNodes {
     /// Returns nodes with these behaviours.
-    pub fn new(behaviours: &[NodeBehaviour]) -> Self {
+    pub fn new(behaviours: &[NodeBehavior]) -> Self {
         Self {
-            behaviours: behaviours
+            behaviors: behaviours
                 .iter()
                 .enumerate()
-                .map(|(index, behaviour)| (address(index), *behaviour))
+                .map(|(index, behaviour)| (node_address(index), *behaviour))
                 .collect(),
-            asked: Mutex::default(),
+            probe_counts: Mutex::default(),
         }
     }
 
     /// Gets the operator addresses.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.behaviours.keys().copied().collect()
+        self.behaviors.keys().copied().collect()
     }
 
     /// Gets how often a node was asked.
-    pub fn asked(&self, index: usize) -> u32 {
-        let asked = self.asked.lock().expect("no test panics with the lock");
-        asked.get(&address(index)).copied().unwrap_or_default()
+    pub fn probe_count(&self, index: usize) -> u32 {
+        let asked = self
+            .probe_counts
+            .lock()
+            .expect("no test panics with the lock");
+        asked.get(&node_address(index)).copied().unwrap_or_default()
     }
 }
 
-fn address(index: usize) -> SocketAddr {
+fn node_address(index: usize) -> SocketAddr {
     let port = 9000 + u16::try_from(index).expect("few nodes");
     SocketAddr::from(([127, 0, 0, 1], port))
 }
@@ -59,17 +62,20 @@
 impl NodeProbe for FakeNodes {
     async fn status(&self, node: SocketAddr) -> ProbeResult<NodeStatus> {
         let question = {
-            let mut asked = self.asked.lock().expect("no test panics with the lock");
+            let mut asked = self
+                .probe_counts
+                .lock()
+                .expect("no test panics with the lock");
             let count = asked.entry(node).or_default();
             *count += 1;
             *count - 1
         };
-        let revision = match self.behaviours[&node] {
-            NodeBehaviour::Silent => return Err(ProbeError::new("connection refused")),
-            NodeBehaviour::InForceAfter(after) if question < after => None,
-            NodeBehaviour::InForceAfter(_) | NodeBehaviour::Refuses => Some(StoreVersion(u64::MAX)),
+        let revision = match self.behaviors[&node] {
+            NodeBehavior::Silent => return Err(ProbeError::new("connection refused")),
+            NodeBehavior::InForceAfter(after) if question < after => None,
+            NodeBehavior::InForceAfter(_) | NodeBehavior::Refuses => Some(StoreVersion(u64::MAX)),
         };
-        let is_refusing = self.behaviours[&node] == NodeBehaviour::Refuses;
+        let is_refusing = self.behaviors[&node] == NodeBehavior::Refuses;
         let refused = RejectedStatus {
             key: "team/publishers".to_owned(),
             version: StoreVersion(u64::MAX),
--- a/alderhaven-ctl/tests/publish/races.rs
+++ b/alderhaven-ctl/tests/publish/races.rs
@@ -17,9 +17,9 @@
 /// The seed of the cases that CI runs.
 const SEED: u64 = 0x00a1_de12;
 /// The fewest cases of a run; `PROPTEST_CASES` raises it.
-const CASES: u32 = 256;
+const DEFAULT_CASES: u32 = 256;
 /// The names of the objects that operators race for.
-const NAMES: [&str; 2] = ["desk", "portal"];
+const OBJECT_NAMES: [&str; 2] = ["desk", "portal"];
 
 /// An `OperatorStep` is one publication that an operator attempts.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
 }
 
 /// A `PublishReport` is what an operator was told of one publication.
-struct PublishReport {
+struct ReportedPublication {
     change: PlannedChange,
     outcome: PublishOutcome,
 }
@@ -49,15 +49,16 @@
 }
 
 fn operators() -> impl Strategy<Value = Vec<Vec<OperatorStep>>> {
-    let step =
-        (0..NAMES.len(), any::<bool>(), any::<bool>()).prop_map(|(name, a, b)| OperatorStep {
+    let step = (0..OBJECT_NAMES.len(), any::<bool>(), any::<bool>()).prop_map(|(name, a, b)| {
+        OperatorStep {
             name,
             is_delete: a && b,
-        });
+        }
+    });
     collection::vec(collection::vec(step, 1..4), 1..4)
 }
 
-fn key_of(name: &str) -> ObjectKey {
+fn team_key(name: &str) -> ObjectKey {
     ObjectKey {
         kind: ObjectKind::Team,
         name: name.to_owned(),
@@ -69,7 +70,7 @@
     operator: usize,
     steps: Vec<OperatorStep>,
     options: RetryOptions,
-) -> Vec<PublishReport> {
+) -> Vec<ReportedPublication> {
     let name = format!("operator-{operator}")
         .parse()
         .expect("it is a name");
@@ -77,21 +78,21 @@
     let mut reports = Vec::new();
     for (number, step) in steps.into_iter().enumerate() {
         let body = (!step.is_delete).then(|| format!(r#"{{"by":{operator},"step":{number}}}"#));
-        let key = key_of(NAMES[step.name]);
+        let key = team_key(OBJECT_NAMES[step.name]);
         // Without a plan an operator publishes nothing.
-        if let Ok(change) = PlannedChange::read(&*store, key, body, options).await {
+        if let Ok(change) = PlannedChange::build(&*store, key, body, options).await {
             let outcome = publisher.publish(&change).await;
-            reports.push(PublishReport { change, outcome });
+            reports.push(ReportedPublication { change, outcome });
         }
     }
     reports
 }
 
-fn run(
+fn run_operators(
     store: &Arc<ScriptedStore>,
     operators: Vec<Vec<OperatorStep>>,
     options: RetryOptions,
-) -> Vec<PublishReport> {
+) -> Vec<ReportedPublication> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -114,9 +115,9 @@
 }
 
 /// Checks what operators were told against what took effect.
-fn check(
+fn check_reports(
     log: &[AppliedWrite],
-    reports: &[PublishReport],
+    reports: &[ReportedPublication],
     options: RetryOptions,
     faults: usize,
 ) -> Result<(), TestCaseError> {
@@ -142,7 +143,7 @@
                     "{id} was reported as published and is not"
                 );
                 prop_assert!(
-                    applied.is_some_and(|applied| applied.replaced == report.change.seen),
+                    applied.is_some_and(|applied| applied.replaced == report.change.observed),
                     "{id} replaced a content that its operator had not seen"
                 );
                 told.insert(id);
@@ -172,7 +173,7 @@
 ) -> Result<(), TestCaseError> {
     let winner = current.and_then(|current| by_id.get(current.write_id.as_str()));
     prop_assert!(
-        winner.is_some_and(|winner| winner.object.version > change.seen_version()),
+        winner.is_some_and(|winner| winner.object.version > change.observed_version()),
         "the winner of a race took no effect"
     );
     prop_assert!(
@@ -185,9 +186,9 @@
 /// Every content that was replaced can be rolled back to.
 fn check_history(store: &ScriptedStore, log: &[AppliedWrite]) -> Result<(), TestCaseError> {
     for replaced in log.iter().filter_map(|applied| applied.replaced.as_ref()) {
-        let stored = store.peek(&ObjectHistory::key_of(&replaced.key));
+        let stored = store.peek(&ObjectHistory::history_key(&replaced.key));
         let history = ObjectHistory::read(stored.as_ref()).expect("a history is readable");
-        let entry = history.entry_of(replaced.version);
+        let entry = history.entry_for_version(replaced.version);
         prop_assert!(
             entry.is_some_and(|entry| entry.body == replaced.body),
             "version {} of {} is lost",
@@ -200,7 +201,7 @@
 
 fn config() -> ProptestConfig {
     let default = ProptestConfig::default();
-    let cases = std::env::var("PROPTEST_CASES").map_or(CASES, |_| default.cases);
+    let cases = std::env::var("PROPTEST_CASES").map_or(DEFAULT_CASES, |_| default.cases);
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(SEED),
@@ -224,12 +225,12 @@
     ) {
         let options = RetryOptions { attempts, ..RetryOptions::default() };
         let store = Arc::new(ScriptedStore::new(script));
-        for name in NAMES {
-            store.seed(&key_of(name), &format!("seed-{name}"), Some("{}"));
+        for name in OBJECT_NAMES {
+            store.seed(&team_key(name), &format!("seed-{name}"), Some("{}"));
         }
-        let reports = run(&store, operators, options);
+        let reports = run_operators(&store, operators, options);
         let log = store.finish();
-        check(&log, &reports, options, store.faults())?;
+        check_reports(&log, &reports, options, store.fault_count())?;
         check_history(&store, &log)?;
     }
 }
--- a/alderhaven-ctl/tests/publish/scenarios.rs
+++ b/alderhaven-ctl/tests/publish/scenarios.rs
@@ -4,31 +4,36 @@
 use alderhaven_core::config_object::{ObjectKey, ObjectKind, StoredObject};
 use alderhaven_core::ids::{OperatorName, StoreVersion};
 use alderhaven_ctl::change_plan::{ChangePlan, PlannedChange};
-use alderhaven_ctl::object_history::{MAX_ENTRIES, MAX_HISTORY_BYTES, ObjectHistory};
+use alderhaven_ctl::object_history::{MAX_HISTORY_BYTES, MAX_HISTORY_ENTRIES, ObjectHistory};
 use alderhaven_ctl::publication_id::PublicationId;
 use alderhaven_ctl::publish_outcome::PublishOutcome;
 use alderhaven_ctl::publisher::ObjectPublisher;
 use alderhaven_ctl::retry_options::RetryOptions;
 
-fn key() -> ObjectKey {
+fn desk_key() -> ObjectKey {
     ObjectKey {
         kind: ObjectKind::Team,
         name: "desk".to_owned(),
     }
 }
 
-fn operator(name: &str) -> OperatorName {
+fn operator_name(name: &str) -> OperatorName {
     name.parse().expect("it is a name")
 }
 
 fn publisher<'a>(store: &'a ScriptedStore, name: &str) -> ObjectPublisher<'a, ScriptedStore> {
-    ObjectPublisher::new(store, operator(name), RetryOptions::default())
+    ObjectPublisher::new(store, operator_name(name), RetryOptions::default())
 }
 
-async fn plan(store: &ScriptedStore, body: &str) -> PlannedChange {
-    PlannedChange::read(store, key(), Some(body.to_owned()), RetryOptions::default())
-        .await
-        .expect("the store answers")
+async fn plan_update(store: &ScriptedStore, body: &str) -> PlannedChange {
+    PlannedChange::build(
+        store,
+        desk_key(),
+        Some(body.to_owned()),
+        RetryOptions::default(),
+    )
+    .await
+    .expect("the store answers")
 }
 
 /// An operator publishes and hears of a conflict, though nobody else was there. The store wrote the
@@ -38,9 +43,9 @@
     // The plan's read, then the write whose answer is lost, then a read that fails too.
     let script = [StoreFault::None, StoreFault::LostAfter, StoreFault::Refused];
     let store = ScriptedStore::new(script.map(|fault| (0, fault)));
-    let change = plan(&store, r#"{"weight":2}"#).await;
+    let change = plan_update(&store, r#"{"weight":2}"#).await;
     let outcome = publisher(&store, "ama").publish(&change).await;
-    let stored = store.peek(&key()).expect("it was written");
+    let stored = store.peek(&desk_key()).expect("it was written");
     assert!(
         matches!(&outcome, PublishOutcome::Published { version, id }
             if *version == stored.version && id.to_string() == stored.write_id),
@@ -53,13 +58,13 @@
 #[tokio::test(start_paused = true)]
 async fn publish_loses_a_race_and_names_the_winner() {
     let store = ScriptedStore::default();
-    store.seed(&key(), "seed", Some(r#"{"weight":1}"#));
-    let slow = plan(&store, r#"{"weight":2}"#).await;
-    let fast = plan(&store, r#"{"weight":3}"#).await;
+    store.seed(&desk_key(), "seed", Some(r#"{"weight":1}"#));
+    let slow = plan_update(&store, r#"{"weight":2}"#).await;
+    let fast = plan_update(&store, r#"{"weight":3}"#).await;
     publisher(&store, "kofi").publish(&fast).await;
     let outcome = publisher(&store, "ama").publish(&slow).await;
     assert!(outcome.to_string().contains("changed by kofi"), "{outcome}");
-    let stored = store.peek(&key()).and_then(|object| object.body);
+    let stored = store.peek(&desk_key()).and_then(|object| object.body);
     assert_eq!(stored.as_deref(), Some(r#"{"weight":3}"#));
 }
 
@@ -73,18 +78,18 @@
         (0, StoreFault::None),
         (0, StoreFault::LostAfter),
     ]);
-    store.seed(&key(), "seed", Some(r#"{"weight":1}"#));
-    let change = plan(&store, r#"{"weight":2}"#).await;
+    store.seed(&desk_key(), "seed", Some(r#"{"weight":1}"#));
+    let change = plan_update(&store, r#"{"weight":2}"#).await;
     let first = publisher(&store, "ama");
     let second = publisher(&store, "kofi");
     let (outcome, ()) = tokio::join!(first.publish(&change), async {
         while store
-            .peek(&key())
+            .peek(&desk_key())
             .is_some_and(|object| object.write_id == "seed")
         {
             tokio::task::yield_now().await;
         }
-        let change = plan(&store, r#"{"weight":3}"#).await;
+        let change = plan_update(&store, r#"{"weight":3}"#).await;
         second.publish(&change).await;
     });
     assert!(
@@ -97,8 +102,8 @@
 #[tokio::test(start_paused = true)]
 async fn publish_writes_nothing_where_nothing_changes() {
     let store = ScriptedStore::default();
-    let version = store.seed(&key(), "seed", Some(r#"{"weight":1, "name":"desk"}"#));
-    let change = plan(&store, r#"{"name":"desk","weight":1}"#).await;
+    let version = store.seed(&desk_key(), "seed", Some(r#"{"weight":1, "name":"desk"}"#));
+    let change = plan_update(&store, r#"{"name":"desk","weight":1}"#).await;
     let outcome = publisher(&store, "ama").publish(&change).await;
     assert_eq!(outcome, PublishOutcome::Unchanged { version });
     assert_eq!(store.finish().len(), 1);
@@ -109,8 +114,8 @@
 #[tokio::test(start_paused = true)]
 async fn publish_of_the_same_change_is_no_conflict() {
     let store = ScriptedStore::default();
-    store.seed(&key(), "seed", Some("{}"));
-    let change = plan(&store, r#"{"weight":2}"#).await;
+    store.seed(&desk_key(), "seed", Some("{}"));
+    let change = plan_update(&store, r#"{"weight":2}"#).await;
     let first = publisher(&store, "ama").publish(&change).await;
     let second = publisher(&store, "kofi").publish(&change).await;
     let version = first.version().expect("it is published");
@@ -120,13 +125,13 @@
 #[tokio::test(start_paused = true)]
 async fn publish_over_a_broken_history_writes_nothing() {
     let store = ScriptedStore::default();
-    store.seed(&key(), "seed", Some("{}"));
+    store.seed(&desk_key(), "seed", Some("{}"));
     store.seed(
-        &ObjectHistory::key_of(&key()),
+        &ObjectHistory::history_key(&desk_key()),
         "seed-history",
         Some("no JSON"),
     );
-    let change = plan(&store, r#"{"weight":2}"#).await;
+    let change = plan_update(&store, r#"{"weight":2}"#).await;
     let outcome = publisher(&store, "ama").publish(&change).await;
     assert!(
         matches!(outcome, PublishOutcome::NotPublished { .. }),
@@ -139,13 +144,19 @@
 async fn replacing_others_names_what_another_operator_wrote() {
     let store = ScriptedStore::default();
     publisher(&store, "kofi")
-        .publish(&plan(&store, "{}").await)
+        .publish(&plan_update(&store, "{}").await)
         .await;
     let plan = ChangePlan {
-        changes: vec![plan(&store, r#"{"weight":2}"#).await],
+        changes: vec![plan_update(&store, r#"{"weight":2}"#).await],
     };
-    assert_eq!(plan.replacing_others(&operator("ama")).len(), 1);
-    assert_eq!(plan.replacing_others(&operator("kofi")).len(), 0);
+    assert_eq!(
+        plan.replacing_other_operators(&operator_name("ama")).len(),
+        1
+    );
+    assert_eq!(
+        plan.replacing_other_operators(&operator_name("kofi")).len(),
+        0
+    );
     let text = serde_json::to_string(&plan).expect("a plan serialises");
     assert_eq!(
         serde_json::from_str::<ChangePlan>(&text).expect("and back"),
@@ -156,7 +167,7 @@
 #[test]
 fn object_history_keeps_the_latest_within_its_bounds() {
     let object = |version: u64, size: usize| StoredObject {
-        key: key(),
+        key: desk_key(),
         version: StoreVersion(version),
         write_id: format!("w{version}"),
         body: Some("\"".repeat(size)),
@@ -171,21 +182,24 @@
         .iter()
         .map(|entry| entry.version.0)
         .collect();
-    assert_eq!(versions, (41 - MAX_ENTRIES as u64..=40).collect::<Vec<_>>());
+    assert_eq!(
+        versions,
+        (41 - MAX_HISTORY_ENTRIES as u64..=40).collect::<Vec<_>>()
+    );
     for version in 41..=60 {
         history.record(&object(
             version,
             alderhaven_ctl::object_file::MAX_OBJECT_BYTES,
         ));
     }
-    assert!(history.to_body().len() <= MAX_HISTORY_BYTES && !history.entries.is_empty());
-    assert!(history.entry_of(StoreVersion(60)).is_some());
+    assert!(history.to_json().len() <= MAX_HISTORY_BYTES && !history.entries.is_empty());
+    assert!(history.entry_for_version(StoreVersion(60)).is_some());
 }
 
 #[test]
 fn publication_id_round_trips() {
     let id = PublicationId {
-        operator: operator("ama"),
+        operator: operator_name("ama"),
         id: uuid::Uuid::now_v7(),
         base: StoreVersion(17),
     };
--- a/alderhaven-ctl/tests/publish/support.rs
+++ b/alderhaven-ctl/tests/publish/support.rs
@@ -38,10 +38,10 @@
 struct StoreState {
     revision: u64,
     objects: BTreeMap<ObjectKey, StoredObject>,
-    log: Vec<AppliedWrite>,
-    late: Vec<(u8, ConditionalWrite)>,
+    applied_writes: Vec<AppliedWrite>,
+    late_writes: Vec<(u8, ConditionalWrite)>,
     script: VecDeque<(u8, StoreFault)>,
-    faults: usize,
+    fault_count: usize,
 }
 
 /// A `ScriptedStore` is a fake store: each call takes the next step of the script.
@@ -85,11 +85,11 @@
     /// Lets all late writes arrive, and gets everything that took effect but histories.
     pub fn finish(&self) -> Vec<AppliedWrite> {
         let mut state = self.lock();
-        for (_, write) in std::mem::take(&mut state.late) {
+        for (_, write) in std::mem::take(&mut state.late_writes) {
             state.apply(write);
         }
         state
-            .log
+            .applied_writes
             .iter()
             .filter(|applied| applied.object.key.kind != ObjectKind::History)
             .cloned()
@@ -97,20 +97,20 @@
     }
 
     /// Gets the number of faults that befell calls.
-    pub fn faults(&self) -> usize {
-        self.lock().faults
+    pub fn fault_count(&self) -> usize {
+        self.lock().fault_count
     }
 
     fn lock(&self) -> MutexGuard<'_, StoreState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn step(&self) -> StoreFault {
+    async fn next_fault(&self) -> StoreFault {
         let (yields, fault) = {
             let mut state = self.lock();
-            state.arrive_late();
+            state.apply_due_writes();
             let step = state.script.pop_front().unwrap_or((0, StoreFault::None));
-            state.faults += usize::from(step.1 != StoreFault::None);
+            state.fault_count += usize::from(step.1 != StoreFault::None);
             step
         };
         for _ in 0..yields {
@@ -145,18 +145,18 @@
             body: write.body,
         };
         self.objects.insert(write.key, object.clone());
-        self.log.push(AppliedWrite { object, replaced });
+        self.applied_writes.push(AppliedWrite { object, replaced });
         WriteOutcome::Written(StoreVersion(self.revision))
     }
 
-    fn arrive_late(&mut self) {
-        for (wait, _) in &mut self.late {
+    fn apply_due_writes(&mut self) {
+        for (wait, _) in &mut self.late_writes {
             *wait = wait.saturating_sub(1);
         }
-        let (due, waiting) = std::mem::take(&mut self.late)
+        let (due, waiting) = std::mem::take(&mut self.late_writes)
             .into_iter()
             .partition(|(wait, _)| *wait == 0);
-        self.late = waiting;
+        self.late_writes = waiting;
         let due: Vec<(u8, ConditionalWrite)> = due;
         for (_, write) in due {
             self.apply(write);
@@ -166,7 +166,7 @@
 
 impl ObjectStore for ScriptedStore {
     async fn list(&self, kinds: &[ObjectKind]) -> StoreResult<ObjectList> {
-        match self.step().await {
+        match self.next_fault().await {
             StoreFault::None => {}
             fault => return Err(read_error(fault)),
         }
@@ -184,14 +184,14 @@
     }
 
     async fn get(&self, key: &ObjectKey) -> StoreResult<Option<StoredObject>> {
-        match self.step().await {
+        match self.next_fault().await {
             StoreFault::None => Ok(self.lock().objects.get(key).cloned()),
             fault => Err(read_error(fault)),
         }
     }
 
     async fn write(&self, write: ConditionalWrite) -> StoreResult<WriteOutcome> {
-        let fault = self.step().await;
+        let fault = self.next_fault().await;
         let mut state = self.lock();
         match fault {
             StoreFault::None => Ok(state.apply(write)),
@@ -202,7 +202,7 @@
                 Err(StoreError::unknown("connection reset"))
             }
             StoreFault::Late(wait) => {
-                state.late.push((wait.max(1), write));
+                state.late_writes.push((wait.max(1), write));
                 Err(StoreError::unknown("timeout"))
             }
         }
--- a/alderhaven-entry/src/admission_desk.rs
+++ b/alderhaven-entry/src/admission_desk.rs
@@ -181,8 +181,8 @@
             template: plan.template.name.clone(),
             class: plan.template.class,
             fan_out: u32::try_from(plan.positions.len()).unwrap_or(u32::MAX),
-            key: plan.fingerprint().head(),
-            deadline: self.clock.point(plan.expires()),
+            key: plan.fingerprint().leading_u64(),
+            deadline: self.clock.time_point(plan.expires()),
         }
     }
 
--- a/alderhaven-entry/src/admission_pass.rs
+++ b/alderhaven-entry/src/admission_pass.rs
@@ -51,7 +51,7 @@
     /// Gets the order of the query at all relays, in microseconds since the Unix epoch.
     #[must_use]
     pub fn order(&self, plan: &QueryPlan) -> u64 {
-        let arrived = self.desk.clock().point(plan.arrived);
+        let arrived = self.desk.clock().time_point(plan.arrived);
         plan.order + self.ticket.order_at.since(arrived).as_micros()
     }
 
--- a/alderhaven-entry/src/applied_config.rs
+++ b/alderhaven-entry/src/applied_config.rs
@@ -105,12 +105,12 @@
 impl ConfigApplier {
     /// Takes over each change of the configuration until the task is ended.
     pub async fn follow(self) {
-        let mut changed = self.config.changed();
+        let mut changed = self.config.subscribe();
         let mut recent = RecentManifests::default();
         loop {
             changed.borrow_and_update();
             // Read before the view, which then holds every change up to it.
-            let revision = self.config.complete_at();
+            let revision = self.config.complete_revision();
             let view = self.config.view();
             recent.take(&view, Instant::now());
             let manifests = recent.all();
--- a/alderhaven-entry/src/caller_server.rs
+++ b/alderhaven-entry/src/caller_server.rs
@@ -273,7 +273,7 @@
         if error.error.code != ErrorCode::NotFound {
             return error;
         }
-        let is_complete = self.config.complete_at().is_some() || self.group.is_complete();
+        let is_complete = self.config.complete_revision().is_some() || self.group.is_complete();
         if is_complete && Arc::ptr_eq(planned_on, &self.config.view()) {
             return error;
         }
--- a/alderhaven-entry/src/claimed_runner.rs
+++ b/alderhaven-entry/src/claimed_runner.rs
@@ -12,7 +12,7 @@
 use alderhaven_policy::claim_key::ClaimKey;
 use alderhaven_policy::claim_slot::KeyAge;
 use alderhaven_policy::claim_verdict::{ClaimRefusal, ClaimTicket, ClaimVerdict};
-use alderhaven_store::config_handle::{ConfigHandle, StoreContact};
+use alderhaven_store::config_handle::{ConfigHandle, StoreSyncState};
 use alderhaven_store::object_store::ObjectStore;
 use bon::Builder;
 use serde_json::{Value, json};
@@ -136,7 +136,7 @@
             Ok(pass) => pass,
             Err(refusal) => return RunEnd::NotDispatched(caller_server::refused(refusal)),
         };
-        let deadline = self.clock.point(plan.expires());
+        let deadline = self.clock.time_point(plan.expires());
         match self.ledger.claim(key, fingerprint, deadline).await {
             ClaimVerdict::Granted(ticket) => self.dispatch(ticket, plan, &mut pass).await,
             ClaimVerdict::Taken(holder) => {
@@ -162,7 +162,7 @@
         plan: &QueryPlan,
         pass: &mut AdmissionPass,
     ) -> RunEnd {
-        if self.clock.now() >= self.clock.point(plan.expires()) {
+        if self.clock.now() >= self.clock.time_point(plan.expires()) {
             self.ledger.release(ticket);
             let message = "the deadline had passed before the request could be sent";
             return RunEnd::NotDispatched(ErrorAnswer::not_run(ErrorCode::Unavailable, message));
@@ -179,7 +179,10 @@
     /// Gets the refusal of a key that is outside the window, and of any while the store's past is
     /// in doubt.
     fn refusal(&self, key: &ClaimKey) -> Option<ErrorAnswer> {
-        if matches!(self.config.status().contact, StoreContact::Backwards { .. }) {
+        if matches!(
+            self.config.status().sync_state,
+            StoreSyncState::Regressed { .. }
+        ) {
             // A store that was restored from an older copy lacks claims that were granted.
             return Some(unknown("the store went backwards; claims may be missing"));
         }
@@ -201,7 +204,10 @@
         fingerprint: ClaimFingerprint,
         plan: &QueryPlan,
     ) -> RunEnd {
-        let remaining = self.clock.now().until(self.clock.point(plan.expires()));
+        let remaining = self
+            .clock
+            .now()
+            .until(self.clock.time_point(plan.expires()));
         let asking = self.peers.ask(holder.address, key, fingerprint, remaining);
         match asking.await {
             Some(outcome) => {
--- a/alderhaven-entry/src/group_follower.rs
+++ b/alderhaven-entry/src/group_follower.rs
@@ -58,7 +58,7 @@
 
     /// Follows the group until the task is ended.
     pub async fn follow(self) {
-        let mut changed = self.group.changed();
+        let mut changed = self.group.subscribe();
         loop {
             changed.borrow_and_update();
             self.apply();
--- a/alderhaven-entry/src/node.rs
+++ b/alderhaven-entry/src/node.rs
@@ -10,7 +10,7 @@
 use alderhaven_node::node_group::{GroupOptions, NodeGroup};
 use alderhaven_node::process_main::ProcessNode;
 use alderhaven_node::stop_handle::StopHandle;
-use alderhaven_peer::strike_board::StrikeBoard;
+use alderhaven_peer::strike_tracker::StrikeTracker;
 use alderhaven_policy::drain::StopReport;
 use alderhaven_policy::membership::member_record::MemberRole;
 use alderhaven_store::config_handle::ConfigHandle;
@@ -74,7 +74,7 @@
     /// The targets that get no new work.
     pub watch: TargetWatch,
     /// What is known of requests that crash targets.
-    pub strikes: Arc<StrikeBoard>,
+    pub strikes: Arc<StrikeTracker>,
     /// What runs the non-idempotent requests.
     pub claims: Arc<ClaimedRunner<HttpStore>>,
     /// What is counted.
@@ -233,13 +233,13 @@
     }
 }
 
-fn strike_board(settings: &EntrySettings, clock: ProcessClock) -> StrikeBoard {
-    StrikeBoard::new(settings.policy, settings.quarantine.clone(), clock)
+fn strike_board(settings: &EntrySettings, clock: ProcessClock) -> StrikeTracker {
+    StrikeTracker::new(settings.policy, settings.quarantine.clone(), clock)
 }
 
 fn relay_routes(
     settings: &EntrySettings,
-    strikes: &Arc<StrikeBoard>,
+    strikes: &Arc<StrikeTracker>,
     metrics: &EntryMetrics,
 ) -> RelayRoutes {
     RelayRoutes::new(LinkParts {
@@ -295,7 +295,7 @@
             .collect();
         let loads = self.desk.loads(&self.config.view());
         json!({ "status": self.status(), "services": loads,
-            "leaving_targets": *self.watch.names(), "relays": links,
+            "leaving_targets": *self.watch.leaving_names(), "relays": links,
             "quarantine": self.strikes.entries(),
             "claims": self.claims.dump(), "members": &*self.group.members(),
             "group": self.group.snapshot() })
--- a/alderhaven-entry/src/query_plan.rs
+++ b/alderhaven-entry/src/query_plan.rs
@@ -105,7 +105,7 @@
             .select(&template.shards, &values)
             .map_err(|error| ErrorAnswer::not_run(ErrorCode::BadRequest, error.to_string()))?;
         Ok(Self {
-            parameters: Bytes::from(values.canonical()),
+            parameters: Bytes::from(values.canonical_json()),
             template,
             team,
             values,
--- a/alderhaven-entry/src/query_runner.rs
+++ b/alderhaven-entry/src/query_runner.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use alderhaven_core::time::TimeSpan;
-use alderhaven_peer::strike_board::StrikeBoard;
+use alderhaven_peer::strike_tracker::StrikeTracker;
 use alderhaven_store::target_watch::TargetWatch;
 use tokio::time;
 
@@ -29,7 +29,7 @@
     /// The targets that get no new work.
     pub(crate) watch: TargetWatch,
     /// What is known of requests that crash targets.
-    pub(crate) strikes: Arc<StrikeBoard>,
+    pub(crate) strikes: Arc<StrikeTracker>,
     /// What is counted.
     pub(crate) metrics: Arc<EntryMetrics>,
     config: AppliedConfig,
@@ -45,7 +45,7 @@
     /// The targets that get no new work.
     pub watch: TargetWatch,
     /// What is known of requests that crash targets.
-    pub strikes: Arc<StrikeBoard>,
+    pub strikes: Arc<StrikeTracker>,
     /// The configuration that queries are planned on.
     pub config: AppliedConfig,
     /// What is counted.
--- a/alderhaven-entry/src/relay_link.rs
+++ b/alderhaven-entry/src/relay_link.rs
@@ -13,7 +13,7 @@
 use alderhaven_peer::frames::{
     AttemptReply, CancelAttempts, CancelledAttempt, PeerMessage, PingProbe, ScatterRequest,
 };
-use alderhaven_peer::strike_board::StrikeBoard;
+use alderhaven_peer::strike_tracker::StrikeTracker;
 use alderhaven_policy::query_gather::AttemptResult;
 use prometheus_client::metrics::counter::Counter;
 use tokio::net::TcpStream;
@@ -57,7 +57,7 @@
     /// The settings.
     pub options: LinkOptions,
     /// What is known of requests that crash targets.
-    pub strikes: Arc<StrikeBoard>,
+    pub strikes: Arc<StrikeTracker>,
     /// The links that were replaced because they were silent.
     pub silent_links: Counter,
 }
@@ -292,7 +292,7 @@
     if is_suspect && !is_proven(&sender, &mut reader).await {
         return LinkEnd::Unproven;
     }
-    let _hears_of_strikes = parts.strikes.join(sender.clone());
+    let _hears_of_strikes = parts.strikes.subscribe(sender.clone());
     shared.connected(sender.clone());
     let mut watch = LinkWatch::new(sender, parts.options);
     loop {
@@ -307,7 +307,7 @@
         match message {
             Some(PeerMessage::Reply(reply)) => shared.deliver(reply),
             // It is passed on to all relays before the replies that come after it are taken.
-            Some(PeerMessage::Strikes(notice)) => parts.strikes.take(&notice),
+            Some(PeerMessage::Strikes(notice)) => parts.strikes.merge(&notice),
             Some(PeerMessage::Leaving(_)) => shared.lock().leaving = true,
             Some(
                 PeerMessage::Hello(_)
@@ -318,7 +318,7 @@
                 | PeerMessage::Exchange(_)
                 | PeerMessage::ClaimQuery(_)
                 | PeerMessage::ClaimAnswer(_)
-                | PeerMessage::GroupAsk(_)
+                | PeerMessage::GroupRequest(_)
                 | PeerMessage::GroupReply(_)
                 | PeerMessage::GroupClose(_),
             ) => {}
--- a/alderhaven-entry/src/running_query.rs
+++ b/alderhaven-entry/src/running_query.rs
@@ -247,7 +247,7 @@
             remaining_us: TimeSpan::from(remaining).as_micros(),
             idempotent: plan.template.idempotent,
             attempts: Vec::new(),
-            hedge: is_hedge,
+            is_hedge,
         }
     }
 
@@ -435,7 +435,7 @@
         }
         if let Some(entry) = self.table.get(placed.index) {
             if outcome == AttemptOutcome::NotRun(NotRunReason::Draining) {
-                self.runner.watch.note_reply(&entry.target);
+                self.runner.watch.record_draining_reply(&entry.target);
             }
             let is_ejected = board
                 .chooser()
@@ -468,7 +468,7 @@
                 .len()
                 .saturating_sub(tried),
             expected_service_time: self.expected,
-            deadline: board.clock().point(self.plan.expires()),
+            deadline: board.clock().time_point(self.plan.expires()),
         });
         match decision {
             RetryDecision::Retry => {
--- a/alderhaven-entry/tests/applied_config.rs
+++ b/alderhaven-entry/tests/applied_config.rs
@@ -23,8 +23,8 @@
     };
     store.put(key, Some("{}".to_owned()));
     let config = ConfigFollower::start(Arc::new(store), FollowerOptions::default(), shutdown);
-    let mut changed = config.changed();
-    while config.complete_at().is_none() {
+    let mut changed = config.subscribe();
+    while config.complete_revision().is_none() {
         changed.changed().await.expect("the follower runs");
     }
     assert_eq!(config.status().revision, Some(StoreVersion(1)));
--- a/alderhaven-entry/tests/at_most_once/scenarios.rs
+++ b/alderhaven-entry/tests/at_most_once/scenarios.rs
@@ -1,6 +1,6 @@
 //! What threatens "at most once" and "not run", one failure a test.
 
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use alderhaven_standin::platform_faults::PlatformFaults;
 use alderhaven_standin::target_state::TargetFaults;
 use futures::future;
@@ -113,7 +113,7 @@
     });
     let (first, second) =
         future::join(system.assign(0, &key, ISBN), system.assign(1, &key, ISBN)).await;
-    system.store.release_held();
+    system.store.release_held_writes();
     let third = system.assign(0, &key, ISBN).await;
     let fourth = system.assign(1, &key, ISBN).await;
     let answers = [first, second, third, fourth];
@@ -132,8 +132,8 @@
         ..TargetFaults::default()
     });
     let key = fresh_key();
-    let mut caller = HttpCaller::connect(system.address(0)).await.unwrap();
-    let mut call = Box::pin(caller.call(request("assign", Some(&key), ISBN)));
+    let mut caller = HttpConnection::connect(system.address(0)).await.unwrap();
+    let mut call = Box::pin(caller.send(request("assign", Some(&key), ISBN)));
     tokio::select! {
         biased;
         () = wait_until("the request runs", || system.runs() == 1) => {}
--- a/alderhaven-entry/tests/at_most_once/small_system.rs
+++ b/alderhaven-entry/tests/at_most_once/small_system.rs
@@ -13,7 +13,7 @@
 use alderhaven_relay::node::RelayNode;
 use alderhaven_relay::settings::RelaySettings;
 use alderhaven_standin::fake_store::FakeStore;
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use alderhaven_standin::platform_faults::PlatformFaults;
 use alderhaven_standin::platform_server::{PlatformOptions, PlatformServer};
 use alderhaven_standin::service_layout::ServiceLayout;
@@ -131,7 +131,7 @@
             FollowerOptions::default(),
             self.shutdown.child_token(),
         );
-        let mut changed = config.changed();
+        let mut changed = config.subscribe();
         while config.view().templates.len() < 2 || config.view().manifests.is_empty() {
             tokio::time::timeout(PATIENCE, changed.changed())
                 .await
@@ -177,13 +177,13 @@
         key: Option<&str>,
         isbn: &str,
     ) -> Answer {
-        let mut caller = HttpCaller::connect(self.address(entry)).await.unwrap();
-        let response = caller.call(request(template, key, isbn)).await.unwrap();
+        let mut caller = HttpConnection::connect(self.address(entry)).await.unwrap();
+        let response = caller.send(request(template, key, isbn)).await.unwrap();
         Answer::read(&response)
     }
 
     pub fn runs(&self) -> usize {
-        self.fleet.runs().count()
+        self.fleet.run_log().run_count()
     }
 
     pub fn set_platform(&self, faults: PlatformFaults) {
--- a/alderhaven-entry/tests/failures/system.rs
+++ b/alderhaven-entry/tests/failures/system.rs
@@ -7,7 +7,7 @@
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_entry::node::EntryNode;
 use alderhaven_relay::node::RelayNode;
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use alderhaven_store::config_handle::ConfigHandle;
 use bytes::Bytes;
 use http::Request;
@@ -96,8 +96,8 @@
     let request = Request::post("/v1/query/lookup")
         .body(Full::new(Bytes::from(body)))
         .unwrap();
-    let mut caller = HttpCaller::connect(entry).await.unwrap();
-    let answer = time::timeout(LIMIT, caller.call(request)).await.unwrap();
+    let mut caller = HttpConnection::connect(entry).await.unwrap();
+    let answer = time::timeout(LIMIT, caller.send(request)).await.unwrap();
     serde_json::from_slice(answer.unwrap().body()).unwrap()
 }
 
--- a/alderhaven-entry/tests/failures/target.rs
+++ b/alderhaven-entry/tests/failures/target.rs
@@ -8,9 +8,10 @@
 
 use alderhaven_standin::attempt_head::AttemptHead;
 use alderhaven_standin::http_server::{
-    ConnectionCut, HttpReply, accept, json_reply, read_body, serve, text_reply,
+    ConnectionAborted, HttpReply, accept_connection, json_reply, read_body, serve_connection,
+    text_reply,
 };
-use alderhaven_store::dialect;
+use alderhaven_store::target_dialect;
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
 use tokio::net::{TcpListener, TcpStream};
@@ -76,7 +77,7 @@
 }
 
 async fn run(listener: TcpListener, state: Arc<FakeState>) {
-    while let Some(stream) = accept(&listener, &state.death).await {
+    while let Some(stream) = accept_connection(&listener, &state.death).await {
         let death = state.death.clone();
         let connection = serve_one(stream, Arc::clone(&state));
         tokio::spawn(death.run_until_cancelled_owned(connection));
@@ -86,22 +87,22 @@
 async fn serve_one(stream: TcpStream, state: Arc<FakeState>) {
     let era = state.era.load(Ordering::SeqCst);
     let handler = move |request| answer(Arc::clone(&state), era, request);
-    serve(stream, handler, CancellationToken::new()).await;
+    serve_connection(stream, handler, CancellationToken::new()).await;
 }
 
 async fn answer(
     state: Arc<FakeState>,
     era: u64,
     request: Request<Incoming>,
-) -> Result<HttpReply, ConnectionCut> {
+) -> Result<HttpReply, ConnectionAborted> {
     if state.era.load(Ordering::SeqCst) != era {
         future::pending::<()>().await;
     }
     let (head, body) = request.into_parts();
-    if head.uri.path() == dialect::CANCEL_PATH {
+    if head.uri.path() == target_dialect::CANCEL_PATH {
         return Ok(text_reply(StatusCode::NOT_FOUND, "not in flight"));
     }
-    let body = read_body(body).await.map_err(|_| ConnectionCut)?;
+    let body = read_body(body).await.map_err(|_| ConnectionAborted)?;
     let parameters = String::from_utf8_lossy(&body).into_owned();
     state.runs.fetch_add(1, Ordering::SeqCst);
     state.running.fetch_add(1, Ordering::SeqCst);
@@ -110,11 +111,11 @@
     state.running.fetch_sub(1, Ordering::SeqCst);
     if parameters.contains("poison") {
         state.death.cancel();
-        return Err(ConnectionCut);
+        return Err(ConnectionAborted);
     }
     let mut reply = json_reply(StatusCode::OK, &[1, 2, 3]);
     AttemptHead::parse(&head.headers)
-        .map_err(|_| ConnectionCut)?
-        .echo(&mut reply);
+        .map_err(|_| ConnectionAborted)?
+        .echo_headers(&mut reply);
     Ok(reply)
 }
--- a/alderhaven-front/src/catalog.rs
+++ b/alderhaven-front/src/catalog.rs
@@ -112,7 +112,7 @@
         if view.routing.is_some() {
             return view;
         }
-        let mut changed = self.changed();
+        let mut changed = self.subscribe();
         let has_routing = changed.wait_for(|_| self.view().routing.is_some());
         // On timeout the returned view has no routing, which callers check.
         let _is_over = time::timeout(limit.as_duration(), has_routing)
@@ -123,7 +123,7 @@
 
     /// Subscribes to changes; the value is a counter of accepted batches.
     #[must_use]
-    pub fn changed(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
@@ -270,11 +270,11 @@
                 self.apply_evacuation(state, object);
                 false
             }
-            ObjectKind::Contact => {
+            ObjectKind::StoreContact => {
                 self.apply_store_contact(state, object);
                 false
             }
-            ObjectKind::Strike => {
+            ObjectKind::CrashStrike => {
                 self.apply_strikes(object);
                 false
             }
@@ -383,7 +383,7 @@
 
     /// Preconnects to targets and drops expired ones, for as long as the process runs.
     pub async fn run_maintenance(self: Arc<Self>) {
-        let mut changed = self.changed();
+        let mut changed = self.subscribe();
         loop {
             self.preconnect_own_domain_targets();
             let check_interval = EXPIRED_TARGET_RETENTION.as_duration() + Duration::from_millis(50);
--- a/alderhaven-front/src/catalog/node_reports.rs
+++ b/alderhaven-front/src/catalog/node_reports.rs
@@ -30,7 +30,7 @@
             STORE_LOST_BODY
         };
         self.publish(
-            ObjectKind::Contact,
+            ObjectKind::StoreContact,
             node.to_string(),
             body.to_owned(),
             wall_millis,
@@ -48,12 +48,12 @@
             .state()
             .objects
             .keys()
-            .filter(|key| key.kind == ObjectKind::Strike)
+            .filter(|key| key.kind == ObjectKind::CrashStrike)
             .count()
             < MAX_STRIKE_OBJECTS;
         if has_room {
             let name = format!("{fingerprint}-{}", self.options.node);
-            self.publish(ObjectKind::Strike, name, body, wall_millis);
+            self.publish(ObjectKind::CrashStrike, name, body, wall_millis);
         }
     }
 
--- a/alderhaven-front/src/front_context.rs
+++ b/alderhaven-front/src/front_context.rs
@@ -94,7 +94,7 @@
 
     /// Gets the estimate of how late timers fire.
     #[must_use]
-    pub fn wake_lag(&self) -> TimeSpan {
+    pub fn timer_lag(&self) -> TimeSpan {
         self.timer_lag
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/alderhaven-front/src/front_metrics.rs
+++ b/alderhaven-front/src/front_metrics.rs
@@ -208,15 +208,15 @@
     /// Sets the peer counters to the totals since the start of the process.
     pub fn set_peer_traffic(&self, traffic: &PeerTraffic) {
         for kind in MessageKind::ALL {
-            let count = traffic.sent_of(kind);
+            let count = traffic.sent_traffic(kind);
             let labels = PeerMessageLabels {
                 kind: kind.to_string(),
             };
             let messages = self.peer_messages.get_or_create(&labels);
             messages.inner().store(count.messages, Ordering::Relaxed);
             let by_reach = [
-                (PeerReach::Near, count.near_bytes),
-                (PeerReach::Far, count.far_bytes),
+                (PeerReach::Near, count.own_domain_bytes),
+                (PeerReach::Far, count.cross_domain_bytes),
             ];
             for (reach, bytes) in by_reach {
                 let labels = PeerByteLabels {
--- a/alderhaven-front/src/front_node.rs
+++ b/alderhaven-front/src/front_node.rs
@@ -251,15 +251,15 @@
         .stamps(move || stamps.stamps())
         .look_up(move |key| objects.object(key))
         .accept(move |news| accept.accept(news))
-        .is_listed(move || listed.is_fully_listed())
-        .changed(catalog.changed())
+        .is_fully_listed(move || listed.is_fully_listed())
+        .changes(catalog.subscribe())
         .build();
     NodeGroup::start_with(group, access).await
 }
 
 /// Passes the live nodes to the catalog and the metrics whenever they change.
 async fn track_live_nodes(group: NodeGroup, catalog: Arc<Catalog>, metrics: FrontMetrics) {
-    let mut changed = group.changed();
+    let mut changed = group.subscribe();
     let mut before = 0;
     loop {
         let members = group.members();
--- a/alderhaven-front/src/group_links.rs
+++ b/alderhaven-front/src/group_links.rs
@@ -12,7 +12,7 @@
 use alderhaven_node::node_group::NodeGroup;
 use alderhaven_peer::connection::{self, FrameReader, FrameSender};
 use alderhaven_peer::frames::PeerMessage;
-use alderhaven_peer::group_messages::{GroupAsk, GroupClose, GroupReply};
+use alderhaven_peer::group_messages::{GroupClose, GroupReply, GroupRequest};
 use alderhaven_policy::membership::member_entry::MemberView;
 use alderhaven_policy::membership::member_record::MemberState;
 use log::Level;
@@ -116,7 +116,7 @@
     /// Sends a group request to a front of a failure domain. Returns `None` if no link there is
     /// usable; connections are then opened in the background for later requests.
     #[must_use]
-    pub fn send(&self, domain: &FailureDomain, request: GroupAsk) -> Option<GroupCall> {
+    pub fn send(&self, domain: &FailureDomain, request: GroupRequest) -> Option<GroupCall> {
         let now = self.clock.now();
         let fronts = self.largest_fronts(domain);
         let mut usable: Vec<Arc<GroupLink>> = Vec::new();
@@ -175,7 +175,7 @@
         is_connected && now >= state.paused_until
     }
 
-    fn send(self: Arc<Self>, mut request: GroupAsk) -> Option<GroupCall> {
+    fn send(self: Arc<Self>, mut request: GroupRequest) -> Option<GroupCall> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         request.number = number;
         request.sent_us = self.clock.now().as_micros();
@@ -183,7 +183,7 @@
         {
             let mut state = self.state();
             let sender = state.sender.clone()?;
-            sender.send(PeerMessage::GroupAsk(request)).ok()?;
+            sender.send(PeerMessage::GroupRequest(request)).ok()?;
             let pending = PendingRequest {
                 epoch: state.epoch,
                 sender,
@@ -338,14 +338,14 @@
 async fn open(link: &GroupLink) -> Option<(FrameSender, FrameReader)> {
     let connecting = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(link.address));
     let (sender, mut reader) = connection::split(connecting.await.ok()?.ok()?).ok()?;
-    let first = GroupAsk {
+    let first = GroupRequest {
         number: link.next_number.fetch_add(1, Ordering::Relaxed),
         sent_us: link.clock.now().as_micros(),
         method: "GET".to_owned(),
         path: "/".to_owned(),
-        ..GroupAsk::default()
+        ..GroupRequest::default()
     };
-    sender.send(PeerMessage::GroupAsk(first)).ok()?;
+    sender.send(PeerMessage::GroupRequest(first)).ok()?;
     let replied = time::timeout(FIRST_REPLY_TIMEOUT, connection::next_message(&mut reader));
     replied.await.ok()??;
     Some((sender, reader))
--- a/alderhaven-front/src/group_server.rs
+++ b/alderhaven-front/src/group_server.rs
@@ -11,7 +11,7 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_peer::connection::{self, FrameSender};
 use alderhaven_peer::frames::PeerMessage;
-use alderhaven_peer::group_messages::{GroupAsk, GroupEnd, GroupOutcome, GroupReply};
+use alderhaven_peer::group_messages::{GroupAttemptResult, GroupOutcome, GroupReply, GroupRequest};
 use alderhaven_policy::delivery_age::DeliveryAge;
 use alderhaven_policy::top_records;
 use bytes::Bytes;
@@ -58,7 +58,7 @@
     // Requests end with their connection: the requesting front no longer waits for them.
     while let Some(message) = connection::next_message(&mut reader).await {
         match message {
-            PeerMessage::GroupAsk(request) => {
+            PeerMessage::GroupRequest(request) => {
                 let now = context.clock.now();
                 let delay =
                     delivery_age.record_delivery(TimePoint::from_micros(request.sent_us), now);
@@ -89,7 +89,7 @@
 }
 
 fn start_request(
-    request: GroupAsk,
+    request: GroupRequest,
     delay: TimeSpan,
     context: &FrontContext,
     sender: FrameSender,
@@ -111,17 +111,17 @@
 struct GroupRun {
     context: FrontContext,
     sender: FrameSender,
-    request: GroupAsk,
+    request: GroupRequest,
     flush_at: TimePoint,
     deadline: TimePoint,
     is_request_finished: Arc<AtomicBool>,
-    attempt_ends: Vec<GroupEnd>,
+    attempt_ends: Vec<GroupAttemptResult>,
     reply_bodies: Vec<Bytes>,
 }
 
 impl GroupRun {
     fn new(
-        request: GroupAsk,
+        request: GroupRequest,
         delay: TimeSpan,
         context: FrontContext,
         sender: FrameSender,
@@ -130,7 +130,7 @@
         let now = context.clock.now();
         let remaining = |micros: u64| TimeSpan::from_micros(micros).saturating_sub(delay);
         Self {
-            flush_at: now + remaining(request.flush_us),
+            flush_at: now + remaining(request.flush_after_us),
             deadline: now + remaining(request.remaining_us),
             context,
             sender,
@@ -156,7 +156,7 @@
                 biased;
                 Some(report) = attempts.next() => {
                     self.record_report(report);
-                    if is_flushed || self.request.is_separate {
+                    if is_flushed || self.request.has_separate_replies {
                         self.flush();
                     }
                 }
@@ -190,7 +190,7 @@
                 deadline: self.deadline,
                 is_request_finished: Arc::clone(&self.is_request_finished),
                 phase: AttemptPhase::default(),
-                typical_latency: TimeSpan::from_micros(self.request.usual_us),
+                typical_latency: TimeSpan::from_micros(self.request.typical_latency_us),
                 dialect: Arc::clone(&self.context.dialect),
                 clock: self.context.clock,
             };
@@ -239,10 +239,10 @@
     }
 
     fn flush(&mut self) {
-        let records = usize::try_from(self.request.records).unwrap_or(usize::MAX);
+        let records = usize::try_from(self.request.max_records).unwrap_or(usize::MAX);
         let reply = GroupReply {
             number: self.request.number,
-            ends: std::mem::take(&mut self.attempt_ends),
+            results: std::mem::take(&mut self.attempt_ends),
             records: top_records::greatest_records(&self.reply_bodies, records),
         };
         self.reply_bodies.clear();
@@ -251,16 +251,16 @@
     }
 }
 
-fn group_end(index: usize, outcome: GroupOutcome, elapsed: TimeSpan) -> GroupEnd {
-    GroupEnd {
-        place: u32::try_from(index).unwrap_or(u32::MAX),
+fn group_end(index: usize, outcome: GroupOutcome, elapsed: TimeSpan) -> GroupAttemptResult {
+    GroupAttemptResult {
+        target_index: u32::try_from(index).unwrap_or(u32::MAX),
         outcome: outcome.into(),
         proof: Bytes::new(),
-        took_us: elapsed.as_micros(),
+        elapsed_us: elapsed.as_micros(),
     }
 }
 
-fn request_head(request: &GroupAsk) -> Option<Parts> {
+fn request_head(request: &GroupRequest) -> Option<Parts> {
     let mut builder = Request::builder()
         .method(request.method.as_str())
         .uri(request.path.as_str());
--- a/alderhaven-front/src/query_run.rs
+++ b/alderhaven-front/src/query_run.rs
@@ -148,7 +148,7 @@
         // Caller latency counts twice: the request on its way here and the answer on its way back.
         let round_trip = options.caller_latency + options.caller_latency;
         // The event loop may be late both in reading the request and in sending the answer.
-        let timer_lag = context.wake_lag();
+        let timer_lag = context.timer_lag();
         let reserve = round_trip + options.answer_overhead + timer_lag + timer_lag;
         Self {
             context,
--- a/alderhaven-front/src/query_run/group_requests.rs
+++ b/alderhaven-front/src/query_run/group_requests.rs
@@ -4,7 +4,9 @@
 use std::task::Poll;
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_peer::group_messages::{GroupAsk, GroupEnd, GroupOutcome, GroupReply, HeaderField};
+use alderhaven_peer::group_messages::{
+    GroupAttemptResult, GroupOutcome, GroupReply, GroupRequest, HeaderField,
+};
 use alderhaven_policy::replica_stats::AttemptResult;
 use bytes::Bytes;
 use http::HeaderValue;
@@ -127,9 +129,9 @@
         kind: GroupRequestKind,
         hedge_at: TimePoint,
         now: TimePoint,
-    ) -> GroupAsk {
+    ) -> GroupRequest {
         let RouteDestination::Shards { records, .. } = self.route.rule.destination else {
-            return GroupAsk::default();
+            return GroupRequest::default();
         };
         let head = &self.call.head;
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -141,7 +143,7 @@
             .shards
             .iter()
             .map(|(_, target)| target.entry().id.clone());
-        GroupAsk {
+        GroupRequest {
             number: 0,
             sent_us: 0,
             method: head.method.as_str().to_owned(),
@@ -150,11 +152,11 @@
             body: self.call.body.clone(),
             request_id: self.call.request_id.to_string(),
             targets: targets.collect(),
-            records: u32::try_from(records).unwrap_or(u32::MAX),
-            flush_us: hedge_at.since(now).saturating_sub(FLUSH_LEAD).as_micros(),
+            max_records: u32::try_from(records).unwrap_or(u32::MAX),
+            flush_after_us: hedge_at.since(now).saturating_sub(FLUSH_LEAD).as_micros(),
             remaining_us: self.attempt_deadline().since(now).as_micros(),
-            usual_us: self.typical_latency.as_micros(),
-            is_separate: kind == GroupRequestKind::Hedges,
+            typical_latency_us: self.typical_latency.as_micros(),
+            has_separate_replies: kind == GroupRequestKind::Hedges,
         }
     }
 
@@ -203,15 +205,15 @@
             return;
         }
         request.has_reply = true;
-        let mut ended = Vec::with_capacity(reply.ends.len());
-        for end in reply.ends {
-            let position = usize::try_from(end.place).unwrap_or(usize::MAX);
+        let mut ended = Vec::with_capacity(reply.results.len());
+        for end in reply.results {
+            let position = usize::try_from(end.target_index).unwrap_or(usize::MAX);
             if let Some(shard) = request.shards.get_mut(position).and_then(Option::take) {
                 ended.push((shard, end));
             }
         }
         request.record_unanswered(self.typical_latency, now);
-        let answered = |end: &GroupEnd| end.outcome() == GroupOutcome::Answered;
+        let answered = |end: &GroupAttemptResult| end.outcome() == GroupOutcome::Answered;
         // Records of a shard that is already part of another block would count twice.
         let has_duplicate = ended.iter().any(|((shard, _), end)| {
             let shard_reply = &self.shards[*shard].reply;
@@ -224,7 +226,7 @@
         }
         for ((shard, target), end) in ended {
             self.shards[shard].open_attempts -= 1;
-            let elapsed = TimeSpan::from_micros(end.took_us);
+            let elapsed = TimeSpan::from_micros(end.elapsed_us);
             if !answered(&end) {
                 self.handle_failed_attempt(shard, &target, end.outcome(), elapsed, now);
                 continue;
--- a/alderhaven-front/src/store_follower.rs
+++ b/alderhaven-front/src/store_follower.rs
@@ -54,8 +54,8 @@
 
 /// The delays after failed calls; failed calls cost as much as answered ones.
 const BACKOFF: BackoffOptions = BackoffOptions {
-    first: TimeSpan::from_millis(250),
-    longest: TimeSpan::from_millis(1_500),
+    initial_wait: TimeSpan::from_millis(250),
+    max_wait: TimeSpan::from_millis(1_500),
 };
 
 /// Keeps one kind of object in the catalog up to date.
@@ -202,7 +202,7 @@
         let random: f64 = rand::rng().random_range(0.0..1.0);
         let lists_store_first = self.group_start.lists_store_first(self.start_view());
         let pause = group_start::retry_pause(lists_store_first, random);
-        let mut changed = self.catalog.changed();
+        let mut changed = self.catalog.subscribe();
         let listed = changed.wait_for(|_| self.catalog.is_kind_listed(self.kind));
         // After the timeout the store is listed again.
         let _is_over = time::timeout(pause.as_duration(), listed).await.is_err();
@@ -213,7 +213,7 @@
     /// are.
     async fn wait_before_retry(&self, backoff: &mut RetryBackoff) {
         let random: f64 = rand::rng().random_range(0.0..1.0);
-        let backoff_pause = backoff.next(random);
+        let backoff_pause = backoff.next_wait(random);
         let others = self.other_live_nodes();
         let pause = if self.is_among_first(&others) {
             backoff_pause
@@ -239,7 +239,7 @@
 
     /// Waits for a change of the catalog, such as a node reporting that it lost the store.
     async fn wait_for_watch_plan_change(&self) {
-        let mut changed = self.catalog.changed();
+        let mut changed = self.catalog.subscribe();
         // On timeout the plan is re-evaluated, because members may have changed.
         let _is_over = time::timeout(WATCH_PLAN_INTERVAL, changed.changed())
             .await
@@ -319,7 +319,7 @@
                 self.catalog.accept(list.objects);
                 Ok(is_changed)
             }
-            WatchOutcome::Gap => {
+            WatchOutcome::Compacted => {
                 self.revision = None;
                 Ok(false)
             }
--- a/alderhaven-front/tests/group_links.rs
+++ b/alderhaven-front/tests/group_links.rs
@@ -9,7 +9,7 @@
 use alderhaven_node::node_group::{GroupOptions, NodeGroup};
 use alderhaven_peer::connection::{self, FrameReader, FrameSender};
 use alderhaven_peer::frames::PeerMessage;
-use alderhaven_peer::group_messages::{GroupAsk, GroupReply};
+use alderhaven_peer::group_messages::{GroupReply, GroupRequest};
 use alderhaven_peer::peer_options::ConfigAccess;
 use alderhaven_policy::membership::member_record::MemberRole;
 use tokio::net::TcpListener;
@@ -36,8 +36,8 @@
         .stamps(Vec::new)
         .look_up(|_| None)
         .accept(|_| {})
-        .is_listed(|| true)
-        .changed(watch::Sender::new(0).subscribe())
+        .is_fully_listed(|| true)
+        .changes(watch::Sender::new(0).subscribe())
         .build();
     let group = NodeGroup::start_with(options, access).await;
     group.expect("the node group did not start")
@@ -60,17 +60,17 @@
         remote
     }
 
-    async fn next_request(&mut self) -> GroupAsk {
+    async fn next_request(&mut self) -> GroupRequest {
         loop {
             match connection::next_message(&mut self.reader).await {
-                Some(PeerMessage::GroupAsk(request)) => return request,
+                Some(PeerMessage::GroupRequest(request)) => return request,
                 Some(_) => {}
                 None => panic!("the connection ended before a group request"),
             }
         }
     }
 
-    fn reply(&self, request: &GroupAsk) {
+    fn reply(&self, request: &GroupRequest) {
         let reply = GroupReply {
             number: request.number,
             ..GroupReply::default()
@@ -132,7 +132,7 @@
 async fn send_until_connected(links: &GroupLinks, domain: &FailureDomain) -> GroupCall {
     let sending = async {
         loop {
-            if let Some(call) = links.send(domain, GroupAsk::default()) {
+            if let Some(call) = links.send(domain, GroupRequest::default()) {
                 return call;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -154,12 +154,12 @@
         _other,
     } = LinkFixture::start().await;
     let mut recent = links
-        .send(&domain, GroupAsk::default())
+        .send(&domain, GroupRequest::default())
         .expect("the link is not usable");
     let _late_request = remote.next_request().await;
     let recent_request = remote.next_request().await;
     late.mark_overdue();
-    assert!(links.send(&domain, GroupAsk::default()).is_none());
+    assert!(links.send(&domain, GroupRequest::default()).is_none());
     remote.reply(&recent_request);
     let event = tokio::time::timeout(CONDITION_TIMEOUT, recent.events.recv()).await;
     assert!(matches!(event, Ok(Some(GroupEvent::Reply(_)))), "{event:?}");
@@ -176,7 +176,7 @@
         _other,
     } = LinkFixture::start().await;
     let mut second = links
-        .send(&domain, GroupAsk::default())
+        .send(&domain, GroupRequest::default())
         .expect("the link is not usable");
     drop(remote);
     for call in [&mut first_call, &mut second] {
@@ -210,7 +210,7 @@
     };
     let sending = async {
         loop {
-            assert!(links.send(&domain, GroupAsk::default()).is_none());
+            assert!(links.send(&domain, GroupRequest::default()).is_none());
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
--- a/alderhaven-load/src/answer_oracle.rs
+++ b/alderhaven-load/src/answer_oracle.rs
@@ -7,12 +7,12 @@
 use alderhaven_core::outcome::QueryOutcome;
 use alderhaven_core::time::TimeSpan;
 use alderhaven_standin::rows::{self, DerivedRow};
-use alderhaven_standin::run_log::{RunEnd, RunRecord};
+use alderhaven_standin::run_log::{RunRecord, RunStatus};
 use serde_json::Value;
 
 use crate::expected_rows;
 use crate::load_query::LoadQuery;
-use crate::query_reply::{AnswerBody, QueryReply, ReadReply, ReplyContent};
+use crate::query_reply::{AnswerBody, ParsedReply, QueryReply, ReplyContent};
 use crate::violations::ViolationKind;
 
 /// The time after which a leaving target must receive no new work ("after a few seconds").
@@ -20,16 +20,16 @@
 
 /// A `TargetLeaving` is the moment at which a target began to leave, on the run log's clock.
 #[derive(Clone, Debug)]
-pub struct TargetLeaving {
+pub struct LeavingTarget {
     /// The target.
     pub target: TargetId,
     /// When it began to leave, in microseconds since the run log began.
-    pub at_us: u64,
+    pub leaving_since_us: u64,
 }
 
 /// A `ConfigSighting` is the configuration that a node had in force, in the order of looking.
 #[derive(Clone, Debug)]
-pub struct ConfigSighting {
+pub struct ConfigObservation {
     /// The node.
     pub node: NodeId,
     /// The revision in force.
@@ -41,7 +41,7 @@
 pub struct AnswerOracle {
     manifests: HashMap<(ServiceName, SnapshotId), SnapshotManifest>,
     /// The runs by template and canonical parameters.
-    runs: HashMap<(String, String), Vec<RunRecord>>,
+    run_records: HashMap<(String, String), Vec<RunRecord>>,
 }
 
 impl AnswerOracle {
@@ -57,62 +57,69 @@
             .into_iter()
             .map(|manifest| ((manifest.service.clone(), manifest.snapshot), manifest))
             .collect();
-        Self { manifests, runs }
+        Self {
+            manifests,
+            run_records: runs,
+        }
     }
 
     /// Checks a query's reply and returns the promises that it broke.
     #[must_use]
-    pub fn judge(&self, query: &LoadQuery, reply: &QueryReply) -> Vec<ViolationKind> {
+    pub fn check_reply(&self, query: &LoadQuery, reply: &QueryReply) -> Vec<ViolationKind> {
         let mut broken = Vec::new();
         let runs = self.runs_of(query);
-        if !query.mixed.template.idempotent && runs.len() > 1 {
+        if !query.workload_template.template.idempotent && runs.len() > 1 {
             broken.push(ViolationKind::DoubleRun);
         }
-        if matches!(reply.content, ReplyContent::Cut) {
+        if matches!(reply.content, ReplyContent::Aborted) {
             broken.push(ViolationKind::CutInFlight);
         }
-        match reply.read() {
-            ReadReply::Answer(answer) => broken.extend(self.judge_answer(query, &answer, runs)),
+        match reply.parse() {
+            ParsedReply::Answer(answer) => broken.extend(self.check_answer(query, &answer, runs)),
             // Where queries share their parameters a run may be another query's.
-            ReadReply::Error(body)
+            ParsedReply::Error(body)
                 if body.error.not_run && !runs.is_empty() && !query.group.shares_parameters() =>
             {
                 broken.push(ViolationKind::FalseNotRun);
             }
-            ReadReply::Error(_) | ReadReply::Unreadable => {}
+            ParsedReply::Error(_) | ParsedReply::Unreadable => {}
         }
         broken
     }
 
     fn runs_of(&self, query: &LoadQuery) -> &[RunRecord] {
         let key = (
-            query.mixed.template.name.to_string(),
-            query.parameters.canonical(),
+            query.workload_template.template.name.to_string(),
+            query.parameters.canonical_json(),
         );
-        self.runs.get(&key).map_or(&[], Vec::as_slice)
+        self.run_records.get(&key).map_or(&[], Vec::as_slice)
     }
 
-    fn judge_answer(
+    fn check_answer(
         &self,
         query: &LoadQuery,
         answer: &AnswerBody,
         runs: &[RunRecord],
     ) -> Option<ViolationKind> {
-        let key = (query.mixed.template.service.clone(), answer.snapshot);
+        let key = (
+            query.workload_template.template.service.clone(),
+            answer.snapshot,
+        );
         let Some(manifest) = self.manifests.get(&key) else {
             return Some(ViolationKind::MixedSnapshot);
         };
         let Some(covered) = covered_shards(query, answer, manifest) else {
             return Some(ViolationKind::UntrueCoverage);
         };
-        let was_run = |entry: &&ShardEntry| runs.iter().any(|run| answers(run, entry, manifest));
+        let was_run =
+            |entry: &&ShardEntry| runs.iter().any(|run| answers_shard(run, entry, manifest));
         if !covered.iter().all(was_run) {
             return Some(ViolationKind::UntrueCoverage);
         }
         if answer.rows == merged_rows(query, &covered) {
             return None;
         }
-        Some(blame_rows(query, &answer.rows, manifest))
+        Some(classify_wrong_rows(query, &answer.rows, manifest))
     }
 }
 
@@ -122,7 +129,7 @@
     answer: &AnswerBody,
     manifest: &'a SnapshotManifest,
 ) -> Option<Vec<&'a ShardEntry>> {
-    let selection = &query.mixed.template.shards;
+    let selection = &query.workload_template.template.shards;
     let positions = manifest.select(selection, &query.parameters).ok()?;
     let asked: Vec<&ShardEntry> = positions
         .into_iter()
@@ -140,26 +147,26 @@
         .copied()
         .filter(|entry| !is_missing(entry))
         .collect();
-    let is_true = report.asked == asked.len()
+    let is_true = report.requested == asked.len()
         && report.answered == covered.len()
-        && report.answered + report.missing.len() == report.asked
+        && report.answered + report.missing.len() == report.requested
         && (answer.outcome == QueryOutcome::Complete) == report.missing.is_empty();
     is_true.then_some(covered)
 }
 
-fn answers(run: &RunRecord, entry: &ShardEntry, manifest: &SnapshotManifest) -> bool {
-    run.end == RunEnd::Answered
+fn answers_shard(run: &RunRecord, entry: &ShardEntry, manifest: &SnapshotManifest) -> bool {
+    run.status == RunStatus::Answered
         && run.shard == entry.shard
         && run.version == entry.version
         && run.snapshot == manifest.snapshot
 }
 
 fn shard_rows(query: &LoadQuery, entry: &ShardEntry) -> Vec<DerivedRow> {
-    rows::rows_for(
-        &query.mixed.template.service,
+    rows::derive_rows(
+        &query.workload_template.template.service,
         entry.shard,
         entry.version,
-        &query.parameters.canonical(),
+        &query.parameters.canonical_json(),
     )
 }
 
@@ -169,11 +176,18 @@
         .flat_map(|entry| shard_rows(query, entry))
         .map(|row| serde_json::to_value(row).unwrap_or_default())
         .collect();
-    Value::Array(expected_rows::merged(&query.mixed.template.merge, rows))
+    Value::Array(expected_rows::merge_rows(
+        &query.workload_template.template.merge,
+        rows,
+    ))
 }
 
 /// Says why rows are not those that the coverage stands for.
-fn blame_rows(query: &LoadQuery, rows: &Value, manifest: &SnapshotManifest) -> ViolationKind {
+fn classify_wrong_rows(
+    query: &LoadQuery,
+    rows: &Value,
+    manifest: &SnapshotManifest,
+) -> ViolationKind {
     let rows: Vec<DerivedRow> = serde_json::from_value(rows.clone()).unwrap_or_default();
     for row in rows {
         let Ok(position) = manifest.position_of(row.shard) else {
@@ -192,11 +206,11 @@
 
 /// Counts the runs that began at targets more than [`LEAVING_GRACE`] after they began to leave.
 #[must_use]
-pub fn work_after_leaving(records: &[RunRecord], leavings: &[TargetLeaving]) -> usize {
+pub fn count_runs_after_leaving(records: &[RunRecord], leavings: &[LeavingTarget]) -> usize {
     let is_late = |record: &&RunRecord| {
         leavings.iter().any(|leaving| {
             leaving.target == record.target
-                && record.started_us > leaving.at_us + LEAVING_GRACE.as_micros()
+                && record.started_us > leaving.leaving_since_us + LEAVING_GRACE.as_micros()
         })
     };
     records.iter().filter(is_late).count()
@@ -204,7 +218,7 @@
 
 /// Counts the steps back of any node's configuration.
 #[must_use]
-pub fn steps_back(sightings: &[ConfigSighting]) -> usize {
+pub fn count_config_reversions(sightings: &[ConfigObservation]) -> usize {
     let mut latest: HashMap<&NodeId, StoreVersion> = HashMap::new();
     let mut steps = 0;
     for sighting in sightings {
--- a/alderhaven-load/src/arrivals.rs
+++ b/alderhaven-load/src/arrivals.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RatePhase {
     /// The length of the phase.
-    pub span: TimeSpan,
+    pub duration: TimeSpan,
     /// The arrivals a second, above zero.
     pub rate: f64,
 }
@@ -21,9 +21,9 @@
 pub struct ArrivalSchedule {
     rng: StdRng,
     phases: Vec<RatePhase>,
-    phase: usize,
-    phase_began: f64,
-    last: f64,
+    phase_index: usize,
+    phase_start_s: f64,
+    last_arrival_s: f64,
 }
 
 impl ArrivalSchedule {
@@ -33,9 +33,9 @@
         Self {
             rng: StdRng::seed_from_u64(seed),
             phases,
-            phase: 0,
-            phase_began: 0.0,
-            last: 0.0,
+            phase_index: 0,
+            phase_start_s: 0.0,
+            last_arrival_s: 0.0,
         }
     }
 }
@@ -45,17 +45,17 @@
 
     fn next(&mut self) -> Option<TimeSpan> {
         loop {
-            let phase = *self.phases.get(self.phase)?;
-            let end = self.phase_began + phase.span.as_secs_f64();
+            let phase = *self.phases.get(self.phase_index)?;
+            let end = self.phase_start_s + phase.duration.as_secs_f64();
             // 1 less the number is above zero, where the logarithm has a value.
             let gap = -(1.0 - self.rng.random::<f64>()).ln() / phase.rate;
-            if self.last + gap < end {
-                self.last += gap;
-                return Some(TimeSpan::from_secs(1).mul_f64(self.last));
+            if self.last_arrival_s + gap < end {
+                self.last_arrival_s += gap;
+                return Some(TimeSpan::from_secs(1).mul_f64(self.last_arrival_s));
             }
-            self.last = end;
-            self.phase_began = end;
-            self.phase += 1;
+            self.last_arrival_s = end;
+            self.phase_start_s = end;
+            self.phase_index += 1;
         }
     }
 }
--- a/alderhaven-load/src/caller_pool.rs
+++ b/alderhaven-load/src/caller_pool.rs
@@ -21,13 +21,13 @@
 #[derive(Debug)]
 pub struct CallerPool {
     entries: Vec<EntryConnections>,
-    next: AtomicUsize,
+    next_entry: AtomicUsize,
 }
 
 #[derive(Debug)]
 struct EntryConnections {
     address: SocketAddr,
-    idle: Mutex<Vec<CallerSender>>,
+    idle_connections: Mutex<Vec<CallerSender>>,
 }
 
 impl CallerPool {
@@ -36,17 +36,17 @@
     pub fn new(entries: &[SocketAddr]) -> Self {
         let entries = entries.iter().map(|address| EntryConnections {
             address: *address,
-            idle: Mutex::default(),
+            idle_connections: Mutex::default(),
         });
         Self {
             entries: entries.collect(),
-            next: AtomicUsize::new(0),
+            next_entry: AtomicUsize::new(0),
         }
     }
 
     /// Sends a request to an entry, the next one where none is named, and waits for the whole reply.
     pub async fn post(&self, entry: Option<usize>, path: &str, body: Bytes) -> ReplyContent {
-        let turn = entry.unwrap_or_else(|| self.next.fetch_add(1, Ordering::Relaxed));
+        let turn = entry.unwrap_or_else(|| self.next_entry.fetch_add(1, Ordering::Relaxed));
         self.entries[turn % self.entries.len()]
             .post(path, body)
             .await
@@ -55,9 +55,9 @@
 
 impl EntryConnections {
     async fn post(&self, path: &str, body: Bytes) -> ReplyContent {
-        let mut request = self.request(path, body);
+        let mut request = self.build_request(path, body);
         loop {
-            let idle = self.lock().pop();
+            let idle = self.lock_idle().pop();
             let is_new = idle.is_none();
             let mut sender = match idle {
                 Some(sender) => sender,
@@ -69,22 +69,22 @@
             match sender.try_send_request(request).await {
                 Ok(response) => {
                     let Ok(body) = response.into_body().collect().await else {
-                        return ReplyContent::Cut;
+                        return ReplyContent::Aborted;
                     };
-                    self.lock().push(sender);
+                    self.lock_idle().push(sender);
                     return ReplyContent::Body(body.to_bytes());
                 }
                 // The entry closed an idle connection: the request comes back unsent.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) if !is_new => request = unsent,
                     Some(_) => return ReplyContent::Unsent,
-                    None => return ReplyContent::Cut,
+                    None => return ReplyContent::Aborted,
                 },
             }
         }
     }
 
-    fn request(&self, path: &str, body: Bytes) -> Request<Full<Bytes>> {
+    fn build_request(&self, path: &str, body: Bytes) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = http::Method::POST;
         *request.uri_mut() = path.parse().expect("template names stand in paths");
@@ -104,7 +104,9 @@
         Some(sender)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<CallerSender>> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_idle(&self) -> MutexGuard<'_, Vec<CallerSender>> {
+        self.idle_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/alderhaven-load/src/cpu_clock.rs
+++ b/alderhaven-load/src/cpu_clock.rs
@@ -10,9 +10,9 @@
 /// A `CpuClock` measures from its start.
 #[derive(Debug)]
 pub struct CpuClock {
-    began: Instant,
-    process: f64,
-    machine: f64,
+    started_at: Instant,
+    process_seconds_at_start: f64,
+    machine_seconds_at_start: f64,
 }
 
 /// A `CpuShares` is the used share of all cores.
@@ -29,9 +29,9 @@
     #[must_use]
     pub fn start() -> Self {
         Self {
-            began: Instant::now(),
-            process: process_seconds().unwrap_or(0.0),
-            machine: machine_seconds().unwrap_or(0.0),
+            started_at: Instant::now(),
+            process_seconds_at_start: process_seconds().unwrap_or(0.0),
+            machine_seconds_at_start: machine_seconds().unwrap_or(0.0),
         }
     }
 
@@ -39,10 +39,12 @@
     #[must_use]
     pub fn shares(&self) -> CpuShares {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
-        let available = self.began.elapsed().as_secs_f64() * cores as f64;
+        let available = self.started_at.elapsed().as_secs_f64() * cores as f64;
         CpuShares {
-            process: process_seconds().map_or(0.0, |now| (now - self.process) / available),
-            machine: machine_seconds().map_or(0.0, |now| (now - self.machine) / available),
+            process: process_seconds()
+                .map_or(0.0, |now| (now - self.process_seconds_at_start) / available),
+            machine: machine_seconds()
+                .map_or(0.0, |now| (now - self.machine_seconds_at_start) / available),
         }
     }
 }
--- a/alderhaven-load/src/doomed_runtime.rs
+++ b/alderhaven-load/src/crashable_runtime.rs
@@ -8,22 +8,22 @@
 use tokio::task::JoinHandle;
 
 /// The threads of a node of its own.
-const THREADS: usize = 2;
+const WORKER_THREADS: usize = 2;
 
 /// A `DoomedRuntime` ends everything on it when it is dropped.
 #[derive(Debug)]
-pub struct DoomedRuntime {
+pub struct CrashableRuntime {
     runtime: Option<Runtime>,
 }
 
-impl DoomedRuntime {
+impl CrashableRuntime {
     /// Starts a runtime.
     ///
     /// # Errors
     /// The operating system's error where threads can't be started.
     pub fn new() -> io::Result<Self> {
         let runtime = Builder::new_multi_thread()
-            .worker_threads(THREADS)
+            .worker_threads(WORKER_THREADS)
             .enable_all()
             .build()?;
         Ok(Self {
@@ -44,7 +44,7 @@
     }
 }
 
-impl Drop for DoomedRuntime {
+impl Drop for CrashableRuntime {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             // A plain drop would block, which a task must not.
--- a/alderhaven-load/src/expected_rows.rs
+++ b/alderhaven-load/src/expected_rows.rs
@@ -6,7 +6,7 @@
 
 /// Gets the rows that `rows`, in the order of their shards, merge to.
 #[must_use]
-pub fn merged(rule: &MergeRule, mut rows: Vec<Value>) -> Vec<Value> {
+pub fn merge_rows(rule: &MergeRule, mut rows: Vec<Value>) -> Vec<Value> {
     match rule {
         MergeRule::Concatenate => rows,
         MergeRule::TopN {
@@ -16,15 +16,15 @@
         } => {
             // Both sorts are stable: equal numbers stay in the order of shards.
             if *ascending {
-                rows.sort_by_key(|row| number(row, field));
+                rows.sort_by_key(|row| numeric_field(row, field));
             } else {
-                rows.sort_by_key(|row| std::cmp::Reverse(number(row, field)));
+                rows.sort_by_key(|row| std::cmp::Reverse(numeric_field(row, field)));
             }
             rows.truncate(*limit);
             rows
         }
         MergeRule::Sum { field } => {
-            let sum: u64 = rows.iter().map(|row| number(row, field)).sum();
+            let sum: u64 = rows.iter().map(|row| numeric_field(row, field)).sum();
             vec![json!({ field.as_str(): sum })]
         }
         MergeRule::DistinctBy { field } => {
@@ -39,6 +39,6 @@
     }
 }
 
-fn number(row: &Value, field: &str) -> u64 {
+fn numeric_field(row: &Value, field: &str) -> u64 {
     row[field].as_u64().unwrap_or(0)
 }
--- a/alderhaven-load/src/fair_share.rs
+++ b/alderhaven-load/src/fairness_tally.rs
@@ -11,7 +11,7 @@
 
 /// The least due work, in seconds of a slot, that a team is judged by: below it a few queries
 /// decide the figure.
-const LEAST_DUE: f64 = 5.0;
+const MIN_FAIR_SHARE_SECONDS: f64 = 5.0;
 
 /// A `TeamWork` is the work of one team within a service and a class, in seconds of a slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -26,13 +26,13 @@
 
 /// A `FairShare` gathers the work of all teams.
 #[derive(Clone, Debug, Default)]
-pub struct FairShare {
+pub struct FairnessTally {
     groups: BTreeMap<(ServiceName, QueryClass), BTreeMap<TeamId, TeamWork>>,
 }
 
-impl FairShare {
+impl FairnessTally {
     /// Gets the work of a team within a service and a class.
-    pub fn work_of(
+    pub fn work_mut(
         &mut self,
         service: &ServiceName,
         class: QueryClass,
@@ -48,7 +48,7 @@
         let mut totals: BTreeMap<&TeamId, (f64, f64)> = BTreeMap::new();
         for group in self.groups.values() {
             let works: Vec<TeamWork> = group.values().copied().collect();
-            for ((team, work), due) in group.iter().zip(dues(&works)) {
+            for ((team, work), due) in group.iter().zip(fair_shares(&works)) {
                 let total = totals.entry(team).or_default();
                 total.0 += work.served.min(due);
                 total.1 += due;
@@ -56,7 +56,7 @@
         }
         totals
             .values()
-            .filter(|(_, due)| *due >= LEAST_DUE)
+            .filter(|(_, due)| *due >= MIN_FAIR_SHARE_SECONDS)
             .map(|(served, due)| served / due)
             .fold(1.0, f64::min)
     }
@@ -64,7 +64,7 @@
 
 /// Shares the served work out by weight, to each at most what it offered.
 #[must_use]
-pub fn dues(works: &[TeamWork]) -> Vec<f64> {
+pub fn fair_shares(works: &[TeamWork]) -> Vec<f64> {
     let mut left: f64 = works.iter().map(|work| work.served).sum();
     let mut dues = vec![0.0; works.len()];
     let mut open: Vec<usize> = (0..works.len()).collect();
--- a/alderhaven-load/src/fault_script.rs
+++ b/alderhaven-load/src/fault_script.rs
@@ -22,62 +22,65 @@
 use crate::test_bed::TestBed;
 
 /// The share of the targets whose connections fall silent, that start anew or that leave.
-const STRUCK_SHARE: f64 = 0.1;
+const AFFECTED_SHARE: f64 = 0.1;
 /// The time down of a target that a request crashed, in milliseconds.
-const POISON_DOWN_MS: u64 = 500;
+const CRASH_DOWNTIME_MS: u64 = 500;
 /// The time down of a target that starts anew, in milliseconds.
-const RESTART_DOWN_MS: u64 = 200;
+const RESTART_DOWNTIME_MS: u64 = 200;
 /// How many times slower a cold target is, and for how many milliseconds.
-const COLD_START: (f64, u64) = (10.0, 1_500);
+const COLD_START_FACTOR_AND_MS: (f64, u64) = (10.0, 1_500);
 /// The time for which targets keep a former version, in milliseconds: longer than any deadline of
 /// the urgent and ordinary templates.
 const VERSION_GRACE_MS: u64 = 2_500;
 /// The pause between the publications of two services.
-const PUBLISH_PAUSE: Duration = Duration::from_millis(300);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(300);
 /// The lag of the host list, in milliseconds.
 const HOST_LAG_MS: u64 = 1_000;
 /// The time between a target's place in the list and its stop, in milliseconds.
-const LEAVING_MS: u64 = 3_500;
+const STOP_DELAY_MS: u64 = 3_500;
 /// The time for which the platform is out of service.
-const OUTAGE: Duration = Duration::from_secs(2);
+const OUTAGE_DURATION: Duration = Duration::from_secs(2);
 /// The time for which a failure domain is lost.
-const DOMAIN_DOWN: Duration = Duration::from_secs(2);
+const DOMAIN_DOWNTIME: Duration = Duration::from_secs(2);
 /// The publications of a race, and the pause between two.
-const RACE: (u64, Duration) = (20, Duration::from_millis(100));
+const RACE_ROUNDS_AND_PAUSE: (u64, Duration) = (20, Duration::from_millis(100));
 
 /// A `FaultScript` does to a running system what a scenario says.
 #[derive(Debug)]
 pub struct FaultScript<'a> {
     options: &'a RunOptions,
-    bed: &'a TestBed,
+    test_bed: &'a TestBed,
 }
 
 impl<'a> FaultScript<'a> {
     /// Returns the script of a run.
     #[must_use]
     pub const fn new(options: &'a RunOptions, bed: &'a TestBed) -> Self {
-        Self { options, bed }
+        Self {
+            options,
+            test_bed: bed,
+        }
     }
 
     /// Switches on what holds during the whole run.
-    pub fn prepare(&self) {
-        let all = || self.bed.fleet().targets().collect::<Vec<_>>();
+    pub fn apply_initial_faults(&self) {
+        let all = || self.test_bed.fleet().targets().collect::<Vec<_>>();
         match self.options.scenario {
             ScenarioKind::SlowTarget => {
                 let faults = TargetFaults {
                     slow_factor: self.options.slow_factor,
                     ..TargetFaults::default()
                 };
-                set_faults(&self.struck(self.options.slow_share), faults);
+                set_faults(&self.pick_affected_targets(self.options.slow_share), faults);
             }
             ScenarioKind::Poison => set_faults(
                 &all(),
                 TargetFaults {
-                    poison_down_ms: Some(POISON_DOWN_MS),
+                    poison_down_ms: Some(CRASH_DOWNTIME_MS),
                     ..TargetFaults::default()
                 },
             ),
-            ScenarioKind::TargetLeaving => self.bed.store().set_faults(PlatformFaults {
+            ScenarioKind::TargetLeaving => self.test_bed.store().set_faults(PlatformFaults {
                 host_lag_ms: HOST_LAG_MS,
                 ..PlatformFaults::default()
             }),
@@ -89,17 +92,17 @@
     ///
     /// # Errors
     /// Where the platform does not take a change.
-    pub async fn play(&self, began: Instant) -> Result<()> {
+    pub async fn run_event(&self, began: Instant) -> Result<()> {
         time::sleep_until(began + self.options.event_at().as_duration()).await;
-        let struck = self.struck(STRUCK_SHARE);
+        let struck = self.pick_affected_targets(AFFECTED_SHARE);
         match self.options.scenario {
             ScenarioKind::SilentConnections => {
                 for target in struck {
-                    target.state().life().silence();
+                    target.state().lifecycle().silence_connections();
                 }
             }
             ScenarioKind::ColdStart => {
-                let (cold_factor, cold_ms) = COLD_START;
+                let (cold_factor, cold_ms) = COLD_START_FACTOR_AND_MS;
                 let faults = TargetFaults {
                     cold_factor,
                     cold_ms,
@@ -107,50 +110,50 @@
                 };
                 set_faults(&struck, faults);
                 for target in struck {
-                    let down = Duration::from_millis(RESTART_DOWN_MS);
-                    target.state().life().crash(down);
+                    let down = Duration::from_millis(RESTART_DOWNTIME_MS);
+                    target.state().lifecycle().crash(down);
                 }
             }
             ScenarioKind::TargetLeaving => {
                 let call = ControlCall::Leave {
-                    targets: struck.into_iter().map(name_of).collect(),
-                    platform: self.bed.platform_address(),
-                    stop_after_ms: LEAVING_MS,
+                    targets: struck.into_iter().map(target_id).collect(),
+                    platform: self.test_bed.platform_address(),
+                    stop_after_ms: STOP_DELAY_MS,
                 };
-                fleet_control::apply(self.bed.fleet().services(), call).await?;
+                fleet_control::apply_call(self.test_bed.fleet().services(), call).await?;
             }
             ScenarioKind::SnapshotChange => self.change_snapshots().await?,
-            ScenarioKind::DomainLoss => self.lose_domain(),
-            ScenarioKind::RelayCrash => self.bed.crash_relay(),
+            ScenarioKind::DomainLoss => self.crash_domain(),
+            ScenarioKind::RelayCrash => self.test_bed.crash_relay(),
             ScenarioKind::StoreOutage => {
-                self.bed.store().set_faults(PlatformFaults {
+                self.test_bed.store().set_faults(PlatformFaults {
                     outage: true,
                     hosts_outage: true,
                     ..PlatformFaults::default()
                 });
-                time::sleep(OUTAGE).await;
-                self.bed.store().set_faults(PlatformFaults::default());
+                time::sleep(OUTAGE_DURATION).await;
+                self.test_bed.store().set_faults(PlatformFaults::default());
             }
-            ScenarioKind::PublishRace => self.race().await,
+            ScenarioKind::PublishRace => self.race_publications().await,
             _ => {}
         }
         Ok(())
     }
 
     /// Takes the first failure domain's targets down.
-    fn lose_domain(&self) {
+    fn crash_domain(&self) {
         let domain = |target: &TargetServer| target.state().spec().domain.clone();
-        let lost = self.bed.fleet().targets().map(domain).min();
-        for target in self.bed.fleet().targets() {
+        let lost = self.test_bed.fleet().targets().map(domain).min();
+        for target in self.test_bed.fleet().targets() {
             if Some(domain(target)) == lost {
-                target.state().life().crash(DOMAIN_DOWN);
+                target.state().lifecycle().crash(DOMAIN_DOWNTIME);
             }
         }
     }
 
     /// Publishes a next version of each service, and then another number of shards of the first.
     async fn change_snapshots(&self) -> Result<()> {
-        let manifests = self.bed.manifests();
+        let manifests = self.test_bed.manifests();
         let mut changes: Vec<(ServiceName, Option<u32>)> = Vec::new();
         for manifest in &manifests {
             changes.push((manifest.service.clone(), None));
@@ -164,19 +167,19 @@
                 service,
                 shards,
                 grace_ms: VERSION_GRACE_MS,
-                platform: Some(self.bed.platform_address()),
+                platform: Some(self.test_bed.platform_address()),
             };
-            let reply = fleet_control::apply(self.bed.fleet().services(), call).await?;
-            self.bed.note_manifests(reply.manifest);
-            time::sleep(PUBLISH_PAUSE).await;
+            let reply = fleet_control::apply_call(self.test_bed.fleet().services(), call).await?;
+            self.test_bed.record_manifests(reply.manifest);
+            time::sleep(PUBLISH_INTERVAL).await;
         }
         Ok(())
     }
 
     /// Lets two operators write the same template against the same version; one must lose.
-    async fn race(&self) {
-        let (rounds, pause) = RACE;
-        let Some(mut template) = self.bed.last_template() else {
+    async fn race_publications(&self) {
+        let (rounds, pause) = RACE_ROUNDS_AND_PAUSE;
+        let Some(mut template) = self.test_bed.last_template() else {
             return;
         };
         let key = ObjectKey {
@@ -186,7 +189,7 @@
         for round in 0..rounds {
             template.deadline = template.deadline + TimeSpan::from_millis(1);
             let body = serde_json::to_string(&template).ok();
-            let table = self.bed.store().table();
+            let table = self.test_bed.store().table();
             let expected = table.get(&key).map_or(StoreVersion(0), |kept| kept.version);
             let write = |operator: &str| ConditionalWrite {
                 key: key.clone(),
@@ -195,13 +198,13 @@
                 body: body.clone(),
             };
             let outcomes = future::join_all(
-                ["one", "two"].map(|operator| self.bed.store().write(write(operator))),
+                ["one", "two"].map(|operator| self.test_bed.store().write(write(operator))),
             )
             .await;
             let won = outcomes
                 .iter()
                 .filter(|outcome| matches!(outcome, Ok(WriteOutcome::Written(_))));
-            self.bed.count_publications(won.count());
+            self.test_bed.add_publications(won.count());
             time::sleep(pause).await;
         }
     }
@@ -210,9 +213,9 @@
     ///
     /// Where all replicas of a shard are struck no choice of replica can help. Equal seeds pick
     /// equal targets.
-    fn struck(&self, share: f64) -> Vec<&'a TargetServer> {
-        let mut targets: Vec<&TargetServer> = self.bed.fleet().targets().collect();
-        let wanted = portion(targets.len(), share);
+    fn pick_affected_targets(&self, share: f64) -> Vec<&'a TargetServer> {
+        let mut targets: Vec<&TargetServer> = self.test_bed.fleet().targets().collect();
+        let wanted = rounded_share(targets.len(), share);
         targets.shuffle(&mut StdRng::seed_from_u64(self.options.seed));
         let mut places: Vec<(ServiceName, ShardId)> = Vec::new();
         targets.retain(|target| {
@@ -234,7 +237,7 @@
     }
 }
 
-fn name_of(target: &TargetServer) -> TargetId {
+fn target_id(target: &TargetServer) -> TargetId {
     target.state().spec().target.clone()
 }
 
@@ -243,6 +246,6 @@
     clippy::cast_sign_loss,
     reason = "a float cast saturates, which is what a bound wants"
 )]
-fn portion(count: usize, share: f64) -> usize {
+fn rounded_share(count: usize, share: f64) -> usize {
     (count as f64 * share).round() as usize
 }
--- a/alderhaven-load/src/load_driver.rs
+++ b/alderhaven-load/src/load_driver.rs
@@ -14,13 +14,13 @@
 use crate::query_reply::{QueryReply, ReplyContent};
 
 /// The time after its deadline at which a caller gives up on a reply.
-const SILENCE_LIMIT: Duration = Duration::from_secs(5);
+const REPLY_GRACE: Duration = Duration::from_secs(5);
 
 /// A `LoadDriver` sends queries through a pool and gathers the replies.
 #[derive(Debug)]
 pub struct LoadDriver {
     pool: Arc<CallerPool>,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl LoadDriver {
@@ -29,14 +29,14 @@
     pub fn new(pool: CallerPool) -> Self {
         Self {
             pool: Arc::new(pool),
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
     /// Gets when the run began.
     #[must_use]
-    pub const fn began(&self) -> Instant {
-        self.began
+    pub const fn started_at(&self) -> Instant {
+        self.started_at
     }
 
     /// Sends each query when it is due and returns all queries with their replies.
@@ -46,26 +46,30 @@
     ) -> Vec<(LoadQuery, QueryReply)> {
         let mut calls = JoinSet::new();
         for query in queries {
-            time::sleep_until(self.began + query.due.as_duration()).await;
+            time::sleep_until(self.started_at + query.due_at.as_duration()).await;
             let pool = Arc::clone(&self.pool);
-            calls.spawn(call(pool, query, self.began));
+            calls.spawn(send_query(pool, query, self.started_at));
         }
         calls.join_all().await
     }
 }
 
-async fn call(pool: Arc<CallerPool>, query: LoadQuery, began: Instant) -> (LoadQuery, QueryReply) {
+async fn send_query(
+    pool: Arc<CallerPool>,
+    query: LoadQuery,
+    began: Instant,
+) -> (LoadQuery, QueryReply) {
     let sent = TimeSpan::from(began.elapsed());
-    let path = format!("/v1/query/{}", query.mixed.template.name);
+    let path = format!("/v1/query/{}", query.workload_template.template.name);
     let body = json!({ "team": query.team, "parameters": query.parameters }).to_string();
-    let limit = query.mixed.template.deadline.as_duration() + SILENCE_LIMIT;
-    let posting = pool.post(query.entry, &path, Bytes::from(body));
+    let limit = query.workload_template.template.deadline.as_duration() + REPLY_GRACE;
+    let posting = pool.post(query.entry_index, &path, Bytes::from(body));
     let content = time::timeout(limit, posting)
         .await
-        .unwrap_or(ReplyContent::Silent);
+        .unwrap_or(ReplyContent::TimedOut);
     let reply = QueryReply {
-        sent,
-        ended: TimeSpan::from(began.elapsed()),
+        sent_at: sent,
+        ended_at: TimeSpan::from(began.elapsed()),
         content,
     };
     (query, reply)
