--- a/alderhaven-load/src/load_plan.rs
+++ b/alderhaven-load/src/load_plan.rs
@@ -17,31 +17,32 @@
 use crate::load_query::{LoadQuery, QueryGroup, QuerySource};
 use crate::run_options::RunOptions;
 use crate::scenario::ScenarioKind;
-use crate::workload::{MixedTemplate, Workload};
+use crate::workload::{Workload, WorkloadTemplate};
 
 /// The factor of a burst and its length.
-const BURST: (f64, TimeSpan) = (5.0, TimeSpan::from_secs(1));
+const BURST_FACTOR_AND_LENGTH: (f64, TimeSpan) = (5.0, TimeSpan::from_secs(1));
 /// What a hot team offers beyond its share, as a multiple of that.
-const HOT_TEAM_EXTRA: f64 = 9.0;
+const HOT_TEAM_EXTRA_FACTOR: f64 = 9.0;
 /// The load of a hot key, as a share of what its service can answer.
-const HOT_KEY_LOAD: f64 = 1.0;
+const HOT_KEY_LOAD_SHARE: f64 = 1.0;
 /// The requests that crash targets.
-const POISON_REQUESTS: u32 = 3;
+const POISON_REQUEST_COUNT: u32 = 3;
 /// The pause between two such requests, and between two sendings of the same.
-const POISON_PAUSES: (TimeSpan, TimeSpan) = (TimeSpan::from_millis(800), TimeSpan::from_millis(50));
+const POISON_INTERVALS: (TimeSpan, TimeSpan) =
+    (TimeSpan::from_millis(800), TimeSpan::from_millis(50));
 
 /// Draws all queries of a run in the order of their times; equal options give equal queries.
 ///
 /// # Errors
 /// Where the workload's templates don't take the parameters of its mix.
-pub fn queries_of(options: &RunOptions, workload: &Workload) -> Result<Vec<LoadQuery>> {
+pub fn plan_queries(options: &RunOptions, workload: &Workload) -> Result<Vec<LoadQuery>> {
     let mut plan = LoadPlan::new(options, workload);
     let rate = options.load * workload.rate_at_full_load();
-    plan.draw(&workload.mix, rate, &base_phases(options), QueryGroup::Base)?;
-    if !options.without_specials {
-        plan.draw_specials()?;
+    plan.draw_queries(&workload.mix, rate, &base_phases(options), QueryGroup::Base)?;
+    if !options.without_special_queries {
+        plan.draw_special_queries()?;
     }
-    plan.queries.sort_by_key(|query| query.due);
+    plan.queries.sort_by_key(|query| query.due_at);
     Ok(plan.queries)
 }
 
@@ -62,16 +63,16 @@
 /// Gets the time at which a burst ends.
 #[must_use]
 pub fn burst_end(options: &RunOptions) -> TimeSpan {
-    options.event_at() + BURST.1
+    options.event_at() + BURST_FACTOR_AND_LENGTH.1
 }
 
 /// Gets the even load's phases at a rate of 1.
 fn base_phases(options: &RunOptions) -> Vec<(TimeSpan, f64)> {
-    let whole = options.warm_up + options.measured;
+    let whole = options.warm_up + options.measured_time;
     if options.scenario != ScenarioKind::Burst {
         return vec![(whole, 1.0)];
     }
-    let (factor, length) = BURST;
+    let (factor, length) = BURST_FACTOR_AND_LENGTH;
     let rest = whole.saturating_sub(options.event_at() + length);
     vec![(options.event_at(), 1.0), (length, factor), (rest, 1.0)]
 }
@@ -79,7 +80,7 @@
 struct LoadPlan<'a> {
     options: &'a RunOptions,
     workload: &'a Workload,
-    source: QuerySource,
+    query_source: QuerySource,
     queries: Vec<LoadQuery>,
 }
 
@@ -88,15 +89,15 @@
         Self {
             options,
             workload,
-            source: QuerySource::default(),
+            query_source: QuerySource::default(),
             queries: Vec::new(),
         }
     }
 
     /// Draws queries of a mix at `rate` by the factors of `phases`.
-    fn draw(
+    fn draw_queries(
         &mut self,
-        mix: &[MixedTemplate],
+        mix: &[WorkloadTemplate],
         rate: f64,
         phases: &[(TimeSpan, f64)],
         group: QueryGroup,
@@ -105,59 +106,59 @@
         let phases = phases
             .iter()
             .map(|(span, factor)| RatePhase {
-                span: *span,
+                duration: *span,
                 rate: rate * factor,
             })
             .collect();
-        let mix: Vec<Arc<MixedTemplate>> = mix.iter().cloned().map(Arc::new).collect();
+        let mix: Vec<Arc<WorkloadTemplate>> = mix.iter().cloned().map(Arc::new).collect();
         let mut rng = StdRng::seed_from_u64(seed);
         for due in ArrivalSchedule::new(seed.wrapping_add(1), phases) {
-            let query = self.source.draw(&mix, due, group, &mut rng)?;
+            let query = self.query_source.draw(&mix, due, group, &mut rng)?;
             self.queries.push(query);
         }
         Ok(())
     }
 
-    fn draw_specials(&mut self) -> Result<()> {
+    fn draw_special_queries(&mut self) -> Result<()> {
         match self.options.scenario {
             ScenarioKind::HotTeam => self.draw_hot_team(),
             ScenarioKind::HotKey => self.draw_hot_key(),
             ScenarioKind::LongAmongShort => {
                 let mix = &self.workload.long_jobs;
-                let rate = mix.iter().map(MixedTemplate::rate_at_full_load).sum();
-                self.draw(mix, rate, &self.whole(), QueryGroup::Long)
+                let rate = mix.iter().map(WorkloadTemplate::rate_at_full_load).sum();
+                self.draw_queries(mix, rate, &self.whole_run(), QueryGroup::LongJob)
             }
             ScenarioKind::Poison => self.draw_poison(),
             _ => Ok(()),
         }
     }
 
-    fn whole(&self) -> Vec<(TimeSpan, f64)> {
-        vec![(self.options.warm_up + self.options.measured, 1.0)]
+    fn whole_run(&self) -> Vec<(TimeSpan, f64)> {
+        vec![(self.options.warm_up + self.options.measured_time, 1.0)]
     }
 
     fn draw_hot_team(&mut self) -> Result<()> {
         let team = hot_team(self.options.deployment);
         let mut mix = Vec::new();
         for mixed in &self.workload.mix {
-            let total: f64 = mixed.entry.teams.values().sum();
-            if let Some(part) = mixed.entry.teams.get(&team) {
+            let total: f64 = mixed.mix_entry.teams.values().sum();
+            if let Some(part) = mixed.mix_entry.teams.get(&team) {
                 let mut hot = mixed.clone();
-                hot.entry.share *= part / total;
-                hot.entry.teams = [(team.clone(), 1.0)].into_iter().collect();
+                hot.mix_entry.capacity_share *= part / total;
+                hot.mix_entry.teams = [(team.clone(), 1.0)].into_iter().collect();
                 mix.push(hot);
             }
         }
-        let rate: f64 = mix.iter().map(MixedTemplate::rate_at_full_load).sum();
-        let rate = rate * self.options.load * HOT_TEAM_EXTRA;
-        self.draw(&mix, rate, &self.whole(), QueryGroup::HotTeam)
+        let rate: f64 = mix.iter().map(WorkloadTemplate::rate_at_full_load).sum();
+        let rate = rate * self.options.load * HOT_TEAM_EXTRA_FACTOR;
+        self.draw_queries(&mix, rate, &self.whole_run(), QueryGroup::HotTeam)
     }
 
     fn draw_hot_key(&mut self) -> Result<()> {
-        let mixed = self.by_key()?;
-        let rate = mixed.rate_at_full_load() * HOT_KEY_LOAD;
+        let mixed = self.single_shard_template()?;
+        let rate = mixed.rate_at_full_load() * HOT_KEY_LOAD_SHARE;
         let begin = self.queries.len();
-        self.draw(&[mixed], rate, &self.whole(), QueryGroup::HotKey)?;
+        self.draw_queries(&[mixed], rate, &self.whole_run(), QueryGroup::HotKey)?;
         for query in &mut self.queries[begin..] {
             set_tag(query, "hot");
         }
@@ -165,16 +166,18 @@
     }
 
     fn draw_poison(&mut self) -> Result<()> {
-        let mix = [Arc::new(self.by_key()?)];
+        let mix = [Arc::new(self.single_shard_template()?)];
         let mut rng = StdRng::seed_from_u64(self.options.seed);
-        let (between, again) = POISON_PAUSES;
-        for request in 0..POISON_REQUESTS {
+        let (between, again) = POISON_INTERVALS;
+        for request in 0..POISON_REQUEST_COUNT {
             let first = self.options.event_at() + between.mul_f64(f64::from(request));
             for entry in 0..self.options.nodes {
                 let due = first + again.mul_f64(entry as f64);
-                let mut query = self.source.draw(&mix, due, QueryGroup::Poison, &mut rng)?;
+                let mut query = self
+                    .query_source
+                    .draw(&mix, due, QueryGroup::Poison, &mut rng)?;
                 set_tag(&mut query, &format!("{POISON_MARKER}-{request}"));
-                query.entry = Some(entry);
+                query.entry_index = Some(entry);
                 self.queries.push(query);
             }
         }
@@ -182,8 +185,12 @@
     }
 
     /// Gets the first template that asks one shard.
-    fn by_key(&self) -> Result<MixedTemplate> {
-        let by_key = self.workload.mix.iter().find(|mixed| mixed.asked() == 1);
+    fn single_shard_template(&self) -> Result<WorkloadTemplate> {
+        let by_key = self
+            .workload
+            .mix
+            .iter()
+            .find(|mixed| mixed.shard_count() == 1);
         by_key
             .cloned()
             .ok_or_else(|| Error::invalid("mix", "has no template that asks one shard"))
@@ -191,7 +198,7 @@
 }
 
 fn set_tag(query: &mut LoadQuery, text: &str) {
-    let tag = query.mixed.entry.tag.clone();
+    let tag = query.workload_template.mix_entry.unique_parameter.clone();
     let value = ParameterValue::Text(text.to_owned());
     query.parameters.0.insert(tag, value);
 }
--- a/alderhaven-load/src/load_query.rs
+++ b/alderhaven-load/src/load_query.rs
@@ -8,7 +8,7 @@
 use alderhaven_core::time::TimeSpan;
 use rand::{Rng, RngExt};
 
-use crate::workload::MixedTemplate;
+use crate::workload::WorkloadTemplate;
 
 /// A `QueryGroup` says to which part of a run's load a query belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -20,7 +20,7 @@
     /// Queries of the hot key.
     HotKey,
     /// Long jobs.
-    Long,
+    LongJob,
     /// Requests that crash targets.
     Poison,
 }
@@ -40,9 +40,9 @@
     /// The number of the query in its run.
     pub number: u64,
     /// When the query is due, since the run began.
-    pub due: TimeSpan,
+    pub due_at: TimeSpan,
     /// The template.
-    pub mixed: Arc<MixedTemplate>,
+    pub workload_template: Arc<WorkloadTemplate>,
     /// The team that asks.
     pub team: TeamId,
     /// The parameters as the targets receive them.
@@ -50,7 +50,7 @@
     /// The part of the load.
     pub group: QueryGroup,
     /// The entry to ask; any where there is none.
-    pub entry: Option<usize>,
+    pub entry_index: Option<usize>,
 }
 
 /// A `QuerySource` draws queries and numbers them.
@@ -66,36 +66,38 @@
     /// `Error::Invalid` where the template does not take the parameters of the mix.
     pub fn draw(
         &mut self,
-        mix: &[Arc<MixedTemplate>],
+        mix: &[Arc<WorkloadTemplate>],
         due: TimeSpan,
         group: QueryGroup,
         rng: &mut impl Rng,
     ) -> Result<LoadQuery> {
         let rates = || mix.iter().map(|mixed| mixed.rate_at_full_load());
-        let mixed = Arc::clone(&mix[pick(rates(), rates().sum(), rng)]);
-        let parts = mixed.entry.teams.values().copied();
-        let position = pick(parts, mixed.entry.teams.values().sum(), rng);
-        let team = mixed.entry.teams.keys().nth(position).cloned();
+        let mixed = Arc::clone(&mix[pick_weighted(rates(), rates().sum(), rng)]);
+        let parts = mixed.mix_entry.teams.values().copied();
+        let position = pick_weighted(parts, mixed.mix_entry.teams.values().sum(), rng);
+        let team = mixed.mix_entry.teams.keys().nth(position).cloned();
         let team = team.ok_or_else(|| Error::invalid("mix.teams", "names no team"))?;
         let number = self.next_number;
         self.next_number += 1;
         let mut given = ParameterSet::default();
         let tag = ParameterValue::Text(format!("q{number:06}"));
-        given.0.insert(mixed.entry.tag.clone(), tag);
+        given
+            .0
+            .insert(mixed.mix_entry.unique_parameter.clone(), tag);
         Ok(LoadQuery {
             number,
-            due,
+            due_at: due,
             parameters: mixed.template.bind(&team, given)?,
-            mixed,
+            workload_template: mixed,
             team,
             group,
-            entry: None,
+            entry_index: None,
         })
     }
 }
 
 /// Picks a position in proportion to the weights, which add up to `total`.
-fn pick(weights: impl Iterator<Item = f64>, total: f64, rng: &mut impl Rng) -> usize {
+fn pick_weighted(weights: impl Iterator<Item = f64>, total: f64, rng: &mut impl Rng) -> usize {
     let mut left = rng.random::<f64>() * total;
     let mut last = 0;
     for (position, weight) in weights.enumerate() {
--- a/alderhaven-load/src/main.rs
+++ b/alderhaven-load/src/main.rs
@@ -19,13 +19,13 @@
 use serde::Serialize;
 
 /// The exit code for arguments that are refused.
-const BAD_ARGUMENTS: u8 = 2;
+const EXIT_BAD_ARGUMENTS: u8 = 2;
 /// The exit code where a promise was broken.
-const VIOLATED: u8 = 1;
+const EXIT_VIOLATIONS: u8 = 1;
 /// The longest measured time, in seconds.
-const MOST_SECONDS: u64 = 600;
+const MAX_SECONDS: u64 = 600;
 /// The most entries, and as many relays.
-const MOST_NODES: usize = 64;
+const MAX_NODES: usize = 64;
 
 /// Load and experiment tool of alderhaven; everything runs on loopback in this process.
 #[derive(FromArgs)]
@@ -134,31 +134,31 @@
 }
 
 fn report_command(args: &ReportArgs) -> ExitCode {
-    match report::write(&args.files, &args.out) {
+    match report::write_report(&args.files, &args.out) {
         Ok(page) => {
             println!("{}", page.display());
             ExitCode::SUCCESS
         }
         Err(error) => {
             eprintln!("alder-load: {error:#}");
-            ExitCode::from(BAD_ARGUMENTS)
+            ExitCode::from(EXIT_BAD_ARGUMENTS)
         }
     }
 }
 
 async fn run_command(args: &RunArgs) -> ExitCode {
-    let options = match options_of(args) {
+    let options = match build_options(args) {
         Ok(options) => options,
         Err(error) => {
             eprintln!("alder-load: {error:#}");
-            return ExitCode::from(BAD_ARGUMENTS);
+            return ExitCode::from(EXIT_BAD_ARGUMENTS);
         }
     };
-    match run(args, &options).await {
+    match run_policies(args, &options).await {
         Ok(0) => ExitCode::SUCCESS,
         Ok(violations) => {
             eprintln!("alder-load: {violations} violations");
-            ExitCode::from(VIOLATED)
+            ExitCode::from(EXIT_VIOLATIONS)
         }
         Err(error) => {
             eprintln!("alder-load: {error:#}");
@@ -167,8 +167,8 @@
     }
 }
 
-fn options_of(args: &RunArgs) -> Result<RunOptions> {
-    let full_rate = Workload::of(args.deployment)?.rate_at_full_load();
+fn build_options(args: &RunArgs) -> Result<RunOptions> {
+    let full_rate = Workload::for_deployment(args.deployment)?.rate_at_full_load();
     let load = match (args.load, args.rate) {
         (Some(_), Some(_)) => bail!("--load and --rate can't be given together"),
         (Some(load), None) => load,
@@ -178,12 +178,12 @@
     if !(load > 0.0 && load <= 20.0) {
         bail!("--load: {load} is refused: allowed is above 0 to 20");
     }
-    if !(1..=MOST_SECONDS).contains(&args.seconds) || args.warm_up > MOST_SECONDS {
-        bail!("--seconds and --warm-up: allowed is at most {MOST_SECONDS}, and 1 s of --seconds");
+    if !(1..=MAX_SECONDS).contains(&args.seconds) || args.warm_up > MAX_SECONDS {
+        bail!("--seconds and --warm-up: allowed is at most {MAX_SECONDS}, and 1 s of --seconds");
     }
-    if !(1..=MOST_NODES).contains(&args.nodes) {
+    if !(1..=MAX_NODES).contains(&args.nodes) {
         bail!(
-            "--nodes: {} is refused: allowed is 1 to {MOST_NODES}",
+            "--nodes: {} is refused: allowed is 1 to {MAX_NODES}",
             args.nodes
         );
     }
@@ -198,18 +198,18 @@
         scenario: args.scenario,
         policy: PolicyKind::Current,
         load,
-        measured: TimeSpan::from_secs(args.seconds),
+        measured_time: TimeSpan::from_secs(args.seconds),
         warm_up: TimeSpan::from_secs(args.warm_up),
         seed: args.seed,
         nodes: args.nodes,
         slow_factor: args.slow_factor,
         slow_share: args.slow_share,
-        without_specials: false,
+        without_special_queries: false,
     })
 }
 
 /// Runs the policies one after the other and returns the number of violations.
-async fn run(args: &RunArgs, options: &RunOptions) -> Result<u64> {
+async fn run_policies(args: &RunArgs, options: &RunOptions) -> Result<u64> {
     let mut lines: Vec<RunLine> = Vec::new();
     for policy in args.policy.policies() {
         let options = RunOptions {
@@ -221,7 +221,7 @@
         lines.push(line);
     }
     if let [baseline, current] = lines.as_slice() {
-        print_line(&RatioLine::of(current, baseline), args.json)?;
+        print_line(&RatioLine::from_runs(current, baseline), args.json)?;
     }
     Ok(lines.iter().map(|line| line.violations.total()).sum())
 }
--- a/alderhaven-load/src/query_reply.rs
+++ b/alderhaven-load/src/query_reply.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Debug)]
 pub struct QueryReply {
     /// When the request was sent.
-    pub sent: TimeSpan,
+    pub sent_at: TimeSpan,
     /// When the whole reply was there, or was given up.
-    pub ended: TimeSpan,
+    pub ended_at: TimeSpan,
     /// What was received.
     pub content: ReplyContent,
 }
@@ -25,16 +25,16 @@
     /// A whole body.
     Body(Bytes),
     /// The connection was cut after the request was sent.
-    Cut,
+    Aborted,
     /// No entry could be reached: nothing was sent.
     Unsent,
     /// Nothing came long after the deadline.
-    Silent,
+    TimedOut,
 }
 
 /// A `ReadReply` is a reply's body as it was understood.
 #[derive(Clone, Debug)]
-pub enum ReadReply {
+pub enum ParsedReply {
     /// An answer with rows.
     Answer(AnswerBody),
     /// Everything else.
@@ -77,13 +77,13 @@
 impl QueryReply {
     /// Reads the body.
     #[must_use]
-    pub fn read(&self) -> ReadReply {
+    pub fn parse(&self) -> ParsedReply {
         let ReplyContent::Body(body) = &self.content else {
-            return ReadReply::Unreadable;
+            return ParsedReply::Unreadable;
         };
         if let Ok(answer) = serde_json::from_slice(body) {
-            return ReadReply::Answer(answer);
+            return ParsedReply::Answer(answer);
         }
-        serde_json::from_slice(body).map_or(ReadReply::Unreadable, ReadReply::Error)
+        serde_json::from_slice(body).map_or(ParsedReply::Unreadable, ParsedReply::Error)
     }
 }
--- a/alderhaven-load/src/report.rs
+++ b/alderhaven-load/src/report.rs
@@ -10,13 +10,13 @@
 use crate::report_plot::PlotKind;
 
 /// The name of the page.
-const PAGE: &str = "report.md";
+const PAGE_FILE_NAME: &str = "report.md";
 
 /// Reads the files and writes the report into `directory`; returns the page's path.
 ///
 /// # Errors
 /// Where a file can't be read or written, or holds what is not a result line.
-pub fn write(files: &[String], directory: &str) -> Result<PathBuf> {
+pub fn write_report(files: &[String], directory: &str) -> Result<PathBuf> {
     let mut lines = ReportLines::default();
     for file in files {
         let text = fs::read_to_string(file).wrap_err_with(|| format!("can't read {file}"))?;
@@ -31,14 +31,14 @@
     let mut plots = Vec::new();
     for kind in PlotKind::ALL {
         let svg = kind.draw(&kind.bars(&lines.runs))?;
-        save(&directory.join(kind.file()), &svg)?;
-        plots.push((kind, kind.file().to_owned()));
+        write_file(&directory.join(kind.file_name()), &svg)?;
+        plots.push((kind, kind.file_name().to_owned()));
     }
-    let page = directory.join(PAGE);
-    save(&page, &report_page::page(&lines, &plots))?;
+    let page = directory.join(PAGE_FILE_NAME);
+    write_file(&page, &report_page::render_page(&lines, &plots))?;
     Ok(page)
 }
 
-fn save(path: &Path, text: &str) -> Result<()> {
+fn write_file(path: &Path, text: &str) -> Result<()> {
     fs::write(path, text).wrap_err_with(|| format!("can't write {}", path.display()))
 }
--- a/alderhaven-load/src/report_page.rs
+++ b/alderhaven-load/src/report_page.rs
@@ -52,26 +52,31 @@
 
 /// Writes the page with its tables, and with the named plots.
 #[must_use]
-pub fn page(lines: &ReportLines, plots: &[(PlotKind, String)]) -> String {
+pub fn render_page(lines: &ReportLines, plots: &[(PlotKind, String)]) -> String {
     let mut page = String::from("# Results of load runs\n");
     page.push_str("\nLatencies count from when a query was due. `extra load` is the attempts that the targets ran over the fewest that the answers needed.\n");
-    section(
+    add_section(
         &mut page,
         "Results",
         &RUN_COLUMNS,
-        rows(&lines.runs, run_row),
+        table_rows(&lines.runs, run_row),
+    );
+    let ratios = table_rows(&lines.ratios, ratio_row);
+    add_section(
+        &mut page,
+        "Current over baseline",
+        &RATIO_COLUMNS,
+        ratios,
     );
-    let ratios = rows(&lines.ratios, ratio_row);
-    section(&mut page, "Current over baseline", &RATIO_COLUMNS, ratios);
     let figures = lines.runs.iter().flat_map(figure_rows).collect();
-    section(
+    add_section(
         &mut page,
         "Figures of single scenarios",
         &FIGURE_COLUMNS,
         figures,
     );
-    let machine = rows(&lines.runs, machine_row);
-    section(&mut page, "The machine", &MACHINE_COLUMNS, machine);
+    let machine = table_rows(&lines.runs, machine_row);
+    add_section(&mut page, "The machine", &MACHINE_COLUMNS, machine);
     if !plots.is_empty() {
         page.push_str("\n## Plots\n\nMeans over the seeds.\n");
         for (kind, file) in plots {
@@ -81,12 +86,12 @@
     page
 }
 
-fn rows<T>(lines: &[T], row: impl Fn(&T) -> Vec<String>) -> Vec<Vec<String>> {
+fn table_rows<T>(lines: &[T], row: impl Fn(&T) -> Vec<String>) -> Vec<Vec<String>> {
     lines.iter().map(row).collect()
 }
 
 /// Adds a heading with a table; nothing where the table has no rows.
-fn section(page: &mut String, title: &str, columns: &[&str], rows: Vec<Vec<String>>) {
+fn add_section(page: &mut String, title: &str, columns: &[&str], rows: Vec<Vec<String>>) {
     if rows.is_empty() {
         return;
     }
@@ -111,14 +116,14 @@
         line.refused_not_run.to_string(),
         line.failed.to_string(),
         line.late.to_string(),
-        text(line.p50_ms),
-        text(line.p99_ms),
-        text(line.urgent_p99_ms),
-        text(line.urgent_in_time),
+        figure_text(line.p50_ms),
+        figure_text(line.p99_ms),
+        figure_text(line.urgent_p99_ms),
+        figure_text(line.urgent_in_time),
         line.goodput.to_string(),
         line.fairness.to_string(),
-        text(line.coverage),
-        text(line.extra_load),
+        figure_text(line.coverage),
+        figure_text(line.extra_load),
         line.violations.total().to_string(),
     ]
 }
@@ -127,13 +132,13 @@
     vec![
         line.scenario.to_string(),
         line.seed.to_string(),
-        text(line.p50),
-        text(line.p99),
-        text(line.urgent_p99),
-        text(line.urgent_in_time),
-        text(line.goodput),
-        text(line.coverage),
-        text(line.extra_load),
+        figure_text(line.p50),
+        figure_text(line.p99),
+        figure_text(line.urgent_p99),
+        figure_text(line.urgent_in_time),
+        figure_text(line.goodput),
+        figure_text(line.coverage),
+        figure_text(line.extra_load),
     ]
 }
 
@@ -146,7 +151,7 @@
                 line.policy.to_string(),
                 line.seed.to_string(),
                 name.clone(),
-                text(*figure),
+                figure_text(*figure),
             ]
         })
         .collect()
@@ -159,11 +164,11 @@
         line.seed.to_string(),
         line.machine_busy.to_string(),
         line.cpu_share.to_string(),
-        text(line.send_lag_p99_ms),
+        figure_text(line.send_lag_p99_ms),
     ]
 }
 
 /// Gets a figure as text; a dash where there is none.
-fn text(figure: Option<f64>) -> String {
+fn figure_text(figure: Option<f64>) -> String {
     figure.map_or_else(|| "–".to_owned(), |figure| figure.to_string())
 }
--- a/alderhaven-load/src/report_plot.rs
+++ b/alderhaven-load/src/report_plot.rs
@@ -9,17 +9,17 @@
 use crate::run_line::{RunLine, rounded};
 
 /// The width of a plot, the height of a bar and what is above and below the bars, in pixels.
-const WIDTH: u32 = 800;
-const BAR_HEIGHT: usize = 24;
-const FRAME_HEIGHT: usize = 90;
+const PLOT_WIDTH_PX: u32 = 800;
+const BAR_HEIGHT_PX: usize = 24;
+const FRAME_HEIGHT_PX: usize = 90;
 /// The share of a bar's row that the bar fills.
-const BAR_FILL: f64 = 0.8;
+const BAR_FILL_SHARE: f64 = 0.8;
 /// The size of the labels and of the title, in pixels.
-const LABEL_SIZE: i32 = 13;
-const TITLE_SIZE: i32 = 18;
+const LABEL_SIZE_PX: i32 = 13;
+const TITLE_SIZE_PX: i32 = 18;
 /// The colours of the baseline and of the current policy.
-const BASELINE: RGBColor = RGBColor(200, 200, 200);
-const CURRENT: RGBColor = RGBColor(120, 170, 220);
+const BASELINE_COLOR: RGBColor = RGBColor(200, 200, 200);
+const CURRENT_COLOR: RGBColor = RGBColor(120, 170, 220);
 
 /// A `PlotKind` is a figure that is plotted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 
     /// Gets the name of the file.
     #[must_use]
-    pub const fn file(self) -> &'static str {
+    pub const fn file_name(self) -> &'static str {
         match self {
             Self::TailLatency => "p99.svg",
             Self::UrgentInTime => "urgent-in-time.svg",
@@ -107,46 +107,46 @@
     /// Where the drawing does not fit.
     pub fn draw(self, bars: &[PlotBar]) -> Result<String> {
         let mut svg = String::new();
-        let height = u32::try_from(FRAME_HEIGHT + BAR_HEIGHT * bars.len())?;
-        let area = SVGBackend::with_string(&mut svg, (WIDTH, height)).into_drawing_area();
-        area.fill(&WHITE).map_err(unfit)?;
+        let height = u32::try_from(FRAME_HEIGHT_PX + BAR_HEIGHT_PX * bars.len())?;
+        let area = SVGBackend::with_string(&mut svg, (PLOT_WIDTH_PX, height)).into_drawing_area();
+        area.fill(&WHITE).map_err(drawing_error)?;
         let longest = bars.iter().map(|bar| bar.mean).fold(0.0, f64::max);
         let end = if longest > 0.0 { longest * 1.05 } else { 1.0 };
         let rows = bars.len().max(1) as f64;
         let mut chart = ChartBuilder::on(&area)
-            .caption(self.title(), ("sans-serif", TITLE_SIZE).into_font())
+            .caption(self.title(), ("sans-serif", TITLE_SIZE_PX).into_font())
             .margin(10)
             .x_label_area_size(30)
             .build_cartesian_2d(0.0..end, 0.0..rows)
-            .map_err(unfit)?;
+            .map_err(drawing_error)?;
         let mut mesh = chart.configure_mesh();
         mesh.disable_y_mesh().disable_y_axis();
-        mesh.draw().map_err(unfit)?;
+        mesh.draw().map_err(drawing_error)?;
         let rectangles = bars.iter().enumerate().map(|(position, bar)| {
             // The first bar is drawn on top.
             let bottom = rows - position as f64 - 1.0;
             let color = match bar.policy {
-                PolicyKind::Baseline => BASELINE,
-                PolicyKind::Current => CURRENT,
+                PolicyKind::Baseline => BASELINE_COLOR,
+                PolicyKind::Current => CURRENT_COLOR,
             };
-            let corners = [(0.0, bottom), (bar.mean, bottom + BAR_FILL)];
+            let corners = [(0.0, bottom), (bar.mean, bottom + BAR_FILL_SHARE)];
             Rectangle::new(corners, color.filled())
         });
-        chart.draw_series(rectangles).map_err(unfit)?;
+        chart.draw_series(rectangles).map_err(drawing_error)?;
         let labels = bars.iter().enumerate().map(|(position, bar)| {
-            let top = rows - position as f64 - 1.0 + BAR_FILL;
+            let top = rows - position as f64 - 1.0 + BAR_FILL_SHARE;
             let label = format!("{}: {}", bar.label, rounded(bar.mean));
-            let font = ("sans-serif", LABEL_SIZE).into_font();
+            let font = ("sans-serif", LABEL_SIZE_PX).into_font();
             Text::new(label, (end * 0.01, top), font)
         });
-        chart.draw_series(labels).map_err(unfit)?;
+        chart.draw_series(labels).map_err(drawing_error)?;
         drop(chart);
-        area.present().map_err(unfit)?;
+        area.present().map_err(drawing_error)?;
         drop(area);
         Ok(svg)
     }
 }
 
-fn unfit(error: impl std::fmt::Display) -> eyre::Report {
+fn drawing_error(error: impl std::fmt::Display) -> eyre::Report {
     eyre!("the plot can't be drawn: {error}")
 }
--- a/alderhaven-load/src/run_line.rs
+++ b/alderhaven-load/src/run_line.rs
@@ -113,7 +113,7 @@
 impl RatioLine {
     /// Returns the ratios of two lines of the same scenario and seed.
     #[must_use]
-    pub fn of(current: &RunLine, baseline: &RunLine) -> Self {
+    pub fn from_runs(current: &RunLine, baseline: &RunLine) -> Self {
         Self {
             scenario: current.scenario,
             ratio: "current/baseline".to_owned(),
--- a/alderhaven-load/src/run_options.rs
+++ b/alderhaven-load/src/run_options.rs
@@ -18,7 +18,7 @@
     /// The arrivals a second, as a share of what the targets can serve.
     pub load: f64,
     /// The measured time.
-    pub measured: TimeSpan,
+    pub measured_time: TimeSpan,
     /// The time before it, whose queries are checked but not measured.
     pub warm_up: TimeSpan,
     /// The seed of arrivals, run times and faults.
@@ -30,14 +30,14 @@
     /// The share of the targets that are slow.
     pub slow_share: f64,
     /// Leaves out the special queries of the scenario: the run that it is compared with.
-    pub without_specials: bool,
+    pub without_special_queries: bool,
 }
 
 impl RunOptions {
     /// Gets when the faults and changes of the scenario come, since the run began.
     #[must_use]
     pub fn event_at(&self) -> TimeSpan {
-        self.warm_up + self.measured.mul_f64(0.25)
+        self.warm_up + self.measured_time.mul_f64(0.25)
     }
 }
 
@@ -48,13 +48,13 @@
             scenario: ScenarioKind::Steady,
             policy: PolicyKind::Current,
             load: ScenarioKind::Steady.default_load(),
-            measured: TimeSpan::from_secs(10),
+            measured_time: TimeSpan::from_secs(10),
             warm_up: TimeSpan::from_secs(2),
             seed: 1,
             nodes: 8,
             slow_factor: 10.0,
             slow_share: 0.1,
-            without_specials: false,
+            without_special_queries: false,
         }
     }
 }
--- a/alderhaven-load/src/run_tally.rs
+++ b/alderhaven-load/src/run_tally.rs
@@ -8,9 +8,9 @@
 use hdrhistogram::Histogram;
 
 use crate::cpu_clock::CpuShares;
-use crate::fair_share::FairShare;
+use crate::fairness_tally::FairnessTally;
 use crate::load_query::LoadQuery;
-use crate::query_reply::{AnswerBody, ErrorBody, QueryReply, ReadReply, ReplyContent};
+use crate::query_reply::{AnswerBody, ErrorBody, ParsedReply, QueryReply, ReplyContent};
 use crate::run_line::{RunLine, rounded};
 use crate::run_options::RunOptions;
 use crate::scenario_figures::FigureMap;
@@ -18,7 +18,7 @@
 use crate::workload::Workload;
 
 /// The longest latency that is told apart, in microseconds.
-const LONGEST_US: u64 = 120_000_000;
+const MAX_LATENCY_US: u64 = 120_000_000;
 
 /// A `RunTally` adds up queries and replies.
 #[derive(Debug)]
@@ -26,11 +26,11 @@
     options: &'a RunOptions,
     workload: &'a Workload,
     counts: OutcomeCounts,
-    all: Histogram<u64>,
-    urgent: Histogram<u64>,
-    refusals: Histogram<u64>,
+    all_latencies: Histogram<u64>,
+    urgent_latencies: Histogram<u64>,
+    refusal_latencies: Histogram<u64>,
     send_lags: Histogram<u64>,
-    fair: FairShare,
+    fairness: FairnessTally,
     errors: BTreeMap<String, u64>,
     violations: ViolationCounts,
     /// The useful work that came in the measured time, in seconds of a slot.
@@ -55,12 +55,12 @@
 
 /// A `QueryVerdict` is what a reply comes to for its caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct QueryVerdict {
+struct QueryResult {
     outcome: QueryOutcome,
-    covered: f64,
-    in_time: bool,
+    covered_share: f64,
+    is_in_time: bool,
     /// The answer is in time and covers what its template asks for.
-    useful: bool,
+    is_useful: bool,
 }
 
 impl<'a> RunTally<'a> {
@@ -71,11 +71,11 @@
             options,
             workload,
             counts: OutcomeCounts::default(),
-            all: histogram(),
-            urgent: histogram(),
-            refusals: histogram(),
+            all_latencies: histogram(),
+            urgent_latencies: histogram(),
+            refusal_latencies: histogram(),
             send_lags: histogram(),
-            fair: FairShare::default(),
+            fairness: FairnessTally::default(),
             errors: BTreeMap::new(),
             violations: ViolationCounts::default(),
             useful_work: 0.0,
@@ -91,31 +91,31 @@
 
     /// Adds a query with its reply.
     pub fn add(&mut self, query: &LoadQuery, reply: &QueryReply) {
-        let read = reply.read();
-        if let ReadReply::Answer(answer) = &read {
+        let read = reply.parse();
+        if let ParsedReply::Answer(answer) = &read {
             self.needed_attempts += answer.coverage.answered;
         }
-        let verdict = judge(query, reply, &read);
-        if verdict.useful && self.is_measured(reply.ended) {
-            self.useful_work += query.mixed.work();
+        let verdict = evaluate_reply(query, reply, &read);
+        if verdict.is_useful && self.is_measured(reply.ended_at) {
+            self.useful_work += query.workload_template.mean_work();
         }
-        if !self.is_measured(query.due) {
+        if !self.is_measured(query.due_at) {
             return;
         }
-        if let ReadReply::Error(body) = &read {
+        if let ParsedReply::Error(body) = &read {
             *self.errors.entry(body.error.code.clone()).or_default() += 1;
         }
-        self.count(query, verdict);
-        self.time(query, reply, verdict);
-        self.share(query, verdict);
+        self.count_outcome(query, verdict);
+        self.record_latency(query, reply, verdict);
+        self.record_work(query, verdict);
     }
 
     fn is_measured(&self, at: TimeSpan) -> bool {
         let begin = self.options.warm_up;
-        (begin..begin + self.options.measured).contains(&at)
+        (begin..begin + self.options.measured_time).contains(&at)
     }
 
-    fn count(&mut self, query: &LoadQuery, verdict: QueryVerdict) {
+    fn count_outcome(&mut self, query: &LoadQuery, verdict: QueryResult) {
         let counts = &mut self.counts;
         counts.offered += 1;
         let count = match verdict.outcome {
@@ -130,37 +130,40 @@
             verdict.outcome,
             QueryOutcome::Complete | QueryOutcome::Partial
         );
-        counts.late += u64::from(answered && !verdict.in_time);
-        if query.mixed.template.class == QueryClass::Urgent {
+        counts.late += u64::from(answered && !verdict.is_in_time);
+        if query.workload_template.template.class == QueryClass::Urgent {
             counts.urgent += 1;
-            counts.urgent_in_time += u64::from(verdict.useful);
+            counts.urgent_in_time += u64::from(verdict.is_useful);
         }
     }
 
-    fn time(&mut self, query: &LoadQuery, reply: &QueryReply, verdict: QueryVerdict) {
-        record(&mut self.send_lags, reply.sent.saturating_sub(query.due));
+    fn record_latency(&mut self, query: &LoadQuery, reply: &QueryReply, verdict: QueryResult) {
+        record_span(
+            &mut self.send_lags,
+            reply.sent_at.saturating_sub(query.due_at),
+        );
         if verdict.outcome == QueryOutcome::Refused {
-            let span = reply.ended.saturating_sub(reply.sent);
-            record(&mut self.refusals, span);
+            let span = reply.ended_at.saturating_sub(reply.sent_at);
+            record_span(&mut self.refusal_latencies, span);
             return;
         }
-        self.coverage_sum += verdict.covered;
-        let latency = reply.ended.saturating_sub(query.due);
-        record(&mut self.all, latency);
-        if query.mixed.template.class == QueryClass::Urgent {
-            record(&mut self.urgent, latency);
+        self.coverage_sum += verdict.covered_share;
+        let latency = reply.ended_at.saturating_sub(query.due_at);
+        record_span(&mut self.all_latencies, latency);
+        if query.workload_template.template.class == QueryClass::Urgent {
+            record_span(&mut self.urgent_latencies, latency);
         }
     }
 
-    fn share(&mut self, query: &LoadQuery, verdict: QueryVerdict) {
-        let template = &query.mixed.template;
+    fn record_work(&mut self, query: &LoadQuery, verdict: QueryResult) {
+        let template = &query.workload_template.template;
         let work = self
-            .fair
-            .work_of(&template.service, template.class, &query.team);
-        work.weight = self.workload.weight(&query.team);
-        work.offered += query.mixed.work();
-        if verdict.useful {
-            work.served += query.mixed.work();
+            .fairness
+            .work_mut(&template.service, template.class, &query.team);
+        work.weight = self.workload.team_weight(&query.team);
+        work.offered += query.workload_template.mean_work();
+        if verdict.is_useful {
+            work.served += query.workload_template.mean_work();
         }
     }
 
@@ -169,7 +172,7 @@
     pub fn line(&self, attempts: usize, shares: CpuShares) -> RunLine {
         let options = self.options;
         let counts = &self.counts;
-        let seconds = options.measured.as_secs_f64();
+        let seconds = options.measured_time.as_secs_f64();
         let not_refused = counts.offered - counts.refused;
         RunLine {
             scenario: options.scenario,
@@ -182,22 +185,22 @@
             failed: counts.failed,
             unknown: counts.unknown,
             late: counts.late,
-            p50_ms: quantile_ms(&self.all, 0.5),
-            p99_ms: quantile_ms(&self.all, 0.99),
-            p999_ms: quantile_ms(&self.all, 0.999),
-            urgent_p99_ms: quantile_ms(&self.urgent, 0.99),
-            urgent_in_time: part(counts.urgent_in_time as f64, counts.urgent as f64),
+            p50_ms: quantile_ms(&self.all_latencies, 0.5),
+            p99_ms: quantile_ms(&self.all_latencies, 0.99),
+            p999_ms: quantile_ms(&self.all_latencies, 0.999),
+            urgent_p99_ms: quantile_ms(&self.urgent_latencies, 0.99),
+            urgent_in_time: share_of(counts.urgent_in_time as f64, counts.urgent as f64),
             goodput: rounded(self.useful_work / (self.workload.capacity() * seconds)),
-            fairness: rounded(self.fair.fairness()),
-            coverage: part(self.coverage_sum, not_refused as f64),
-            extra_load: part(attempts as f64, self.needed_attempts as f64),
+            fairness: rounded(self.fairness.fairness()),
+            coverage: share_of(self.coverage_sum, not_refused as f64),
+            extra_load: share_of(attempts as f64, self.needed_attempts as f64),
             violations: self.violations,
             deployment: options.deployment,
             load: options.load,
             rate: rounded(options.load * self.workload.rate_at_full_load()),
             seconds,
             nodes: options.nodes,
-            refusal_p99_ms: quantile_ms(&self.refusals, 0.99),
+            refusal_p99_ms: quantile_ms(&self.refusal_latencies, 0.99),
             errors: self.errors.clone(),
             send_lag_p99_ms: quantile_ms(&self.send_lags, 0.99),
             cpu_share: rounded(shares.process),
@@ -207,23 +210,26 @@
     }
 }
 
-fn judge(query: &LoadQuery, reply: &QueryReply, read: &ReadReply) -> QueryVerdict {
-    let deadline = query.mixed.template.deadline;
-    let in_time = reply.ended.saturating_sub(query.due) <= deadline;
+fn evaluate_reply(query: &LoadQuery, reply: &QueryReply, read: &ParsedReply) -> QueryResult {
+    let deadline = query.workload_template.template.deadline;
+    let in_time = reply.ended_at.saturating_sub(query.due_at) <= deadline;
     let (outcome, covered) = match read {
-        ReadReply::Answer(answer) => (answer.outcome, answer.coverage.share()),
-        ReadReply::Error(body) => (error_outcome(body), 0.0),
-        ReadReply::Unreadable if matches!(reply.content, ReplyContent::Unsent) => {
+        ParsedReply::Answer(answer) => (answer.outcome, answer.coverage.covered_share()),
+        ParsedReply::Error(body) => (error_outcome(body), 0.0),
+        ParsedReply::Unreadable if matches!(reply.content, ReplyContent::Unsent) => {
+            (QueryOutcome::Failed, 0.0)
+        }
+        ParsedReply::Unreadable if query.workload_template.template.idempotent => {
             (QueryOutcome::Failed, 0.0)
         }
-        ReadReply::Unreadable if query.mixed.template.idempotent => (QueryOutcome::Failed, 0.0),
-        ReadReply::Unreadable => (QueryOutcome::Unknown, 0.0),
+        ParsedReply::Unreadable => (QueryOutcome::Unknown, 0.0),
     };
-    QueryVerdict {
+    QueryResult {
         outcome,
-        covered,
-        in_time,
-        useful: in_time && matches!(read, ReadReply::Answer(answer) if covers(query, answer)),
+        covered_share: covered,
+        is_in_time: in_time,
+        is_useful: in_time
+            && matches!(read, ParsedReply::Answer(answer) if meets_coverage(query, answer)),
     }
 }
 
@@ -237,19 +243,21 @@
 
 /// Returns true where the answer covers what its template asks for: all shards, or with a
 /// preference for latency the least share that it names.
-fn covers(query: &LoadQuery, answer: &AnswerBody) -> bool {
-    let template = &query.mixed.template;
+fn meets_coverage(query: &LoadQuery, answer: &AnswerBody) -> bool {
+    let template = &query.workload_template.template;
     match (template.preference, template.min_coverage) {
-        (AnswerPreference::Latency, Some(least)) => answer.coverage.share() >= least.as_f64(),
+        (AnswerPreference::Latency, Some(least)) => {
+            answer.coverage.covered_share() >= least.as_f64()
+        }
         _ => answer.coverage.is_complete(),
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_US, 3).expect("the bounds are valid for a histogram")
+    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds are valid for a histogram")
 }
 
-fn record(histogram: &mut Histogram<u64>, span: TimeSpan) {
+fn record_span(histogram: &mut Histogram<u64>, span: TimeSpan) {
     histogram.saturating_record(span.as_micros());
 }
 
@@ -257,6 +265,6 @@
     (!histogram.is_empty()).then(|| rounded(histogram.value_at_quantile(quantile) as f64 / 1_000.0))
 }
 
-fn part(amount: f64, whole: f64) -> Option<f64> {
+fn share_of(amount: f64, whole: f64) -> Option<f64> {
     (whole > 0.0).then(|| rounded(amount / whole))
 }
--- a/alderhaven-load/src/scenario.rs
+++ b/alderhaven-load/src/scenario.rs
@@ -81,7 +81,7 @@
 
     /// Returns true where the scenario is judged by a second run without its special queries.
     #[must_use]
-    pub const fn is_compared(self) -> bool {
+    pub const fn has_comparison_run(self) -> bool {
         matches!(self, Self::HotTeam | Self::HotKey | Self::LongAmongShort)
     }
 }
--- a/alderhaven-load/src/scenario_figures.rs
+++ b/alderhaven-load/src/scenario_figures.rs
@@ -11,15 +11,16 @@
 
 use crate::load_plan;
 use crate::load_query::{LoadQuery, QueryGroup};
-use crate::query_reply::{QueryReply, ReadReply};
+use crate::query_reply::{ParsedReply, QueryReply};
 use crate::run_line::rounded;
 use crate::run_options::RunOptions;
 use crate::scenario::ScenarioKind;
 
 /// The length of the windows in which the tail is looked at on its way back, and their step.
-const WINDOW: (TimeSpan, TimeSpan) = (TimeSpan::from_secs(1), TimeSpan::from_millis(100));
+const WINDOW_LENGTH_AND_STEP: (TimeSpan, TimeSpan) =
+    (TimeSpan::from_secs(1), TimeSpan::from_millis(100));
 /// The factor of the steady tail within which a tail is called back.
-const BACK_FACTOR: f64 = 1.25;
+const RECOVERED_FACTOR: f64 = 1.25;
 
 /// A `FigureMap` holds figures by their name; one that can't be told is `null`.
 pub type FigureMap = BTreeMap<String, Option<f64>>;
@@ -30,9 +31,9 @@
     options: &'a RunOptions,
     hot_team: TeamId,
     /// When the even load's answered queries were due, and their latencies.
-    answered: Vec<(TimeSpan, TimeSpan)>,
+    answered_latencies: Vec<(TimeSpan, TimeSpan)>,
     others: GroupTally,
-    longs: GroupTally,
+    long_jobs: GroupTally,
     snapshots: BTreeSet<(ServiceName, SnapshotId)>,
 }
 
@@ -40,7 +41,7 @@
 struct GroupTally {
     offered: u64,
     answered: u64,
-    coverage: f64,
+    coverage_sum: f64,
     latencies: Vec<TimeSpan>,
 }
 
@@ -51,9 +52,9 @@
         Self {
             options,
             hot_team: load_plan::hot_team(options.deployment),
-            answered: Vec::new(),
+            answered_latencies: Vec::new(),
             others: GroupTally::default(),
-            longs: GroupTally::default(),
+            long_jobs: GroupTally::default(),
             snapshots: BTreeSet::new(),
         }
     }
@@ -61,31 +62,31 @@
     /// Adds a query with its reply; only those due in the measured time count.
     pub fn add(&mut self, query: &LoadQuery, reply: &QueryReply) {
         let begin = self.options.warm_up;
-        if !(begin..begin + self.options.measured).contains(&query.due) {
+        if !(begin..begin + self.options.measured_time).contains(&query.due_at) {
             return;
         }
-        let latency = reply.ended.saturating_sub(query.due);
-        let coverage = match reply.read() {
-            ReadReply::Answer(answer) => {
-                let service = query.mixed.template.service.clone();
+        let latency = reply.ended_at.saturating_sub(query.due_at);
+        let coverage = match reply.parse() {
+            ParsedReply::Answer(answer) => {
+                let service = query.workload_template.template.service.clone();
                 self.snapshots.insert((service, answer.snapshot));
-                Some(answer.coverage.share())
+                Some(answer.coverage.covered_share())
             }
-            ReadReply::Error(_) | ReadReply::Unreadable => None,
+            ParsedReply::Error(_) | ParsedReply::Unreadable => None,
         };
         if query.group == QueryGroup::Base && coverage.is_some() {
-            self.answered.push((query.due, latency));
+            self.answered_latencies.push((query.due_at, latency));
         }
         let is_hot = self.options.scenario == ScenarioKind::HotTeam && query.team == self.hot_team;
         let group = match query.group {
             QueryGroup::Base if !is_hot => &mut self.others,
-            QueryGroup::Long => &mut self.longs,
+            QueryGroup::LongJob => &mut self.long_jobs,
             _ => return,
         };
         group.offered += 1;
         if let Some(coverage) = coverage {
             group.answered += 1;
-            group.coverage += coverage;
+            group.coverage_sum += coverage;
             group.latencies.push(latency);
         }
     }
@@ -96,27 +97,31 @@
         let mut figures = FigureMap::new();
         match self.options.scenario {
             ScenarioKind::Steady | ScenarioKind::SlowTarget | ScenarioKind::Overload => {}
-            ScenarioKind::HotTeam | ScenarioKind::HotKey => self.add_others(&mut figures),
+            ScenarioKind::HotTeam | ScenarioKind::HotKey => self.add_other_queries(&mut figures),
             ScenarioKind::LongAmongShort => {
-                self.add_others(&mut figures);
-                insert(&mut figures, "long_offered", self.longs.offered as f64);
-                insert(&mut figures, "long_answered", self.longs.answered as f64);
+                self.add_other_queries(&mut figures);
+                insert_figure(&mut figures, "long_offered", self.long_jobs.offered as f64);
+                insert_figure(
+                    &mut figures,
+                    "long_answered",
+                    self.long_jobs.answered as f64,
+                );
             }
             ScenarioKind::Poison => {
-                self.add_others(&mut figures);
+                self.add_other_queries(&mut figures);
                 add_crashes(&mut figures, records);
             }
             ScenarioKind::Burst => {
-                self.add_way_back(&mut figures, load_plan::burst_end(self.options));
+                self.add_recovery(&mut figures, load_plan::burst_end(self.options));
             }
             ScenarioKind::TargetLeaving => {
-                self.add_way_back(&mut figures, self.options.event_at());
-                add_leavings(&mut figures, records, leavings);
+                self.add_recovery(&mut figures, self.options.event_at());
+                add_leaving_targets(&mut figures, records, leavings);
             }
             ScenarioKind::SnapshotChange => {
-                self.add_way_back(&mut figures, self.options.event_at());
+                self.add_recovery(&mut figures, self.options.event_at());
                 let count = self.snapshots.len() as f64;
-                insert(&mut figures, "snapshots_answered", count);
+                insert_figure(&mut figures, "snapshots_answered", count);
             }
             ScenarioKind::SilentConnections
             | ScenarioKind::ColdStart
@@ -124,25 +129,25 @@
             | ScenarioKind::RelayCrash
             | ScenarioKind::StoreOutage
             | ScenarioKind::PublishRace => {
-                self.add_way_back(&mut figures, self.options.event_at());
+                self.add_recovery(&mut figures, self.options.event_at());
             }
         }
         figures
     }
 
-    fn add_others(&self, figures: &mut FigureMap) {
+    fn add_other_queries(&self, figures: &mut FigureMap) {
         let others = &self.others;
         let p99 = p99_ms(others.latencies.clone());
         figures.insert("others_p99_ms".to_owned(), p99);
         let share = others.answered as f64 / (others.offered.max(1) as f64);
-        insert(figures, "others_answered", share);
-        let coverage = others.coverage / (others.offered.max(1) as f64);
-        insert(figures, "others_coverage", coverage);
+        insert_figure(figures, "others_answered", share);
+        let coverage = others.coverage_sum / (others.offered.max(1) as f64);
+        insert_figure(figures, "others_coverage", coverage);
     }
 
     /// Adds the tail before the event, the worst tail of any second after `end`, and the time from
     /// `end` until after that one the tail of a second is near the steady one again.
-    fn add_way_back(&self, figures: &mut FigureMap, end: TimeSpan) {
+    fn add_recovery(&self, figures: &mut FigureMap, end: TimeSpan) {
         let steady = self.p99_between(self.options.warm_up, self.options.event_at());
         let windows = self.windows_after(end);
         // The first of the worst windows: a tail that stays bad never comes back.
@@ -152,7 +157,7 @@
                 worst = Some((*begin, *p99));
             }
         }
-        let is_near = |p99: f64| steady.is_some_and(|steady| p99 <= steady * BACK_FACTOR);
+        let is_near = |p99: f64| steady.is_some_and(|steady| p99 <= steady * RECOVERED_FACTOR);
         // A tail that was never away has no way back.
         let is_back = |(begin, p99): &&(TimeSpan, f64)| {
             worst.is_some_and(|(at, most)| *begin >= at || is_near(most)) && is_near(*p99)
@@ -166,8 +171,8 @@
 
     /// Gets the tails of the windows from `end` on, with their beginnings.
     fn windows_after(&self, end: TimeSpan) -> Vec<(TimeSpan, f64)> {
-        let (length, step) = WINDOW;
-        let last = self.options.warm_up + self.options.measured;
+        let (length, step) = WINDOW_LENGTH_AND_STEP;
+        let last = self.options.warm_up + self.options.measured_time;
         let mut windows = Vec::new();
         let mut begin = end;
         while begin + length <= last {
@@ -182,7 +187,7 @@
 
     fn p99_between(&self, begin: TimeSpan, end: TimeSpan) -> Option<f64> {
         let due = self
-            .answered
+            .answered_latencies
             .iter()
             .filter(|(due, _)| (begin..end).contains(due));
         p99_ms(due.map(|(_, latency)| *latency).collect())
@@ -197,27 +202,27 @@
         }
     }
     let most = crashes.values().max().copied().unwrap_or(0);
-    insert(figures, "poison_requests_run", crashes.len() as f64);
-    insert(figures, "crashes", crashes.values().sum::<u64>() as f64);
-    insert(figures, "most_crashes_per_poison", most as f64);
+    insert_figure(figures, "poison_requests_run", crashes.len() as f64);
+    insert_figure(figures, "crashes", crashes.values().sum::<u64>() as f64);
+    insert_figure(figures, "most_crashes_per_poison", most as f64);
 }
 
-fn add_leavings(figures: &mut FigureMap, records: &[RunRecord], leavings: &[LeavingRecord]) {
+fn add_leaving_targets(figures: &mut FigureMap, records: &[RunRecord], leavings: &[LeavingRecord]) {
     let after = |record: &RunRecord| {
         leavings
             .iter()
             .filter(|leaving| leaving.target == record.target)
-            .filter_map(|leaving| record.started_us.checked_sub(leaving.at_us))
+            .filter_map(|leaving| record.started_us.checked_sub(leaving.leaving_since_us))
             .max()
     };
     let latest = records.iter().filter_map(after).max();
-    insert(figures, "leaving_targets", leavings.len() as f64);
+    insert_figure(figures, "leaving_targets", leavings.len() as f64);
     let latest = latest.map(|span| rounded(span as f64 / 1e3));
     figures.insert("last_run_after_leaving_ms".to_owned(), latest);
 }
 
 /// Adds a figure under its name.
-pub fn insert(figures: &mut FigureMap, name: &str, figure: f64) {
+pub fn insert_figure(figures: &mut FigureMap, name: &str, figure: f64) {
     figures.insert(name.to_owned(), Some(rounded(figure)));
 }
 
--- a/alderhaven-load/src/test_bed.rs
+++ b/alderhaven-load/src/test_bed.rs
@@ -25,18 +25,18 @@
 use tokio::time::{self, Instant};
 use tokio_util::sync::CancellationToken;
 
-use crate::answer_oracle::ConfigSighting;
-use crate::doomed_runtime::DoomedRuntime;
+use crate::answer_oracle::ConfigObservation;
+use crate::crashable_runtime::CrashableRuntime;
 use crate::run_options::RunOptions;
 use crate::scenario::ScenarioKind;
 use crate::workload::Workload;
 
 /// The time within which the whole path must be ready.
-const START_LIMIT: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// The pause between two looks at whether it is.
-const LOOK_PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The pause between two looks at the configuration in force during a run.
-const SIGHTING_PAUSE: Duration = Duration::from_millis(200);
+const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A `TestBed` is a running system with its stand-ins.
 #[derive(Debug)]
@@ -45,13 +45,13 @@
     fleet: TargetFleet,
     manifests: Mutex<Vec<SnapshotManifest>>,
     templates: Vec<QueryTemplate>,
-    publications: AtomicUsize,
+    publication_count: AtomicUsize,
     /// The runtime of the first relay where that is to die.
-    doomed: Mutex<Option<DoomedRuntime>>,
+    crashable_runtime: Mutex<Option<CrashableRuntime>>,
     configs: Vec<(NodeId, ConfigHandle)>,
     relays: Vec<RelayNode>,
     entries: Vec<EntryNode>,
-    sightings: Arc<Mutex<Vec<ConfigSighting>>>,
+    config_observations: Arc<Mutex<Vec<ConfigObservation>>>,
     shutdown: CancellationToken,
 }
 
@@ -78,12 +78,12 @@
             fleet,
             manifests: Mutex::new(manifests),
             templates: workload.objects().templates,
-            publications: AtomicUsize::new(0),
-            doomed: Mutex::default(),
+            publication_count: AtomicUsize::new(0),
+            crashable_runtime: Mutex::default(),
             configs: Vec::new(),
             relays: Vec::new(),
             entries: Vec::new(),
-            sightings: Arc::default(),
+            config_observations: Arc::default(),
             shutdown: CancellationToken::new(),
         };
         bed.start_nodes(options).await?;
@@ -91,9 +91,9 @@
         tokio::spawn(
             bed.shutdown
                 .clone()
-                .run_until_cancelled_owned(watch_configs(
+                .run_until_cancelled_owned(observe_configs(
                     bed.configs.clone(),
-                    Arc::clone(&bed.sightings),
+                    Arc::clone(&bed.config_observations),
                 )),
         );
         Ok(bed)
@@ -102,12 +102,12 @@
     async fn start_nodes(&mut self, options: &RunOptions) -> Result<()> {
         let (policy, nodes) = (options.policy, options.nodes);
         for number in 1..=nodes {
-            let settings: RelaySettings = self.settings("relay", number, policy, "")?;
-            let config = self.follow(&settings.node);
+            let settings: RelaySettings = self.node_settings("relay", number, policy, "")?;
+            let config = self.start_follower(&settings.node);
             let relay = if number == 1 && options.scenario == ScenarioKind::RelayCrash {
-                let doomed = DoomedRuntime::new()?;
+                let doomed = CrashableRuntime::new()?;
                 let starting = doomed.spawn(RelayNode::start(settings, config));
-                *lock(&self.doomed) = Some(doomed);
+                *lock(&self.crashable_runtime) = Some(doomed);
                 starting.await?
             } else {
                 RelayNode::start(settings, config).await
@@ -120,8 +120,8 @@
             serde_json::to_string(&relays)?
         );
         for number in 1..=nodes {
-            let settings: EntrySettings = self.settings("entry", number, policy, &more)?;
-            let config = self.follow(&settings.node);
+            let settings: EntrySettings = self.node_settings("entry", number, policy, &more)?;
+            let config = self.start_follower(&settings.node);
             let entry = EntryNode::start(settings, config).await;
             self.entries.push(entry.wrap_err("an entry can't start")?);
         }
@@ -129,7 +129,7 @@
     }
 
     /// Reads settings as a process does; what is left out takes its default.
-    fn settings<T: serde::de::DeserializeOwned>(
+    fn node_settings<T: serde::de::DeserializeOwned>(
         &self,
         role: &str,
         number: usize,
@@ -145,7 +145,7 @@
         Ok(settings::read_text(role, &text)?)
     }
 
-    fn follow(&mut self, node: &NodeId) -> ConfigHandle {
+    fn start_follower(&mut self, node: &NodeId) -> ConfigHandle {
         let store = HttpStore::new(self.platform.address(), HttpStoreOptions::default());
         let options = FollowerOptions::default();
         let config = ConfigFollower::start(Arc::new(store), options, self.shutdown.clone());
@@ -154,19 +154,22 @@
     }
 
     async fn wait_until_ready(&self) -> Result<()> {
-        let limit = Instant::now() + START_LIMIT;
+        let limit = Instant::now() + START_TIMEOUT;
         while !self.is_ready() {
             if Instant::now() >= limit {
-                bail!("the system is not ready within {} s", START_LIMIT.as_secs());
+                bail!(
+                    "the system is not ready within {} s",
+                    START_TIMEOUT.as_secs()
+                );
             }
-            time::sleep(LOOK_PAUSE).await;
+            time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
     fn is_ready(&self) -> bool {
         let revision = self.platform.store().table().revision();
-        let in_force = |config: &ConfigHandle| config.complete_at() >= Some(revision);
+        let in_force = |config: &ConfigHandle| config.complete_revision() >= Some(revision);
         let is_linked = |entry: &EntryNode| {
             let links = entry.state().routes.links();
             links.len() == self.relays.len() && links.iter().all(|link| link.is_usable())
@@ -194,7 +197,7 @@
     }
 
     /// Notes manifests that were published.
-    pub fn note_manifests(&self, manifests: impl IntoIterator<Item = SnapshotManifest>) {
+    pub fn record_manifests(&self, manifests: impl IntoIterator<Item = SnapshotManifest>) {
         lock(&self.manifests).extend(manifests);
     }
 
@@ -217,26 +220,26 @@
     }
 
     /// Counts publications that were taken.
-    pub fn count_publications(&self, count: usize) {
-        self.publications.fetch_add(count, Ordering::Relaxed);
+    pub fn add_publications(&self, count: usize) {
+        self.publication_count.fetch_add(count, Ordering::Relaxed);
     }
 
     /// Gets the number of publications that were counted.
     #[must_use]
-    pub fn publications(&self) -> usize {
-        self.publications.load(Ordering::Relaxed)
+    pub fn publication_count(&self) -> usize {
+        self.publication_count.load(Ordering::Relaxed)
     }
 
     /// Gets the number of ejections of targets, each entry's counted.
     #[must_use]
-    pub fn ejections(&self) -> u64 {
+    pub fn ejection_count(&self) -> u64 {
         let count = |entry: &EntryNode| entry.state().metrics.ejections.get();
         self.entries.iter().map(count).sum()
     }
 
     /// Gets the fewest relays that any entry can use.
     #[must_use]
-    pub fn usable_relays(&self) -> usize {
+    pub fn min_usable_relays(&self) -> usize {
         let usable = |entry: &EntryNode| {
             let links = entry.state().routes.links();
             links.iter().filter(|link| link.is_usable()).count()
@@ -246,13 +249,13 @@
 
     /// Ends all tasks and connections of the first relay at once.
     pub fn crash_relay(&self) {
-        lock(&self.doomed).take();
+        lock(&self.crashable_runtime).take();
     }
 
     /// Gets what was seen of the nodes' configuration.
     #[must_use]
-    pub fn sightings(&self) -> Vec<ConfigSighting> {
-        lock(&self.sightings).clone()
+    pub fn config_observations(&self) -> Vec<ConfigObservation> {
+        lock(&self.config_observations).clone()
     }
 
     /// Waits until the targets run nothing.
@@ -261,14 +264,14 @@
     /// Where a run goes on beyond `limit`.
     pub async fn wait_until_idle(&self, limit: Duration) -> Result<()> {
         let end = Instant::now() + limit;
-        while self.fleet.runs().running() > 0 {
+        while self.fleet.run_log().running_count() > 0 {
             if Instant::now() >= end {
                 bail!(
                     "targets still run attempts {} s after the last reply",
                     limit.as_secs()
                 );
             }
-            time::sleep(LOOK_PAUSE).await;
+            time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -283,25 +286,25 @@
     }
 }
 
-async fn watch_configs(
+async fn observe_configs(
     configs: Vec<(NodeId, ConfigHandle)>,
-    sightings: Arc<Mutex<Vec<ConfigSighting>>>,
+    sightings: Arc<Mutex<Vec<ConfigObservation>>>,
 ) {
     let mut last: Vec<Option<StoreVersion>> = vec![None; configs.len()];
     loop {
         for (position, (node, config)) in configs.iter().enumerate() {
-            let revision = config.complete_at();
+            let revision = config.complete_revision();
             if revision == last[position] {
                 continue;
             }
             last[position] = revision;
-            let sighting = revision.map(|revision| ConfigSighting {
+            let sighting = revision.map(|revision| ConfigObservation {
                 node: node.clone(),
                 revision,
             });
             lock(&sightings).extend(sighting);
         }
-        time::sleep(SIGHTING_PAUSE).await;
+        time::sleep(CONFIG_POLL_INTERVAL).await;
     }
 }
 
--- a/alderhaven-load/src/test_run.rs
+++ b/alderhaven-load/src/test_run.rs
@@ -4,7 +4,7 @@
 
 use eyre::Result;
 
-use crate::answer_oracle::{self, AnswerOracle, TargetLeaving};
+use crate::answer_oracle::{self, AnswerOracle, LeavingTarget};
 use crate::caller_pool::CallerPool;
 use crate::cpu_clock::CpuClock;
 use crate::fault_script::FaultScript;
@@ -20,9 +20,9 @@
 use crate::workload::Workload;
 
 /// The time within which targets end their last runs; cancelled ones end at once.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The figure by which a compared scenario is judged.
-const COMPARED: &str = "others_p99_ms";
+const COMPARED_FIGURE: &str = "others_p99_ms";
 
 /// Runs one policy and returns its line; a compared scenario runs twice, with its special queries
 /// and without them.
@@ -31,13 +31,13 @@
 /// Where the system can't be started or does not come to rest.
 pub async fn run(options: &RunOptions) -> Result<RunLine> {
     let mut line = run_once(options).await?;
-    if options.scenario.is_compared() {
+    if options.scenario.has_comparison_run() {
         let without = RunOptions {
-            without_specials: true,
+            without_special_queries: true,
             ..options.clone()
         };
-        let alone = run_once(&without).await?.figures[COMPARED];
-        let ratio = match (line.figures[COMPARED], alone) {
+        let alone = run_once(&without).await?.figures[COMPARED_FIGURE];
+        let ratio = match (line.figures[COMPARED_FIGURE], alone) {
             (Some(with), Some(alone)) if alone > 0.0 => Some(rounded(with / alone)),
             _ => None,
         };
@@ -49,59 +49,61 @@
 }
 
 async fn run_once(options: &RunOptions) -> Result<RunLine> {
-    let mut workload = Workload::of(options.deployment)?;
+    let mut workload = Workload::for_deployment(options.deployment)?;
     if options.scenario == ScenarioKind::LongAmongShort {
         workload.add_long_jobs()?;
     }
-    let queries = load_plan::queries_of(options, &workload)?;
+    let queries = load_plan::plan_queries(options, &workload)?;
     let bed = TestBed::start(&workload, options).await?;
     let script = FaultScript::new(options, &bed);
-    script.prepare();
+    script.apply_initial_faults();
     let driver = LoadDriver::new(CallerPool::new(&bed.entry_addresses()));
     let clock = CpuClock::start();
-    let (replies, played) =
-        tokio::join!(driver.run(queries.into_iter()), script.play(driver.began()));
+    let (replies, played) = tokio::join!(
+        driver.run(queries.into_iter()),
+        script.run_event(driver.started_at())
+    );
     played?;
     let shares = clock.shares();
-    bed.wait_until_idle(IDLE_LIMIT).await?;
+    bed.wait_until_idle(IDLE_TIMEOUT).await?;
 
-    let records = bed.fleet().runs().records();
+    let records = bed.fleet().run_log().records();
     let attempts = records.len();
-    let leavings = bed.fleet().services().leavings();
+    let leavings = bed.fleet().services().leaving_targets();
     let mut tally = RunTally::new(options, &workload);
     let mut figures = FigureTally::new(options);
-    let began_to_leave: Vec<TargetLeaving> = leavings
+    let began_to_leave: Vec<LeavingTarget> = leavings
         .iter()
-        .map(|leaving| TargetLeaving {
+        .map(|leaving| LeavingTarget {
             target: leaving.target.clone(),
-            at_us: leaving.at_us,
+            leaving_since_us: leaving.leaving_since_us,
         })
         .collect();
-    for _ in 0..answer_oracle::work_after_leaving(&records, &began_to_leave) {
+    for _ in 0..answer_oracle::count_runs_after_leaving(&records, &began_to_leave) {
         tally.add_violation(ViolationKind::WorkAfterLeaving);
     }
-    for _ in 0..answer_oracle::steps_back(&bed.sightings()) {
+    for _ in 0..answer_oracle::count_config_reversions(&bed.config_observations()) {
         tally.add_violation(ViolationKind::Reverted);
     }
     let oracle = AnswerOracle::new(bed.manifests(), records.clone());
     for (query, reply) in &replies {
         tally.add(query, reply);
         figures.add(query, reply);
-        for kind in oracle.judge(query, reply) {
+        for kind in oracle.check_reply(query, reply) {
             tally.add_violation(kind);
         }
     }
     let mut line = tally.line(attempts, shares);
     line.figures = figures.figures(&records, &leavings);
-    let ejections = bed.ejections() as f64;
-    scenario_figures::insert(&mut line.figures, "ejections", ejections);
+    let ejections = bed.ejection_count() as f64;
+    scenario_figures::insert_figure(&mut line.figures, "ejections", ejections);
     if options.scenario == ScenarioKind::RelayCrash {
-        let usable = bed.usable_relays() as f64;
-        scenario_figures::insert(&mut line.figures, "usable_relays", usable);
+        let usable = bed.min_usable_relays() as f64;
+        scenario_figures::insert_figure(&mut line.figures, "usable_relays", usable);
     }
     if options.scenario == ScenarioKind::PublishRace {
-        let publications = bed.publications() as f64;
-        scenario_figures::insert(&mut line.figures, "publications", publications);
+        let publications = bed.publication_count() as f64;
+        scenario_figures::insert_figure(&mut line.figures, "publications", publications);
     }
     bed.stop().await;
     Ok(line)
--- a/alderhaven-load/src/workload.rs
+++ b/alderhaven-load/src/workload.rs
@@ -14,15 +14,15 @@
 use alderhaven_standin::service_layout::{DeploymentKind, ServiceLayout};
 use serde::{Deserialize, Serialize};
 
-const VOLTA: &str = include_str!("../workloads/volta.yaml");
-const LAGERBLIK: &str = include_str!("../workloads/lagerblik.yaml");
+const VOLTA_YAML: &str = include_str!("../workloads/volta.yaml");
+const LAGERBLIK_YAML: &str = include_str!("../workloads/lagerblik.yaml");
 
 /// The mean run time of a long job, some thirty times that of a short query.
-const LONG_MEAN: TimeSpan = TimeSpan::from_secs(1);
+const LONG_JOB_MEAN_RUN_TIME: TimeSpan = TimeSpan::from_secs(1);
 /// The deadline of a long job.
-const LONG_DEADLINE: TimeSpan = TimeSpan::from_secs(20);
+const LONG_JOB_DEADLINE: TimeSpan = TimeSpan::from_secs(20);
 /// The part of a service's capacity that long jobs take.
-const LONG_SHARE: f64 = 0.2;
+const LONG_JOB_CAPACITY_SHARE: f64 = 0.2;
 
 /// A `WorkloadFile` is the content of a workload file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -43,20 +43,20 @@
     /// The template.
     pub template: TemplateName,
     /// The part of its service's capacity that the template takes at load 1.
-    pub share: f64,
+    pub capacity_share: f64,
     /// The mean run time at a target.
-    pub mean: TimeSpan,
+    pub mean_run_time: TimeSpan,
     /// The parameter that is unique to each query, so that runs can be told apart.
-    pub tag: String,
+    pub unique_parameter: String,
     /// The teams that ask, by their part of the queries.
     pub teams: BTreeMap<TeamId, f64>,
 }
 
 /// A `MixedTemplate` is a template with its place in the mix and its service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MixedTemplate {
+pub struct WorkloadTemplate {
     /// The place in the mix.
-    pub entry: MixEntry,
+    pub mix_entry: MixEntry,
     /// The template.
     pub template: QueryTemplate,
     /// The service that it asks.
@@ -69,17 +69,17 @@
     /// The teams.
     pub teams: Vec<TeamPolicy>,
     /// The templates of the mix.
-    pub mix: Vec<MixedTemplate>,
+    pub mix: Vec<WorkloadTemplate>,
     /// The services, with the run times of the mix.
     pub layouts: Vec<ServiceLayout>,
     /// Long jobs, which are not part of the mix.
-    pub long_jobs: Vec<MixedTemplate>,
+    pub long_jobs: Vec<WorkloadTemplate>,
 }
 
-impl MixedTemplate {
+impl WorkloadTemplate {
     /// Gets the number of shards that a query asks.
     #[must_use]
-    pub fn asked(&self) -> u32 {
+    pub fn shard_count(&self) -> u32 {
         match &self.template.shards {
             ShardSelection::All => self.layout.shards,
             ShardSelection::ByKeyHash { .. } | ShardSelection::ByKeyRange { .. } => 1,
@@ -89,14 +89,14 @@
 
     /// Gets the work of a query, in seconds of a slot: the fewest attempts by their mean time.
     #[must_use]
-    pub fn work(&self) -> f64 {
-        f64::from(self.asked()) * self.entry.mean.as_secs_f64()
+    pub fn mean_work(&self) -> f64 {
+        f64::from(self.shard_count()) * self.mix_entry.mean_run_time.as_secs_f64()
     }
 
     /// Gets the queries a second that take the entry's share of the service.
     #[must_use]
     pub fn rate_at_full_load(&self) -> f64 {
-        self.entry.share * slot_count(&self.layout) / self.work()
+        self.mix_entry.capacity_share * slot_count(&self.layout) / self.mean_work()
     }
 }
 
@@ -105,20 +105,20 @@
     ///
     /// # Errors
     /// `Error::Invalid` where the deployment's file does not check.
-    pub fn of(deployment: DeploymentKind) -> Result<Self> {
+    pub fn for_deployment(deployment: DeploymentKind) -> Result<Self> {
         let text = match deployment {
-            DeploymentKind::Volta => VOLTA,
-            DeploymentKind::Lagerblik => LAGERBLIK,
+            DeploymentKind::Volta => VOLTA_YAML,
+            DeploymentKind::Lagerblik => LAGERBLIK_YAML,
         };
         let path = format!("workloads/{deployment}.yaml");
-        Self::join(settings::read_text(&path, text)?, deployment.layouts())
+        Self::from_file(settings::read_text(&path, text)?, deployment.layouts())
     }
 
     /// Joins a workload file to the services that it asks.
     ///
     /// # Errors
     /// `Error::Invalid` for a template or service that is not there.
-    pub fn join(file: WorkloadFile, mut layouts: Vec<ServiceLayout>) -> Result<Self> {
+    pub fn from_file(file: WorkloadFile, mut layouts: Vec<ServiceLayout>) -> Result<Self> {
         let mut mix = Vec::new();
         for entry in file.mix {
             let template = file
@@ -126,15 +126,18 @@
                 .iter()
                 .find(|template| template.name == entry.template)
                 .cloned()
-                .ok_or_else(|| missing("mix.template", &entry.template))?;
+                .ok_or_else(|| missing_error("mix.template", &entry.template))?;
             let layout = layouts
                 .iter_mut()
                 .find(|layout| layout.service == template.service)
-                .ok_or_else(|| missing("templates.service", &template.service))?;
+                .ok_or_else(|| missing_error("templates.service", &template.service))?;
             let name = entry.template.to_string();
-            layout.service_time.templates.insert(name, entry.mean);
-            mix.push(MixedTemplate {
-                entry,
+            layout
+                .service_time
+                .templates
+                .insert(name, entry.mean_run_time);
+            mix.push(WorkloadTemplate {
+                mix_entry: entry,
                 template,
                 layout: layout.clone(),
             });
@@ -152,8 +155,8 @@
     /// # Errors
     /// `Error::Parse` where a name becomes too long.
     pub fn add_long_jobs(&mut self) -> Result<()> {
-        let is_urgent = |mixed: &&MixedTemplate| mixed.template.class == QueryClass::Urgent;
-        let urgent: Vec<MixedTemplate> = self.mix.iter().filter(is_urgent).cloned().collect();
+        let is_urgent = |mixed: &&WorkloadTemplate| mixed.template.class == QueryClass::Urgent;
+        let urgent: Vec<WorkloadTemplate> = self.mix.iter().filter(is_urgent).cloned().collect();
         for mut mixed in urgent {
             let name: TemplateName = format!("{}-long", mixed.template.name).parse()?;
             mixed.template.name = name.clone();
@@ -161,14 +164,14 @@
             mixed.template.preference = AnswerPreference::Coverage;
             mixed.template.answer_by = None;
             mixed.template.min_coverage = None;
-            mixed.template.deadline = LONG_DEADLINE;
-            mixed.entry.template = name.clone();
-            mixed.entry.mean = LONG_MEAN;
-            mixed.entry.share = LONG_SHARE;
+            mixed.template.deadline = LONG_JOB_DEADLINE;
+            mixed.mix_entry.template = name.clone();
+            mixed.mix_entry.mean_run_time = LONG_JOB_MEAN_RUN_TIME;
+            mixed.mix_entry.capacity_share = LONG_JOB_CAPACITY_SHARE;
             for layout in &mut self.layouts {
                 if layout.service == mixed.template.service {
                     let templates = &mut layout.service_time.templates;
-                    templates.insert(name.to_string(), LONG_MEAN);
+                    templates.insert(name.to_string(), LONG_JOB_MEAN_RUN_TIME);
                 }
             }
             self.long_jobs.push(mixed);
@@ -194,7 +197,10 @@
     /// Gets the queries a second at load 1.
     #[must_use]
     pub fn rate_at_full_load(&self) -> f64 {
-        self.mix.iter().map(MixedTemplate::rate_at_full_load).sum()
+        self.mix
+            .iter()
+            .map(WorkloadTemplate::rate_at_full_load)
+            .sum()
     }
 
     /// Gets the slots of all services that the mix asks: the seconds of a slot in a second.
@@ -213,7 +219,7 @@
 
     /// Gets the weight of a team, 1 where it is not known.
     #[must_use]
-    pub fn weight(&self, team: &TeamId) -> f64 {
+    pub fn team_weight(&self, team: &TeamId) -> f64 {
         self.teams
             .iter()
             .find(|policy| policy.name == *team)
@@ -225,6 +231,6 @@
     f64::from(layout.shards) * f64::from(layout.replicas) * f64::from(layout.slots)
 }
 
-fn missing(field: &str, name: &impl std::fmt::Display) -> Error {
+fn missing_error(field: &str, name: &impl std::fmt::Display) -> Error {
     Error::invalid(field, format!("there is no `{name}`"))
 }
--- a/alderhaven-load/tests/answer_oracle.rs
+++ b/alderhaven-load/tests/answer_oracle.rs
@@ -6,21 +6,21 @@
 
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_load::answer_oracle::{
-    self, AnswerOracle, ConfigSighting, LEAVING_GRACE, TargetLeaving,
+    self, AnswerOracle, ConfigObservation, LEAVING_GRACE, LeavingTarget,
 };
 use alderhaven_load::load_query::LoadQuery;
 use alderhaven_load::query_reply::ReplyContent;
 use alderhaven_load::violations::ViolationKind;
-use alderhaven_standin::run_log::{RunEnd, RunRecord};
+use alderhaven_standin::run_log::{RunRecord, RunStatus};
 use common::{
-    SHARDS, all_rows, complete_answer, duplicate_check, manifest, query_of, refusal, reply,
+    SHARD_COUNT, all_rows, complete_answer, duplicate_check, manifest, query_of, refusal, reply,
     reply_of, rows_of, run_of, runs_of, target,
 };
 use serde_json::{Value, json};
 
 fn judge(query: &LoadQuery, runs: Vec<RunRecord>, body: &Value) -> Vec<ViolationKind> {
     let oracle = AnswerOracle::new(vec![manifest(1), manifest(2)], runs);
-    oracle.judge(query, &reply(query, 10, body))
+    oracle.check_reply(query, &reply(query, 10, body))
 }
 
 #[test]
@@ -104,7 +104,7 @@
 fn judge_shard_that_never_ran() {
     let query = duplicate_check(7, 0);
     let mut runs = runs_of(&query, 1);
-    runs[1].end = RunEnd::Expired;
+    runs[1].status = RunStatus::Expired;
     let found = judge(&query, runs, &complete_answer(&query));
     assert_eq!(found, [ViolationKind::UntrueCoverage]);
 }
@@ -114,8 +114,8 @@
     let query = duplicate_check(7, 0);
     let reports = [
         json!({"asked": 2, "answered": 2, "missing": []}),
-        json!({"asked": SHARDS, "answered": 2, "missing": []}),
-        json!({"asked": SHARDS, "answered": 2, "missing": [{"shard": 1, "reason": "late"}]}),
+        json!({"asked": SHARD_COUNT, "answered": 2, "missing": []}),
+        json!({"asked": SHARD_COUNT, "answered": 2, "missing": [{"shard": 1, "reason": "late"}]}),
     ];
     for report in reports {
         let mut body = complete_answer(&query);
@@ -137,7 +137,7 @@
     let query = duplicate_check(7, 0);
     assert_eq!(judge(&query, Vec::new(), &refusal()), []);
     let mut run = run_of(&query, 1, 1);
-    run.end = RunEnd::Cancelled;
+    run.status = RunStatus::Cancelled;
     let found = judge(&query, vec![run], &refusal());
     assert_eq!(found, [ViolationKind::FalseNotRun]);
 }
@@ -148,7 +148,9 @@
     let runs = vec![run_of(&query, 1, 1), run_of(&query, 1, 1)];
     let body = json!({"error": {"code": "unknown", "message": "lost", "not_run": false}});
     assert_eq!(judge(&query, runs.clone(), &body), []);
-    Arc::make_mut(&mut query.mixed).template.idempotent = false;
+    Arc::make_mut(&mut query.workload_template)
+        .template
+        .idempotent = false;
     assert_eq!(judge(&query, runs, &body), [ViolationKind::DoubleRun]);
 }
 
@@ -156,18 +158,21 @@
 fn judge_cut_connection() {
     let query = duplicate_check(7, 0);
     let oracle = AnswerOracle::new(vec![manifest(1)], Vec::new());
-    let cut = reply_of(&query, 10, ReplyContent::Cut);
-    assert_eq!(oracle.judge(&query, &cut), [ViolationKind::CutInFlight]);
+    let cut = reply_of(&query, 10, ReplyContent::Aborted);
+    assert_eq!(
+        oracle.check_reply(&query, &cut),
+        [ViolationKind::CutInFlight]
+    );
     let unsent = reply_of(&query, 10, ReplyContent::Unsent);
-    assert_eq!(oracle.judge(&query, &unsent), []);
+    assert_eq!(oracle.check_reply(&query, &unsent), []);
 }
 
 #[test]
 fn work_after_leaving_beyond_grace() {
     let query = duplicate_check(7, 0);
-    let leaving = TargetLeaving {
+    let leaving = LeavingTarget {
         target: target(1),
-        at_us: 500,
+        leaving_since_us: 500,
     };
     let limit = 500 + LEAVING_GRACE.as_micros();
     let started_at = |shard, started_us| RunRecord {
@@ -179,12 +184,15 @@
         started_at(1, limit),
         started_at(1, limit + 1),
     ];
-    assert_eq!(answer_oracle::work_after_leaving(&records, &[leaving]), 1);
+    assert_eq!(
+        answer_oracle::count_runs_after_leaving(&records, &[leaving]),
+        1
+    );
 }
 
 #[test]
 fn steps_back_per_node() {
-    let sighting = |node: &str, revision| ConfigSighting {
+    let sighting = |node: &str, revision| ConfigObservation {
         node: node.parse().unwrap(),
         revision: StoreVersion(revision),
     };
@@ -194,7 +202,7 @@
         sighting("entry-1", 4),
         sighting("entry-2", 4),
     ];
-    assert_eq!(answer_oracle::steps_back(&sound), 0);
+    assert_eq!(answer_oracle::count_config_reversions(&sound), 0);
     let reverted = [sighting("entry-1", 4), sighting("entry-1", 3)];
-    assert_eq!(answer_oracle::steps_back(&reverted), 1);
+    assert_eq!(answer_oracle::count_config_reversions(&reverted), 1);
 }
--- a/alderhaven-load/tests/arrivals.rs
+++ b/alderhaven-load/tests/arrivals.rs
@@ -7,7 +7,7 @@
 
 fn phase(secs: u64, rate: f64) -> RatePhase {
     RatePhase {
-        span: TimeSpan::from_secs(secs),
+        duration: TimeSpan::from_secs(secs),
         rate,
     }
 }
--- a/alderhaven-load/tests/common/mod.rs
+++ b/alderhaven-load/tests/common/mod.rs
@@ -9,13 +9,13 @@
 use alderhaven_load::load_query::{LoadQuery, QueryGroup};
 use alderhaven_load::query_reply::{QueryReply, ReplyContent};
 use alderhaven_load::workload::Workload;
-use alderhaven_standin::rows::{DerivedRow, rows_for};
-use alderhaven_standin::run_log::{RunEnd, RunRecord};
+use alderhaven_standin::rows::{DerivedRow, derive_rows};
+use alderhaven_standin::run_log::{RunRecord, RunStatus};
 use alderhaven_standin::service_layout::DeploymentKind;
 use bytes::Bytes;
 use serde_json::{Value, json};
 
-pub const SHARDS: u32 = 3;
+pub const SHARD_COUNT: u32 = 3;
 
 /// Gets a duplicate check (urgent, all shards, concatenated) that is due at `due_ms`.
 pub fn duplicate_check(number: u64, due_ms: u64) -> LoadQuery {
@@ -23,7 +23,7 @@
 }
 
 pub fn query_of(template: &str, number: u64, due_ms: u64) -> LoadQuery {
-    let workload = Workload::of(DeploymentKind::Volta).unwrap();
+    let workload = Workload::for_deployment(DeploymentKind::Volta).unwrap();
     let mixed = workload
         .mix
         .into_iter()
@@ -32,12 +32,12 @@
     let parameters = serde_json::from_value(json!({ "title": format!("q{number:06}") })).unwrap();
     LoadQuery {
         number,
-        due: TimeSpan::from_millis(due_ms),
+        due_at: TimeSpan::from_millis(due_ms),
         team: "publishers".parse().unwrap(),
         parameters,
-        mixed: Arc::new(mixed),
+        workload_template: Arc::new(mixed),
         group: QueryGroup::Base,
-        entry: None,
+        entry_index: None,
     }
 }
 
@@ -45,9 +45,9 @@
     "assignment-desk".parse().unwrap()
 }
 
-/// Gets the manifest of [`SHARDS`] shards whose index version is the snapshot's number.
+/// Gets the manifest of [`SHARD_COUNT`] shards whose index version is the snapshot's number.
 pub fn manifest(snapshot: u64) -> SnapshotManifest {
-    let shards = (0..SHARDS).map(|shard| ShardEntry {
+    let shards = (0..SHARD_COUNT).map(|shard| ShardEntry {
         shard: ShardId(shard),
         version: IndexVersion(snapshot),
         first_key: String::new(),
@@ -80,26 +80,26 @@
             sequence: query.number * 100 + u64::from(shard),
         },
         service: service(),
-        template: query.mixed.template.name.to_string(),
+        template: query.workload_template.template.name.to_string(),
         snapshot: SnapshotId(snapshot),
         shard: ShardId(shard),
         version: IndexVersion(snapshot),
-        parameters: query.parameters.canonical(),
+        parameters: query.parameters.canonical_json(),
         started_us: 1_000,
         ended_us: 2_000,
-        end: RunEnd::Answered,
+        status: RunStatus::Answered,
     }
 }
 
 pub fn runs_of(query: &LoadQuery, snapshot: u64) -> Vec<RunRecord> {
-    (0..SHARDS)
+    (0..SHARD_COUNT)
         .map(|shard| run_of(query, shard, snapshot))
         .collect()
 }
 
 pub fn rows_of(query: &LoadQuery, shard: u32, version: u64) -> Vec<DerivedRow> {
-    let parameters = query.parameters.canonical();
-    rows_for(
+    let parameters = query.parameters.canonical_json();
+    derive_rows(
         &service(),
         ShardId(shard),
         IndexVersion(version),
@@ -108,7 +108,7 @@
 }
 
 pub fn all_rows(query: &LoadQuery, version: u64) -> Vec<DerivedRow> {
-    (0..SHARDS)
+    (0..SHARD_COUNT)
         .flat_map(|shard| rows_of(query, shard, version))
         .collect()
 }
@@ -117,7 +117,7 @@
     json!({
         "outcome": "complete",
         "rows": all_rows(query, 1),
-        "coverage": {"asked": SHARDS, "answered": SHARDS, "missing": []},
+        "coverage": {"asked": SHARD_COUNT, "answered": SHARD_COUNT, "missing": []},
         "snapshot": 1,
     })
 }
@@ -137,8 +137,8 @@
 
 pub fn reply_of(query: &LoadQuery, latency_ms: u64, content: ReplyContent) -> QueryReply {
     QueryReply {
-        sent: query.due,
-        ended: query.due + TimeSpan::from_millis(latency_ms),
+        sent_at: query.due_at,
+        ended_at: query.due_at + TimeSpan::from_millis(latency_ms),
         content,
     }
 }
--- a/alderhaven-load/tests/figures.rs
+++ b/alderhaven-load/tests/figures.rs
@@ -5,19 +5,19 @@
 use alderhaven_core::class::QueryClass;
 use alderhaven_core::time::TimeSpan;
 use alderhaven_load::cpu_clock::CpuShares;
-use alderhaven_load::fair_share::{self, FairShare, TeamWork};
+use alderhaven_load::fairness_tally::{self, FairnessTally, TeamWork};
 use alderhaven_load::query_reply::ReplyContent;
 use alderhaven_load::run_line::{RatioLine, RunLine};
 use alderhaven_load::run_options::RunOptions;
 use alderhaven_load::run_tally::RunTally;
 use alderhaven_load::violations::ViolationKind;
-use alderhaven_load::workload::{MixedTemplate, Workload};
+use alderhaven_load::workload::{Workload, WorkloadTemplate};
 use alderhaven_standin::service_layout::DeploymentKind;
 use common::{complete_answer, duplicate_check, refusal, reply, reply_of};
 use serde_json::{Value, json};
 
 /// The fields that readers of result lines rely on, in their order.
-const FIELDS: [&str; 20] = [
+const RESULT_FIELDS: [&str; 20] = [
     "scenario",
     "policy",
     "seed",
@@ -43,14 +43,14 @@
 fn options() -> RunOptions {
     RunOptions {
         warm_up: TimeSpan::from_secs(1),
-        measured: TimeSpan::from_secs(10),
+        measured_time: TimeSpan::from_secs(10),
         ..RunOptions::default()
     }
 }
 
 fn line(attempts: usize, fill: impl FnOnce(&mut RunTally<'_>)) -> RunLine {
     let options = options();
-    let workload = Workload::of(DeploymentKind::Volta).unwrap();
+    let workload = Workload::for_deployment(DeploymentKind::Volta).unwrap();
     let mut tally = RunTally::new(&options, &workload);
     fill(&mut tally);
     tally.line(attempts, CpuShares::default())
@@ -59,8 +59,8 @@
 #[test]
 fn workload_fills_each_service_at_load_one() {
     for deployment in [DeploymentKind::Volta, DeploymentKind::Lagerblik] {
-        let workload = Workload::of(deployment).unwrap();
-        let work = |mixed: &MixedTemplate| mixed.rate_at_full_load() * mixed.work();
+        let workload = Workload::for_deployment(deployment).unwrap();
+        let work = |mixed: &WorkloadTemplate| mixed.rate_at_full_load() * mixed.mean_work();
         for layout in &workload.layouts {
             let slots = f64::from(layout.shards * layout.replicas * layout.slots);
             let asked: f64 = workload
@@ -95,7 +95,7 @@
         work(1.0, 90.0, 40.0),
         work(2.0, 90.0, 15.0),
     ];
-    let dues = fair_share::dues(&works);
+    let dues = fairness_tally::fair_shares(&works);
     // The first team wants less than its part; the other 55 are shared one to two.
     assert!((dues[0] - 5.0).abs() < 1e-9);
     assert!((dues[1] - 55.0 / 3.0).abs() < 1e-9);
@@ -104,10 +104,10 @@
 
 #[test]
 fn fairness_lowest_team() {
-    let mut fair = FairShare::default();
+    let mut fair = FairnessTally::default();
     for (team, served) in [("publishers", 30.0), ("booksellers", 10.0)] {
         let class = QueryClass::Urgent;
-        *fair.work_of(&common::service(), class, &team.parse().unwrap()) = TeamWork {
+        *fair.work_mut(&common::service(), class, &team.parse().unwrap()) = TeamWork {
             weight: 1.0,
             offered: 100.0,
             served,
@@ -126,7 +126,7 @@
         let query = duplicate_check(3, 2_000);
         tally.add(&query, &reply(&query, 2, &refusal()));
         let query = duplicate_check(4, 2_000);
-        tally.add(&query, &reply_of(&query, 900, ReplyContent::Silent));
+        tally.add(&query, &reply_of(&query, 900, ReplyContent::TimedOut));
         // Due in the warm-up: checked, not counted.
         let query = duplicate_check(5, 500);
         tally.add(&query, &reply(&query, 10, &complete_answer(&query)));
@@ -159,7 +159,7 @@
     let line = line(3, |tally| {
         let query = duplicate_check(1, 1_000);
         let mut late = reply(&query, 700, &complete_answer(&query));
-        late.sent = query.due + TimeSpan::from_millis(600);
+        late.sent_at = query.due_at + TimeSpan::from_millis(600);
         tally.add(&query, &late);
     });
     assert!((699.0..702.0).contains(&line.p50_ms.unwrap()));
@@ -170,7 +170,7 @@
 fn line_fields_in_order() {
     let line = line(0, |_| {});
     let text = serde_json::to_string(&line).unwrap();
-    let places: Vec<usize> = FIELDS
+    let places: Vec<usize> = RESULT_FIELDS
         .iter()
         .map(|field| text.find(&format!("\"{field}\":")).unwrap())
         .collect();
@@ -198,7 +198,7 @@
         coverage: None,
         ..baseline.clone()
     };
-    let ratio = RatioLine::of(&current, &baseline);
+    let ratio = RatioLine::from_runs(&current, &baseline);
     assert!((0.249..0.251).contains(&ratio.p99.unwrap()));
     assert_eq!(ratio.coverage, None);
 }
--- a/alderhaven-load/tests/load_plan.rs
+++ b/alderhaven-load/tests/load_plan.rs
@@ -15,16 +15,16 @@
         deployment,
         scenario,
         load: 0.5,
-        measured: TimeSpan::from_secs(8),
+        measured_time: TimeSpan::from_secs(8),
         warm_up: TimeSpan::from_secs(2),
         ..RunOptions::default()
     }
 }
 
 fn queries(options: &RunOptions) -> Vec<LoadQuery> {
-    let mut workload = Workload::of(options.deployment).unwrap();
+    let mut workload = Workload::for_deployment(options.deployment).unwrap();
     workload.add_long_jobs().unwrap();
-    load_plan::queries_of(options, &workload).unwrap()
+    load_plan::plan_queries(options, &workload).unwrap()
 }
 
 /// What is compared between two draws: when, what, who.
@@ -33,8 +33,8 @@
         .iter()
         .filter(|query| query.group == QueryGroup::Base);
     base.map(|query| {
-        let template = query.mixed.template.name.to_string();
-        (query.due, template, query.team.to_string())
+        let template = query.workload_template.template.name.to_string();
+        (query.due_at, template, query.team.to_string())
     })
     .collect()
 }
@@ -45,16 +45,16 @@
         for scenario in ScenarioKind::ALL {
             let with = options(scenario, deployment);
             let without = RunOptions {
-                without_specials: true,
+                without_special_queries: true,
                 ..with.clone()
             };
             let (with, without) = (queries(&with), queries(&without));
             assert_eq!(base_of(&with), base_of(&without), "{scenario}");
             assert_eq!(base_of(&without).len(), without.len(), "{scenario}");
-            assert!(with.is_sorted_by_key(|query| query.due));
+            assert!(with.is_sorted_by_key(|query| query.due_at));
             let numbers: BTreeSet<u64> = with.iter().map(|query| query.number).collect();
             assert_eq!(numbers.len(), with.len());
-            if scenario.is_compared() {
+            if scenario.has_comparison_run() {
                 assert!(with.len() > without.len(), "{scenario}");
             }
         }
@@ -78,7 +78,7 @@
     let options = options(ScenarioKind::Burst, DeploymentKind::Volta);
     let queries = queries(&options);
     let count = |begin: TimeSpan, end: TimeSpan| {
-        let within = |query: &&LoadQuery| (begin..end).contains(&query.due);
+        let within = |query: &&LoadQuery| (begin..end).contains(&query.due_at);
         queries.iter().filter(within).count() as f64
     };
     let second = TimeSpan::from_secs(1);
@@ -98,16 +98,20 @@
         .collect();
     let sent: BTreeSet<(String, Option<usize>)> = poison
         .iter()
-        .map(|query| (query.parameters.canonical(), query.entry))
+        .map(|query| (query.parameters.canonical_json(), query.entry_index))
         .collect();
     assert_eq!(sent.len(), 3 * options.nodes);
-    assert!(poison.iter().all(|query| query.mixed.asked() == 1));
+    assert!(
+        poison
+            .iter()
+            .all(|query| query.workload_template.shard_count() == 1)
+    );
 }
 
 #[test]
 fn long_jobs_check() {
     for deployment in [DeploymentKind::Volta, DeploymentKind::Lagerblik] {
-        let mut workload = Workload::of(deployment).unwrap();
+        let mut workload = Workload::for_deployment(deployment).unwrap();
         workload.add_long_jobs().unwrap();
         assert_eq!(workload.long_jobs.len(), 2);
         for job in &workload.long_jobs {
--- a/alderhaven-load/tests/report.rs
+++ b/alderhaven-load/tests/report.rs
@@ -19,7 +19,7 @@
         seed,
         ..RunOptions::default()
     };
-    let workload = Workload::of(options.deployment).unwrap();
+    let workload = Workload::for_deployment(options.deployment).unwrap();
     let mut tally = RunTally::new(&options, &workload);
     let query = duplicate_check(1, 3_000);
     tally.add(&query, &reply(&query, latency_ms, &complete_answer(&query)));
@@ -31,7 +31,7 @@
     let mut current = line(PolicyKind::Current, 1, 100);
     current.figures.insert("ejections".to_owned(), Some(2.0));
     current.figures.insert("back_to_steady_ms".to_owned(), None);
-    let ratio = RatioLine::of(&current, &baseline);
+    let ratio = RatioLine::from_runs(&current, &baseline);
     let more = line(PolicyKind::Current, 2, 200);
     let json = |line: &RunLine| serde_json::to_string(line).unwrap();
     let ratio = serde_json::to_string(&ratio).unwrap();
@@ -59,7 +59,7 @@
 #[test]
 fn page_rows_and_plots() {
     let plots = [(PlotKind::Goodput, "goodput.svg".to_owned())];
-    let page = report_page::page(&lines(), &plots);
+    let page = report_page::render_page(&lines(), &plots);
     assert!(page.contains("| steady | volta | baseline | 1 | 0.7 | 1 | 1 | 0 |"));
     assert!(page.contains("| steady | current | 1 | ejections | 2 |"));
     assert!(page.contains("| steady | current | 1 | back_to_steady_ms | – |"));
--- a/alderhaven-load/tests/scenario_figures.rs
+++ b/alderhaven-load/tests/scenario_figures.rs
@@ -17,7 +17,7 @@
     RunOptions {
         scenario,
         warm_up: TimeSpan::from_secs(1),
-        measured: TimeSpan::from_secs(8),
+        measured_time: TimeSpan::from_secs(8),
         ..RunOptions::default()
     }
 }
@@ -91,7 +91,7 @@
     let refused = duplicate_check(3, 2_000);
     pairs.push((refused.clone(), reply(&refused, 1, &refusal())));
     pairs.push(answered(4, 2_000, 900));
-    pairs[3].0.group = QueryGroup::Long;
+    pairs[3].0.group = QueryGroup::LongJob;
     // Due in the warm-up: not counted.
     pairs.push(answered(5, 500, 900));
     let figures = figures(ScenarioKind::LongAmongShort, &pairs, &[], &[]);
@@ -123,7 +123,7 @@
     records[1].started_us = 900_000;
     let leavings = [LeavingRecord {
         target: target(0),
-        at_us: 1_000,
+        leaving_since_us: 1_000,
     }];
     let figures = figures(ScenarioKind::TargetLeaving, &[], &records, &leavings);
     assert_eq!(figures["leaving_targets"], Some(1.0));
--- a/alderhaven-load/tests/whole_run.rs
+++ b/alderhaven-load/tests/whole_run.rs
@@ -17,7 +17,7 @@
             scenario: ScenarioKind::SlowTarget,
             policy: PolicyKind::Current,
             load: 0.2,
-            measured: TimeSpan::from_millis(600),
+            measured_time: TimeSpan::from_millis(600),
             warm_up: TimeSpan::from_millis(200),
             nodes: 2,
             ..RunOptions::default()
@@ -48,7 +48,7 @@
         let options = RunOptions {
             scenario,
             load: 0.1,
-            measured: TimeSpan::from_millis(800),
+            measured_time: TimeSpan::from_millis(800),
             warm_up: TimeSpan::from_millis(100),
             nodes: 2,
             ..RunOptions::default()
--- a/alderhaven-node/src/node_group.rs
+++ b/alderhaven-node/src/node_group.rs
@@ -161,9 +161,9 @@
     /// Returns a channel that changes with the state of the group; it never changes without a
     /// group.
     #[must_use]
-    pub fn changed(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         match &self.peers {
-            Some(peers) => peers.changed(),
+            Some(peers) => peers.subscribe(),
             None => self.no_changes.subscribe(),
         }
     }
@@ -189,9 +189,9 @@
     }
 
     /// Announces to the group that this process is stopping, and ends its participation.
-    pub async fn end(&self) {
+    pub async fn shut_down(&self) {
         if let Some(peers) = &self.peers {
-            peers.end().await;
+            peers.shut_down().await;
         }
     }
 }
@@ -212,7 +212,7 @@
         .stamps(move || stamps.stamps())
         .look_up(move |key| objects.object(key))
         .accept(move |accepted| accept.accept(accepted))
-        .is_listed(move || listed.complete_at().is_some())
-        .changed(config.changed())
+        .is_fully_listed(move || listed.complete_revision().is_some())
+        .changes(config.subscribe())
         .build()
 }
--- a/alderhaven-node/src/process_main.rs
+++ b/alderhaven-node/src/process_main.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use alderhaven_core::logging;
-use alderhaven_core::program::{self, CheckedSettings, SettingsRequest};
+use alderhaven_core::startup::{self, CheckedSettings, SettingsRequest};
 use alderhaven_policy::drain::StopReport;
 use alderhaven_store::config_follower::{ConfigFollower, FollowerOptions};
 use alderhaven_store::config_handle::ConfigHandle;
@@ -79,14 +79,14 @@
 fn serve_with_logging<N: ProcessNode>(settings: N::Settings) -> eyre::Result<()> {
     let log = logging::start_queued(settings.log_level()).wrap_err("failed to start the log")?;
     let result = serve::<N>(settings);
-    log.finish();
+    log.wait_until_written();
     result
 }
 
 fn load_settings<N: ProcessNode>(name: &str) -> Result<N::Settings, ExitCode> {
-    let arguments: Arguments = program::arguments(name)?;
+    let arguments: Arguments = startup::parse_arguments(name)?;
     let request = SettingsRequest::from_switches(arguments.check, arguments.print_settings);
-    program::load(&arguments.settings, request)
+    startup::load_settings(&arguments.settings, request)
 }
 
 fn exit_code(result: eyre::Result<()>) -> ExitCode {
--- a/alderhaven-node/src/stop_handle.rs
+++ b/alderhaven-node/src/stop_handle.rs
@@ -126,7 +126,7 @@
             }
             self.enter_state(sequence.state(), &group).await;
             if let Some(report) = sequence.report() {
-                group.end().await;
+                group.shut_down().await;
                 self.report.send_replace(Some(report));
                 return;
             }
--- a/alderhaven-peer/examples/member-slopes/group_costs.rs
+++ b/alderhaven-peer/examples/member-slopes/group_costs.rs
@@ -8,7 +8,7 @@
     /// The number of members.
     pub members: usize,
     /// With nothing going on.
-    pub rest: PhaseCosts,
+    pub idle: PhaseCosts,
     /// The resident memory a member, in KB.
     pub memory_kb: f64,
     /// What events cost, where they were measured.
--- a/alderhaven-peer/examples/member-slopes/loopback_group.rs
+++ b/alderhaven-peer/examples/member-slopes/loopback_group.rs
@@ -17,15 +17,15 @@
 use crate::process_usage;
 
 /// The time for which rest is measured.
-const REST: Duration = Duration::from_secs(20);
+const IDLE_DURATION: Duration = Duration::from_secs(20);
 /// The time for each member that the news of so many starts goes on for.
-const SETTLE_PER_MEMBER: Duration = Duration::from_millis(150);
+const SETTLE_TIME_PER_MEMBER: Duration = Duration::from_millis(150);
 /// The pause between two starts: 20 members start a second.
 const START_PAUSE: Duration = Duration::from_millis(50);
 /// The bytes of the IP and UDP headers of a datagram.
-const HEADER_BYTES: u64 = 28;
+const DATAGRAM_HEADER_BYTES: u64 = 28;
 /// The worker threads for all members together.
-const WORKERS: usize = 2;
+const WORKER_THREADS: usize = 2;
 
 /// A `LoopbackGroup` runs the members.
 pub struct LoopbackGroup {
@@ -36,30 +36,33 @@
     /// Measures a group of `members` members.
     pub fn measure(members: usize) -> GroupCosts {
         let runtime = Builder::new_multi_thread()
-            .worker_threads(WORKERS)
+            .worker_threads(WORKER_THREADS)
             .enable_all()
             .build()
             .expect("threads can be started");
-        runtime.block_on(Self::measure_rest(members))
+        runtime.block_on(Self::measure_idle(members))
     }
 
-    async fn measure_rest(members: usize) -> GroupCosts {
+    async fn measure_idle(members: usize) -> GroupCosts {
         let memory_before = process_usage::resident_kb();
         let group = Self::start(members).await;
         let memory_kb = (process_usage::resident_kb() - memory_before) / members as f64;
-        time::sleep(REST / 4 + SETTLE_PER_MEMBER * u32::try_from(members).unwrap_or(0)).await;
-        let (traffic, core_s) = (group.traffic(), process_usage::core_seconds());
-        time::sleep(REST).await;
-        let (datagrams, bytes) = group.traffic();
-        let member_seconds = members as f64 * REST.as_secs_f64();
+        time::sleep(
+            IDLE_DURATION / 4 + SETTLE_TIME_PER_MEMBER * u32::try_from(members).unwrap_or(0),
+        )
+        .await;
+        let (traffic, core_s) = (group.total_traffic(), process_usage::cpu_seconds());
+        time::sleep(IDLE_DURATION).await;
+        let (datagrams, bytes) = group.total_traffic();
+        let member_seconds = members as f64 * IDLE_DURATION.as_secs_f64();
         let rest = PhaseCosts {
             datagrams_per_s: (datagrams - traffic.0) as f64 / member_seconds,
             bytes_per_s: (bytes - traffic.1) as f64 / member_seconds,
-            core_share: (process_usage::core_seconds() - core_s) / member_seconds,
+            core_share: (process_usage::cpu_seconds() - core_s) / member_seconds,
         };
         GroupCosts {
             members,
-            rest,
+            idle: rest,
             memory_kb,
             events: None,
         }
@@ -85,13 +88,13 @@
                     ..MembershipOptions::default()
                 })
                 .build();
-            let handle = PeerNode::start(options, no_config()).await;
+            let handle = PeerNode::start(options, empty_config()).await;
             handles.push(handle.expect("loopback can be bound"));
             time::sleep(START_PAUSE).await;
         }
         for handle in &handles {
-            let mut changed = handle.changed();
-            while alive(handle) < members {
+            let mut changed = handle.subscribe();
+            while alive_count(handle) < members {
                 changed.changed().await.expect("the task runs");
             }
         }
@@ -99,21 +102,23 @@
     }
 
     /// Gets the datagrams and their bytes, sent and received, of all members together.
-    fn traffic(&self) -> (u64, u64) {
+    fn total_traffic(&self) -> (u64, u64) {
         let traffic = self.handles.iter().map(|handle| handle.snapshot().traffic);
         traffic.fold((0, 0), |(datagrams, bytes), traffic: PeerTraffic| {
-            let kinds = [MessageKind::Probe, MessageKind::News, MessageKind::Sync];
-            let sent = kinds.map(|kind| traffic.sent_of(kind));
+            let kinds = [MessageKind::Probe, MessageKind::Updates, MessageKind::Sync];
+            let sent = kinds.map(|kind| traffic.sent_traffic(kind));
             let messages: u64 = sent.iter().map(|count| count.messages).sum();
-            let sizes = sent.iter().map(|count| count.near_bytes + count.far_bytes);
+            let sizes = sent
+                .iter()
+                .map(|count| count.own_domain_bytes + count.cross_domain_bytes);
             let count = messages + traffic.datagrams_received;
-            let size = sizes.sum::<u64>() + traffic.bytes_received + count * HEADER_BYTES;
+            let size = sizes.sum::<u64>() + traffic.bytes_received + count * DATAGRAM_HEADER_BYTES;
             (datagrams + count, bytes + size)
         })
     }
 }
 
-fn alive(handle: &PeerHandle) -> usize {
+fn alive_count(handle: &PeerHandle) -> usize {
     let snapshot = handle.snapshot();
     let alive = snapshot
         .members
@@ -122,12 +127,12 @@
     alive.count()
 }
 
-fn no_config() -> ConfigAccess {
+fn empty_config() -> ConfigAccess {
     ConfigAccess::builder()
         .stamps(Vec::new)
         .look_up(|_| None)
         .accept(drop)
-        .is_listed(|| true)
-        .changed(watch::Sender::new(0).subscribe())
+        .is_fully_listed(|| true)
+        .changes(watch::Sender::new(0).subscribe())
         .build()
 }
--- a/alderhaven-peer/examples/member-slopes/main.rs
+++ b/alderhaven-peer/examples/member-slopes/main.rs
@@ -8,20 +8,20 @@
 
 mod group_costs;
 mod loopback_group;
-mod passed_time_group;
 mod process_usage;
+mod simulated_group;
 
 use group_costs::GroupCosts;
 use loopback_group::LoopbackGroup;
-use passed_time_group::PassedTimeGroup;
 use serde::Serialize;
+use simulated_group::SimulatedGroup;
 
 /// The numbers of members where none are named: what runs today, two between, and the size of two years on.
-const SIZES: [usize; 4] = [8, 64, 256, 580];
+const DEFAULT_MEMBER_COUNTS: [usize; 4] = [8, 64, 256, 580];
 
 /// The numbers of members on loopback where none are named. 580 that start within half a minute
 /// keep the two threads of that mode busy for good and do not all find each other.
-const LOOPBACK_SIZES: [usize; 3] = [8, 64, 256];
+const DEFAULT_LOOPBACK_MEMBER_COUNTS: [usize; 3] = [8, 64, 256];
 
 /// A `SlopeLine` says how a cost grows from the smallest to the largest number of members.
 #[derive(Serialize)]
@@ -39,8 +39,8 @@
         .collect();
     let sizes = match (named.is_empty(), is_loopback) {
         (false, _) => named,
-        (true, false) => SIZES.to_vec(),
-        (true, true) => LOOPBACK_SIZES.to_vec(),
+        (true, false) => DEFAULT_MEMBER_COUNTS.to_vec(),
+        (true, true) => DEFAULT_LOOPBACK_MEMBER_COUNTS.to_vec(),
     };
     let costs: Vec<GroupCosts> = sizes
         .into_iter()
@@ -48,20 +48,20 @@
             let costs = if is_loopback {
                 LoopbackGroup::measure(size)
             } else {
-                PassedTimeGroup::measure(size)
+                SimulatedGroup::measure(size)
             };
             print_line(&costs);
             costs
         })
         .collect();
     print_slope("bytes/s a member at rest", &costs, |costs| {
-        Some(costs.rest.bytes_per_s)
+        Some(costs.idle.bytes_per_s)
     });
     print_slope("datagrams/s a member at rest", &costs, |costs| {
-        Some(costs.rest.datagrams_per_s)
+        Some(costs.idle.datagrams_per_s)
     });
     print_slope("share of a core a member at rest", &costs, |costs| {
-        Some(costs.rest.core_share)
+        Some(costs.idle.core_share)
     });
     print_slope("KB of memory a member", &costs, |costs| {
         Some(costs.memory_kb)
--- a/alderhaven-peer/examples/member-slopes/process_usage.rs
+++ b/alderhaven-peer/examples/member-slopes/process_usage.rs
@@ -9,7 +9,7 @@
 const PAGE_KB: f64 = 4.0;
 
 /// Gets the processor time used so far, in seconds; zero where it is not told.
-pub fn core_seconds() -> f64 {
+pub fn cpu_seconds() -> f64 {
     // Fields 14 and 15, counted after the program's name, which ends with the last `)`.
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = text.rsplit(')').next().unwrap_or_default();
--- a/alderhaven-peer/examples/member-slopes/passed_time_group.rs
+++ b/alderhaven-peer/examples/member-slopes/simulated_group.rs
@@ -28,52 +28,52 @@
 use crate::process_usage;
 
 /// The time between two ticks, as the driver's.
-const STEP: TimeSpan = TimeSpan::from_millis(50);
+const TICK_INTERVAL: TimeSpan = TimeSpan::from_millis(50);
 /// The time for which rest is measured.
-const REST: TimeSpan = TimeSpan::from_secs(30);
+const IDLE_DURATION: TimeSpan = TimeSpan::from_secs(30);
 /// The time that an event is given, after which its costs are over.
-const EVENT: TimeSpan = TimeSpan::from_secs(15);
+const EVENT_DURATION: TimeSpan = TimeSpan::from_secs(15);
 /// How many members start in one step.
 const STARTS_PER_STEP: usize = 4;
 /// The time that a split lasts.
-const SPLIT: TimeSpan = TimeSpan::from_secs(60);
+const PARTITION_DURATION: TimeSpan = TimeSpan::from_secs(60);
 /// The delay of a message within a region and the further one between the two.
-const DELAY_US: std::ops::Range<u64> = 200..1_500;
-const REGION_DELAY_US: u64 = 15_000;
+const REGION_DELAY_RANGE_US: std::ops::Range<u64> = 200..1_500;
+const CROSS_REGION_DELAY_US: u64 = 15_000;
 /// The bytes of the IP and UDP headers of a datagram.
-const HEADER_BYTES: usize = 28;
+const DATAGRAM_HEADER_BYTES: usize = 28;
 /// The bytes beside a frame of the exchange: its length and the TCP and IP headers.
-const FRAME_BYTES: usize = 56;
+const FRAME_OVERHEAD_BYTES: usize = 56;
 /// The objects of the configuration: a few hundred templates and teams of 2 KB.
-const OBJECTS: usize = 300;
+const OBJECT_COUNT: usize = 300;
 const OBJECT_BYTES: usize = 2_000;
 /// How many members watch the store.
-const WATCHERS: usize = 3;
+const WATCHER_COUNT: usize = 3;
 /// The events of a day at the size of two years on.
-const CHANGES: f64 = 3_100.0;
-const RESTARTS: f64 = 890.0;
-const DEATHS: f64 = 6.0;
-const DAY_S: f64 = 86_400.0;
+const CHANGES_PER_DAY: f64 = 3_100.0;
+const RESTARTS_PER_DAY: f64 = 890.0;
+const DEATHS_PER_DAY: f64 = 6.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// A `PassedTimeGroup` runs the members.
-pub struct PassedTimeGroup {
-    processes: Vec<GroupProcess>,
+pub struct SimulatedGroup {
+    processes: Vec<SimulatedProcess>,
     packets: BinaryHeap<Reverse<(TimePoint, u64, Packet)>>,
     now: TimePoint,
     rng: StdRng,
     traffic: Traffic,
-    versions: u64,
-    is_split: bool,
-    checking_s: f64,
+    last_version: u64,
+    is_partitioned: bool,
+    check_cpu_s: f64,
 }
 
-struct GroupProcess {
+struct SimulatedProcess {
     membership: GroupMembership,
     exchange: ObjectExchange,
     registry: ConfigRegistry,
     is_running: bool,
     /// When the process ticks within a step; processes do not tick together.
-    phase: TimeSpan,
+    tick_offset: TimeSpan,
     peers: PeerSet,
     revision: u64,
 }
@@ -102,7 +102,7 @@
 /// A `UsageMark` is a point from which costs are counted.
 struct UsageMark {
     traffic: Traffic,
-    core_s: f64,
+    cpu_s: f64,
 }
 
 fn node_id(index: usize) -> NodeId {
@@ -118,7 +118,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-impl GroupProcess {
+impl SimulatedProcess {
     fn start(index: usize, start: u64, rng: &mut StdRng) -> Self {
         let record = MemberRecord {
             node: node_id(index),
@@ -145,14 +145,14 @@
             exchange: ObjectExchange::new(ExchangeOptions::default()),
             registry: ConfigRegistry::default(),
             is_running: true,
-            phase: TimeSpan::from_micros(rng.random_range(0..STEP.as_micros())),
+            tick_offset: TimeSpan::from_micros(rng.random_range(0..TICK_INTERVAL.as_micros())),
             peers: PeerSet::default(),
             revision: 0,
         }
     }
 
     /// Renews the peers of the exchange, as the driver does.
-    fn renew_peers(&mut self) {
+    fn refresh_peers(&mut self) {
         if self.revision == self.membership.revision() {
             return;
         }
@@ -161,17 +161,17 @@
     }
 }
 
-impl PassedTimeGroup {
+impl SimulatedGroup {
     /// Measures a group of `members` members.
     pub fn measure(members: usize) -> GroupCosts {
         let memory_before = process_usage::resident_kb();
         let mut group = Self::start(members);
         let memory_kb = (process_usage::resident_kb() - memory_before) / members as f64;
-        let rest = group.measure_rest();
+        let rest = group.measure_idle();
         let events = Some(group.measure_events(&rest));
         GroupCosts {
             members,
-            rest,
+            idle: rest,
             memory_kb,
             events,
         }
@@ -181,19 +181,22 @@
         let (change, change_reported_s) = self.measure_change(rest);
         let gone = self.processes.len() - 1;
         self.processes[gone].is_running = false;
-        let death = self.measure_event(rest, |group| group.all_believe(gone, MemberState::Dead));
+        let death = self.measure_event(rest, |group| group.all_see_state(gone, MemberState::Dead));
         self.restart(gone);
-        self.run(EVENT);
+        self.run(EVENT_DURATION);
         let left = self.processes.len() - 2;
         self.leave(left);
-        let leaving =
-            self.measure_event(rest, |group| group.all_believe(left, MemberState::Leaving));
+        let leaving = self.measure_event(rest, |group| {
+            group.all_see_state(left, MemberState::Leaving)
+        });
         self.restart(left);
-        let restart = self.measure_event(rest, |group| group.all_believe(left, MemberState::Alive));
+        let restart =
+            self.measure_event(rest, |group| group.all_see_state(left, MemberState::Alive));
         let heal = self.measure_heal(rest);
         let over_a_day = |cost: fn(&EventCosts) -> f64| {
-            let restarts = RESTARTS * (cost(&leaving) + cost(&restart));
-            (CHANGES * cost(&change) + restarts + DEATHS * cost(&death)) / DAY_S
+            let restarts = RESTARTS_PER_DAY * (cost(&leaving) + cost(&restart));
+            (CHANGES_PER_DAY * cost(&change) + restarts + DEATHS_PER_DAY * cost(&death))
+                / SECONDS_PER_DAY
         };
         GroupEvents {
             day_bytes_per_s: rest.bytes_per_s + over_a_day(|event| event.bytes),
@@ -215,35 +218,37 @@
             now: TimePoint::from_micros(1_000_000),
             rng: StdRng::seed_from_u64(580),
             traffic: Traffic::default(),
-            versions: 0,
-            is_split: false,
-            checking_s: 0.0,
+            last_version: 0,
+            is_partitioned: false,
+            check_cpu_s: 0.0,
         };
         while group.processes.len() < members {
             for _ in 0..STARTS_PER_STEP.min(members - group.processes.len()) {
                 let index = group.processes.len();
-                let process = GroupProcess::start(index, 1, &mut group.rng);
+                let process = SimulatedProcess::start(index, 1, &mut group.rng);
                 group.processes.push(process);
                 group.schedule_tick(index);
             }
-            group.run(STEP);
+            group.run(TICK_INTERVAL);
         }
-        group.publish(0..OBJECTS);
+        group.publish(0..OBJECT_COUNT);
         let limit = TimeSpan::from_secs(300);
-        let settled = group.run_until(limit, |group| group.all_agree() && group.all_in_force());
+        let settled = group.run_until(limit, |group| {
+            group.views_agree() && group.all_hold_config()
+        });
         assert!(
             settled.is_some(),
             "{members} members do not find each other"
         );
-        group.run(EVENT);
+        group.run(EVENT_DURATION);
         group
     }
 
-    fn measure_rest(&mut self) -> PhaseCosts {
-        let mark = self.mark();
-        self.run(REST);
-        let (traffic, core_s) = self.since(&mark);
-        let member_seconds = self.processes.len() as f64 * REST.as_secs_f64();
+    fn measure_idle(&mut self) -> PhaseCosts {
+        let mark = self.usage_mark();
+        self.run(IDLE_DURATION);
+        let (traffic, core_s) = self.usage_since(&mark);
+        let member_seconds = self.processes.len() as f64 * IDLE_DURATION.as_secs_f64();
         PhaseCosts {
             datagrams_per_s: traffic.datagrams as f64 / member_seconds,
             bytes_per_s: traffic.bytes as f64 / member_seconds,
@@ -252,12 +257,12 @@
     }
 
     fn measure_change(&mut self, rest: &PhaseCosts) -> (EventCosts, f64) {
-        let (mark, start) = (self.mark(), self.now);
+        let (mark, start) = (self.usage_mark(), self.now);
         self.publish(0..1);
-        let known = self.run_until(EVENT, Self::all_in_force);
-        self.run_until(EVENT, Self::all_reported);
+        let known = self.run_until(EVENT_DURATION, Self::all_hold_config);
+        self.run_until(EVENT_DURATION, Self::all_reports_current);
         let reported = self.now.since(start);
-        self.run(EVENT.saturating_sub(reported));
+        self.run(EVENT_DURATION.saturating_sub(reported));
         (
             self.event_costs(&mark, start, known, rest),
             reported.as_secs_f64(),
@@ -265,18 +270,18 @@
     }
 
     fn measure_event(&mut self, rest: &PhaseCosts, is_known: impl Fn(&Self) -> bool) -> EventCosts {
-        let (mark, start) = (self.mark(), self.now);
-        let known = self.run_until(EVENT, is_known);
-        self.run(EVENT.saturating_sub(self.now.since(start)));
+        let (mark, start) = (self.usage_mark(), self.now);
+        let known = self.run_until(EVENT_DURATION, is_known);
+        self.run(EVENT_DURATION.saturating_sub(self.now.since(start)));
         self.event_costs(&mark, start, known, rest)
     }
 
     fn measure_heal(&mut self, rest: &PhaseCosts) -> EventCosts {
-        self.is_split = true;
-        self.run(SPLIT);
-        self.is_split = false;
-        let (mark, start) = (self.mark(), self.now);
-        let known = self.run_until(TimeSpan::from_secs(120), Self::all_agree);
+        self.is_partitioned = true;
+        self.run(PARTITION_DURATION);
+        self.is_partitioned = false;
+        let (mark, start) = (self.usage_mark(), self.now);
+        let known = self.run_until(TimeSpan::from_secs(120), Self::views_agree);
         self.event_costs(&mark, start, known, rest)
     }
 
@@ -287,7 +292,7 @@
         known: Option<TimeSpan>,
         rest: &PhaseCosts,
     ) -> EventCosts {
-        let (traffic, core_s) = self.since(mark);
+        let (traffic, core_s) = self.usage_since(mark);
         let (seconds, members) = (
             self.now.since(start).as_secs_f64(),
             self.processes.len() as f64,
@@ -299,28 +304,28 @@
         }
     }
 
-    fn mark(&self) -> UsageMark {
+    fn usage_mark(&self) -> UsageMark {
         UsageMark {
             traffic: self.traffic,
-            core_s: process_usage::core_seconds() - self.checking_s,
+            cpu_s: process_usage::cpu_seconds() - self.check_cpu_s,
         }
     }
 
-    fn since(&self, mark: &UsageMark) -> (Traffic, f64) {
+    fn usage_since(&self, mark: &UsageMark) -> (Traffic, f64) {
         let traffic = Traffic {
             datagrams: self.traffic.datagrams - mark.traffic.datagrams,
             bytes: self.traffic.bytes - mark.traffic.bytes,
         };
         (
             traffic,
-            process_usage::core_seconds() - self.checking_s - mark.core_s,
+            process_usage::cpu_seconds() - self.check_cpu_s - mark.cpu_s,
         )
     }
 
     /// Writes new versions of objects and lets the watchers hear of them.
     fn publish(&mut self, indices: std::ops::Range<usize>) {
         let objects: Vec<StoredObject> = indices.map(|index| self.new_version(index)).collect();
-        for watcher in 0..WATCHERS.min(self.processes.len()) {
+        for watcher in 0..WATCHER_COUNT.min(self.processes.len()) {
             let process = &mut self.processes[watcher];
             process.exchange.mark_complete();
             for object in &objects {
@@ -330,19 +335,19 @@
             let step = process
                 .exchange
                 .announce_held(stamps, &process.peers, &mut self.rng);
-            self.carry_out(watcher, step);
+            self.apply_output(watcher, step);
         }
     }
 
     fn new_version(&mut self, index: usize) -> StoredObject {
-        self.versions += 1;
+        self.last_version += 1;
         StoredObject {
             key: ObjectKey {
                 kind: ObjectKind::Drain,
                 name: format!("target-{index}"),
             },
-            version: StoreVersion(self.versions),
-            write_id: self.versions.to_string(),
+            version: StoreVersion(self.last_version),
+            write_id: self.last_version.to_string(),
             body: Some("x".repeat(OBJECT_BYTES)),
         }
     }
@@ -356,13 +361,13 @@
     fn restart(&mut self, index: usize) {
         let was_running = self.processes[index].is_running;
         let start = self.now.as_micros();
-        self.processes[index] = GroupProcess::start(index, start, &mut self.rng);
+        self.processes[index] = SimulatedProcess::start(index, start, &mut self.rng);
         if !was_running {
             self.schedule_tick(index);
         }
     }
 
-    fn all_agree(&self) -> bool {
+    fn views_agree(&self) -> bool {
         let live: Vec<_> = self
             .processes
             .iter()
@@ -375,21 +380,21 @@
         views.len() == 1 && live[0].membership.members().len() >= live.len()
     }
 
-    fn all_believe(&self, member: usize, state: MemberState) -> bool {
+    fn all_see_state(&self, member: usize, state: MemberState) -> bool {
         let node = node_id(member);
         let live = self.processes.iter().filter(|process| process.is_running);
         live.map(|process| process.membership.state_of(&node))
             .all(|believed| believed == Some(state))
     }
 
-    fn all_in_force(&self) -> bool {
+    fn all_hold_config(&self) -> bool {
         let newest = self.processes[0].exchange.digest();
         let live = self.processes.iter().filter(|process| process.is_running);
         live.map(|process| process.exchange.digest())
             .all(|digest| digest == newest)
     }
 
-    fn all_reported(&self) -> bool {
+    fn all_reports_current(&self) -> bool {
         let newest = Some(self.processes[0].exchange.digest());
         self.processes
             .iter()
@@ -410,20 +415,20 @@
     fn run_until(&mut self, span: TimeSpan, is_done: impl Fn(&Self) -> bool) -> Option<TimeSpan> {
         let start = self.now;
         while self.now.since(start) < span {
-            let checked = process_usage::core_seconds();
+            let checked = process_usage::cpu_seconds();
             let is_over = is_done(self);
             // The check is the measurement's own work.
-            self.checking_s += process_usage::core_seconds() - checked;
+            self.check_cpu_s += process_usage::cpu_seconds() - checked;
             if is_over {
                 return Some(self.now.since(start));
             }
-            self.step();
+            self.advance();
         }
         is_done(self).then(|| self.now.since(start))
     }
 
-    fn step(&mut self) {
-        let end = self.now + STEP;
+    fn advance(&mut self) {
+        let end = self.now + TICK_INTERVAL;
         while let Some(Reverse((at, _, _))) = self.packets.peek() {
             if *at > end {
                 break;
@@ -448,7 +453,7 @@
             }
             PacketContent::Datagram(bytes) => {
                 self.traffic.datagrams += 1;
-                self.traffic.bytes += bytes.len() + HEADER_BYTES;
+                self.traffic.bytes += bytes.len() + DATAGRAM_HEADER_BYTES;
                 let message = gossip_messages::decode(&bytes).expect("it was encoded here");
                 let sender = &message.sender;
                 process.exchange.handle_digest(
@@ -462,11 +467,11 @@
                 let outgoing = process
                     .membership
                     .receive(from, message, self.now, &mut self.rng);
-                process.renew_peers();
+                process.refresh_peers();
                 self.send(packet.to, outgoing);
             }
             PacketContent::Frame(bytes) => {
-                self.traffic.bytes += bytes.len() + FRAME_BYTES;
+                self.traffic.bytes += bytes.len() + FRAME_OVERHEAD_BYTES;
                 let frame = ExchangeFrame::decode(bytes.as_slice()).expect("it was encoded here");
                 let message = ExchangeMessage::try_from(frame).expect("it was encoded here");
                 let registry = &process.registry;
@@ -478,7 +483,7 @@
                     self.now,
                     &mut self.rng,
                 );
-                self.carry_out(packet.to, step);
+                self.apply_output(packet.to, step);
             }
         }
     }
@@ -487,18 +492,18 @@
         let process = &mut self.processes[index];
         process.membership.set_config(process.exchange.digest());
         let outgoing = process.membership.tick(self.now, &mut self.rng);
-        process.renew_peers();
+        process.refresh_peers();
         let step = process
             .exchange
             .tick(&process.peers, self.now, &mut self.rng);
         self.send(index, outgoing);
-        self.carry_out(index, step);
+        self.apply_output(index, step);
     }
 
     fn schedule_tick(&mut self, index: usize) {
-        let phase = self.processes[index].phase;
-        let whole_steps = self.now.as_micros() / STEP.as_micros() + 1;
-        let at = TimePoint::from_micros(whole_steps * STEP.as_micros()) + phase;
+        let phase = self.processes[index].tick_offset;
+        let whole_steps = self.now.as_micros() / TICK_INTERVAL.as_micros() + 1;
+        let at = TimePoint::from_micros(whole_steps * TICK_INTERVAL.as_micros()) + phase;
         let packet = Packet {
             from: index,
             to: index,
@@ -507,13 +512,13 @@
         self.packets.push(Reverse((at, 0, packet)));
     }
 
-    fn carry_out(&mut self, index: usize, step: ExchangeOutput) {
+    fn apply_output(&mut self, index: usize, step: ExchangeOutput) {
         for object in step.accept {
             self.processes[index].registry.accept(object);
         }
         for (to, message) in step.send {
             let bytes = ExchangeFrame::from(message).encode_to_vec();
-            self.traffic.bytes += bytes.len() + FRAME_BYTES;
+            self.traffic.bytes += bytes.len() + FRAME_OVERHEAD_BYTES;
             self.push(index, index_of(&to), PacketContent::Frame(bytes));
         }
     }
@@ -522,7 +527,7 @@
         for OutgoingMessage { to, message } in outgoing {
             let bytes = gossip_messages::encode(message);
             self.traffic.datagrams += 1;
-            self.traffic.bytes += bytes.len() + HEADER_BYTES;
+            self.traffic.bytes += bytes.len() + DATAGRAM_HEADER_BYTES;
             let to = usize::from(to.port() - 10_000);
             self.push(from, to, PacketContent::Datagram(bytes));
         }
@@ -530,11 +535,11 @@
 
     fn push(&mut self, from: usize, to: usize, content: PacketContent) {
         let is_far = from % 2 != to % 2;
-        if to >= self.processes.len() || (is_far && self.is_split) {
+        if to >= self.processes.len() || (is_far && self.is_partitioned) {
             return;
         }
-        let further = if is_far { REGION_DELAY_US } else { 0 };
-        let delay = TimeSpan::from_micros(self.rng.random_range(DELAY_US) + further);
+        let further = if is_far { CROSS_REGION_DELAY_US } else { 0 };
+        let delay = TimeSpan::from_micros(self.rng.random_range(REGION_DELAY_RANGE_US) + further);
         let order = self.rng.random();
         let packet = Packet { from, to, content };
         self.packets
--- a/alderhaven-peer/src/codec.rs
+++ b/alderhaven-peer/src/codec.rs
@@ -17,13 +17,13 @@
 /// process goes on.
 #[derive(Debug)]
 pub struct FrameCodec {
-    lengths: LengthDelimitedCodec,
+    length_codec: LengthDelimitedCodec,
 }
 
 impl Default for FrameCodec {
     fn default() -> Self {
         Self {
-            lengths: LengthDelimitedCodec::builder()
+            length_codec: LengthDelimitedCodec::builder()
                 .max_frame_length(MAX_FRAME_BYTES)
                 .new_codec(),
         }
@@ -35,7 +35,7 @@
     type Error = io::Error;
 
     fn decode(&mut self, source: &mut BytesMut) -> io::Result<Option<PeerFrame>> {
-        let Some(body) = self.lengths.decode(source)? else {
+        let Some(body) = self.length_codec.decode(source)? else {
             return Ok(None);
         };
         PeerFrame::decode(body.freeze())
--- a/alderhaven-peer/src/connection.rs
+++ b/alderhaven-peer/src/connection.rs
@@ -20,11 +20,11 @@
 use crate::frames::{PeerFrame, PeerMessage};
 
 /// The most messages that one write carries; enough for all attempts of a query.
-const WRITE_BATCH: usize = 256;
+const MAX_BATCH_MESSAGES: usize = 256;
 /// The most bytes that a write buffer keeps between two writes.
-const WRITE_BUFFER: usize = 64 << 10;
+const MAX_RETAINED_BUFFER_BYTES: usize = 64 << 10;
 /// The first capacity of the read buffer, in bytes.
-const READ_BUFFER: usize = 8 << 10;
+const READ_BUFFER_BYTES: usize = 8 << 10;
 /// The time after which a peer that takes no bytes is given up.
 ///
 /// A connection whose path lost track of it accepts no more bytes once the kernel's buffer is full.
@@ -80,7 +80,7 @@
     let (read_half, write_half) = stream.into_split();
     let (sender, queue) = mpsc::unbounded_channel();
     tokio::spawn(write_frames(write_half, queue));
-    let reader = FramedRead::with_capacity(read_half, FrameCodec::default(), READ_BUFFER);
+    let reader = FramedRead::with_capacity(read_half, FrameCodec::default(), READ_BUFFER_BYTES);
     Ok((FrameSender { queue: sender }, reader))
 }
 
@@ -116,7 +116,7 @@
 /// Empties a buffer, and gives back one that a large message has stretched: a node has dozens of
 /// connections, and a large configuration crosses each of them once.
 fn clear_buffer(buffer: &mut BytesMut) {
-    if buffer.capacity() > WRITE_BUFFER {
+    if buffer.capacity() > MAX_RETAINED_BUFFER_BYTES {
         *buffer = BytesMut::new();
     } else {
         buffer.clear();
@@ -127,11 +127,11 @@
     mut write_half: OwnedWriteHalf,
     mut queue: mpsc::UnboundedReceiver<PeerMessage>,
 ) {
-    let mut messages = Vec::with_capacity(WRITE_BATCH);
+    let mut messages = Vec::with_capacity(MAX_BATCH_MESSAGES);
     let mut buffer = BytesMut::new();
     let mut codec = FrameCodec::default();
     // All messages that wait go out in one write: under load a system call carries many frames.
-    while queue.recv_many(&mut messages, WRITE_BATCH).await > 0 {
+    while queue.recv_many(&mut messages, MAX_BATCH_MESSAGES).await > 0 {
         for message in messages.drain(..) {
             if codec.encode(message, &mut buffer).is_err() {
                 return;
--- a/alderhaven-peer/src/exchange_links.rs
+++ b/alderhaven-peer/src/exchange_links.rs
@@ -21,7 +21,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The most messages that wait for a connection to open.
-const MAX_WAITING: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 64;
 
 /// The most connections that are open at a time: some dozen are in use at any moment, and each holds
 /// buffers here and at the peer.
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
     /// A peer connected; messages to it go over its connection.
-    Opened {
+    Accepted {
         peer: NodeId,
         queue: mpsc::Sender<PeerMessage>,
     },
@@ -48,7 +48,7 @@
     hello: Hello,
     links: BTreeMap<NodeId, OpenLink>,
     /// Counts the messages, so that the link that was used longest ago is known.
-    uses: u64,
+    use_count: u64,
     events: mpsc::Sender<LinkEvent>,
 }
 
@@ -64,7 +64,7 @@
         Self {
             hello,
             links: BTreeMap::new(),
-            uses: 0,
+            use_count: 0,
             events,
         }
     }
@@ -81,27 +81,27 @@
         let Some(address) = address else {
             return;
         };
-        let (queue, waiting) = mpsc::channel(MAX_WAITING);
+        let (queue, waiting) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let _is_queued = queue.try_send(message).is_ok();
-        let link = PeerLink {
+        let link = LinkTask {
             peer: peer.clone(),
-            waiting,
+            outgoing: waiting,
             events: self.events.clone(),
         };
-        self.keep(peer, queue);
+        self.insert_link(peer, queue);
         tokio::spawn(open_link(address, self.hello.clone(), link));
     }
 
     /// Takes the connection that a peer opened.
-    pub(crate) fn opened(&mut self, peer: NodeId, queue: mpsc::Sender<PeerMessage>) {
-        self.keep(peer, queue);
+    pub(crate) fn add_accepted(&mut self, peer: NodeId, queue: mpsc::Sender<PeerMessage>) {
+        self.insert_link(peer, queue);
     }
 
     /// Notes that a peer's connection is in use.
     pub(crate) fn touch(&mut self, peer: &NodeId) {
-        self.uses += 1;
+        self.use_count += 1;
         if let Some(link) = self.links.get_mut(peer) {
-            link.last_use = self.uses;
+            link.last_use = self.use_count;
         }
     }
 
@@ -110,15 +110,15 @@
     /// Guards against a group larger than the number of links: a message that found no room was lost, an
     /// answer to whoever had connected included, and each had to be asked for elsewhere a second
     /// later.
-    fn keep(&mut self, peer: NodeId, queue: mpsc::Sender<PeerMessage>) {
+    fn insert_link(&mut self, peer: NodeId, queue: mpsc::Sender<PeerMessage>) {
         if self.links.len() >= MAX_LINKS && !self.links.contains_key(&peer) {
             let oldest = self.links.iter().min_by_key(|(_, link)| link.last_use);
             if let Some(oldest) = oldest.map(|(peer, _)| peer.clone()) {
                 self.links.remove(&oldest);
             }
         }
-        self.uses += 1;
-        let last_use = self.uses;
+        self.use_count += 1;
+        let last_use = self.use_count;
         self.links.insert(peer, OpenLink { queue, last_use });
     }
 
@@ -129,13 +129,13 @@
 }
 
 /// A `PeerLink` is one connection's end towards the exchange.
-struct PeerLink {
+struct LinkTask {
     peer: NodeId,
-    waiting: mpsc::Receiver<PeerMessage>,
+    outgoing: mpsc::Receiver<PeerMessage>,
     events: mpsc::Sender<LinkEvent>,
 }
 
-async fn open_link(address: SocketAddr, hello: Hello, link: PeerLink) {
+async fn open_link(address: SocketAddr, hello: Hello, link: LinkTask) {
     let connecting = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let Ok(Ok(stream)) = connecting.await else {
         return;
@@ -162,29 +162,29 @@
     if hello.protocol != PROTOCOL_VERSION {
         return;
     }
-    let (queue, waiting) = mpsc::channel(MAX_WAITING);
-    let opened = LinkEvent::Opened {
+    let (queue, waiting) = mpsc::channel(MAX_QUEUED_MESSAGES);
+    let opened = LinkEvent::Accepted {
         peer: peer.clone(),
         queue,
     };
     if events.send(opened).await.is_ok() {
-        let link = PeerLink {
+        let link = LinkTask {
             peer,
-            waiting,
+            outgoing: waiting,
             events,
         };
         link.run(&sender, reader).await;
     }
 }
 
-impl PeerLink {
+impl LinkTask {
     async fn run(mut self, sender: &FrameSender, mut reader: FrameReader) {
         loop {
             let is_open = tokio::select! {
-                message = self.waiting.recv() => {
+                message = self.outgoing.recv() => {
                     message.is_some_and(|message| sender.send(message).is_ok())
                 }
-                message = connection::next_message(&mut reader) => self.pass_on(message).await,
+                message = connection::next_message(&mut reader) => self.forward_message(message).await,
                 () = time::sleep(IDLE_TIMEOUT) => false,
             };
             if !is_open {
@@ -194,7 +194,7 @@
     }
 
     /// Passes a message on; returns false where the connection is to be closed.
-    async fn pass_on(&self, message: Option<PeerMessage>) -> bool {
+    async fn forward_message(&self, message: Option<PeerMessage>) -> bool {
         let Some(PeerMessage::Exchange(frame)) = message else {
             return message.is_some();
         };
--- a/alderhaven-peer/src/exchange_messages.rs
+++ b/alderhaven-peer/src/exchange_messages.rs
@@ -64,7 +64,7 @@
     #[prost(message, repeated, tag = "1")]
     stamps: Vec<StampWire>,
     #[prost(message, optional, tag = "2")]
-    next: Option<KeyWire>,
+    continue_after: Option<KeyWire>,
     #[prost(bool, tag = "3")]
     is_complete: bool,
 }
@@ -111,7 +111,7 @@
                 is_complete,
             } => ExchangeWire::Stamps(StampsWire {
                 stamps: stamps.into_iter().map(stamp_to_wire).collect(),
-                next: next.map(key_to_wire),
+                continue_after: next.map(key_to_wire),
                 is_complete,
             }),
             ExchangeMessage::Fetch { keys } => ExchangeWire::Fetch(FetchWire {
@@ -131,10 +131,12 @@
     type Error = MalformedMessage;
 
     fn try_from(frame: ExchangeFrame) -> Result<Self, MalformedMessage> {
-        let message = frame.message.ok_or(MalformedMessage::BadField("message"))?;
+        let message = frame
+            .message
+            .ok_or(MalformedMessage::InvalidField("message"))?;
         Ok(match message {
             ExchangeWire::Announce(wire) => Self::Announce {
-                stamps: all(wire.stamps, stamp_from_wire)?,
+                stamps: convert_all(wire.stamps, stamp_from_wire)?,
                 hops: wire.hops,
             },
             ExchangeWire::Compare(wire) => Self::Compare {
@@ -142,21 +144,21 @@
                 after: wire.after.map(key_from_wire).transpose()?,
             },
             ExchangeWire::Stamps(wire) => Self::Stamps {
-                stamps: all(wire.stamps, stamp_from_wire)?,
-                continue_after: wire.next.map(key_from_wire).transpose()?,
+                stamps: convert_all(wire.stamps, stamp_from_wire)?,
+                continue_after: wire.continue_after.map(key_from_wire).transpose()?,
                 is_complete: wire.is_complete,
             },
             ExchangeWire::Fetch(wire) => Self::Fetch {
-                keys: all(wire.keys, key_from_wire)?,
+                keys: convert_all(wire.keys, key_from_wire)?,
             },
             ExchangeWire::Objects(wire) => Self::Objects {
-                objects: all(wire.objects, object_from_wire)?,
+                objects: convert_all(wire.objects, object_from_wire)?,
             },
         })
     }
 }
 
-fn all<W, T>(
+fn convert_all<W, T>(
     wires: Vec<W>,
     read: impl Fn(W) -> Result<T, MalformedMessage>,
 ) -> Result<Vec<T>, MalformedMessage> {
@@ -173,13 +175,13 @@
 fn key_from_wire(wire: KeyWire) -> Result<ObjectKey, MalformedMessage> {
     let kind = wire.kind.parse();
     Ok(ObjectKey {
-        kind: kind.map_err(|_| MalformedMessage::BadField("kind"))?,
+        kind: kind.map_err(|_| MalformedMessage::InvalidField("kind"))?,
         name: wire.name,
     })
 }
 
-fn present_key(wire: Option<KeyWire>) -> Result<ObjectKey, MalformedMessage> {
-    wire.ok_or(MalformedMessage::BadField("key"))
+fn required_key_from_wire(wire: Option<KeyWire>) -> Result<ObjectKey, MalformedMessage> {
+    wire.ok_or(MalformedMessage::InvalidField("key"))
         .and_then(key_from_wire)
 }
 
@@ -192,7 +194,7 @@
 
 fn stamp_from_wire(wire: StampWire) -> Result<ObjectStamp, MalformedMessage> {
     Ok(ObjectStamp {
-        key: present_key(wire.key)?,
+        key: required_key_from_wire(wire.key)?,
         version: StoreVersion(wire.version),
     })
 }
@@ -208,7 +210,7 @@
 
 fn object_from_wire(wire: ObjectWire) -> Result<StoredObject, MalformedMessage> {
     Ok(StoredObject {
-        key: present_key(wire.key)?,
+        key: required_key_from_wire(wire.key)?,
         version: StoreVersion(wire.version),
         write_id: wire.write_id,
         body: wire.body,
--- a/alderhaven-peer/src/frames.rs
+++ b/alderhaven-peer/src/frames.rs
@@ -6,8 +6,8 @@
 
 use crate::claim_messages::{ClaimAnswer, ClaimQuery};
 use crate::exchange_messages::ExchangeFrame;
-use crate::group_messages::{GroupAsk, GroupClose, GroupReply};
-use crate::strike_frames::StrikeNotice;
+use crate::group_messages::{GroupClose, GroupReply, GroupRequest};
+use crate::strike_messages::StrikeNotice;
 
 /// The version of the protocol; a frame of another major version is refused.
 pub const PROTOCOL_VERSION: u32 = 1;
@@ -61,7 +61,7 @@
     ClaimAnswer(ClaimAnswer),
     /// A front asks another one for attempts in its failure domain.
     #[prost(message, tag = "40")]
-    GroupAsk(GroupAsk),
+    GroupRequest(GroupRequest),
     /// Ends of such attempts.
     #[prost(message, tag = "41")]
     GroupReply(GroupReply),
@@ -119,7 +119,7 @@
     pub attempts: Vec<ScatterAttempt>,
     /// Whether the attempts are hedges, which run only where a slot is free.
     #[prost(bool, tag = "11")]
-    pub hedge: bool,
+    pub is_hedge: bool,
 }
 
 /// A `ScatterAttempt` is one attempt of a query at one target.
--- a/alderhaven-peer/src/gossip_messages.rs
+++ b/alderhaven-peer/src/gossip_messages.rs
@@ -39,23 +39,23 @@
     #[prost(string, tag = "1")]
     node: String,
     #[prost(uint64, tag = "2")]
-    start: u64,
+    incarnation: u64,
     #[prost(uint32, tag = "3")]
     refutation: u32,
     #[prost(bool, tag = "4")]
-    leaving: bool,
+    is_leaving: bool,
     #[prost(uint32, tag = "5")]
     load: u32,
     #[prost(message, optional, tag = "6")]
     config: Option<DigestWire>,
     #[prost(fixed64, tag = "7")]
-    view: u64,
+    view_hash: u64,
     #[prost(message, optional, tag = "8")]
-    sighting: Option<SightingWire>,
+    store_answer: Option<StoreAnswerWire>,
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct SightingWire {
+struct StoreAnswerWire {
     #[prost(fixed32, tag = "1")]
     origin: u32,
     #[prost(uint32, tag = "2")]
@@ -67,7 +67,7 @@
     #[prost(uint64, tag = "1")]
     highest: u64,
     #[prost(uint64, tag = "2")]
-    progress: u64,
+    version_sum: u64,
     #[prost(fixed64, tag = "3")]
     hash: u64,
 }
@@ -75,7 +75,7 @@
 #[derive(Clone, PartialEq, prost::Oneof)]
 enum BodyWire {
     #[prost(message, tag = "3")]
-    News(NewsWire),
+    Updates(EmptyWire),
     #[prost(message, tag = "4")]
     Ping(PingWire),
     #[prost(message, tag = "5")]
@@ -89,7 +89,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-struct NewsWire {}
+struct EmptyWire {}
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct PingWire {
@@ -122,7 +122,7 @@
     #[prost(uint32, tag = "1")]
     sequence: u32,
     #[prost(string, tag = "2")]
-    next: String,
+    continue_after: String,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -132,7 +132,7 @@
     #[prost(enumeration = "StateWire", tag = "2")]
     state: i32,
     #[prost(uint64, tag = "3")]
-    start: u64,
+    incarnation: u64,
     #[prost(uint32, tag = "4")]
     refutation: u32,
     #[prost(message, optional, tag = "5")]
@@ -204,12 +204,14 @@
     let datagram = GossipDatagram::decode(bytes)
         .map_err(|error| MalformedMessage::Undecodable(error.to_string()))?;
     if datagram.protocol != PROTOCOL_VERSION {
-        return Err(MalformedMessage::OtherProtocol(datagram.protocol));
+        return Err(MalformedMessage::UnsupportedProtocol(datagram.protocol));
     }
     let sender = datagram
         .sender
-        .ok_or(MalformedMessage::BadField("sender"))?;
-    let body = datagram.body.ok_or(MalformedMessage::BadField("body"))?;
+        .ok_or(MalformedMessage::InvalidField("sender"))?;
+    let body = datagram
+        .body
+        .ok_or(MalformedMessage::InvalidField("body"))?;
     let updates: Result<_, _> = datagram.updates.into_iter().map(update_from_wire).collect();
     Ok(GossipMessage {
         sender: sender_from_wire(sender)?,
@@ -222,36 +224,36 @@
 fn sender_to_wire(sender: SenderHeader) -> SenderWire {
     SenderWire {
         node: sender.node.into(),
-        start: sender.version.incarnation.0,
+        incarnation: sender.version.incarnation.0,
         refutation: sender.version.refutation,
-        leaving: sender.is_leaving,
+        is_leaving: sender.is_leaving,
         load: sender.load.0,
         config: Some(digest_to_wire(sender.config)),
-        view: sender.view_hash,
-        sighting: sender.store_answer.map(sighting_to_wire),
+        view_hash: sender.view_hash,
+        store_answer: sender.store_answer.map(store_answer_to_wire),
     }
 }
 
 fn sender_from_wire(wire: SenderWire) -> Result<SenderHeader, MalformedMessage> {
     Ok(SenderHeader {
         node: node_from_wire(wire.node)?,
-        version: version_from_wire(wire.start, wire.refutation),
-        is_leaving: wire.leaving,
+        version: version_from_wire(wire.incarnation, wire.refutation),
+        is_leaving: wire.is_leaving,
         load: LoadLevel(wire.load),
         config: digest_from_wire(wire.config),
-        view_hash: wire.view,
-        store_answer: wire.sighting.map(sighting_from_wire),
+        view_hash: wire.view_hash,
+        store_answer: wire.store_answer.map(store_answer_from_wire),
     })
 }
 
-fn sighting_to_wire(sighting: StoreAnswer) -> SightingWire {
-    SightingWire {
+fn store_answer_to_wire(sighting: StoreAnswer) -> StoreAnswerWire {
+    StoreAnswerWire {
         origin: sighting.origin,
         age_ms: u32::try_from(sighting.age.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
-fn sighting_from_wire(wire: SightingWire) -> StoreAnswer {
+fn store_answer_from_wire(wire: StoreAnswerWire) -> StoreAnswer {
     StoreAnswer {
         origin: wire.origin,
         age: TimeSpan::from_millis(u64::from(wire.age_ms)),
@@ -260,7 +262,7 @@
 
 fn body_to_wire(body: GossipBody) -> BodyWire {
     match body {
-        GossipBody::Updates => BodyWire::News(NewsWire {}),
+        GossipBody::Updates => BodyWire::Updates(EmptyWire {}),
         GossipBody::Ping { sequence, target } => BodyWire::Ping(PingWire {
             sequence,
             target: target.into(),
@@ -290,14 +292,14 @@
             continue_after: next,
         } => BodyWire::SyncReply(SyncReplyWire {
             sequence,
-            next: next.map(String::from).unwrap_or_default(),
+            continue_after: next.map(String::from).unwrap_or_default(),
         }),
     }
 }
 
 fn body_from_wire(wire: BodyWire) -> Result<GossipBody, MalformedMessage> {
     Ok(match wire {
-        BodyWire::News(_) => GossipBody::Updates,
+        BodyWire::Updates(_) => GossipBody::Updates,
         BodyWire::Ping(ping) => GossipBody::Ping {
             sequence: ping.sequence,
             target: node_from_wire(ping.target)?,
@@ -317,7 +319,7 @@
         },
         BodyWire::SyncReply(reply) => GossipBody::SyncReply {
             sequence: reply.sequence,
-            continue_after: optional_node_from_wire(reply.next)?,
+            continue_after: optional_node_from_wire(reply.continue_after)?,
         },
     })
 }
@@ -332,7 +334,7 @@
     UpdateWire {
         node: update.node.into(),
         state: state.into(),
-        start: update.version.incarnation.0,
+        incarnation: update.version.incarnation.0,
         refutation: update.version.refutation,
         record: update.record.map(record_to_wire),
     }
@@ -340,7 +342,7 @@
 
 fn update_from_wire(wire: UpdateWire) -> Result<MemberUpdate, MalformedMessage> {
     let state = match wire.state() {
-        StateWire::Unspecified => return Err(MalformedMessage::BadField("state")),
+        StateWire::Unspecified => return Err(MalformedMessage::InvalidField("state")),
         StateWire::Alive => MemberState::Alive,
         StateWire::Suspect => MemberState::Suspect,
         StateWire::Leaving => MemberState::Leaving,
@@ -353,7 +355,7 @@
         .map(|record| record_from_wire(record, node.clone()));
     Ok(MemberUpdate {
         state,
-        version: version_from_wire(wire.start, wire.refutation),
+        version: version_from_wire(wire.incarnation, wire.refutation),
         record: record.transpose()?,
         node,
     })
@@ -380,11 +382,11 @@
 
 fn record_from_wire(wire: &RecordWire, node: NodeId) -> Result<MemberRecord, MalformedMessage> {
     let role = match wire.role() {
-        RoleWire::Unspecified => return Err(MalformedMessage::BadField("role")),
+        RoleWire::Unspecified => return Err(MalformedMessage::InvalidField("role")),
         RoleWire::Entry => MemberRole::Entry,
         RoleWire::Relay => MemberRole::Relay,
     };
-    let bad = |field: &'static str| MalformedMessage::BadField(field);
+    let bad = |field: &'static str| MalformedMessage::InvalidField(field);
     Ok(MemberRecord {
         node,
         role,
@@ -414,7 +416,7 @@
 const fn digest_to_wire(config: ConfigDigest) -> DigestWire {
     DigestWire {
         highest: config.highest.0,
-        progress: config.version_sum,
+        version_sum: config.version_sum,
         hash: config.hash,
     }
 }
@@ -423,7 +425,7 @@
     let wire = wire.unwrap_or_default();
     ConfigDigest {
         highest: StoreVersion(wire.highest),
-        version_sum: wire.progress,
+        version_sum: wire.version_sum,
         hash: wire.hash,
     }
 }
@@ -436,7 +438,7 @@
 }
 
 fn node_from_wire(text: String) -> Result<NodeId, MalformedMessage> {
-    NodeId::try_from(text).map_err(|_| MalformedMessage::BadField("node"))
+    NodeId::try_from(text).map_err(|_| MalformedMessage::InvalidField("node"))
 }
 
 fn optional_node_from_wire(text: String) -> Result<Option<NodeId>, MalformedMessage> {
@@ -463,7 +465,7 @@
 }
 
 fn address_from_wire(bytes: &[u8]) -> Result<SocketAddr, MalformedMessage> {
-    let bad = MalformedMessage::BadField("address");
+    let bad = MalformedMessage::InvalidField("address");
     let Some((ip, port)) = bytes.split_last_chunk::<2>() else {
         return Err(bad);
     };
--- a/alderhaven-peer/src/group_messages.rs
+++ b/alderhaven-peer/src/group_messages.rs
@@ -3,7 +3,7 @@
 
 /// A `GroupAsk` asks for one attempt at each of some targets.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct GroupAsk {
+pub struct GroupRequest {
     /// The number of the ask on its connection.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -30,20 +30,20 @@
     pub targets: Vec<String>,
     /// The most records that are wanted.
     #[prost(uint32, tag = "9")]
-    pub records: u32,
+    pub max_records: u32,
     /// The time in microseconds after which the replies that are in are sent.
     #[prost(uint64, tag = "10")]
-    pub flush_us: u64,
+    pub flush_after_us: u64,
     /// The time in microseconds that is left for the request.
     #[prost(uint64, tag = "11")]
     pub remaining_us: u64,
     /// The usual time of an attempt in microseconds.
     #[prost(uint64, tag = "12")]
-    pub usual_us: u64,
+    pub typical_latency_us: u64,
     /// Whether each reply is sent by itself and at once: those to hedges race with the first attempts,
     /// and a merged block could only be taken or dropped as a whole.
     #[prost(bool, tag = "13")]
-    pub is_separate: bool,
+    pub has_separate_replies: bool,
 }
 
 /// A `HeaderField` is one header of a request.
@@ -65,7 +65,7 @@
     pub number: u64,
     /// The attempts that have ended.
     #[prost(message, repeated, tag = "2")]
-    pub ends: Vec<GroupEnd>,
+    pub results: Vec<GroupAttemptResult>,
     /// The greatest records of those that succeeded.
     #[prost(bytes = "bytes", tag = "3")]
     pub records: prost::bytes::Bytes,
@@ -73,10 +73,10 @@
 
 /// A `GroupEnd` is the end of one attempt.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct GroupEnd {
+pub struct GroupAttemptResult {
     /// The place of the target in the ask.
     #[prost(uint32, tag = "1")]
-    pub place: u32,
+    pub target_index: u32,
     /// How it ended.
     #[prost(enumeration = "GroupOutcome", tag = "2")]
     pub outcome: i32,
@@ -85,7 +85,7 @@
     pub proof: prost::bytes::Bytes,
     /// The time that it took in microseconds.
     #[prost(uint64, tag = "4")]
-    pub took_us: u64,
+    pub elapsed_us: u64,
 }
 
 /// A `GroupOutcome` says how an attempt ended.
--- a/alderhaven-peer/src/lib.rs
+++ b/alderhaven-peer/src/lib.rs
@@ -16,5 +16,5 @@
 pub mod peer_node;
 pub mod peer_options;
 pub mod peer_traffic;
-pub mod strike_board;
-pub mod strike_frames;
+pub mod strike_messages;
+pub mod strike_tracker;
--- a/alderhaven-peer/src/malformed_message.rs
+++ b/alderhaven-peer/src/malformed_message.rs
@@ -8,17 +8,19 @@
     /// The bytes are no such message.
     Undecodable(String),
     /// The message is of a protocol version that is not spoken here.
-    OtherProtocol(u32),
+    UnsupportedProtocol(u32),
     /// A field is missing or out of bounds.
-    BadField(&'static str),
+    InvalidField(&'static str),
 }
 
 impl fmt::Display for MalformedMessage {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Undecodable(reason) => write!(formatter, "undecodable: {reason}"),
-            Self::OtherProtocol(version) => write!(formatter, "of protocol version {version}"),
-            Self::BadField(field) => write!(formatter, "`{field}` is missing or out of bounds"),
+            Self::UnsupportedProtocol(version) => {
+                write!(formatter, "of protocol version {version}")
+            }
+            Self::InvalidField(field) => write!(formatter, "`{field}` is missing or out of bounds"),
         }
     }
 }
--- a/alderhaven-peer/src/peer_driver.rs
+++ b/alderhaven-peer/src/peer_driver.rs
@@ -29,21 +29,21 @@
 use crate::peer_traffic::{MessageKind, PeerTraffic};
 
 /// The time between two ticks while something is under way.
-const TICK_PERIOD: TimeSpan = TimeSpan::from_millis(50);
+const ACTIVE_TICK_INTERVAL: TimeSpan = TimeSpan::from_millis(50);
 
 /// The longest time between two ticks at rest; below the time after which membership takes a late tick
 /// for a pause of the process.
-const QUIET_PERIOD: TimeSpan = TimeSpan::from_millis(200);
+const MAX_IDLE_TICK_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
 
 /// The largest datagram that is read, in bytes; those of this protocol are smaller.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 /// The shortest time between two snapshots: in a burst of news each takes a copy of the view, and
 /// what is left out is published with the next tick.
-const PUBLISH_PERIOD: TimeSpan = TimeSpan::from_millis(100);
+const MIN_PUBLISH_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 
 /// The shortest time between two snapshots that differ only in reports, loads and counts.
-const REPORT_PERIOD: TimeSpan = TimeSpan::from_millis(500);
+const MIN_REPORT_PUBLISH_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 
 /// A `PeerDriver` owns the state of one process's membership and exchange, so that no lock is held
 /// over them; others read its snapshots.
@@ -62,14 +62,14 @@
     traffic: PeerTraffic,
     /// The peers of the exchange with their addresses; renewed with the membership's revision.
     #[builder(default)]
-    addresses: BTreeMap<NodeId, SocketAddr>,
+    peer_addresses: BTreeMap<NodeId, SocketAddr>,
     #[builder(default)]
     peers: PeerSet,
     /// The addresses of the members in the process's own failure domain.
     #[builder(default)]
-    near: BTreeSet<SocketAddr>,
+    own_domain_addresses: BTreeSet<SocketAddr>,
     #[builder(default)]
-    revision: u64,
+    published_revision: u64,
     #[builder(default)]
     ticked_at: TimePoint,
     #[builder(default)]
@@ -84,7 +84,7 @@
         mut commands: mpsc::UnboundedReceiver<PeerCommand>,
     ) {
         let mut datagram = [0; MAX_DATAGRAM_BYTES];
-        let mut changes = self.config.changed.clone();
+        let mut changes = self.config.changes.clone();
         self.read_config().await;
         loop {
             tokio::select! {
@@ -92,14 +92,14 @@
                 received = self.socket.recv_from(&mut datagram) => {
                     self.receive(received, &datagram).await;
                 }
-                Some(event) = events.recv() => self.hear_link(event).await,
+                Some(event) = events.recv() => self.handle_link_event(event).await,
                 Ok((stream, _)) = listener.accept() => self.links.accept(stream),
                 () = next_change(&mut changes) => self.read_config().await,
                 command = commands.recv() => {
                     let Some(command) = command else {
                         return;
                     };
-                    if self.obey(command).await {
+                    if self.handle_command(command).await {
                         return;
                     }
                 }
@@ -113,9 +113,9 @@
         let is_quiet = self.membership.is_idle() && self.exchange.is_idle();
         let next = if is_quiet {
             let probe_at = self.membership.next_probe_at();
-            probe_at.min(self.ticked_at + QUIET_PERIOD)
+            probe_at.min(self.ticked_at + MAX_IDLE_TICK_INTERVAL)
         } else {
-            self.ticked_at + TICK_PERIOD
+            self.ticked_at + ACTIVE_TICK_INTERVAL
         };
         Instant::from_std(self.clock.instant(next))
     }
@@ -127,7 +127,7 @@
         let outgoing = self.membership.tick(now, &mut self.rng);
         self.send_all(outgoing).await;
         let step = self.exchange.tick(&self.peers, now, &mut self.rng);
-        self.carry_out(step);
+        self.apply_output(step);
     }
 
     async fn receive(&mut self, received: io::Result<(usize, SocketAddr)>, datagram: &[u8]) {
@@ -139,7 +139,7 @@
         self.traffic.datagrams_received += 1;
         self.traffic.bytes_received += length as u64;
         let Ok(message) = gossip_messages::decode(&datagram[..length]) else {
-            self.traffic.malformed += 1;
+            self.traffic.malformed_datagrams += 1;
             return;
         };
         let now = self.clock.now();
@@ -149,25 +149,27 @@
         let outgoing = self.membership.receive(from, message, now, &mut self.rng);
         if let Some(answered_at) = self.membership.other_store_answered_at() {
             let micros = answered_at.as_micros();
-            self.shared.store_answer.store(micros, Ordering::Relaxed);
+            self.shared
+                .other_store_answer_us
+                .store(micros, Ordering::Relaxed);
         }
         self.send_all(outgoing).await;
     }
 
-    async fn hear_link(&mut self, event: LinkEvent) {
+    async fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
-            LinkEvent::Opened { peer, queue } => self.links.opened(peer, queue),
+            LinkEvent::Accepted { peer, queue } => self.links.add_accepted(peer, queue),
             LinkEvent::Received { peer, message } => {
-                self.traffic.exchange_received += 1;
+                self.traffic.exchange_messages_received += 1;
                 self.links.touch(&peer);
-                self.hear_exchange(&peer, message);
+                self.handle_exchange_message(&peer, message);
             }
         }
         // Many events at a time must not keep the datagrams waiting.
         tokio::task::yield_now().await;
     }
 
-    fn hear_exchange(&mut self, peer: &NodeId, message: ExchangeMessage) {
+    fn handle_exchange_message(&mut self, peer: &NodeId, message: ExchangeMessage) {
         let step = self.exchange.receive(
             peer,
             message,
@@ -176,34 +178,36 @@
             self.clock.now(),
             &mut self.rng,
         );
-        self.carry_out(step);
+        self.apply_output(step);
     }
 
     /// Tells the exchange what the process holds.
     async fn read_config(&mut self) {
         // Asked before the versions are read: a list that comes in between is not among them.
-        let is_listed = (self.config.is_listed)();
+        let is_listed = (self.config.is_fully_listed)();
         let stamps = (self.config.stamps)();
         let step = self
             .exchange
             .announce_held(stamps, &self.peers, &mut self.rng);
-        self.carry_out(step);
+        self.apply_output(step);
         if is_listed {
             self.exchange.mark_complete();
         }
         tokio::task::yield_now().await;
     }
 
-    fn carry_out(&mut self, step: ExchangeOutput) {
+    fn apply_output(&mut self, step: ExchangeOutput) {
         if !step.accept.is_empty() {
             (self.config.accept)(step.accept);
         }
         for (peer, message) in step.send {
             let kind = MessageKind::of_exchange(&message);
             let message = PeerMessage::Exchange(message.into());
-            let address = self.addresses.get(&peer).copied();
-            let is_near = address.is_some_and(|address| self.near.contains(&address));
-            self.traffic.count(kind, message.encoded_len(), is_near);
+            let address = self.peer_addresses.get(&peer).copied();
+            let is_near =
+                address.is_some_and(|address| self.own_domain_addresses.contains(&address));
+            self.traffic
+                .record_sent(kind, message.encoded_len(), is_near);
             self.links.send(peer, address, message);
         }
     }
@@ -213,14 +217,14 @@
             let kind = MessageKind::of_gossip(&message.body);
             let bytes = gossip_messages::encode(message);
             self.traffic
-                .count(kind, bytes.len(), self.near.contains(&to));
+                .record_sent(kind, bytes.len(), self.own_domain_addresses.contains(&to));
             // A datagram that can't be sent is as good as lost, which the protocol allows for.
             let _is_sent = self.socket.send_to(&bytes, to).await.is_ok();
         }
     }
 
     /// Does what another part of the process asks; returns true where the task is to end.
-    async fn obey(&mut self, command: PeerCommand) -> bool {
+    async fn handle_command(&mut self, command: PeerCommand) -> bool {
         let now = self.clock.now();
         match command {
             PeerCommand::SetLoad(load) => self.membership.set_load(load),
@@ -230,7 +234,7 @@
                 self.send_all(outgoing).await;
                 let _waiter_is_gone = sent.send(()).is_err();
             }
-            PeerCommand::End(sent) => {
+            PeerCommand::ShutDown(sent) => {
                 let outgoing = self.membership.announce_gone(now, &mut self.rng);
                 self.send_all(outgoing).await;
                 // No later publication makes up for one that is put off here.
@@ -244,11 +248,11 @@
 
     fn publish(&mut self) {
         let now = self.clock.now();
-        let is_changed = self.revision != self.membership.revision();
+        let is_changed = self.published_revision != self.membership.revision();
         let period = if is_changed {
-            PUBLISH_PERIOD
+            MIN_PUBLISH_INTERVAL
         } else {
-            REPORT_PERIOD
+            MIN_REPORT_PUBLISH_INTERVAL
         };
         if now.since(self.published_at) >= period {
             self.publish_now(now);
@@ -256,20 +260,20 @@
     }
 
     fn publish_now(&mut self, now: TimePoint) {
-        let is_changed = self.revision != self.membership.revision();
+        let is_changed = self.published_revision != self.membership.revision();
         self.published_at = now;
-        self.revision = self.membership.revision();
+        self.published_revision = self.membership.revision();
         let members = self.membership.members();
         if is_changed {
             let others = members.iter().skip(1);
             let live = others.filter(|member| member.state != MemberState::Dead);
-            self.addresses = live
+            self.peer_addresses = live
                 .map(|member| (member.record.node.clone(), member.record.gossip_address))
                 .collect();
             self.peers = PeerSet::of_members(&members);
-            let near = self.addresses.iter();
+            let near = self.peer_addresses.iter();
             let near = near.filter(|(node, _)| self.peers.is_in_own_domain(node));
-            self.near = near.map(|(_, address)| *address).collect();
+            self.own_domain_addresses = near.map(|(_, address)| *address).collect();
         }
         self.shared.snapshot.store(Arc::new(PeerSnapshot {
             members,
@@ -280,7 +284,9 @@
             missing_objects: self.exchange.missing_count(),
             traffic: self.traffic,
         }));
-        self.shared.changed.send_modify(|count| *count += 1);
+        self.shared
+            .snapshot_changes
+            .send_modify(|count| *count += 1);
     }
 }
 
--- a/alderhaven-peer/src/peer_handle.rs
+++ b/alderhaven-peer/src/peer_handle.rs
@@ -23,12 +23,12 @@
 #[derive(Debug)]
 pub(crate) struct SharedPeers {
     pub(crate) snapshot: ArcSwap<PeerSnapshot>,
-    pub(crate) changed: watch::Sender<u64>,
+    pub(crate) snapshot_changes: watch::Sender<u64>,
     pub(crate) commands: mpsc::UnboundedSender<PeerCommand>,
     pub(crate) gossip_address: SocketAddr,
     pub(crate) clock: ProcessClock,
     /// When the store last answered another member, in microseconds of the clock; 0 for never.
-    pub(crate) store_answer: AtomicU64,
+    pub(crate) other_store_answer_us: AtomicU64,
 }
 
 /// A `PeerSnapshot` is what is known of the peers at one time, also as part of a dump.
@@ -56,7 +56,7 @@
     /// Announce that the process leaves, and say when that is sent.
     Leave(oneshot::Sender<()>),
     /// Announce that the process is gone, stop, and say when that is sent.
-    End(oneshot::Sender<()>),
+    ShutDown(oneshot::Sender<()>),
     /// Tell how busy the process is.
     SetLoad(LoadLevel),
     /// Tell that the store answered this process.
@@ -67,7 +67,7 @@
     /// Gets the members whose configuration in force differs from this process's own, the dead
     /// left out, and the number of members that are asked.
     #[must_use]
-    pub fn lagging(&self) -> (Vec<&MemberView>, usize) {
+    pub fn lagging_members(&self) -> (Vec<&MemberView>, usize) {
         let live = || {
             self.members
                 .iter()
@@ -93,8 +93,8 @@
 
     /// Gets a channel that changes with each new snapshot.
     #[must_use]
-    pub fn changed(&self) -> watch::Receiver<u64> {
-        self.shared.changed.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
+        self.shared.snapshot_changes.subscribe()
     }
 
     /// Gets the address for gossip, with the port that was taken.
@@ -105,18 +105,18 @@
 
     /// Sets how busy this process is.
     pub fn set_load(&self, load: LoadLevel) {
-        self.command(PeerCommand::SetLoad(load));
+        self.send_command(PeerCommand::SetLoad(load));
     }
 
     /// Tells the others that the store answered this process.
     pub fn note_store_answer(&self) {
-        self.command(PeerCommand::NoteStoreAnswer);
+        self.send_command(PeerCommand::NoteStoreAnswer);
     }
 
     /// Gets the time since the store last answered another member; none where nobody said so.
     #[must_use]
     pub fn since_store_answer(&self) -> Option<TimeSpan> {
-        let micros = self.shared.store_answer.load(Ordering::Relaxed);
+        let micros = self.shared.other_store_answer_us.load(Ordering::Relaxed);
         let now = self.shared.clock.now();
         (micros > 0).then(|| now.since(TimePoint::from_micros(micros)))
     }
@@ -124,20 +124,20 @@
     /// Announces that this process leaves; returns once that was sent.
     pub async fn announce_leaving(&self) {
         let (sent, is_sent) = oneshot::channel();
-        self.command(PeerCommand::Leave(sent));
+        self.send_command(PeerCommand::Leave(sent));
         // The task has ended where nobody answers; there is then nobody to tell.
         let _ended = is_sent.await;
     }
 
     /// Announces that this process is gone and ends gossip and exchange; returns once that was
     /// sent.
-    pub async fn end(&self) {
+    pub async fn shut_down(&self) {
         let (sent, is_sent) = oneshot::channel();
-        self.command(PeerCommand::End(sent));
+        self.send_command(PeerCommand::ShutDown(sent));
         let _ended = is_sent.await;
     }
 
-    fn command(&self, command: PeerCommand) {
+    fn send_command(&self, command: PeerCommand) {
         // Refused only where the task has ended, after which nothing is announced any more.
         let _ended = self.shared.commands.send(command);
     }
--- a/alderhaven-peer/src/peer_node.rs
+++ b/alderhaven-peer/src/peer_node.rs
@@ -21,10 +21,10 @@
 use crate::peer_options::{ConfigAccess, PeerOptions};
 
 /// How many ports are tried until one is free for both UDP and TCP.
-const PORT_TRIES: usize = 16;
+const MAX_PORT_TRIES: usize = 16;
 
 /// The most link events that wait; beyond, connections are read more slowly.
-const MAX_EVENTS: usize = 256;
+const MAX_QUEUED_EVENTS: usize = 256;
 
 /// A `PeerNode` starts a process's part in membership and exchange.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// # Errors
     /// An error of the operating system where an address can't be bound.
     pub async fn start(options: PeerOptions, config: ConfigAccess) -> io::Result<PeerHandle> {
-        let (socket, listener) = bind(options.gossip_address).await?;
+        let (socket, listener) = bind_sockets(options.gossip_address).await?;
         let gossip_address = socket.local_addr()?;
         let record = MemberRecord {
             node: options.node,
@@ -48,20 +48,20 @@
             caller_address: options.caller_address,
             capacity: options.capacity,
         };
-        let hello = hello_of(&record, options.incarnation);
+        let hello = build_hello(&record, options.incarnation);
         let version = MemberVersion {
             incarnation: options.incarnation,
             refutation: 0,
         };
         let (command_sender, commands) = mpsc::unbounded_channel();
-        let (event_sender, events) = mpsc::channel(MAX_EVENTS);
+        let (event_sender, events) = mpsc::channel(MAX_QUEUED_EVENTS);
         let shared = Arc::new(SharedPeers {
             snapshot: ArcSwap::from_pointee(PeerSnapshot::default()),
-            changed: watch::Sender::new(0),
+            snapshot_changes: watch::Sender::new(0),
             commands: command_sender,
             gossip_address,
             clock: ProcessClock::default(),
-            store_answer: AtomicU64::new(0),
+            other_store_answer_us: AtomicU64::new(0),
         });
         let driver = PeerDriver::builder()
             .membership(GroupMembership::new(record, version, options.membership))
@@ -77,7 +77,7 @@
     }
 }
 
-fn hello_of(record: &MemberRecord, incarnation: IncarnationNumber) -> Hello {
+fn build_hello(record: &MemberRecord, incarnation: IncarnationNumber) -> Hello {
     Hello {
         protocol: PROTOCOL_VERSION,
         node: record.node.to_string(),
@@ -85,8 +85,8 @@
     }
 }
 
-async fn bind(address: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
-    let mut tries = PORT_TRIES;
+async fn bind_sockets(address: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
+    let mut tries = MAX_PORT_TRIES;
     loop {
         let socket = UdpSocket::bind(address).await?;
         tries -= 1;
--- a/alderhaven-peer/src/peer_options.rs
+++ b/alderhaven-peer/src/peer_options.rs
@@ -60,9 +60,9 @@
     pub(crate) accept: Box<dyn Fn(Vec<StoredObject>) + Send>,
     /// Returns true once the store has been listed.
     #[builder(with = |is_listed: impl Fn() -> bool + Send + 'static| Box::new(is_listed))]
-    pub(crate) is_listed: Box<dyn Fn() -> bool + Send>,
+    pub(crate) is_fully_listed: Box<dyn Fn() -> bool + Send>,
     /// Changes with each change of the objects.
-    pub(crate) changed: watch::Receiver<u64>,
+    pub(crate) changes: watch::Receiver<u64>,
 }
 
 impl fmt::Debug for ConfigAccess {
--- a/alderhaven-peer/src/peer_traffic.rs
+++ b/alderhaven-peer/src/peer_traffic.rs
@@ -13,7 +13,7 @@
     /// A probe of a member, a request for one, or the answer.
     Probe,
     /// News of members.
-    News,
+    Updates,
     /// A comparison of views of the members.
     Sync,
     /// An announcement of new versions of objects.
@@ -30,7 +30,7 @@
     /// All kinds.
     pub const ALL: [Self; 7] = [
         Self::Probe,
-        Self::News,
+        Self::Updates,
         Self::Sync,
         Self::Announcement,
         Self::Comparison,
@@ -42,7 +42,7 @@
     #[must_use]
     pub const fn of_gossip(body: &GossipBody) -> Self {
         match body {
-            GossipBody::Updates => Self::News,
+            GossipBody::Updates => Self::Updates,
             GossipBody::Ping { .. } | GossipBody::PingRequest { .. } | GossipBody::Ack { .. } => {
                 Self::Probe
             }
@@ -66,7 +66,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Probe => "probe",
-            Self::News => "news",
+            Self::Updates => "news",
             Self::Sync => "sync",
             Self::Announcement => "announcement",
             Self::Comparison => "comparison",
@@ -78,13 +78,13 @@
 
 /// A `KindCount` counts the messages of one kind that were sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct KindCount {
+pub struct SentTraffic {
     /// The messages.
     pub messages: u64,
     /// Their bytes, without what the network adds, to peers in the process's own failure domain.
-    pub near_bytes: u64,
+    pub own_domain_bytes: u64,
     /// The same to peers elsewhere.
-    pub far_bytes: u64,
+    pub cross_domain_bytes: u64,
 }
 
 /// A `PeerTraffic` counts since the start of the process.
@@ -95,28 +95,28 @@
     /// The bytes of the datagrams received.
     pub bytes_received: u64,
     /// The datagrams that could not be read.
-    pub malformed: u64,
+    pub malformed_datagrams: u64,
     /// The exchange's messages received.
-    pub exchange_received: u64,
+    pub exchange_messages_received: u64,
     /// What was sent, in the order of [`MessageKind::ALL`].
-    pub sent: [KindCount; MessageKind::ALL.len()],
+    pub sent: [SentTraffic; MessageKind::ALL.len()],
 }
 
 impl PeerTraffic {
     /// Counts a message that was sent.
-    pub const fn count(&mut self, kind: MessageKind, bytes: usize, is_near: bool) {
+    pub const fn record_sent(&mut self, kind: MessageKind, bytes: usize, is_near: bool) {
         let count = &mut self.sent[kind as usize];
         count.messages += 1;
         if is_near {
-            count.near_bytes += bytes as u64;
+            count.own_domain_bytes += bytes as u64;
         } else {
-            count.far_bytes += bytes as u64;
+            count.cross_domain_bytes += bytes as u64;
         }
     }
 
     /// Gets what was sent of a kind.
     #[must_use]
-    pub const fn sent_of(&self, kind: MessageKind) -> KindCount {
+    pub const fn sent_traffic(&self, kind: MessageKind) -> SentTraffic {
         self.sent[kind as usize]
     }
 }
--- a/alderhaven-peer/src/strike_frames.rs
+++ b/alderhaven-peer/src/strike_messages.rs
@@ -20,7 +20,7 @@
     pub fingerprint: String,
     /// The random number that names the crash.
     #[prost(uint64, tag = "2")]
-    pub crash: u64,
+    pub crash_id: u64,
     /// The target's id.
     #[prost(string, tag = "3")]
     pub target: String,
@@ -44,17 +44,20 @@
 impl StrikeNotice {
     /// Gets the strikes; one that can't be read is left out.
     #[must_use]
-    pub fn news(&self) -> Vec<StrikeUpdate> {
-        self.strikes.iter().filter_map(StrikeRecord::news).collect()
+    pub fn updates(&self) -> Vec<StrikeUpdate> {
+        self.strikes
+            .iter()
+            .filter_map(StrikeRecord::to_update)
+            .collect()
     }
 }
 
 impl StrikeRecord {
-    fn news(&self) -> Option<StrikeUpdate> {
+    fn to_update(&self) -> Option<StrikeUpdate> {
         Some(StrikeUpdate {
             fingerprint: self.fingerprint.parse().ok()?,
             strike: CrashStrike {
-                crash_id: self.crash,
+                crash_id: self.crash_id,
                 target: self.target.parse().ok()?,
                 domain: self.domain.parse().ok()?,
                 shard: ShardId(self.shard),
@@ -71,7 +74,7 @@
     fn from(news: &[StrikeUpdate]) -> Self {
         let record = |news: &StrikeUpdate| StrikeRecord {
             fingerprint: news.fingerprint.to_string(),
-            crash: news.strike.crash_id,
+            crash_id: news.strike.crash_id,
             target: news.strike.target.to_string(),
             domain: news.strike.domain.to_string(),
             shard: news.strike.shard.0,
--- a/alderhaven-peer/src/strike_board.rs
+++ b/alderhaven-peer/src/strike_tracker.rs
@@ -19,11 +19,11 @@
 
 use crate::connection::FrameSender;
 use crate::frames::PeerMessage;
-use crate::strike_frames::StrikeNotice;
+use crate::strike_messages::StrikeNotice;
 
 /// A `StrikeBoard` is shared by all parts of a process.
 #[derive(Debug)]
-pub struct StrikeBoard {
+pub struct StrikeTracker {
     clock: ProcessClock,
     quarantine: Mutex<CrashQuarantine>,
     /// Whether any request has a strike, readable without the lock on each attempt's way.
@@ -33,18 +33,18 @@
 
 #[derive(Debug, Default)]
 struct PeerSenders {
-    next: u64,
+    next_id: u64,
     senders: HashMap<u64, FrameSender>,
 }
 
 /// A `BoardMembership` keeps a connection among those that hear of strikes; dropping it ends that.
 #[derive(Debug)]
-pub struct BoardMembership {
-    board: Arc<StrikeBoard>,
-    key: u64,
+pub struct StrikeSubscription {
+    tracker: Arc<StrikeTracker>,
+    sender_id: u64,
 }
 
-impl StrikeBoard {
+impl StrikeTracker {
     /// Returns a board without strikes.
     #[must_use]
     pub fn new(policy: PolicyKind, options: QuarantineOptions, clock: ProcessClock) -> Self {
@@ -58,40 +58,44 @@
 
     /// Adds a connection, which is told all strikes that are known and then each new one.
     #[must_use]
-    pub fn join(self: &Arc<Self>, sender: FrameSender) -> BoardMembership {
-        let mut peers = self.peers();
+    pub fn subscribe(self: &Arc<Self>, sender: FrameSender) -> StrikeSubscription {
+        let mut peers = self.lock_peers();
         // With the list locked no strike is passed on in between.
-        let known = self.lock().strikes(self.clock.now());
+        let known = self.lock_quarantine().strikes(self.clock.now());
         if !known.is_empty() {
             let _closed = sender.send(PeerMessage::Strikes(StrikeNotice::from(&known[..])));
         }
-        let key = peers.next;
-        peers.next += 1;
+        let key = peers.next_id;
+        peers.next_id += 1;
         peers.senders.insert(key, sender);
-        BoardMembership {
-            board: Arc::clone(self),
-            key,
+        StrikeSubscription {
+            tracker: Arc::clone(self),
+            sender_id: key,
         }
     }
 
     /// Notes a crash that this process saw; returns true where it was not known before.
-    pub fn note_crash(&self, crash: &TargetCrash) -> bool {
-        let fresh = self.lock().record_crash(crash, self.clock.now());
-        self.pass_on(&fresh)
+    pub fn record_crash(&self, crash: &TargetCrash) -> bool {
+        let fresh = self.lock_quarantine().record_crash(crash, self.clock.now());
+        self.broadcast(&fresh)
     }
 
     /// Takes over the strikes of another process.
-    pub fn take(&self, notice: &StrikeNotice) {
-        let fresh = self.lock().merge(&notice.news(), self.clock.now());
-        self.pass_on(&fresh);
+    pub fn merge(&self, notice: &StrikeNotice) {
+        let fresh = self
+            .lock_quarantine()
+            .merge(&notice.updates(), self.clock.now());
+        self.broadcast(&fresh);
     }
 
     /// Notes that a replica of a shard answered a request.
-    pub fn answered(&self, fingerprint: &RequestFingerprint, shard: ShardId) {
+    pub fn record_answer(&self, fingerprint: &RequestFingerprint, shard: ShardId) {
         if self.has_strikes() {
             let now = self.clock.now();
-            let cleared = self.lock().record_answer(fingerprint, shard, now);
-            self.pass_on(&cleared);
+            let cleared = self
+                .lock_quarantine()
+                .record_answer(fingerprint, shard, now);
+            self.broadcast(&cleared);
         }
     }
 
@@ -101,19 +105,23 @@
         if !self.has_strikes() {
             return None;
         }
-        self.lock().refused_for(fingerprint, self.clock.now())
+        self.lock_quarantine()
+            .refused_for(fingerprint, self.clock.now())
     }
 
     /// Returns true where a request has a strike that counts still.
     #[must_use]
     pub fn is_suspect(&self, fingerprint: &RequestFingerprint) -> bool {
-        self.has_strikes() && self.lock().is_suspect(fingerprint, self.clock.now())
+        self.has_strikes()
+            && self
+                .lock_quarantine()
+                .is_suspect(fingerprint, self.clock.now())
     }
 
     /// Gets the requests with strikes, for the dump.
     #[must_use]
     pub fn entries(&self) -> Vec<QuarantineEntry> {
-        self.lock().entries(self.clock.now())
+        self.lock_quarantine().entries(self.clock.now())
     }
 
     fn has_strikes(&self) -> bool {
@@ -121,31 +129,31 @@
     }
 
     /// Passes strikes on; returns true where there were any.
-    fn pass_on(&self, fresh: &[StrikeUpdate]) -> bool {
+    fn broadcast(&self, fresh: &[StrikeUpdate]) -> bool {
         if fresh.is_empty() {
             return false;
         }
         self.has_strikes.store(true, Ordering::Release);
         let notice = StrikeNotice::from(fresh);
-        for sender in self.peers().senders.values() {
+        for sender in self.lock_peers().senders.values() {
             let _closed = sender.send(PeerMessage::Strikes(notice.clone()));
         }
         true
     }
 
-    fn lock(&self) -> MutexGuard<'_, CrashQuarantine> {
+    fn lock_quarantine(&self) -> MutexGuard<'_, CrashQuarantine> {
         self.quarantine
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn peers(&self) -> MutexGuard<'_, PeerSenders> {
+    fn lock_peers(&self) -> MutexGuard<'_, PeerSenders> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for BoardMembership {
+impl Drop for StrikeSubscription {
     fn drop(&mut self) {
-        self.board.peers().senders.remove(&self.key);
+        self.tracker.lock_peers().senders.remove(&self.sender_id);
     }
 }
--- a/alderhaven-peer/tests/gossip_messages.rs
+++ b/alderhaven-peer/tests/gossip_messages.rs
@@ -134,7 +134,7 @@
     })
 }
 
-fn size(message: &GossipMessage) -> usize {
+fn encoded_size(message: &GossipMessage) -> usize {
     gossip_messages::encode(message.clone()).len()
 }
 
@@ -163,14 +163,14 @@
         update in update(),
         report in report(),
     ) {
-        let bare = size(&envelope);
+        let bare = encoded_size(&envelope);
         prop_assert!(bare <= ENVELOPE_BYTES, "{bare} bytes");
         let update_bound = update.size_bound();
         let report_bound = ReportGroup::size_bound(report.members.len());
         let with_update = GossipMessage { updates: vec![update], ..envelope.clone() };
-        prop_assert!(size(&with_update) - bare <= update_bound);
+        prop_assert!(encoded_size(&with_update) - bare <= update_bound);
         let with_report = GossipMessage { reports: vec![report], ..envelope };
-        prop_assert!(size(&with_report) - bare <= report_bound);
+        prop_assert!(encoded_size(&with_report) - bare <= report_bound);
     }
 
     #[test]
@@ -188,6 +188,6 @@
         prop_assert_eq!(bytes[0], 8);
         bytes[1] = 99;
         let refused = gossip_messages::decode(&bytes);
-        prop_assert_eq!(refused, Err(MalformedMessage::OtherProtocol(99)));
+        prop_assert_eq!(refused, Err(MalformedMessage::UnsupportedProtocol(99)));
     }
 }
--- a/alderhaven-peer/tests/peer_node.rs
+++ b/alderhaven-peer/tests/peer_node.rs
@@ -19,14 +19,14 @@
 use tokio::time;
 
 /// The bound of any wait, against a test that hangs.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
 /// A `FakeConfig` is a configuration in memory.
 #[derive(Clone)]
 struct FakeConfig {
     objects: Arc<Mutex<BTreeMap<ObjectKey, StoredObject>>>,
     is_listed: bool,
-    changed: watch::Sender<u64>,
+    changes: watch::Sender<u64>,
 }
 
 impl FakeConfig {
@@ -34,7 +34,7 @@
         Self {
             objects: Arc::default(),
             is_listed,
-            changed: watch::Sender::new(0),
+            changes: watch::Sender::new(0),
         }
     }
 
@@ -46,28 +46,39 @@
                 .map(|object| (object.key.clone(), object)),
         );
         drop(held);
-        self.changed.send_modify(|count| *count += 1);
+        self.changes.send_modify(|count| *count += 1);
     }
 
     fn access(&self) -> ConfigAccess {
         let (stamps, objects) = (self.clone(), self.clone());
         let (writer, is_listed) = (self.clone(), self.is_listed);
         ConfigAccess::builder()
-            .stamps(move || stamps.held().iter().map(ObjectStamp::from).collect())
-            .look_up(move |key| objects.held().into_iter().find(|held| held.key == *key))
+            .stamps(move || {
+                stamps
+                    .held_objects()
+                    .iter()
+                    .map(ObjectStamp::from)
+                    .collect()
+            })
+            .look_up(move |key| {
+                objects
+                    .held_objects()
+                    .into_iter()
+                    .find(|held| held.key == *key)
+            })
             .accept(move |objects| writer.accept(objects))
-            .is_listed(move || is_listed)
-            .changed(self.changed.subscribe())
+            .is_fully_listed(move || is_listed)
+            .changes(self.changes.subscribe())
             .build()
     }
 
-    fn held(&self) -> Vec<StoredObject> {
+    fn held_objects(&self) -> Vec<StoredObject> {
         let held = self.objects.lock().expect("no test panics with it");
         held.values().cloned().collect()
     }
 }
 
-fn object(index: usize, version: u64) -> StoredObject {
+fn drain_object(index: usize, version: u64) -> StoredObject {
     StoredObject {
         key: ObjectKey {
             kind: ObjectKind::Drain,
@@ -79,7 +90,7 @@
     }
 }
 
-async fn start(index: usize, seed: Option<&PeerHandle>, config: &FakeConfig) -> PeerHandle {
+async fn start_node(index: usize, seed: Option<&PeerHandle>, config: &FakeConfig) -> PeerHandle {
     let options = PeerOptions::builder()
         .node(format!("node-{index}").parse().expect("a valid id"))
         .role(MemberRole::Relay)
@@ -98,18 +109,18 @@
 }
 
 async fn wait_for(handle: &PeerHandle, is_met: impl Fn(&PeerSnapshot) -> bool) {
-    let mut changed = handle.changed();
+    let mut changed = handle.subscribe();
     let waiting = async {
         while !is_met(&handle.snapshot()) {
             changed.changed().await.expect("the task runs");
         }
     };
-    time::timeout(PATIENCE, waiting)
+    time::timeout(WAIT_LIMIT, waiting)
         .await
         .expect("it comes about");
 }
 
-fn count(snapshot: &PeerSnapshot, state: MemberState) -> usize {
+fn count_members(snapshot: &PeerSnapshot, state: MemberState) -> usize {
     snapshot
         .members
         .iter()
@@ -120,25 +131,31 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn start_finds_the_others() {
     let config = FakeConfig::new(true);
-    let first = start(0, None, &config).await;
+    let first = start_node(0, None, &config).await;
     let mut handles = vec![first];
     for index in 1..5 {
-        let handle = start(index, handles.first(), &config).await;
+        let handle = start_node(index, handles.first(), &config).await;
         handles.push(handle);
     }
     for handle in &handles {
-        wait_for(handle, |snapshot| count(snapshot, MemberState::Alive) == 5).await;
+        wait_for(handle, |snapshot| {
+            count_members(snapshot, MemberState::Alive) == 5
+        })
+        .await;
     }
     handles[3].announce_leaving().await;
     for handle in &handles {
         wait_for(handle, |snapshot| {
-            count(snapshot, MemberState::Leaving) == 1
+            count_members(snapshot, MemberState::Leaving) == 1
         })
         .await;
     }
-    handles[3].end().await;
+    handles[3].shut_down().await;
     for handle in &handles {
-        wait_for(handle, |snapshot| count(snapshot, MemberState::Dead) == 1).await;
+        wait_for(handle, |snapshot| {
+            count_members(snapshot, MemberState::Dead) == 1
+        })
+        .await;
     }
     assert!(
         serde_json::to_string(&*handles[0].snapshot()).is_ok(),
@@ -151,22 +168,22 @@
     // The store is down when a process starts. It must get all that its peers hold, here more than
     // fits one message, must not count as complete before, and later changes must reach it too.
     let (full, empty) = (FakeConfig::new(true), FakeConfig::new(false));
-    full.accept((0..100).map(|index| object(index, 1)).collect());
-    let first = start(0, None, &full).await;
-    let second = start(1, Some(&first), &empty).await;
+    full.accept((0..100).map(|index| drain_object(index, 1)).collect());
+    let first = start_node(0, None, &full).await;
+    let second = start_node(1, Some(&first), &empty).await;
     wait_for(&second, |snapshot| snapshot.is_complete).await;
-    assert_eq!(empty.held(), full.held());
-    full.accept(vec![object(7, 2)]);
+    assert_eq!(empty.held_objects(), full.held_objects());
+    full.accept(vec![drain_object(7, 2)]);
     wait_for(&second, |snapshot| {
         snapshot.config.highest == StoreVersion(2)
     })
     .await;
     wait_for(&second, |snapshot| {
-        let (lagging, of) = snapshot.lagging();
+        let (lagging, of) = snapshot.lagging_members();
         lagging.is_empty() && of == 2
     })
     .await;
-    assert_eq!(empty.held(), full.held());
+    assert_eq!(empty.held_objects(), full.held_objects());
 }
 
 /// In a group of hundreds more nodes connect to one than it keeps connections. Each that comes asks for
@@ -176,9 +193,9 @@
 async fn exchange_answers_more_peers_than_it_keeps() {
     const PEERS: usize = 80;
     let config = FakeConfig::new(true);
-    let held = object(1, 5);
+    let held = drain_object(1, 5);
     config.accept(vec![held.clone()]);
-    let node = start(0, None, &config).await;
+    let node = start_node(0, None, &config).await;
     let mut open = Vec::new();
     for index in 1..=PEERS {
         let stream = TcpStream::connect(node.gossip_address()).await;
@@ -193,7 +210,7 @@
         let keys = vec![held.key.clone()];
         let fetch = PeerMessage::Exchange(ExchangeMessage::Fetch { keys }.into());
         sender.send(fetch).expect("it is open");
-        let answer = time::timeout(PATIENCE, connection::next_message(&mut reader)).await;
+        let answer = time::timeout(WAIT_LIMIT, connection::next_message(&mut reader)).await;
         let answer = answer.expect("an answer in time");
         assert!(matches!(answer, Some(PeerMessage::Exchange(_))), "{index}");
         open.push((sender, reader));
--- a/alderhaven-policy/src/config_registry.rs
+++ b/alderhaven-policy/src/config_registry.rs
@@ -155,8 +155,8 @@
             | ObjectKind::History
             | ObjectKind::Routing
             | ObjectKind::Target
-            | ObjectKind::Contact
-            | ObjectKind::Strike
+            | ObjectKind::StoreContact
+            | ObjectKind::CrashStrike
             | ObjectKind::Evacuation => {}
         }
     }
--- a/alderhaven-policy/src/query_gather.rs
+++ b/alderhaven-policy/src/query_gather.rs
@@ -178,7 +178,7 @@
     /// Returns the answered share of the query's shards.
     #[must_use]
     pub fn covered_share(&self) -> f64 {
-        self.coverage().share()
+        self.coverage().covered_share()
     }
 
     /// Records that an attempt at a replica begins.
@@ -300,7 +300,7 @@
     #[must_use]
     pub fn coverage(&self) -> CoverageReport {
         let mut report = CoverageReport {
-            asked: self.shards.len(),
+            requested: self.shards.len(),
             ..CoverageReport::default()
         };
         for (slot, shard) in self.shards.iter().enumerate() {
--- a/alderhaven-proof/src/caller.rs
+++ b/alderhaven-proof/src/caller.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use alderhaven_core::manifest::SnapshotManifest;
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use alderhaven_standin::rows;
 use alderhaven_standin::rows::DerivedRow;
 use eyre::Result;
@@ -46,7 +46,7 @@
     /// # Errors
     /// Where no whole reply comes.
     pub async fn send(&self, entry: SocketAddr) -> Result<CallerReply> {
-        let mut caller = HttpCaller::connect(entry).await?;
+        let mut caller = HttpConnection::connect(entry).await?;
         let mut body = json!({ "team": TEAM, "parameters": { PARAMETER: self.key } });
         if let Some(millis) = self.deadline_ms {
             body["deadline_ms"] = json!(millis);
@@ -56,7 +56,7 @@
             request = request.header("idempotency-key", key.to_string());
         }
         let response = caller
-            .call(request.body(Full::from(body.to_string()))?)
+            .send(request.body(Full::from(body.to_string()))?)
             .await?;
         Ok(CallerReply {
             status: response.status(),
@@ -66,7 +66,7 @@
 
     /// Gets the rows that an answer of a manifest's snapshot must hold over `shards`.
     #[must_use]
-    pub fn rows(&self, manifest: &SnapshotManifest, shards: &[u32]) -> Value {
+    pub fn expected_rows(&self, manifest: &SnapshotManifest, shards: &[u32]) -> Value {
         let parameters = self.parameters();
         let rows: Vec<DerivedRow> = manifest
             .shards
@@ -74,7 +74,7 @@
             .filter(|entry| shards.contains(&entry.shard.0))
             .flat_map(|entry| {
                 let service = &manifest.service;
-                rows::rows_for(service, entry.shard, entry.version, &parameters)
+                rows::derive_rows(service, entry.shard, entry.version, &parameters)
             })
             .collect();
         json!(rows)
@@ -90,7 +90,7 @@
 impl CallerReply {
     /// Gets the outcome of an answer, or the code of an error.
     #[must_use]
-    pub fn word(&self) -> &str {
+    pub fn outcome_or_code(&self) -> &str {
         self.body["outcome"]
             .as_str()
             .or_else(|| self.body["error"]["code"].as_str())
@@ -105,7 +105,7 @@
 
     /// Gets the shards that the answer says are missing.
     #[must_use]
-    pub fn missing(&self) -> Vec<u64> {
+    pub fn missing_shards(&self) -> Vec<u64> {
         self.body["coverage"]["missing"]
             .as_array()
             .into_iter()
