--- a/alderhaven-proof/src/child_process.rs
+++ b/alderhaven-proof/src/child_process.rs
@@ -13,20 +13,20 @@
 use serde_json::Value;
 
 use crate::condition;
-use crate::condition::CONDITION_LIMIT;
+use crate::condition::CONDITION_TIMEOUT;
 
 /// The most log lines that are kept of a process.
-const KEPT_LINES: usize = 10_000;
+const MAX_LOG_LINES: usize = 10_000;
 
 /// The field that every line of a log has, and the ready line has not.
-const LOG_FIELD: &str = "\"time_ms\"";
+const LOG_LINE_FIELD: &str = "\"time_ms\"";
 
 /// A `ChildProcess` is a process that the proof started; it is killed on drop.
 #[derive(Debug)]
 pub struct ChildProcess {
     name: String,
     child: Child,
-    ready: Value,
+    ready_message: Value,
     log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -45,20 +45,21 @@
             .wrap_err_with(|| format!("{name}: {} can't be started", binary.display()))?;
         let log = Arc::new(Mutex::new(Vec::new()));
         let stderr = child.stderr.take().ok_or_else(|| eyre!("no stderr"))?;
-        keep_lines(stderr, Arc::clone(&log));
+        collect_stderr(stderr, Arc::clone(&log));
         let stdout = child.stdout.take().ok_or_else(|| eyre!("no stdout"))?;
-        let lines = keep_log(stdout, Arc::clone(&log));
+        let lines = collect_stdout(stdout, Arc::clone(&log));
         let mut process = Self {
             name: name.to_owned(),
             child,
-            ready: Value::Null,
+            ready_message: Value::Null,
             log,
         };
-        let line = lines.recv_timeout(CONDITION_LIMIT).map_err(|_| {
+        let line = lines.recv_timeout(CONDITION_TIMEOUT).map_err(|_| {
             let log = process.lock_log().join("\n");
             eyre!("{name} printed no ready line; its log:\n{log}")
         })?;
-        process.ready = serde_json::from_str(&line).wrap_err_with(|| format!("{name}: {line}"))?;
+        process.ready_message =
+            serde_json::from_str(&line).wrap_err_with(|| format!("{name}: {line}"))?;
         Ok(process)
     }
 
@@ -70,8 +71,8 @@
 
     /// Gets the ready line.
     #[must_use]
-    pub const fn ready(&self) -> &Value {
-        &self.ready
+    pub const fn ready_message(&self) -> &Value {
+        &self.ready_message
     }
 
     /// Gets an address of the ready line.
@@ -79,9 +80,9 @@
     /// # Errors
     /// Where the line has no such address.
     pub fn address(&self, field: &str) -> Result<SocketAddr> {
-        let text = self.ready[field]
+        let text = self.ready_message[field]
             .as_str()
-            .ok_or_else(|| eyre!("{}: no `{field}` in {}", self.name, self.ready))?;
+            .ok_or_else(|| eyre!("{}: no `{field}` in {}", self.name, self.ready_message))?;
         Ok(text.parse()?)
     }
 
@@ -139,7 +140,7 @@
     ///
     /// # Errors
     /// Where it goes on beyond the limit.
-    pub async fn ended(&mut self) -> Result<ExitStatus> {
+    pub async fn await_exit(&mut self) -> Result<ExitStatus> {
         let what = format!("the end of {}", self.name);
         let child = &mut self.child;
         condition::until(&what, async || Ok(child.try_wait()?)).await
@@ -165,13 +166,16 @@
 }
 
 /// Keeps the lines of the log, and hands on those that are not part of it: the ready line.
-fn keep_log(stdout: impl Read + Send + 'static, log: Arc<Mutex<Vec<String>>>) -> Receiver<String> {
+fn collect_stdout(
+    stdout: impl Read + Send + 'static,
+    log: Arc<Mutex<Vec<String>>>,
+) -> Receiver<String> {
     let (sender, lines) = mpsc::channel();
     thread::spawn(move || {
         // The pipe is read to its end, so that the process never waits for a reader.
         for line in BufReader::new(stdout).lines().map_while(Result::ok) {
-            if line.contains(LOG_FIELD) {
-                keep_line(&log, line);
+            if line.contains(LOG_LINE_FIELD) {
+                append_log_line(&log, line);
             } else {
                 let _later_line = sender.send(line);
             }
@@ -180,17 +184,17 @@
     lines
 }
 
-fn keep_lines(stderr: impl Read + Send + 'static, log: Arc<Mutex<Vec<String>>>) {
+fn collect_stderr(stderr: impl Read + Send + 'static, log: Arc<Mutex<Vec<String>>>) {
     thread::spawn(move || {
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-            keep_line(&log, line);
+            append_log_line(&log, line);
         }
     });
 }
 
-fn keep_line(log: &Mutex<Vec<String>>, line: String) {
+fn append_log_line(log: &Mutex<Vec<String>>, line: String) {
     let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-    if log.len() < KEPT_LINES {
+    if log.len() < MAX_LOG_LINES {
         log.push(line);
     }
 }
--- a/alderhaven-proof/src/cluster.rs
+++ b/alderhaven-proof/src/cluster.rs
@@ -13,17 +13,17 @@
 
 use crate::caller::CallerQuery;
 use crate::child_process::ChildProcess;
-use crate::cluster_options::{ClusterOptions, ProofBinaries};
+use crate::cluster_options::{ClusterOptions, TestBinaries};
 use crate::condition;
 use crate::operator_view;
-use crate::scratch_files::ScratchFiles;
+use crate::scratch_directory::ScratchDirectory;
 
 /// The spans of a planned stop in a group, short so that a proof takes seconds.
-const STOP_SPAN: &str = "300ms";
+const DRAIN_SPAN: &str = "300ms";
 
 /// A `ProofCluster` is a running cluster; dropping it ends all its processes.
 #[derive(Debug)]
-pub struct ProofCluster {
+pub struct TestCluster {
     /// The platform.
     pub platform: ChildProcess,
     /// The target processes; each holds one target for every shard.
@@ -34,32 +34,32 @@
     pub entries: Vec<ChildProcess>,
     /// The manifest that was published.
     pub manifest: SnapshotManifest,
-    pub(crate) binaries: ProofBinaries,
-    pub(crate) files: ScratchFiles,
+    pub(crate) binaries: TestBinaries,
+    pub(crate) files: ScratchDirectory,
     /// The file that the platform was started with.
-    pub(crate) loaded: String,
-    revision: u64,
+    pub(crate) objects_file: String,
+    objects_revision: u64,
     is_group: bool,
     link_silence: Option<TimeSpan>,
 }
 
-impl ProofCluster {
+impl TestCluster {
     /// Starts all processes and waits until every entry has the configuration and its relays.
     ///
     /// # Errors
     /// Where a process can't be started or is not ready in time.
-    pub async fn start(binaries: ProofBinaries, options: &ClusterOptions) -> Result<Self> {
-        let files = ScratchFiles::new(&binaries.scratch)?;
+    pub async fn start(binaries: TestBinaries, options: &ClusterOptions) -> Result<Self> {
+        let files = ScratchDirectory::new(&binaries.scratch_base)?;
         let layout = options.layout()?;
         let targets = start_targets(&binaries, &files, options, &layout)?;
-        let manifest = manifest_of(&targets, 0, options, &layout, SnapshotId(1))?;
+        let manifest = build_manifest(&targets, 0, options, &layout, SnapshotId(1))?;
         let objects = ObjectSet {
             templates: options.templates()?,
             teams: vec![options.team()?],
             manifests: vec![manifest.clone()],
         };
         let revision = objects.objects()?.len() as u64;
-        let loaded = files.write("objects.yaml", &objects)?;
+        let loaded = files.write_json("objects.yaml", &objects)?;
         let arguments = ["platform".to_owned(), "--load".to_owned(), loaded.clone()];
         let platform = ChildProcess::start("platform", &binaries.standin, &arguments)?;
         let mut cluster = Self {
@@ -70,8 +70,8 @@
             manifest,
             binaries,
             files,
-            loaded,
-            revision,
+            objects_file: loaded,
+            objects_revision: revision,
             is_group: options.is_group,
             link_silence: options.link_silence,
         };
@@ -80,7 +80,7 @@
         }
         for _ in 0..options.entries {
             let number = cluster.start_entry()?;
-            cluster.entry_ready(number, options.relays).await?;
+            cluster.await_entry_ready(number, options.relays).await?;
         }
         Ok(cluster)
     }
@@ -91,7 +91,7 @@
     /// Where it can't be started.
     pub fn start_relay(&mut self) -> Result<usize> {
         let number = self.relays.len();
-        let settings = self.settings(&format!("relay-{number}"))?;
+        let settings = self.node_settings(&format!("relay-{number}"))?;
         let relay = self.start_node(&format!("relay-{number}"), &settings, true)?;
         self.relays.push(relay);
         Ok(number)
@@ -103,7 +103,7 @@
     /// Where it can't be started.
     pub fn start_entry(&mut self) -> Result<usize> {
         let number = self.entries.len();
-        let mut settings = self.settings(&format!("entry-{number}"))?;
+        let mut settings = self.node_settings(&format!("entry-{number}"))?;
         let relays: Result<Vec<SocketAddr>> = self
             .relays
             .iter()
@@ -114,8 +114,8 @@
             settings["links"] = json!({ "max_silence": silence });
         }
         if self.is_group {
-            settings["answers"] = json!({ "ttl": STOP_SPAN });
-            settings["stop"]["address_life"] = json!(STOP_SPAN);
+            settings["answers"] = json!({ "ttl": DRAIN_SPAN });
+            settings["stop"]["address_life"] = json!(DRAIN_SPAN);
         } else {
             settings["relays"] = json!(relays?);
         }
@@ -128,14 +128,14 @@
     ///
     /// # Errors
     /// Where that does not come about in time.
-    pub async fn entry_ready(&self, number: usize, relays: usize) -> Result<()> {
+    pub async fn await_entry_ready(&self, number: usize, relays: usize) -> Result<()> {
         let operator = self.entries[number].address("operator")?;
-        let revision = self.revision;
+        let revision = self.objects_revision;
         condition::until(
             &format!("entry {number} with {relays} relays"),
             async || {
-                let known = operator_view::revision(operator).await?;
-                let usable = operator_view::usable_relays(operator).await?;
+                let known = operator_view::config_revision(operator).await?;
+                let usable = operator_view::usable_relay_count(operator).await?;
                 Ok((known >= Some(revision) && usable == relays).then_some(()))
             },
         )
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     /// Where the entry told none.
-    pub fn entry(&self, number: usize) -> Result<SocketAddr> {
+    pub fn entry_address(&self, number: usize) -> Result<SocketAddr> {
         self.entries[number].address("listen")
     }
 
@@ -156,7 +156,7 @@
     /// Where the process can't be asked.
     pub async fn runs_at(&self, process: usize, query: &CallerQuery) -> Result<Vec<RunRecord>> {
         let control = self.targets[process].address("control")?;
-        let records: Vec<RunRecord> = operator_view::get(control, "/runs").await?;
+        let records: Vec<RunRecord> = operator_view::get_json(control, "/runs").await?;
         let parameters = query.parameters();
         Ok(records
             .into_iter()
@@ -199,7 +199,7 @@
     /// Where the relay can't be asked.
     pub async fn lanes(&self, relay: usize) -> Result<Vec<(String, u64)>> {
         let operator = self.relays[relay].address("operator")?;
-        let dump: Value = operator_view::get(operator, "/debug/dump").await?;
+        let dump: Value = operator_view::get_json(operator, "/debug/dump").await?;
         let lanes = dump["lanes"].as_object().into_iter().flatten();
         Ok(lanes
             .map(|(target, lane)| (target.clone(), lane["in_flight"].as_u64().unwrap_or(0)))
@@ -210,7 +210,7 @@
     ///
     /// # Errors
     /// Where that does not come about in time.
-    pub async fn busy_relay(&self) -> Result<usize> {
+    pub async fn await_busy_relay(&self) -> Result<usize> {
         condition::until("a relay with attempts at targets", async || {
             for relay in 0..self.relays.len() {
                 let lanes = self.lanes(relay).await?;
@@ -225,8 +225,8 @@
 
     /// Gets the rows that a query's answer must hold over `shards`.
     #[must_use]
-    pub fn rows_of(&self, query: &CallerQuery, shards: &[u32]) -> Value {
-        query.rows(&self.manifest, shards)
+    pub fn expected_rows(&self, query: &CallerQuery, shards: &[u32]) -> Value {
+        query.expected_rows(&self.manifest, shards)
     }
 
     /// Gets the numbers of all shards.
@@ -236,7 +236,7 @@
         shards.map(|entry| entry.shard.0).collect()
     }
 
-    fn settings(&self, name: &str) -> Result<Value> {
+    fn node_settings(&self, name: &str) -> Result<Value> {
         let mut settings = json!({
             "node": name,
             "host": format!("host-of-{name}"),
@@ -250,13 +250,13 @@
             let seeds: Result<Vec<SocketAddr>> = nodes.map(|node| node.address("gossip")).collect();
             settings["gossip_listen"] = json!("127.0.0.1:0");
             settings["seeds"] = json!(seeds?);
-            settings["stop"] = json!({ "heard_within": STOP_SPAN, "address_life": "0ms" });
+            settings["stop"] = json!({ "heard_within": DRAIN_SPAN, "address_life": "0ms" });
         }
         Ok(settings)
     }
 
     fn start_node(&self, name: &str, settings: &Value, is_relay: bool) -> Result<ChildProcess> {
-        let file = self.files.write(&format!("{name}.yaml"), settings)?;
+        let file = self.files.write_json(&format!("{name}.yaml"), settings)?;
         let binary = if is_relay {
             &self.binaries.relay
         } else {
@@ -268,12 +268,12 @@
 
 /// Starts the processes of one version.
 pub(crate) fn start_targets(
-    binaries: &ProofBinaries,
-    files: &ScratchFiles,
+    binaries: &TestBinaries,
+    files: &ScratchDirectory,
     options: &ClusterOptions,
     layout: &ServiceLayout,
 ) -> Result<Vec<ChildProcess>> {
-    let file = files.write(&format!("layout-{}.yaml", layout.version), &[layout])?;
+    let file = files.write_json(&format!("layout-{}.yaml", layout.version), &[layout])?;
     (0..options.target_processes())
         .map(|number| {
             let arguments = [
@@ -291,7 +291,7 @@
 
 /// Gets the manifest that takes each shard's replicas from the processes of its placement, counted
 /// from the process `first`.
-pub(crate) fn manifest_of(
+pub(crate) fn build_manifest(
     targets: &[ChildProcess],
     first: usize,
     options: &ClusterOptions,
@@ -301,7 +301,7 @@
     let own: Vec<SnapshotManifest> = targets[first..]
         .iter()
         .map(|process| {
-            let manifests = process.ready()["manifests"].clone();
+            let manifests = process.ready_message()["manifests"].clone();
             let mut manifests: Vec<SnapshotManifest> = serde_json::from_value(manifests)?;
             manifests.pop().ok_or_eyre("no manifest")
         })
@@ -311,7 +311,7 @@
             let replica = &own[*process].shards[shard as usize].replicas[0];
             Ok(ReplicaEntry {
                 // Each process has a target of this name; the cluster needs a name for each.
-                target: layout.target(shard, u32::try_from(first + process)?)?,
+                target: layout.target_id(shard, u32::try_from(first + process)?)?,
                 ..replica.clone()
             })
         });
--- a/alderhaven-proof/src/cluster_changes.rs
+++ b/alderhaven-proof/src/cluster_changes.rs
@@ -11,26 +11,26 @@
 
 use crate::child_process::ChildProcess;
 use crate::cluster;
-use crate::cluster::ProofCluster;
+use crate::cluster::TestCluster;
 use crate::cluster_options::ClusterOptions;
 use crate::condition;
 use crate::operator_view;
-use crate::platform_caller::PlatformCaller;
+use crate::platform_client::PlatformClient;
 
-impl ProofCluster {
+impl TestCluster {
     /// Gets the platform's calls.
     ///
     /// # Errors
     /// Where the platform told no address.
-    pub fn platform_caller(&self) -> Result<PlatformCaller> {
-        Ok(PlatformCaller::new(self.platform.address("address")?))
+    pub fn platform_client(&self) -> Result<PlatformClient> {
+        Ok(PlatformClient::new(self.platform.address("address")?))
     }
 
     /// Gets the operator addresses of all nodes.
     ///
     /// # Errors
     /// Where a node told none.
-    pub fn operators(&self) -> Result<Vec<SocketAddr>> {
+    pub fn operator_addresses(&self) -> Result<Vec<SocketAddr>> {
         let nodes = self.entries.iter().chain(&self.relays);
         nodes.map(|node| node.address("operator")).collect()
     }
@@ -49,7 +49,7 @@
         let first = self.targets.len();
         let targets = cluster::start_targets(&self.binaries, &self.files, options, layout)?;
         self.targets.extend(targets);
-        cluster::manifest_of(&self.targets, first, options, layout, snapshot)
+        cluster::build_manifest(&self.targets, first, options, layout, snapshot)
     }
 
     /// Publishes a manifest.
@@ -62,7 +62,7 @@
             name: manifest.service.to_string(),
         };
         let body = serde_json::to_string(manifest)?;
-        self.platform_caller()?.put(&key, body).await
+        self.platform_client()?.put(&key, body).await
     }
 
     /// Waits until all nodes have every change up to a version in force.
@@ -70,10 +70,10 @@
     /// # Errors
     /// Where that does not come about in time.
     pub async fn await_in_force(&self, version: StoreVersion) -> Result<()> {
-        let operators = self.operators()?;
+        let operators = self.operator_addresses()?;
         condition::until(&format!("revision {version} everywhere"), async || {
             for operator in &operators {
-                if operator_view::revision(*operator).await? < Some(version.0) {
+                if operator_view::config_revision(*operator).await? < Some(version.0) {
                     return Ok(None);
                 }
             }
@@ -86,11 +86,11 @@
     ///
     /// # Errors
     /// Where that does not come about in time.
-    pub async fn await_dumps(&self, what: &str, probe: impl Fn(&Value) -> bool) -> Result<()> {
-        let operators = self.operators()?;
+    pub async fn await_all_dumps(&self, what: &str, probe: impl Fn(&Value) -> bool) -> Result<()> {
+        let operators = self.operator_addresses()?;
         condition::until(what, async || {
             for operator in &operators {
-                if !probe(&operator_view::get(*operator, "/debug/dump").await?) {
+                if !probe(&operator_view::get_json(*operator, "/debug/dump").await?) {
                     return Ok(None);
                 }
             }
@@ -111,7 +111,7 @@
             "--listen",
             &address.to_string(),
             "--load",
-            &self.loaded,
+            &self.objects_file,
         ];
         let arguments = arguments.map(str::to_owned);
         self.platform = ChildProcess::start("platform", &self.binaries.standin, &arguments)?;
@@ -123,12 +123,12 @@
     /// # Errors
     /// Where it can't be written.
     pub fn write_file(&self, name: &str, content: &impl serde::Serialize) -> Result<String> {
-        self.files.write(name, content)
+        self.files.write_json(name, content)
     }
 
     /// Gets the path of a file that is not there yet.
     #[must_use]
-    pub fn file(&self, name: &str) -> String {
-        self.files.path(name)
+    pub fn file_path(&self, name: &str) -> String {
+        self.files.file_path(name)
     }
 }
--- a/alderhaven-proof/src/cluster_options.rs
+++ b/alderhaven-proof/src/cluster_options.rs
@@ -15,15 +15,15 @@
 use crate::caller::{PARAMETER, TEAM};
 
 /// The template that asks every shard and may be repeated.
-pub const SWEEP: &str = "sweep";
+pub const FAN_OUT_TEMPLATE: &str = "sweep";
 /// The template that asks one shard and must run at most once.
-pub const RESERVE: &str = "reserve";
+pub const RESERVATION_TEMPLATE: &str = "reserve";
 /// The service of all proofs.
 pub const SERVICE: &str = "sample";
 
 /// A `ProofBinaries` says where the binaries are and where files may be written.
 #[derive(Clone, Debug)]
-pub struct ProofBinaries {
+pub struct TestBinaries {
     /// The stand-ins.
     pub standin: PathBuf,
     /// The relay.
@@ -33,7 +33,7 @@
     /// The operators' tool.
     pub alderctl: PathBuf,
     /// The directory for settings files.
-    pub scratch: PathBuf,
+    pub scratch_base: PathBuf,
 }
 
 /// A `ClusterOptions` says which processes run and how slow the targets are.
@@ -106,8 +106,8 @@
             parameter: PARAMETER.to_owned(),
         };
         Ok(vec![
-            self.template(SWEEP, ShardSelection::All, true)?,
-            self.template(RESERVE, by_key, false)?,
+            self.template(FAN_OUT_TEMPLATE, ShardSelection::All, true)?,
+            self.template(RESERVATION_TEMPLATE, by_key, false)?,
         ])
     }
 
--- a/alderhaven-proof/src/condition.rs
+++ b/alderhaven-proof/src/condition.rs
@@ -7,16 +7,16 @@
 use tokio::time::Instant;
 
 /// The time within which every condition must come about; far above what a busy machine needs.
-pub const CONDITION_LIMIT: Duration = Duration::from_secs(30);
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 /// The pause between two looks.
-const POLL_PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until `probe` gives a value; an error of the probe counts as "not yet".
 ///
 /// # Errors
 /// Where the limit passes; it names `what` and the last error.
 pub async fn until<T>(what: &str, probe: impl AsyncFnMut() -> Result<Option<T>>) -> Result<T> {
-    within(CONDITION_LIMIT, what, probe).await
+    within(CONDITION_TIMEOUT, what, probe).await
 }
 
 /// Waits until `probe` gives a value, for a promise that names its own time.
@@ -40,6 +40,6 @@
         if Instant::now() >= limit {
             bail!("{what}: not within {promise:?}; last error: {last_error}");
         }
-        time::sleep(POLL_PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/alderhaven-proof/src/lib.rs
+++ b/alderhaven-proof/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod condition;
 pub mod operator_tool;
 pub mod operator_view;
-pub mod platform_caller;
-pub mod scratch_files;
+pub mod platform_client;
+pub mod scratch_directory;
--- a/alderhaven-proof/src/operator_tool.rs
+++ b/alderhaven-proof/src/operator_tool.rs
@@ -6,19 +6,19 @@
 use serde_json::Value;
 use tokio::{task, time};
 
-use crate::cluster::ProofCluster;
-use crate::condition::CONDITION_LIMIT;
+use crate::cluster::TestCluster;
+use crate::condition::CONDITION_TIMEOUT;
 
 /// A `ToolResult` is what a run of the tool left.
 #[derive(Clone, Debug)]
 pub struct ToolResult {
     /// The exit code.
-    pub code: Option<i32>,
+    pub exit_code: Option<i32>,
     /// The report.
     pub report: Value,
 }
 
-impl ProofCluster {
+impl TestCluster {
     /// Runs the tool on behalf of an operator, with all nodes of the cluster.
     ///
     /// # Errors
@@ -27,16 +27,16 @@
         let mut command = Command::new(&self.binaries.alderctl);
         command.args(["--json", "--operator", operator]);
         command.args(["--platform", &self.platform.address("address")?.to_string()]);
-        for node in self.operators()? {
+        for node in self.operator_addresses()? {
             command.args(["--node", &node.to_string()]);
         }
         command.args(words);
         let running = task::spawn_blocking(move || command.output());
-        let output = time::timeout(CONDITION_LIMIT, running).await???;
+        let output = time::timeout(CONDITION_TIMEOUT, running).await???;
         let report = serde_json::from_slice(&output.stdout)
             .wrap_err_with(|| String::from_utf8_lossy(&output.stderr).into_owned())?;
         Ok(ToolResult {
-            code: output.status.code(),
+            exit_code: output.status.code(),
             report,
         })
     }
--- a/alderhaven-proof/src/operator_view.rs
+++ b/alderhaven-proof/src/operator_view.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use eyre::{Result, bail};
 use http::Request;
 use http_body_util::Full;
@@ -13,18 +13,18 @@
 ///
 /// # Errors
 /// Where it can't be reached or answers otherwise than with 200 and JSON.
-pub async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Result<T> {
-    Ok(serde_json::from_str(&text(address, path).await?)?)
+pub async fn get_json<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Result<T> {
+    Ok(serde_json::from_str(&get_text(address, path).await?)?)
 }
 
 /// Gets a text from a process.
 ///
 /// # Errors
 /// Where it can't be reached or answers otherwise than with 200 and a text.
-pub async fn text(address: SocketAddr, path: &str) -> Result<String> {
-    let mut caller = HttpCaller::connect(address).await?;
+pub async fn get_text(address: SocketAddr, path: &str) -> Result<String> {
+    let mut caller = HttpConnection::connect(address).await?;
     let response = caller
-        .call(Request::get(path).body(Full::default())?)
+        .send(Request::get(path).body(Full::default())?)
         .await?;
     if !response.status().is_success() {
         bail!("{path}: status {}", response.status());
@@ -36,8 +36,8 @@
 ///
 /// # Errors
 /// As for [`get`].
-pub async fn revision(operator: SocketAddr) -> Result<Option<u64>> {
-    let status: Value = get(operator, "/debug/status").await?;
+pub async fn config_revision(operator: SocketAddr) -> Result<Option<u64>> {
+    let status: Value = get_json(operator, "/debug/status").await?;
     Ok(status["config"]["revision"].as_u64())
 }
 
@@ -45,8 +45,8 @@
 ///
 /// # Errors
 /// As for [`get`].
-pub async fn usable_relays(operator: SocketAddr) -> Result<usize> {
-    let dump: Value = get(operator, "/debug/dump").await?;
+pub async fn usable_relay_count(operator: SocketAddr) -> Result<usize> {
+    let dump: Value = get_json(operator, "/debug/dump").await?;
     let relays = dump["relays"].as_array().map_or(&[][..], Vec::as_slice);
     Ok(relays
         .iter()
--- a/alderhaven-proof/src/platform_caller.rs
+++ b/alderhaven-proof/src/platform_client.rs
@@ -4,7 +4,7 @@
 
 use alderhaven_core::config_object::{ObjectKey, StoredObject};
 use alderhaven_core::ids::StoreVersion;
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use alderhaven_standin::platform_faults::PlatformFaults;
 use alderhaven_store::host_list::HostRecord;
 use alderhaven_store::object_store::{IF_VERSION_HEADER, WRITE_ID_HEADER};
@@ -16,11 +16,11 @@
 
 /// A `PlatformCaller` calls the platform, each call over a connection of its own.
 #[derive(Clone, Copy, Debug)]
-pub struct PlatformCaller {
+pub struct PlatformClient {
     address: SocketAddr,
 }
 
-impl PlatformCaller {
+impl PlatformClient {
     /// Returns a caller of the platform at `address`.
     #[must_use]
     pub const fn new(address: SocketAddr) -> Self {
@@ -53,7 +53,7 @@
     pub async fn put_host(&self, host: &HostRecord) -> Result<()> {
         let path = format!("/hosts/{}", host.host);
         let body = serde_json::to_vec(host)?;
-        self.succeed(Method::PUT, &path, body).await
+        self.call_expecting_ok(Method::PUT, &path, body).await
     }
 
     /// Replaces the fault switches.
@@ -62,10 +62,10 @@
     /// Where the platform can't be reached or refuses.
     pub async fn set_faults(&self, faults: &PlatformFaults) -> Result<()> {
         let body = serde_json::to_vec(faults)?;
-        self.succeed(Method::POST, "/faults", body).await
+        self.call_expecting_ok(Method::POST, "/faults", body).await
     }
 
-    async fn succeed(&self, method: Method, path: &str, body: Vec<u8>) -> Result<()> {
+    async fn call_expecting_ok(&self, method: Method, path: &str, body: Vec<u8>) -> Result<()> {
         match self.call(method, path, 0, body).await? {
             (StatusCode::OK, _) => Ok(()),
             (status, _) => bail!("{path}: status {status}"),
@@ -79,14 +79,14 @@
         expected: u64,
         body: Vec<u8>,
     ) -> Result<(StatusCode, Bytes)> {
-        let mut caller = HttpCaller::connect(self.address).await?;
+        let mut caller = HttpConnection::connect(self.address).await?;
         let request = Request::builder()
             .method(method)
             .uri(path)
             .header(IF_VERSION_HEADER, expected)
             .header(WRITE_ID_HEADER, Uuid::new_v4().to_string())
             .body(Full::from(body))?;
-        let response = caller.call(request).await?;
+        let response = caller.send(request).await?;
         Ok((response.status(), response.into_body()))
     }
 }
--- a/alderhaven-proof/src/scratch_files.rs
+++ b/alderhaven-proof/src/scratch_directory.rs
@@ -8,21 +8,21 @@
 use serde::Serialize;
 
 /// The number of directories that this process has made.
-static MADE: AtomicU32 = AtomicU32::new(0);
+static CREATED_COUNT: AtomicU32 = AtomicU32::new(0);
 
 /// A `ScratchFiles` is a directory that is removed on drop.
 #[derive(Debug)]
-pub struct ScratchFiles {
+pub struct ScratchDirectory {
     directory: PathBuf,
 }
 
-impl ScratchFiles {
+impl ScratchDirectory {
     /// Makes an empty directory under `base`.
     ///
     /// # Errors
     /// Where it can't be made.
     pub fn new(base: &Path) -> Result<Self> {
-        let number = MADE.fetch_add(1, Ordering::Relaxed);
+        let number = CREATED_COUNT.fetch_add(1, Ordering::Relaxed);
         let directory = base.join(format!("proof-{}-{number}", process::id()));
         fs::create_dir_all(&directory)?;
         Ok(Self { directory })
@@ -30,7 +30,7 @@
 
     /// Gets the path of a file.
     #[must_use]
-    pub fn path(&self, name: &str) -> String {
+    pub fn file_path(&self, name: &str) -> String {
         self.directory.join(name).display().to_string()
     }
 
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// Where it can't be written.
-    pub fn write(&self, name: &str, content: &impl Serialize) -> Result<String> {
+    pub fn write_json(&self, name: &str, content: &impl Serialize) -> Result<String> {
         let path = self.directory.join(name);
         fs::create_dir_all(path.parent().unwrap_or(&self.directory))?;
         fs::write(&path, serde_json::to_vec_pretty(content)?)?;
@@ -48,7 +48,7 @@
     }
 }
 
-impl Drop for ScratchFiles {
+impl Drop for ScratchDirectory {
     fn drop(&mut self) {
         // What can't be removed is left in the build's own scratch directory.
         let _left = fs::remove_dir_all(&self.directory);
--- a/alderhaven-proof/tests/proofs/at_most_once.rs
+++ b/alderhaven-proof/tests/end_to_end/at_most_once.rs
@@ -2,8 +2,8 @@
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::caller::{CallerQuery, CallerReply};
-use alderhaven_proof::cluster::ProofCluster;
-use alderhaven_proof::cluster_options::{ClusterOptions, RESERVE};
+use alderhaven_proof::cluster::TestCluster;
+use alderhaven_proof::cluster_options::{ClusterOptions, RESERVATION_TEMPLATE};
 use alderhaven_proof::condition;
 use eyre::Result;
 use tokio::task::JoinHandle;
@@ -14,22 +14,22 @@
 /// The deadline of what is sent again: an entry that stands still is waited for that long.
 const RESEND_DEADLINE_MS: u64 = 1_500;
 /// A run time within which the proof acts.
-const LONG_RUN: TimeSpan = TimeSpan::from_secs(1);
+const LONG_RUN_TIME: TimeSpan = TimeSpan::from_secs(1);
 
 /// Starts a cluster and a reservation through entry 0 that a target runs by now.
-async fn start() -> (ProofCluster, CallerQuery, JoinHandle<Result<CallerReply>>) {
+async fn start_reservation() -> (TestCluster, CallerQuery, JoinHandle<Result<CallerReply>>) {
     let options = ClusterOptions::builder()
-        .run_time(LONG_RUN)
+        .run_time(LONG_RUN_TIME)
         .entries(2)
         .is_group(true)
         .build();
-    let cluster = support::start(options).await;
+    let cluster = support::start_cluster(options).await;
     let reserve = CallerQuery::builder()
-        .template(RESERVE)
+        .template(RESERVATION_TEMPLATE)
         .key("reserved")
         .idempotency_key(Uuid::now_v7())
         .build();
-    let entry = cluster.entry(0).unwrap();
+    let entry = cluster.entry_address(0).unwrap();
     let sent = reserve.clone();
     let asked = tokio::spawn(async move { sent.send(entry).await });
     condition::until("a run of the reservation", async || {
@@ -42,18 +42,18 @@
 
 /// Sends the reservation again through entry 1, checks the answer's word and that there is no second
 /// run.
-async fn resend(cluster: &ProofCluster, reserve: &CallerQuery, word: &str) {
+async fn assert_resent_once(cluster: &TestCluster, reserve: &CallerQuery, word: &str) {
     let again = CallerQuery {
         deadline_ms: Some(RESEND_DEADLINE_MS),
         ..reserve.clone()
     };
-    let reply = again.send(cluster.entry(1).unwrap()).await.unwrap();
-    assert_eq!(reply.word(), word, "{}", reply.body);
+    let reply = again.send(cluster.entry_address(1).unwrap()).await.unwrap();
+    assert_eq!(reply.outcome_or_code(), word, "{}", reply.body);
     assert!(!reply.says_not_run(), "{}", reply.body);
     assert_one_run(cluster, reserve).await;
 }
 
-async fn assert_one_run(cluster: &ProofCluster, reserve: &CallerQuery) -> u32 {
+async fn assert_one_run(cluster: &TestCluster, reserve: &CallerQuery) -> u32 {
     let runs = cluster.runs(reserve).await.unwrap();
     assert_eq!(runs.len(), 1, "{runs:?}");
     runs[0].shard.0
@@ -64,11 +64,11 @@
 /// the outcome is unknown, and the reservation is made once, not two or three times.
 #[tokio::test(flavor = "multi_thread")]
 async fn at_most_once_resend_other_entry_after_kill() {
-    let (mut cluster, reserve, asked) = start().await;
+    let (mut cluster, reserve, asked) = start_reservation().await;
     cluster.entries[0].kill().unwrap();
     assert!(asked.await.unwrap().is_err());
     for _ in 0..2 {
-        resend(&cluster, &reserve, "unknown").await;
+        assert_resent_once(&cluster, &reserve, "unknown").await;
     }
 }
 
@@ -77,13 +77,16 @@
 /// answers, and what the caller sends once more gets that answer. The reservation is made once.
 #[tokio::test(flavor = "multi_thread")]
 async fn at_most_once_freeze() {
-    let (cluster, reserve, asked) = start().await;
+    let (cluster, reserve, asked) = start_reservation().await;
     cluster.entries[0].freeze().unwrap();
-    resend(&cluster, &reserve, "unknown").await;
+    assert_resent_once(&cluster, &reserve, "unknown").await;
     cluster.entries[0].resume().unwrap();
     let first = asked.await.unwrap().unwrap();
-    assert_eq!(first.word(), "complete", "{}", first.body);
+    assert_eq!(first.outcome_or_code(), "complete", "{}", first.body);
     let shard = assert_one_run(&cluster, &reserve).await;
-    assert_eq!(first.body["rows"], cluster.rows_of(&reserve, &[shard]));
-    resend(&cluster, &reserve, "complete").await;
+    assert_eq!(
+        first.body["rows"],
+        cluster.expected_rows(&reserve, &[shard])
+    );
+    assert_resent_once(&cluster, &reserve, "complete").await;
 }
--- a/alderhaven-proof/tests/proofs/config.rs
+++ b/alderhaven-proof/tests/end_to_end/config.rs
@@ -1,8 +1,8 @@
 //! Proofs that an accepted configuration is in force everywhere and never reverts.
 
 use alderhaven_core::template::{MergeRule, QueryTemplate};
-use alderhaven_proof::cluster::ProofCluster;
-use alderhaven_proof::cluster_options::{ClusterOptions, SWEEP};
+use alderhaven_proof::cluster::TestCluster;
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
 use alderhaven_proof::condition;
 use alderhaven_standin::platform_faults::PlatformFaults;
 use serde_json::Value;
@@ -10,22 +10,22 @@
 use crate::support;
 
 /// The template that the proofs publish.
-const PUBLISHED: &str = "published";
+const PUBLISHED_TEMPLATE: &str = "published";
 /// The races of two operators.
-const RACES: usize = 4;
+const RACE_ROUNDS: usize = 4;
 
-async fn start() -> ProofCluster {
-    support::start(ClusterOptions::builder().entries(2).build()).await
+async fn start() -> TestCluster {
+    support::start_cluster(ClusterOptions::builder().entries(2).build()).await
 }
 
 /// Writes the template's file with a merge rule that keeps `limit` rows, and gets its path.
-fn write_template(cluster: &ProofCluster, folder: &str, limit: usize) -> String {
+fn write_template(cluster: &TestCluster, folder: &str, limit: usize) -> String {
     let templates = ClusterOptions::builder().build().templates().unwrap();
     let sweep = templates
         .into_iter()
-        .find(|template| template.name.as_str() == SWEEP);
+        .find(|template| template.name.as_str() == FAN_OUT_TEMPLATE);
     let template = QueryTemplate {
-        name: PUBLISHED.parse().unwrap(),
+        name: PUBLISHED_TEMPLATE.parse().unwrap(),
         merge: MergeRule::TopN {
             field: "score".to_owned(),
             limit,
@@ -33,16 +33,19 @@
         },
         ..sweep.unwrap()
     };
-    let name = format!("{folder}/templates/{PUBLISHED}.yaml");
+    let name = format!("{folder}/templates/{PUBLISHED_TEMPLATE}.yaml");
     cluster.write_file(&name, &template).unwrap()
 }
 
 /// Checks that every entry answers the template with `limit` rows.
-async fn assert_in_force(cluster: &ProofCluster, limit: usize) {
+async fn assert_in_force(cluster: &TestCluster, limit: usize) {
     for number in 0..cluster.entries.len() {
-        let entry = cluster.entry(number).unwrap();
-        let reply = support::query(PUBLISHED, "a").send(entry).await.unwrap();
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        let entry = cluster.entry_address(number).unwrap();
+        let reply = support::build_query(PUBLISHED_TEMPLATE, "a")
+            .send(entry)
+            .await
+            .unwrap();
+        assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let rows = reply.body["rows"].as_array().map(Vec::len);
         assert_eq!(rows, Some(limit), "entry {number}: {}", reply.body);
     }
@@ -57,7 +60,7 @@
         let file = write_template(&cluster, &format!("round-{round}"), limit);
         let words = ["publish", &file, "--wait", "--limit", "20s"];
         let published = cluster.alderctl("ama", &words).await.unwrap();
-        assert_eq!(published.code, Some(0), "{}", published.report);
+        assert_eq!(published.exit_code, Some(0), "{}", published.report);
         assert_eq!(published.report["publications"][0]["outcome"], "published");
         assert_in_force(&cluster, limit).await;
     }
@@ -72,17 +75,17 @@
     let cluster = start().await;
     let first = write_template(&cluster, "first", 8);
     let published = cluster.alderctl("ama", &["publish", &first]).await.unwrap();
-    assert_eq!(published.code, Some(0), "{}", published.report);
-    for race in 0..RACES {
+    assert_eq!(published.exit_code, Some(0), "{}", published.report);
+    for race in 0..RACE_ROUNDS {
         let operators = ["ama", "kofi"];
         let limits = [1 + 2 * race % 7, 2 + 2 * race % 7];
         let mut plans = Vec::new();
         for (operator, limit) in operators.into_iter().zip(limits) {
             let file = write_template(&cluster, &format!("{operator}-{race}"), limit);
-            let plan = cluster.file(&format!("{operator}-{race}.json"));
+            let plan = cluster.file_path(&format!("{operator}-{race}.json"));
             let words = ["diff", &file, "--plan", &plan];
             let planned = cluster.alderctl(operator, &words).await.unwrap();
-            assert_eq!(planned.code, Some(0), "{}", planned.report);
+            assert_eq!(planned.exit_code, Some(0), "{}", planned.report);
             plans.push(plan);
         }
         let words = [0, 1].map(|operator| ["publish", "--plan", plans[operator].as_str()]);
@@ -91,11 +94,11 @@
             cluster.alderctl("kofi", &words[1]),
         );
         let results = [ama.unwrap(), kofi.unwrap()];
-        let codes = results.each_ref().map(|result| result.code);
+        let codes = results.each_ref().map(|result| result.exit_code);
         let winner = codes.iter().position(|code| *code == Some(0));
         let winner = winner.unwrap_or_else(|| panic!("{results:?}: nobody won"));
         let loser = &results[1 - winner];
-        assert_eq!(loser.code, Some(4), "{}", loser.report);
+        assert_eq!(loser.exit_code, Some(4), "{}", loser.report);
         let told = &loser.report["publications"][0];
         assert_eq!(told["outcome"], "conflict", "{told}");
         let by = told["current"]["write_id"].as_str().unwrap();
@@ -121,39 +124,41 @@
     let file = write_template(&cluster, "before", 3);
     let words = ["publish", &file, "--wait", "--limit", "20s"];
     let published = cluster.alderctl("ama", &words).await.unwrap();
-    assert_eq!(published.code, Some(0), "{}", published.report);
+    assert_eq!(published.exit_code, Some(0), "{}", published.report);
     let outage = PlatformFaults {
         outage: true,
         ..PlatformFaults::default()
     };
-    let platform = cluster.platform_caller().unwrap();
+    let platform = cluster.platform_client().unwrap();
     platform.set_faults(&outage).await.unwrap();
     cluster
-        .await_dumps("the outage is seen", is_state("lost"))
+        .await_all_dumps("the outage is seen", has_store_state("lost"))
         .await
         .unwrap();
     assert_in_force(&cluster, 3).await;
     let file = write_template(&cluster, "during", 1);
     let refused = cluster.alderctl("ama", &["publish", &file]).await.unwrap();
-    assert_eq!(refused.code, Some(1), "{}", refused.report);
+    assert_eq!(refused.exit_code, Some(1), "{}", refused.report);
     assert_in_force(&cluster, 3).await;
     cluster.restart_platform().unwrap();
     cluster
-        .await_dumps("the step back is seen", is_state("backwards"))
+        .await_all_dumps("the step back is seen", has_store_state("backwards"))
         .await
         .unwrap();
     assert_in_force(&cluster, 3).await;
     // A node that has nothing yet takes what the platform holds; it serves that, not nothing.
     let number = cluster.start_entry().unwrap();
-    let entry = cluster.entry(number).unwrap();
+    let entry = cluster.entry_address(number).unwrap();
     condition::until("the new entry answers", async || {
-        let reply = support::query(SWEEP, "new").send(entry).await?;
-        Ok((reply.word() == "complete").then_some(()))
+        let reply = support::build_query(FAN_OUT_TEMPLATE, "new")
+            .send(entry)
+            .await?;
+        Ok((reply.outcome_or_code() == "complete").then_some(()))
     })
     .await
     .unwrap();
 }
 
-fn is_state(state: &'static str) -> impl Fn(&Value) -> bool {
+fn has_store_state(state: &'static str) -> impl Fn(&Value) -> bool {
     move |dump| dump["status"]["config"]["contact"]["state"] == state
 }
--- a/alderhaven-proof/tests/proofs/coverage.rs
+++ b/alderhaven-proof/tests/end_to_end/coverage.rs
@@ -1,24 +1,24 @@
 //! Proofs that each answer states truly which shards it covers.
 
 use alderhaven_core::time::TimeSpan;
-use alderhaven_proof::cluster_options::{ClusterOptions, SWEEP};
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
 use alderhaven_proof::condition;
 
 use crate::support;
 
 /// The run time at targets in proofs that act while a query runs.
-const LONG_RUN: TimeSpan = TimeSpan::from_millis(300);
+const LONG_RUN_TIME: TimeSpan = TimeSpan::from_millis(300);
 
 /// A caller sweeps all shards, and a host with one replica of each shard dies while it works on the
 /// query. The caller sees a complete answer all the same: the shards whose attempts were lost are
 /// asked again at their other replica. Without that the dead host's shards would be missing.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_replica_killed_mid_query() {
-    let options = ClusterOptions::builder().run_time(LONG_RUN).build();
-    let mut cluster = support::start(options).await;
-    let entry = cluster.entry(0).unwrap();
+    let options = ClusterOptions::builder().run_time(LONG_RUN_TIME).build();
+    let mut cluster = support::start_cluster(options).await;
+    let entry = cluster.entry_address(0).unwrap();
     // The replica of a shard is chosen at random: sweeps are sent until the dying host has a run.
-    let query = support::query(SWEEP, "killed");
+    let query = support::build_query(FAN_OUT_TEMPLATE, "killed");
     let asked = tokio::spawn({
         let query = query.clone();
         async move { futures::future::join_all((0..4).map(|_| query.send(entry))).await }
@@ -27,9 +27,9 @@
     cluster.targets[0].kill().unwrap();
     for reply in asked.await.unwrap() {
         let reply = reply.unwrap();
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let all = cluster.all_shards();
-        assert_eq!(reply.body["rows"], cluster.rows_of(&query, &all));
+        assert_eq!(reply.body["rows"], cluster.expected_rows(&query, &all));
     }
 }
 
@@ -37,15 +37,15 @@
 /// refused. Every caller sees a complete answer through the other replicas, query after query.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_replica_refuses_connections() {
-    let mut cluster = support::start(ClusterOptions::builder().build()).await;
+    let mut cluster = support::start_cluster(ClusterOptions::builder().build()).await;
     cluster.targets[0].kill().unwrap();
-    let entry = cluster.entry(0).unwrap();
+    let entry = cluster.entry_address(0).unwrap();
     for number in 0..20 {
-        let query = support::query(SWEEP, &format!("refused-{number}"));
+        let query = support::build_query(FAN_OUT_TEMPLATE, &format!("refused-{number}"));
         let reply = query.send(entry).await.unwrap();
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let all = cluster.all_shards();
-        assert_eq!(reply.body["rows"], cluster.rows_of(&query, &all));
+        assert_eq!(reply.body["rows"], cluster.expected_rows(&query, &all));
     }
 }
 
@@ -56,20 +56,26 @@
 async fn coverage_shard_gone() {
     let placement = vec![vec![0, 1], vec![0, 1], vec![2, 3], vec![0, 1]];
     let options = ClusterOptions::builder().placement(placement).build();
-    let mut cluster = support::start(options).await;
-    let entry = cluster.entry(0).unwrap();
-    let before = support::query(SWEEP, "before").send(entry).await.unwrap();
-    assert_eq!(before.word(), "complete", "{}", before.body);
+    let mut cluster = support::start_cluster(options).await;
+    let entry = cluster.entry_address(0).unwrap();
+    let before = support::build_query(FAN_OUT_TEMPLATE, "before")
+        .send(entry)
+        .await
+        .unwrap();
+    assert_eq!(before.outcome_or_code(), "complete", "{}", before.body);
     cluster.targets[2].kill().unwrap();
     cluster.targets[3].kill().unwrap();
     for number in 0..5 {
-        let query = support::query(SWEEP, &format!("gone-{number}"));
+        let query = support::build_query(FAN_OUT_TEMPLATE, &format!("gone-{number}"));
         let reply = query.send(entry).await.unwrap();
-        assert_eq!(reply.word(), "partial", "{}", reply.body);
-        assert_eq!(reply.missing(), [2]);
+        assert_eq!(reply.outcome_or_code(), "partial", "{}", reply.body);
+        assert_eq!(reply.missing_shards(), [2]);
         assert_eq!(reply.body["coverage"]["asked"], 4);
         assert_eq!(reply.body["coverage"]["answered"], 3);
-        assert_eq!(reply.body["rows"], cluster.rows_of(&query, &[0, 1, 3]));
+        assert_eq!(
+            reply.body["rows"],
+            cluster.expected_rows(&query, &[0, 1, 3])
+        );
     }
 }
 
@@ -78,21 +84,21 @@
 /// repeated. The caller sees a complete answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_relay_killed_mid_query() {
-    let options = ClusterOptions::builder().run_time(LONG_RUN).build();
-    let mut cluster = support::start(options).await;
-    let entry = cluster.entry(0).unwrap();
-    let query = support::query(SWEEP, "relay-killed");
+    let options = ClusterOptions::builder().run_time(LONG_RUN_TIME).build();
+    let mut cluster = support::start_cluster(options).await;
+    let entry = cluster.entry_address(0).unwrap();
+    let query = support::build_query(FAN_OUT_TEMPLATE, "relay-killed");
     let asked = tokio::spawn({
         let query = query.clone();
         async move { futures::future::join_all((0..4).map(|_| query.send(entry))).await }
     });
-    let busy = cluster.busy_relay().await.unwrap();
+    let busy = cluster.await_busy_relay().await.unwrap();
     cluster.relays[busy].kill().unwrap();
     for reply in asked.await.unwrap() {
         let reply = reply.unwrap();
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let all = cluster.all_shards();
-        assert_eq!(reply.body["rows"], cluster.rows_of(&query, &all));
+        assert_eq!(reply.body["rows"], cluster.expected_rows(&query, &all));
     }
 }
 
@@ -107,22 +113,22 @@
         .deadline(deadline)
         .link_silence(TimeSpan::ZERO)
         .build();
-    let cluster = support::start(options).await;
-    let entry = cluster.entry(0).unwrap();
+    let cluster = support::start_cluster(options).await;
+    let entry = cluster.entry_address(0).unwrap();
     let frozen = support::relay_with_most_lanes(&cluster).await;
     cluster.relays[frozen].freeze().unwrap();
     condition::until("an answer without the frozen relay's shards", async || {
-        let query = support::query(SWEEP, "frozen");
+        let query = support::build_query(FAN_OUT_TEMPLATE, "frozen");
         let reply = query.send(entry).await?;
-        let missing = reply.missing();
+        let missing = reply.missing_shards();
         let covered: Vec<u32> = cluster
             .all_shards()
             .into_iter()
             .filter(|shard| !missing.contains(&u64::from(*shard)))
             .collect();
         if reply.status.is_success() {
-            assert_eq!(reply.body["rows"], cluster.rows_of(&query, &covered));
-            assert_eq!(reply.word() == "complete", missing.is_empty());
+            assert_eq!(reply.body["rows"], cluster.expected_rows(&query, &covered));
+            assert_eq!(reply.outcome_or_code() == "complete", missing.is_empty());
         } else {
             assert_eq!(missing.len(), 4, "{}", reply.body);
         }
@@ -132,13 +138,13 @@
     .unwrap();
     cluster.relays[frozen].resume().unwrap();
     condition::until("a complete answer", async || {
-        let query = support::query(SWEEP, "resumed");
+        let query = support::build_query(FAN_OUT_TEMPLATE, "resumed");
         let reply = query.send(entry).await?;
-        if reply.word() == "complete" {
-            let all = cluster.rows_of(&query, &cluster.all_shards());
+        if reply.outcome_or_code() == "complete" {
+            let all = cluster.expected_rows(&query, &cluster.all_shards());
             assert_eq!(reply.body["rows"], all);
         }
-        Ok((reply.word() == "complete").then_some(()))
+        Ok((reply.outcome_or_code() == "complete").then_some(()))
     })
     .await
     .unwrap();
@@ -149,14 +155,14 @@
 /// the whole answer while the relay is still frozen.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_relay_frozen_is_left() {
-    let cluster = support::start(ClusterOptions::builder().build()).await;
-    let entry = cluster.entry(0).unwrap();
+    let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
+    let entry = cluster.entry_address(0).unwrap();
     let frozen = support::relay_with_most_lanes(&cluster).await;
     cluster.relays[frozen].freeze().unwrap();
-    let query = support::query(SWEEP, "left");
+    let query = support::build_query(FAN_OUT_TEMPLATE, "left");
     let reply = query.send(entry).await.unwrap();
-    assert_eq!(reply.word(), "complete", "{}", reply.body);
-    let all = cluster.rows_of(&query, &cluster.all_shards());
+    assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
+    let all = cluster.expected_rows(&query, &cluster.all_shards());
     assert_eq!(reply.body["rows"], all);
     cluster.relays[frozen].resume().unwrap();
 }
--- a/alderhaven-proof/tests/proofs/group.rs
+++ b/alderhaven-proof/tests/end_to_end/group.rs
@@ -1,7 +1,7 @@
 //! Proofs of what nodes learn from each other.
 
-use alderhaven_proof::cluster::ProofCluster;
-use alderhaven_proof::cluster_options::{ClusterOptions, SWEEP};
+use alderhaven_proof::cluster::TestCluster;
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
 use alderhaven_proof::condition;
 use alderhaven_proof::operator_view;
 use alderhaven_standin::platform_faults::PlatformFaults;
@@ -9,9 +9,9 @@
 
 use crate::support;
 
-async fn start() -> ProofCluster {
+async fn start() -> TestCluster {
     let options = ClusterOptions::builder().entries(2).is_group(true).build();
-    support::start(options).await
+    support::start_cluster(options).await
 }
 
 /// Returns true where a dump says that a member is dead.
@@ -25,21 +25,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn group_killed_relay_is_left() {
     let mut cluster = start().await;
-    let entries = [0, 1].map(|number| cluster.entry(number).unwrap());
+    let entries = [0, 1].map(|number| cluster.entry_address(number).unwrap());
     let name = cluster.relays[0].name().to_owned();
     cluster.relays[0].kill().unwrap();
-    let operators = cluster.operators().unwrap();
+    let operators = cluster.operator_addresses().unwrap();
     let others = [operators[0], operators[1], operators[3]];
     condition::until("all others know the relay dead", async || {
         for entry in entries {
-            let query = support::query(SWEEP, "killed");
+            let query = support::build_query(FAN_OUT_TEMPLATE, "killed");
             let reply = query.send(entry).await.unwrap();
-            assert_eq!(reply.word(), "complete", "{}", reply.body);
+            assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
             let all = cluster.all_shards();
-            assert_eq!(reply.body["rows"], cluster.rows_of(&query, &all));
+            assert_eq!(reply.body["rows"], cluster.expected_rows(&query, &all));
         }
         for operator in others {
-            let dump: Value = operator_view::get(operator, "/debug/dump").await?;
+            let dump: Value = operator_view::get_json(operator, "/debug/dump").await?;
             if !is_dead(&dump, &name) {
                 return Ok(None);
             }
@@ -60,29 +60,32 @@
         outage: true,
         ..PlatformFaults::default()
     };
-    let platform = cluster.platform_caller().unwrap();
+    let platform = cluster.platform_client().unwrap();
     platform.set_faults(&outage).await.unwrap();
     for node in cluster.relays.iter().chain(&cluster.entries) {
         node.freeze().unwrap();
     }
     let number = cluster.start_entry().unwrap();
-    let entry = cluster.entry(number).unwrap();
-    let early = support::query(SWEEP, "early").send(entry).await.unwrap();
-    assert_eq!(early.word(), "unavailable", "{}", early.body);
+    let entry = cluster.entry_address(number).unwrap();
+    let early = support::build_query(FAN_OUT_TEMPLATE, "early")
+        .send(entry)
+        .await
+        .unwrap();
+    assert_eq!(early.outcome_or_code(), "unavailable", "{}", early.body);
     assert!(early.says_not_run(), "{}", early.body);
     let peers = cluster.relays.iter().chain(&cluster.entries[..number]);
     for node in peers {
         node.resume().unwrap();
     }
     condition::until("a complete answer of the new entry", async || {
-        let query = support::query(SWEEP, "learnt");
+        let query = support::build_query(FAN_OUT_TEMPLATE, "learnt");
         let reply = query.send(entry).await?;
-        assert_ne!(reply.word(), "not_found", "{}", reply.body);
-        if reply.word() == "complete" {
+        assert_ne!(reply.outcome_or_code(), "not_found", "{}", reply.body);
+        if reply.outcome_or_code() == "complete" {
             let all = cluster.all_shards();
-            assert_eq!(reply.body["rows"], cluster.rows_of(&query, &all));
+            assert_eq!(reply.body["rows"], cluster.expected_rows(&query, &all));
         }
-        Ok((reply.word() == "complete").then_some(()))
+        Ok((reply.outcome_or_code() == "complete").then_some(()))
     })
     .await
     .unwrap();
--- a/alderhaven-proof/tests/proofs/interface.rs
+++ b/alderhaven-proof/tests/end_to_end/interface.rs
@@ -1,8 +1,8 @@
 //! Proofs of what a caller and the log are told of one request.
 
-use alderhaven_proof::cluster_options::{ClusterOptions, SWEEP};
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
 use alderhaven_proof::condition;
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use http::Request;
 use http_body_util::Full;
 use serde_json::Value;
@@ -13,21 +13,21 @@
 /// with that id in the log of the entry, and no lines of the many requests that were answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn interface_refusal_is_logged_once() {
-    let cluster = support::start(ClusterOptions::builder().build()).await;
-    let entry = cluster.entry(0).unwrap();
+    let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
+    let entry = cluster.entry_address(0).unwrap();
     for number in 0..20 {
-        let query = support::query(SWEEP, &format!("answered-{number}"));
+        let query = support::build_query(FAN_OUT_TEMPLATE, &format!("answered-{number}"));
         let reply = query.send(entry).await.unwrap();
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
     }
-    let mut caller = HttpCaller::connect(entry).await.unwrap();
-    let request = Request::post(format!("/v1/query/{SWEEP}"))
+    let mut caller = HttpConnection::connect(entry).await.unwrap();
+    let request = Request::post(format!("/v1/query/{FAN_OUT_TEMPLATE}"))
         .header("x-request-id", "reported-1")
         .body(Full::from(
             r#"{"team":"desk","parameters":{"colour":"blue"}}"#,
         ))
         .unwrap();
-    let reply = caller.call(request).await.unwrap();
+    let reply = caller.send(request).await.unwrap();
     assert_eq!(reply.status(), 400);
     assert_eq!(reply.headers()["x-request-id"], "reported-1");
     let lines = condition::until("a line of the refused request", async || {
--- a/alderhaven-proof/tests/proofs/leaving.rs
+++ b/alderhaven-proof/tests/end_to_end/leaving.rs
@@ -7,8 +7,8 @@
 
 use alderhaven_core::ids::SnapshotId;
 use alderhaven_core::time::TimeSpan;
-use alderhaven_proof::cluster::ProofCluster;
-use alderhaven_proof::cluster_options::{ClusterOptions, SWEEP};
+use alderhaven_proof::cluster::TestCluster;
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
 use alderhaven_proof::{condition, operator_view};
 use alderhaven_standin::platform_faults::PlatformFaults;
 use alderhaven_standin::run_log::RunLog;
@@ -21,15 +21,15 @@
 use crate::support;
 
 /// The time of the promise.
-const PROMISE: Duration = Duration::from_secs(3);
+const LEAVING_BOUND: Duration = Duration::from_secs(3);
 /// The time within which a change is in force everywhere, and a target that stays used again.
-const IN_FORCE: Duration = Duration::from_secs(9);
+const CONVERGENCE_BOUND: Duration = Duration::from_secs(9);
 /// The most queries of the load that goes on meanwhile.
 const MAX_QUERIES: usize = 5_000;
 /// The queries at each entry that must not reach the target.
-const PROBES: usize = 40;
+const QUERIES_PER_ENTRY: usize = 40;
 /// The shard of the leaving target; its process is 0.
-const SHARD: usize = 1;
+const LEAVING_SHARD: usize = 1;
 
 /// A `SteadyLoad` sends one sweep after another to an entry and checks that each is complete.
 struct SteadyLoad {
@@ -45,9 +45,9 @@
             tokio::spawn(async move {
                 let mut sent = 0;
                 while sent < MAX_QUERIES && !stop.load(Ordering::Relaxed) {
-                    let query = support::query(SWEEP, "steady");
+                    let query = support::build_query(FAN_OUT_TEMPLATE, "steady");
                     let reply = query.send(entry).await.unwrap();
-                    assert_eq!(reply.word(), "complete", "{}", reply.body);
+                    assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
                     sent += 1;
                 }
                 sent
@@ -67,33 +67,33 @@
     }
 }
 
-async fn start() -> (ProofCluster, Vec<SocketAddr>) {
+async fn start() -> (TestCluster, Vec<SocketAddr>) {
     let options = ClusterOptions::builder().entries(2).build();
-    let cluster = support::start(options).await;
-    let entries = (0..2).map(|number| cluster.entry(number).unwrap());
+    let cluster = support::start_cluster(options).await;
+    let entries = (0..2).map(|number| cluster.entry_address(number).unwrap());
     let entries = entries.collect();
     (cluster, entries)
 }
 
 /// Gets the number of runs at the leaving target so far.
-async fn runs_at_target(cluster: &ProofCluster) -> usize {
-    let query = support::query(SWEEP, "steady");
+async fn target_run_count(cluster: &TestCluster) -> usize {
+    let query = support::build_query(FAN_OUT_TEMPLATE, "steady");
     let runs = cluster.runs_at(0, &query).await.unwrap();
     runs.iter()
-        .filter(|run| run.shard.0 as usize == SHARD)
+        .filter(|run| run.shard.0 as usize == LEAVING_SHARD)
         .count()
 }
 
-async fn await_runs(cluster: &ProofCluster, more_than: usize) {
-    condition::within(IN_FORCE, "work at the target", async || {
-        Ok((runs_at_target(cluster).await > more_than).then_some(()))
+async fn await_more_runs(cluster: &TestCluster, more_than: usize) {
+    condition::within(CONVERGENCE_BOUND, "work at the target", async || {
+        Ok((target_run_count(cluster).await > more_than).then_some(()))
     })
     .await
     .unwrap();
 }
 
 /// Returns true where a node's dump says that the target leaves and nothing is in its lane.
-fn has_left(dump: &Value, target: &str) -> bool {
+fn is_drained(dump: &Value, target: &str) -> bool {
     let leaving = dump["leaving_targets"].as_array();
     let lane = &dump["lanes"][target];
     let is_empty = lane.is_null() || (lane["in_flight"] == 0 && lane["queued"] == 0);
@@ -102,27 +102,34 @@
 
 /// Checks that within the promise all nodes leave the target alone, and that it gets no work from
 /// then on, while every query is answered completely by the other replica.
-async fn assert_left_alone(cluster: &ProofCluster, entries: &[SocketAddr], target: &str) {
-    let operators = cluster.operators().unwrap();
-    condition::within(PROMISE, "all nodes leave the target alone", async || {
-        for operator in &operators {
-            let dump: Value = operator_view::get(*operator, "/debug/dump").await?;
-            if !has_left(&dump, target) {
-                return Ok(None);
+async fn assert_no_new_work(cluster: &TestCluster, entries: &[SocketAddr], target: &str) {
+    let operators = cluster.operator_addresses().unwrap();
+    condition::within(
+        LEAVING_BOUND,
+        "all nodes leave the target alone",
+        async || {
+            for operator in &operators {
+                let dump: Value = operator_view::get_json(*operator, "/debug/dump").await?;
+                if !is_drained(&dump, target) {
+                    return Ok(None);
+                }
             }
-        }
-        Ok(Some(()))
-    })
+            Ok(Some(()))
+        },
+    )
     .await
     .unwrap();
-    let before = runs_at_target(cluster).await;
+    let before = target_run_count(cluster).await;
     for entry in entries {
-        for _ in 0..PROBES {
-            let reply = support::query(SWEEP, "steady").send(*entry).await.unwrap();
-            assert_eq!(reply.word(), "complete", "{}", reply.body);
+        for _ in 0..QUERIES_PER_ENTRY {
+            let reply = support::build_query(FAN_OUT_TEMPLATE, "steady")
+                .send(*entry)
+                .await
+                .unwrap();
+            assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         }
     }
-    assert_eq!(runs_at_target(cluster).await, before, "{target} got work");
+    assert_eq!(target_run_count(cluster).await, before, "{target} got work");
 }
 
 /// A host is about to be taken away, and the platform's host list says so a second late. Callers at
@@ -131,16 +138,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_told_by_the_host_list() {
     let (cluster, entries) = start().await;
-    let platform = cluster.platform_caller().unwrap();
+    let platform = cluster.platform_client().unwrap();
     let faults = PlatformFaults {
         host_lag_ms: 1_000,
         ..PlatformFaults::default()
     };
     platform.set_faults(&faults).await.unwrap();
-    let replica = cluster.manifest.shards[SHARD].replicas[0].clone();
+    let replica = cluster.manifest.shards[LEAVING_SHARD].replicas[0].clone();
     let target = replica.target.to_string();
     let load = SteadyLoad::start(&entries);
-    await_runs(&cluster, 0).await;
+    await_more_runs(&cluster, 0).await;
     let leaving = HostRecord {
         host: target.parse().unwrap(),
         role: HostRole::Target,
@@ -149,14 +156,14 @@
         state: HostState::Leaving,
     };
     platform.put_host(&leaving).await.unwrap();
-    assert_left_alone(&cluster, &entries, &target).await;
+    assert_no_new_work(&cluster, &entries, &target).await;
     // The platform changes its mind, and the target is used again.
     let stays = HostRecord {
         state: HostState::Live,
         ..leaving
     };
     platform.put_host(&stays).await.unwrap();
-    await_runs(&cluster, runs_at_target(&cluster).await).await;
+    await_more_runs(&cluster, target_run_count(&cluster).await).await;
     load.stop().await;
 }
 
@@ -166,19 +173,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_published_by_an_operator() {
     let (cluster, entries) = start().await;
-    let target = cluster.manifest.shards[SHARD].replicas[0]
+    let target = cluster.manifest.shards[LEAVING_SHARD].replicas[0]
         .target
         .to_string();
     let load = SteadyLoad::start(&entries);
-    await_runs(&cluster, 0).await;
+    await_more_runs(&cluster, 0).await;
     let words = ["drain", "--target", &target];
     let drained = cluster.alderctl("ama", &words).await.unwrap();
-    assert_eq!(drained.code, Some(0), "{}", drained.report);
-    assert_left_alone(&cluster, &entries, &target).await;
+    assert_eq!(drained.exit_code, Some(0), "{}", drained.report);
+    assert_no_new_work(&cluster, &entries, &target).await;
     let words = ["drain", "--target", &target, "--end"];
     let ended = cluster.alderctl("ama", &words).await.unwrap();
-    assert_eq!(ended.code, Some(0), "{}", ended.report);
-    await_runs(&cluster, runs_at_target(&cluster).await).await;
+    assert_eq!(ended.exit_code, Some(0), "{}", ended.report);
+    await_more_runs(&cluster, target_run_count(&cluster).await).await;
     load.stop().await;
 }
 
@@ -189,7 +196,7 @@
 async fn leaving_told_by_its_own_reply() {
     let (cluster, entries) = start().await;
     let mut manifest = cluster.manifest.clone();
-    let shard = &mut manifest.shards[SHARD];
+    let shard = &mut manifest.shards[LEAVING_SHARD];
     let spec = TargetSpec {
         target: "sample-1-9".parse().unwrap(),
         domain: shard.replicas[0].domain.clone(),
@@ -198,19 +205,19 @@
         version: shard.version,
         slots: 2,
         connections: 25,
-        queue: 4,
+        max_queue_length: 4,
         connect_cost: TimeSpan::ZERO,
         service_time: ServiceTime::default(),
         seed: 1,
     };
     let runs = Arc::new(RunLog::default());
     let target = TargetServer::start(spec, Arc::clone(&runs)).await.unwrap();
-    shard.replicas[0] = target.replica();
+    shard.replicas[0] = target.replica_entry();
     manifest.snapshot = SnapshotId(2);
     let version = cluster.publish_manifest(&manifest).await.unwrap();
     cluster.await_in_force(version).await.unwrap();
     let load = SteadyLoad::start(&entries);
-    condition::within(IN_FORCE, "work at the target", async || {
+    condition::within(CONVERGENCE_BOUND, "work at the target", async || {
         Ok((!runs.records().is_empty()).then_some(()))
     })
     .await
@@ -220,24 +227,31 @@
         ..TargetFaults::default()
     };
     target.state().set_faults(draining);
-    let operators = cluster.operators().unwrap();
-    condition::within(PROMISE, "the entries leave the target alone", async || {
-        for operator in &operators[..entries.len()] {
-            let dump: Value = operator_view::get(*operator, "/debug/dump").await?;
-            if !has_left(&dump, "sample-1-9") {
-                return Ok(None);
+    let operators = cluster.operator_addresses().unwrap();
+    condition::within(
+        LEAVING_BOUND,
+        "the entries leave the target alone",
+        async || {
+            for operator in &operators[..entries.len()] {
+                let dump: Value = operator_view::get_json(*operator, "/debug/dump").await?;
+                if !is_drained(&dump, "sample-1-9") {
+                    return Ok(None);
+                }
             }
-        }
-        Ok(Some(()))
-    })
+            Ok(Some(()))
+        },
+    )
     .await
     .unwrap();
     target.state().set_faults(TargetFaults::default());
     let before = runs.records().len();
     for entry in &entries {
-        for _ in 0..PROBES {
-            let reply = support::query(SWEEP, "steady").send(*entry).await.unwrap();
-            assert_eq!(reply.word(), "complete", "{}", reply.body);
+        for _ in 0..QUERIES_PER_ENTRY {
+            let reply = support::build_query(FAN_OUT_TEMPLATE, "steady")
+                .send(*entry)
+                .await
+                .unwrap();
+            assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         }
     }
     assert_eq!(runs.records().len(), before, "the target got work");
--- a/alderhaven-proof/tests/proofs/not_run.rs
+++ b/alderhaven-proof/tests/end_to_end/not_run.rs
@@ -2,7 +2,7 @@
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::caller::CallerQuery;
-use alderhaven_proof::cluster_options::{ClusterOptions, RESERVE, SWEEP};
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE, RESERVATION_TEMPLATE};
 use alderhaven_proof::condition;
 use alderhaven_proof::operator_view;
 use uuid::Uuid;
@@ -13,19 +13,19 @@
 /// and the targets have no run of it. A sweep needs no claim and is answered as before.
 #[tokio::test(flavor = "multi_thread")]
 async fn not_run_platform_down() {
-    let mut cluster = support::start(ClusterOptions::builder().build()).await;
-    let entry = cluster.entry(0).unwrap();
+    let mut cluster = support::start_cluster(ClusterOptions::builder().build()).await;
+    let entry = cluster.entry_address(0).unwrap();
     cluster.platform.kill().unwrap();
     let reserve = CallerQuery::builder()
-        .template(RESERVE)
+        .template(RESERVATION_TEMPLATE)
         .key("platform-down")
         .idempotency_key(Uuid::now_v7())
         .build();
     let reply = reserve.send(entry).await.unwrap();
     assert!(reply.says_not_run(), "{}", reply.body);
-    let sweep = support::query(SWEEP, "platform-down");
+    let sweep = support::build_query(FAN_OUT_TEMPLATE, "platform-down");
     let answer = sweep.send(entry).await.unwrap();
-    assert_eq!(answer.word(), "complete", "{}", answer.body);
+    assert_eq!(answer.outcome_or_code(), "complete", "{}", answer.body);
     // The sweep went the same way after the reservation: its runs are there, none of the other's.
     assert!(!cluster.runs(&sweep).await.unwrap().is_empty());
     assert!(cluster.runs(&reserve).await.unwrap().is_empty());
@@ -35,11 +35,14 @@
 /// nothing ran, and the targets have no run.
 #[tokio::test(flavor = "multi_thread")]
 async fn not_run_platform_down_at_start() {
-    let mut cluster = support::start(ClusterOptions::builder().build()).await;
+    let mut cluster = support::start_cluster(ClusterOptions::builder().build()).await;
     cluster.platform.kill().unwrap();
     let number = cluster.start_entry().unwrap();
-    let query = support::query(SWEEP, "no-template");
-    let reply = query.send(cluster.entry(number).unwrap()).await.unwrap();
+    let query = support::build_query(FAN_OUT_TEMPLATE, "no-template");
+    let reply = query
+        .send(cluster.entry_address(number).unwrap())
+        .await
+        .unwrap();
     assert!(reply.says_not_run(), "{}", reply.body);
     assert!(cluster.runs(&query).await.unwrap().is_empty());
 }
@@ -53,9 +56,9 @@
         .relays(1)
         .run_time(TimeSpan::from_secs(15))
         .build();
-    let mut cluster = support::start(options).await;
-    let entry = cluster.entry(0).unwrap();
-    let caught = support::query(SWEEP, "caught");
+    let mut cluster = support::start_cluster(options).await;
+    let entry = cluster.entry_address(0).unwrap();
+    let caught = support::build_query(FAN_OUT_TEMPLATE, "caught");
     let asked = tokio::spawn({
         let caught = caught.clone();
         async move { caught.send(entry).await }
@@ -68,17 +71,17 @@
     .unwrap();
     cluster.relays[0].kill().unwrap();
     let reply = asked.await.unwrap().unwrap();
-    assert_eq!(reply.word(), "failed", "{}", reply.body);
+    assert_eq!(reply.outcome_or_code(), "failed", "{}", reply.body);
     assert!(!reply.says_not_run(), "{}", reply.body);
 
     let operator = cluster.entries[0].address("operator").unwrap();
     condition::until("the loss of the relay", async || {
-        let usable = operator_view::usable_relays(operator).await?;
+        let usable = operator_view::usable_relay_count(operator).await?;
         Ok((usable == 0).then_some(()))
     })
     .await
     .unwrap();
-    let refused = support::query(SWEEP, "refused");
+    let refused = support::build_query(FAN_OUT_TEMPLATE, "refused");
     let reply = refused.send(entry).await.unwrap();
     assert!(reply.says_not_run(), "{}", reply.body);
     assert!(cluster.runs(&refused).await.unwrap().is_empty());
--- a/alderhaven-proof/tests/proofs/own_answer.rs
+++ b/alderhaven-proof/tests/end_to_end/own_answer.rs
@@ -2,7 +2,7 @@
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::caller::CallerQuery;
-use alderhaven_proof::cluster_options::{ClusterOptions, SWEEP};
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
 use futures::future;
 
 use crate::support;
@@ -16,18 +16,20 @@
         .run_time(TimeSpan::from_millis(30))
         .spread(1.0)
         .build();
-    let cluster = support::start(options).await;
-    let entry = cluster.entry(0).unwrap();
+    let cluster = support::start_cluster(options).await;
+    let entry = cluster.entry_address(0).unwrap();
     for round in 0..3 {
         let queries: Vec<CallerQuery> = (0..8)
-            .map(|caller| support::query(SWEEP, &format!("caller-{caller}-{round}")))
+            .map(|caller| {
+                support::build_query(FAN_OUT_TEMPLATE, &format!("caller-{caller}-{round}"))
+            })
             .collect();
         let replies = future::join_all(queries.iter().map(|query| query.send(entry))).await;
         for (query, reply) in queries.iter().zip(replies) {
             let reply = reply.unwrap();
-            assert_eq!(reply.word(), "complete", "{}", reply.body);
+            assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
             let all = cluster.all_shards();
-            assert_eq!(reply.body["rows"], cluster.rows_of(query, &all));
+            assert_eq!(reply.body["rows"], cluster.expected_rows(query, &all));
         }
     }
 }
@@ -38,28 +40,28 @@
 /// to attempts that are forgotten, and no attempt's id recurs.
 #[tokio::test(flavor = "multi_thread")]
 async fn own_answer_after_late_replies() {
-    let cluster = support::start(ClusterOptions::builder().build()).await;
-    let entry = cluster.entry(0).unwrap();
+    let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
+    let entry = cluster.entry_address(0).unwrap();
     let _warm = support::relay_with_most_lanes(&cluster).await;
     for round in 0..5 {
         for relay in &cluster.relays {
             relay.freeze().unwrap();
         }
         let hasty = CallerQuery::builder()
-            .template(SWEEP)
+            .template(FAN_OUT_TEMPLATE)
             .key(format!("hasty-{round}"))
             .deadline_ms(200)
             .build();
         let reply = hasty.send(entry).await.unwrap();
-        assert_eq!(reply.word(), "failed", "{}", reply.body);
-        assert_eq!(reply.missing().len(), 4, "{}", reply.body);
+        assert_eq!(reply.outcome_or_code(), "failed", "{}", reply.body);
+        assert_eq!(reply.missing_shards().len(), 4, "{}", reply.body);
         for relay in &cluster.relays {
             relay.resume().unwrap();
         }
-        let patient = support::query(SWEEP, &format!("patient-{round}"));
+        let patient = support::build_query(FAN_OUT_TEMPLATE, &format!("patient-{round}"));
         let reply = patient.send(entry).await.unwrap();
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let all = cluster.all_shards();
-        assert_eq!(reply.body["rows"], cluster.rows_of(&patient, &all));
+        assert_eq!(reply.body["rows"], cluster.expected_rows(&patient, &all));
     }
 }
--- a/alderhaven-proof/tests/proofs/snapshot.rs
+++ b/alderhaven-proof/tests/end_to_end/snapshot.rs
@@ -9,8 +9,8 @@
 use alderhaven_core::manifest::SnapshotManifest;
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::caller::{CallerQuery, CallerReply};
-use alderhaven_proof::cluster::ProofCluster;
-use alderhaven_proof::cluster_options::{ClusterOptions, SWEEP};
+use alderhaven_proof::cluster::TestCluster;
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
 use alderhaven_proof::condition;
 use alderhaven_standin::service_layout::ServiceLayout;
 use futures::future;
@@ -19,12 +19,12 @@
 use crate::support;
 
 /// The callers at each entry.
-const CALLERS: usize = 4;
+const CALLERS_PER_ENTRY: usize = 4;
 /// The most queries of a caller.
 const MAX_QUERIES: usize = 5_000;
 
 /// The queries that wait for a manifest that is whole.
-const QUERIES: usize = 12;
+const RESTARTED_QUERIES: usize = 12;
 
 /// Checks that an answer holds the rows of one snapshot over the shards that it covers, all of them
 /// where it calls itself complete.
@@ -34,17 +34,17 @@
         .iter()
         .find(|manifest| manifest.snapshot == SnapshotId(snapshot))
         .unwrap_or_else(|| panic!("snapshot {snapshot} was never published"));
-    let missing = reply.missing();
+    let missing = reply.missing_shards();
     let covered: Vec<u32> = manifest
         .shards
         .iter()
         .map(|entry| entry.shard.0)
         .filter(|shard| !missing.contains(&u64::from(*shard)))
         .collect();
-    let rows = query.rows(manifest, &covered);
+    let rows = query.expected_rows(manifest, &covered);
     assert_eq!(reply.body["rows"], rows, "{}", reply.body);
     assert_eq!(
-        reply.word() == "complete",
+        reply.outcome_or_code() == "complete",
         missing.is_empty(),
         "{}",
         reply.body
@@ -52,7 +52,7 @@
 }
 
 /// Asks an entry one sweep after another until it is told to stop, and gets all replies.
-fn sweep_on(
+fn spawn_query_loop(
     entry: SocketAddr,
     caller: usize,
     stop: Arc<AtomicBool>,
@@ -60,7 +60,10 @@
     tokio::spawn(async move {
         let mut replies = Vec::new();
         while replies.len() < MAX_QUERIES && !stop.load(Ordering::Relaxed) {
-            let query = support::query(SWEEP, &format!("sweep-{caller}-{}", replies.len()));
+            let query = support::build_query(
+                FAN_OUT_TEMPLATE,
+                &format!("sweep-{caller}-{}", replies.len()),
+            );
             let reply = query.send(entry).await.unwrap();
             replies.push((query, reply));
         }
@@ -68,7 +71,7 @@
     })
 }
 
-fn layout_of(options: &ClusterOptions, version: u64) -> ServiceLayout {
+fn layout_with_version(options: &ClusterOptions, version: u64) -> ServiceLayout {
     ServiceLayout {
         version: IndexVersion(version),
         ..options.layout().unwrap()
@@ -78,10 +81,10 @@
 /// Waits until an entry answers a sweep completely for a snapshot.
 async fn await_snapshot(entry: SocketAddr, manifests: &[SnapshotManifest], snapshot: u64) {
     condition::until(&format!("an answer of snapshot {snapshot}"), async || {
-        let query = support::query(SWEEP, "which");
+        let query = support::build_query(FAN_OUT_TEMPLATE, "which");
         let reply = query.send(entry).await?;
         assert_one_snapshot(&query, &reply, manifests);
-        let found = reply.word() == "complete" && reply.body["snapshot"] == snapshot;
+        let found = reply.outcome_or_code() == "complete" && reply.body["snapshot"] == snapshot;
         Ok(found.then_some(()))
     })
     .await
@@ -100,24 +103,27 @@
         .spread(0.5)
         .deadline(TimeSpan::from_secs(3))
         .build();
-    let mut cluster = support::start(options.clone()).await;
+    let mut cluster = support::start_cluster(options.clone()).await;
     let older = cluster.targets.len();
-    let layout = layout_of(&options, 2);
+    let layout = layout_with_version(&options, 2);
     let next = cluster
         .start_version(&options, &layout, SnapshotId(2))
         .unwrap();
     let manifests = [cluster.manifest.clone(), next];
-    let entries = [cluster.entry(0).unwrap(), cluster.entry(1).unwrap()];
+    let entries = [
+        cluster.entry_address(0).unwrap(),
+        cluster.entry_address(1).unwrap(),
+    ];
     for entry in entries {
         await_snapshot(entry, &manifests, 1).await;
     }
     let stop = Arc::new(AtomicBool::new(false));
-    let callers: Vec<_> = (0..2 * CALLERS)
-        .map(|caller| sweep_on(entries[caller % 2], caller, Arc::clone(&stop)))
+    let callers: Vec<_> = (0..2 * CALLERS_PER_ENTRY)
+        .map(|caller| spawn_query_loop(entries[caller % 2], caller, Arc::clone(&stop)))
         .collect();
     condition::until("each caller's fourth sweep", async || {
         for caller in 0..callers.len() {
-            let query = support::query(SWEEP, &format!("sweep-{caller}-3"));
+            let query = support::build_query(FAN_OUT_TEMPLATE, &format!("sweep-{caller}-3"));
             if cluster.runs(&query).await?.is_empty() {
                 return Ok(None);
             }
@@ -142,7 +148,7 @@
             if !reply.status.is_success() {
                 // All hosts of the pinned snapshot ended before or while they ran it.
                 assert!(
-                    ["failed", "overloaded"].contains(&reply.word()),
+                    ["failed", "overloaded"].contains(&reply.outcome_or_code()),
                     "{}",
                     reply.body
                 );
@@ -164,9 +170,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn snapshot_gone_everywhere_restarts_whole() {
     let options = ClusterOptions::builder().build();
-    let mut cluster = support::start(options.clone()).await;
-    let entry = cluster.entry(0).unwrap();
-    let layout = layout_of(&options, 2);
+    let mut cluster = support::start_cluster(options.clone()).await;
+    let entry = cluster.entry_address(0).unwrap();
+    let layout = layout_with_version(&options, 2);
     let whole = cluster
         .start_version(&options, &layout, SnapshotId(3))
         .unwrap();
@@ -180,8 +186,8 @@
     }
     let version = cluster.publish_manifest(&torn).await.unwrap();
     cluster.await_in_force(version).await.unwrap();
-    let queries: Vec<CallerQuery> = (0..QUERIES)
-        .map(|number| support::query(SWEEP, &format!("restarted-{number}")))
+    let queries: Vec<CallerQuery> = (0..RESTARTED_QUERIES)
+        .map(|number| support::build_query(FAN_OUT_TEMPLATE, &format!("restarted-{number}")))
         .collect();
     let asked = tokio::spawn({
         let queries = queries.clone();
@@ -203,7 +209,7 @@
     let mut repeats = 0;
     for (query, reply) in queries.iter().zip(asked.await.unwrap()) {
         let reply = reply.unwrap();
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         assert_eq!(reply.body["snapshot"], 3);
         assert_one_snapshot(query, &reply, &manifests);
         let runs = cluster.runs(query).await.unwrap();
@@ -218,19 +224,19 @@
         repeats += shards.len() - ran.len();
     }
     // On a busy machine an attempt may be late and hedged: a second run at another replica is that hedge.
-    let hedges = counted(&cluster, "alderhaven_entry_hedges_total ").await;
+    let hedges = metric_value(&cluster, "alderhaven_entry_hedges_total ").await;
     assert!(
         repeats <= hedges,
         "{repeats} shards ran again for {hedges} hedges"
     );
-    let restarts = counted(&cluster, "alderhaven_entry_snapshot_restarts_total ").await;
-    assert_eq!(restarts, QUERIES);
+    let restarts = metric_value(&cluster, "alderhaven_entry_snapshot_restarts_total ").await;
+    assert_eq!(restarts, RESTARTED_QUERIES);
 }
 
 /// Gets a count of the first entry's metrics by the beginning of its line.
-async fn counted(cluster: &ProofCluster, name: &str) -> usize {
+async fn metric_value(cluster: &TestCluster, name: &str) -> usize {
     let operator = cluster.entries[0].address("operator").unwrap();
-    let metrics = alderhaven_proof::operator_view::text(operator, "/metrics").await;
+    let metrics = alderhaven_proof::operator_view::get_text(operator, "/metrics").await;
     let metrics = metrics.unwrap();
     let line = metrics.lines().find_map(|line| line.strip_prefix(name));
     line.unwrap().parse().unwrap()
--- a/alderhaven-proof/tests/proofs/stops.rs
+++ b/alderhaven-proof/tests/end_to_end/stops.rs
@@ -4,11 +4,11 @@
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::caller::{CallerQuery, CallerReply, PARAMETER, TEAM};
-use alderhaven_proof::cluster::ProofCluster;
-use alderhaven_proof::cluster_options::{ClusterOptions, RESERVE, SWEEP};
+use alderhaven_proof::cluster::TestCluster;
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE, RESERVATION_TEMPLATE};
 use alderhaven_proof::condition;
 use alderhaven_proof::operator_view;
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use eyre::Result;
 use futures::future;
 use http::Request;
@@ -23,26 +23,26 @@
 /// The callers whose queries are in flight when the stop is asked for.
 const CALLERS: usize = 4;
 /// A run time above the time for which a stopping entry still takes requests.
-const LONG_RUN: TimeSpan = TimeSpan::from_secs(1);
+const LONG_RUN_TIME: TimeSpan = TimeSpan::from_secs(1);
 
-async fn start(run_time: TimeSpan, entries: usize) -> ProofCluster {
+async fn start(run_time: TimeSpan, entries: usize) -> TestCluster {
     let options = ClusterOptions::builder()
         .run_time(run_time)
         .entries(entries)
         .is_group(true)
         .build();
-    support::start(options).await
+    support::start_cluster(options).await
 }
 
 /// Asks over a connection that the caller keeps.
-async fn ask(caller: &mut HttpCaller, query: &CallerQuery) -> Result<CallerReply> {
+async fn send_over(caller: &mut HttpConnection, query: &CallerQuery) -> Result<CallerReply> {
     let body = json!({ "team": TEAM, "parameters": { PARAMETER: query.key } });
     let mut request = Request::post(format!("/v1/query/{}", query.template));
     if let Some(key) = query.idempotency_key {
         request = request.header("idempotency-key", key.to_string());
     }
     let response = caller
-        .call(request.body(Full::from(body.to_string()))?)
+        .send(request.body(Full::from(body.to_string()))?)
         .await?;
     Ok(CallerReply {
         status: response.status(),
@@ -51,10 +51,10 @@
 }
 
 /// Checks that the first reply of an entry that leaves says that the connection closes.
-async fn assert_told_to_close(caller: &mut HttpCaller) {
+async fn assert_connection_close(caller: &mut HttpConnection) {
     condition::until("a reply of the leaving entry", async || {
         let request = Request::get("/v1/health").body(Full::default())?;
-        let response = caller.call(request).await.unwrap();
+        let response = caller.send(request).await.unwrap();
         let health: Value = serde_json::from_slice(response.body())?;
         if health["status"] == "serving" {
             return Ok(None);
@@ -69,26 +69,26 @@
 }
 
 /// Connects, uses the connection once, and asks over it from then on.
-async fn kept_connection(entry: SocketAddr) -> HttpCaller {
-    let mut caller = HttpCaller::connect(entry).await.unwrap();
+async fn open_kept_connection(entry: SocketAddr) -> HttpConnection {
+    let mut caller = HttpConnection::connect(entry).await.unwrap();
     let request = Request::get("/v1/health").body(Full::default()).unwrap();
-    let health = caller.call(request).await.unwrap();
+    let health = caller.send(request).await.unwrap();
     assert!(health.status().is_success());
     caller
 }
 
 /// Sends one query of each caller at once and waits until targets run all of them.
-async fn queries_in_flight(
-    cluster: &ProofCluster,
+async fn start_queries(
+    cluster: &TestCluster,
     entry: SocketAddr,
     query_of: impl Fn(usize) -> CallerQuery,
 ) -> Vec<(CallerQuery, JoinHandle<Result<CallerReply>>)> {
     let mut asked = Vec::new();
     for number in 0..CALLERS {
         let query = query_of(number);
-        let mut caller = kept_connection(entry).await;
+        let mut caller = open_kept_connection(entry).await;
         let sent = query.clone();
-        let task = tokio::spawn(async move { ask(&mut caller, &sent).await });
+        let task = tokio::spawn(async move { send_over(&mut caller, &sent).await });
         asked.push((query, task));
     }
     for (query, _) in &asked {
@@ -101,14 +101,14 @@
     asked
 }
 
-fn assert_whole(cluster: &ProofCluster, query: &CallerQuery, reply: &CallerReply) {
-    assert_eq!(reply.word(), "complete", "{}", reply.body);
+fn assert_complete(cluster: &TestCluster, query: &CallerQuery, reply: &CallerReply) {
+    assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
     let all = cluster.all_shards();
-    assert_eq!(reply.body["rows"], cluster.rows_of(query, &all));
+    assert_eq!(reply.body["rows"], cluster.expected_rows(query, &all));
 }
 
-async fn named_entries(entry: SocketAddr) -> Result<Vec<SocketAddr>> {
-    let answer: Value = operator_view::get(entry, "/v1/entries").await?;
+async fn listed_entries(entry: SocketAddr) -> Result<Vec<SocketAddr>> {
+    let answer: Value = operator_view::get_json(entry, "/v1/entries").await?;
     let entries = answer["entries"].as_array().into_iter().flatten();
     entries
         .map(|entry| Ok(serde_json::from_value(entry["address"].clone())?))
@@ -122,36 +122,36 @@
 /// connection closes: untold, a caller could send its next request just as that happens.
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_entry_cuts_nothing() {
-    let mut cluster = start(LONG_RUN, 2).await;
-    let [leaving, staying] = [0, 1].map(|number| cluster.entry(number).unwrap());
+    let mut cluster = start(LONG_RUN_TIME, 2).await;
+    let [leaving, staying] = [0, 1].map(|number| cluster.entry_address(number).unwrap());
     condition::until("both entries are named", async || {
-        let named = named_entries(staying).await?;
+        let named = listed_entries(staying).await?;
         Ok((named.contains(&leaving) && named.contains(&staying)).then_some(()))
     })
     .await
     .unwrap();
-    let mut idle_caller = kept_connection(leaving).await;
-    let mut late_caller = kept_connection(leaving).await;
-    let sweep = |number| support::query(SWEEP, &format!("in-flight-{number}"));
-    let asked = queries_in_flight(&cluster, leaving, sweep).await;
+    let mut idle_caller = open_kept_connection(leaving).await;
+    let mut late_caller = open_kept_connection(leaving).await;
+    let sweep = |number| support::build_query(FAN_OUT_TEMPLATE, &format!("in-flight-{number}"));
+    let asked = start_queries(&cluster, leaving, sweep).await;
     cluster.entries[0].terminate().unwrap();
     condition::until("the leaving entry is not named", async || {
-        Ok((!named_entries(staying).await?.contains(&leaving)).then_some(()))
+        Ok((!listed_entries(staying).await?.contains(&leaving)).then_some(()))
     })
     .await
     .unwrap();
-    assert_told_to_close(&mut idle_caller).await;
-    let late = support::query(SWEEP, "late");
-    let reply = ask(&mut late_caller, &late).await.unwrap();
-    assert_whole(&cluster, &late, &reply);
+    assert_connection_close(&mut idle_caller).await;
+    let late = support::build_query(FAN_OUT_TEMPLATE, "late");
+    let reply = send_over(&mut late_caller, &late).await.unwrap();
+    assert_complete(&cluster, &late, &reply);
     for (query, reply) in asked {
-        assert_whole(&cluster, &query, &reply.await.unwrap().unwrap());
+        assert_complete(&cluster, &query, &reply.await.unwrap().unwrap());
     }
-    let status = cluster.entries[0].ended().await.unwrap();
+    let status = cluster.entries[0].await_exit().await.unwrap();
     assert_eq!(status.code(), Some(0), "{:?}", cluster.entries[0].log());
-    let after = support::query(SWEEP, "after");
+    let after = support::build_query(FAN_OUT_TEMPLATE, "after");
     let reply = after.send(staying).await.unwrap();
-    assert_whole(&cluster, &after, &reply);
+    assert_complete(&cluster, &after, &reply);
 }
 
 /// One of two relays is restarted while it holds attempts of callers' reservations, which nobody may send a
@@ -160,42 +160,42 @@
 /// reservations of unknown outcome.
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_relay_cuts_nothing() {
-    let mut cluster = start(LONG_RUN, 1).await;
-    let entry = cluster.entry(0).unwrap();
+    let mut cluster = start(LONG_RUN_TIME, 1).await;
+    let entry = cluster.entry_address(0).unwrap();
     let reserve = |number| {
         CallerQuery::builder()
-            .template(RESERVE)
+            .template(RESERVATION_TEMPLATE)
             .key(format!("in-flight-{number}"))
             .idempotency_key(Uuid::now_v7())
             .build()
     };
-    let asked = queries_in_flight(&cluster, entry, reserve).await;
-    let leaving = cluster.busy_relay().await.unwrap();
+    let asked = start_queries(&cluster, entry, reserve).await;
+    let leaving = cluster.await_busy_relay().await.unwrap();
     let handed_over = cluster.lanes(leaving).await.unwrap();
     cluster.relays[leaving].terminate().unwrap();
     for round in 0..2 {
         let queries: Vec<CallerQuery> = (0..CALLERS)
-            .map(|caller| support::query(SWEEP, &format!("stop-{round}-{caller}")))
+            .map(|caller| support::build_query(FAN_OUT_TEMPLATE, &format!("stop-{round}-{caller}")))
             .collect();
         let replies = future::join_all(queries.iter().map(|query| query.send(entry))).await;
         for (query, reply) in queries.iter().zip(replies) {
-            assert_whole(&cluster, query, &reply.unwrap());
+            assert_complete(&cluster, query, &reply.unwrap());
         }
     }
     for (query, reply) in asked {
         let reply = reply.await.unwrap().unwrap();
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let runs = cluster.runs(&query).await.unwrap();
         assert_eq!(runs.len(), 1, "{runs:?}");
-        let rows = cluster.rows_of(&query, &[runs[0].shard.0]);
+        let rows = cluster.expected_rows(&query, &[runs[0].shard.0]);
         assert_eq!(reply.body["rows"], rows);
     }
-    let status = cluster.relays[leaving].ended().await.unwrap();
+    let status = cluster.relays[leaving].await_exit().await.unwrap();
     let log = cluster.relays[leaving].log().join("\n");
     assert_eq!(status.code(), Some(0), "{log}");
-    let after = support::query(SWEEP, "after");
+    let after = support::build_query(FAN_OUT_TEMPLATE, "after");
     let reply = after.send(entry).await.unwrap();
-    assert_whole(&cluster, &after, &reply);
+    assert_complete(&cluster, &after, &reply);
     condition::until("lanes to the targets handed over", async || {
         let lanes = cluster.lanes(1 - leaving).await?;
         let has_lane = |target| lanes.iter().any(|(known, _)| known == target);
--- a/alderhaven-proof/tests/proofs/support.rs
+++ b/alderhaven-proof/tests/end_to_end/support.rs
@@ -1,34 +1,36 @@
 //! What all proofs share.
 
 use alderhaven_proof::caller::CallerQuery;
-use alderhaven_proof::cluster::ProofCluster;
-use alderhaven_proof::cluster_options::{ClusterOptions, ProofBinaries, SWEEP};
+use alderhaven_proof::cluster::TestCluster;
+use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE, TestBinaries};
 use alderhaven_proof::condition;
 
 /// Starts a cluster of the binaries that were built with this test.
-pub async fn start(options: ClusterOptions) -> ProofCluster {
-    let binaries = ProofBinaries {
+pub async fn start_cluster(options: ClusterOptions) -> TestCluster {
+    let binaries = TestBinaries {
         standin: env!("CARGO_BIN_EXE_proof-standin").into(),
         relay: env!("CARGO_BIN_EXE_proof-relay").into(),
         entry: env!("CARGO_BIN_EXE_proof-entry").into(),
         alderctl: env!("CARGO_BIN_EXE_proof-alderctl").into(),
-        scratch: env!("CARGO_TARGET_TMPDIR").into(),
+        scratch_base: env!("CARGO_TARGET_TMPDIR").into(),
     };
-    ProofCluster::start(binaries, &options)
+    TestCluster::start(binaries, &options)
         .await
         .expect("the cluster starts")
 }
 
 /// Gets a query of a template.
-pub fn query(template: &str, key: &str) -> CallerQuery {
+pub fn build_query(template: &str, key: &str) -> CallerQuery {
     CallerQuery::builder().template(template).key(key).build()
 }
 
 /// Sends sweeps until the relays have a lane to every target, and gets the relay with the most.
 ///
 /// Which targets a relay has follows from the hash of its address, a free port: it may have none.
-pub async fn relay_with_most_lanes(cluster: &ProofCluster) -> usize {
-    let entry = cluster.entry(0).expect("the entry told its address");
+pub async fn relay_with_most_lanes(cluster: &TestCluster) -> usize {
+    let entry = cluster
+        .entry_address(0)
+        .expect("the entry told its address");
     let targets: usize = cluster
         .manifest
         .shards
@@ -36,7 +38,7 @@
         .map(|shard| shard.replicas.len())
         .sum();
     condition::until("a lane to every target", async || {
-        query(SWEEP, "warm").send(entry).await?;
+        build_query(FAN_OUT_TEMPLATE, "warm").send(entry).await?;
         let mut counts = Vec::new();
         for relay in 0..cluster.relays.len() {
             counts.push((cluster.lanes(relay).await?.len(), relay));
--- a/alderhaven-proof/tests/settings.rs
+++ b/alderhaven-proof/tests/settings.rs
@@ -7,7 +7,7 @@
 use alderhaven_proof::condition;
 
 /// The settings of an entry that are good.
-const GOOD_ENTRY: &str = "\
+const VALID_ENTRY: &str = "\
 node: entry-1
 host: host-1
 domain: accra-a
@@ -17,7 +17,7 @@
 platform: 127.0.0.1:1
 ";
 /// The settings of a relay that are good.
-const GOOD_RELAY: &str = "\
+const VALID_RELAY: &str = "\
 node: relay-1
 host: host-1
 domain: accra-a
@@ -27,10 +27,10 @@
 ";
 
 /// A `WrongLine` is what makes good settings wrong, and the parts that the error must name.
-type WrongLine = (&'static str, &'static [&'static str]);
+type InvalidLine = (&'static str, &'static [&'static str]);
 
 /// What both binaries refuse.
-const WRONG_OF_BOTH: [WrongLine; 13] = [
+const INVALID_FOR_BOTH: [InvalidLine; 13] = [
     ("colour: blue", &["colour", "expected one of node, host"]),
     ("limits:\n  bodi: 1KB", &["bodi", "expected one of"]),
     ("limits: 7", &["limits: 7"]),
@@ -57,7 +57,7 @@
 ];
 
 /// What an entry refuses.
-const WRONG_OF_ENTRY: [WrongLine; 13] = [
+const INVALID_FOR_ENTRY: [InvalidLine; 13] = [
     (
         "limits:\n  body: 12",
         &["body: 12", "`12` is not a size", "KB or MB"],
@@ -110,7 +110,7 @@
 ];
 
 /// What a relay refuses.
-const WRONG_OF_RELAY: [WrongLine; 6] = [
+const INVALID_FOR_RELAY: [InvalidLine; 6] = [
     (
         "listen: 127.0.0.1:0",
         &["listen", "expected one of node, host"],
@@ -138,14 +138,14 @@
 ];
 
 /// A `RunResult` is what an ended binary left.
-struct RunResult {
-    code: Option<i32>,
+struct ExitResult {
+    exit_code: Option<i32>,
     stdout: String,
     stderr: String,
 }
 
 /// Runs a binary that must end by itself.
-async fn run(binary: &str, arguments: &[&str]) -> RunResult {
+async fn run_to_exit(binary: &str, arguments: &[&str]) -> ExitResult {
     let mut child = Command::new(binary)
         .args(arguments)
         .stdin(Stdio::null())
@@ -159,14 +159,14 @@
     }
     let output = child.wait_with_output().unwrap();
     ended.unwrap_or_else(|_| panic!("{binary} {arguments:?} goes on"));
-    RunResult {
-        code: output.status.code(),
+    ExitResult {
+        exit_code: output.status.code(),
         stdout: String::from_utf8(output.stdout).unwrap(),
         stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
-fn write(directory: &str, name: &str, content: &str) -> PathBuf {
+fn write_file(directory: &str, name: &str, content: &str) -> PathBuf {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(directory);
     fs::create_dir_all(&directory).unwrap();
     let path = directory.join(name);
@@ -174,15 +174,15 @@
     path
 }
 
-async fn assert_all_refused(role: &str, binary: &str, good: &str, wrong: &[WrongLine]) {
+async fn assert_all_rejected(role: &str, binary: &str, good: &str, wrong: &[InvalidLine]) {
     for (line, parts) in wrong {
-        let path = write(role, "wrong.yaml", &format!("{good}{line}\n"));
+        let path = write_file(role, "wrong.yaml", &format!("{good}{line}\n"));
         let path = path.to_str().unwrap();
         // Checked only, and started: both refuse alike.
         for switches in [&["--check"][..], &[]] {
             let arguments = [&["--settings", path][..], switches].concat();
-            let result = run(binary, &arguments).await;
-            assert_eq!(result.code, Some(2), "`{line}`: {}", result.stderr);
+            let result = run_to_exit(binary, &arguments).await;
+            assert_eq!(result.exit_code, Some(2), "`{line}`: {}", result.stderr);
             assert_eq!(result.stdout, "", "`{line}`");
             for part in parts.iter().chain(&[path]) {
                 assert!(
@@ -199,27 +199,35 @@
 #[tokio::test]
 async fn entry_refuses_wrong_settings() {
     let binary = env!("CARGO_BIN_EXE_proof-entry");
-    assert_all_refused("entry", binary, GOOD_ENTRY, &WRONG_OF_BOTH).await;
-    assert_all_refused("entry", binary, GOOD_ENTRY, &WRONG_OF_ENTRY).await;
+    assert_all_rejected("entry", binary, VALID_ENTRY, &INVALID_FOR_BOTH).await;
+    assert_all_rejected("entry", binary, VALID_ENTRY, &INVALID_FOR_ENTRY).await;
 }
 
 #[tokio::test]
 async fn relay_refuses_wrong_settings() {
     let binary = env!("CARGO_BIN_EXE_proof-relay");
-    assert_all_refused("relay", binary, GOOD_RELAY, &WRONG_OF_BOTH).await;
-    assert_all_refused("relay", binary, GOOD_RELAY, &WRONG_OF_RELAY).await;
+    assert_all_rejected("relay", binary, VALID_RELAY, &INVALID_FOR_BOTH).await;
+    assert_all_rejected("relay", binary, VALID_RELAY, &INVALID_FOR_RELAY).await;
 }
 
 #[tokio::test]
 async fn both_refuse_missing_files_keys_and_arguments() {
     let binaries = [
-        ("alder-entry", env!("CARGO_BIN_EXE_proof-entry"), GOOD_ENTRY),
-        ("alder-relay", env!("CARGO_BIN_EXE_proof-relay"), GOOD_RELAY),
+        (
+            "alder-entry",
+            env!("CARGO_BIN_EXE_proof-entry"),
+            VALID_ENTRY,
+        ),
+        (
+            "alder-relay",
+            env!("CARGO_BIN_EXE_proof-relay"),
+            VALID_RELAY,
+        ),
     ];
     for (name, binary, good) in binaries {
         let directory = env!("CARGO_TARGET_TMPDIR");
-        let empty = write(name, "empty.yaml", "");
-        let large = write(name, "large.yaml", &"# a long comment\n".repeat(80_000));
+        let empty = write_file(name, "empty.yaml", "");
+        let large = write_file(name, "large.yaml", &"# a long comment\n".repeat(80_000));
         let files = [
             ("/nowhere/none.yaml", "No such file"),
             (directory, "directory"),
@@ -227,8 +235,8 @@
             (large.to_str().unwrap(), "larger than 1048576 bytes"),
         ];
         for (path, part) in files {
-            let result = run(binary, &["--settings", path]).await;
-            assert_eq!(result.code, Some(2), "{path}: {}", result.stderr);
+            let result = run_to_exit(binary, &["--settings", path]).await;
+            assert_eq!(result.exit_code, Some(2), "{path}: {}", result.stderr);
             let named = result.stderr.contains(path) && result.stderr.contains(part);
             assert!(named, "{path}: {}", result.stderr);
         }
@@ -236,21 +244,26 @@
             let key = line.split(':').next().unwrap();
             let others = good.lines().filter(|other| *other != line);
             let without = others.collect::<Vec<_>>().join("\n");
-            let path = write(name, "without.yaml", &without);
-            let result = run(binary, &["--settings", path.to_str().unwrap()]).await;
-            assert_eq!(result.code, Some(2), "{}", result.stderr);
+            let path = write_file(name, "without.yaml", &without);
+            let result = run_to_exit(binary, &["--settings", path.to_str().unwrap()]).await;
+            assert_eq!(result.exit_code, Some(2), "{}", result.stderr);
             let part = format!("missing field `{key}`");
             assert!(result.stderr.contains(&part), "{}", result.stderr);
         }
         for arguments in [&[][..], &["--colour"], &["--settings"], &["more"]] {
-            let result = run(binary, arguments).await;
-            assert_eq!(result.code, Some(2), "{arguments:?}: {}", result.stderr);
+            let result = run_to_exit(binary, arguments).await;
+            assert_eq!(
+                result.exit_code,
+                Some(2),
+                "{arguments:?}: {}",
+                result.stderr
+            );
             let hint = format!("Run {name} --help");
             assert!(result.stderr.contains(&hint), "{}", result.stderr);
         }
-        let help = run(binary, &["--help"]).await;
+        let help = run_to_exit(binary, &["--help"]).await;
         assert_eq!(
-            (help.code, help.stdout.contains("--print-settings")),
+            (help.exit_code, help.stdout.contains("--print-settings")),
             (Some(0), true)
         );
     }
@@ -259,27 +272,35 @@
 #[tokio::test]
 async fn both_print_settings_that_check() {
     let binaries = [
-        ("alder-entry", env!("CARGO_BIN_EXE_proof-entry"), GOOD_ENTRY),
-        ("alder-relay", env!("CARGO_BIN_EXE_proof-relay"), GOOD_RELAY),
+        (
+            "alder-entry",
+            env!("CARGO_BIN_EXE_proof-entry"),
+            VALID_ENTRY,
+        ),
+        (
+            "alder-relay",
+            env!("CARGO_BIN_EXE_proof-relay"),
+            VALID_RELAY,
+        ),
     ];
     for (name, binary, good) in binaries {
-        let path = write(name, "good.yaml", good);
-        let printed = run(
+        let path = write_file(name, "good.yaml", good);
+        let printed = run_to_exit(
             binary,
             &["--settings", path.to_str().unwrap(), "--print-settings"],
         )
         .await;
-        assert_eq!((printed.code, printed.stderr.as_str()), (Some(0), ""));
+        assert_eq!((printed.exit_code, printed.stderr.as_str()), (Some(0), ""));
         assert!(printed.stdout.contains("limits:"), "{}", printed.stdout);
-        let path = write(name, "printed.yaml", &printed.stdout);
+        let path = write_file(name, "printed.yaml", &printed.stdout);
         let path = path.to_str().unwrap();
-        let checked = run(binary, &["--settings", path, "--check"]).await;
-        assert_eq!(checked.code, Some(0), "{}", checked.stderr);
+        let checked = run_to_exit(binary, &["--settings", path, "--check"]).await;
+        assert_eq!(checked.exit_code, Some(0), "{}", checked.stderr);
         assert_eq!(
             checked.stdout.trim_end(),
             format!("{path}: the settings are good")
         );
-        let again = run(binary, &["--settings", path, "--print-settings"]).await;
+        let again = run_to_exit(binary, &["--settings", path, "--print-settings"]).await;
         assert_eq!(again.stdout, printed.stdout);
     }
 }
--- a/alderhaven-quickstart/src/answer_oracle.rs
+++ b/alderhaven-quickstart/src/answer_oracle.rs
@@ -18,8 +18,8 @@
 pub struct AnswerOracle {
     templates: BTreeMap<TemplateName, QueryTemplate>,
     manifests: BTreeMap<ServiceName, SnapshotManifest>,
-    replied: Vec<RepliedQuery>,
-    runs: HashMap<RunKey, usize>,
+    replied_queries: Vec<RepliedQuery>,
+    run_counts: HashMap<RunKey, usize>,
 }
 
 /// A `RunKey` tells which query a run belongs to; no two queries of a run of samples share one.
@@ -42,7 +42,7 @@
 struct CheckedQuery<'a> {
     template: &'a QueryTemplate,
     manifest: &'a SnapshotManifest,
-    asked: Vec<ShardId>,
+    requested: Vec<ShardId>,
     parameters: String,
 }
 
@@ -59,19 +59,19 @@
                 .iter()
                 .map(|manifest| (manifest.service.clone(), manifest.clone()))
                 .collect(),
-            replied: Vec::new(),
-            runs: HashMap::new(),
+            replied_queries: Vec::new(),
+            run_counts: HashMap::new(),
         }
     }
 
     /// Takes the records of runs.
-    pub fn take_runs(&mut self, records: Vec<RunRecord>) {
+    pub fn record_runs(&mut self, records: Vec<RunRecord>) {
         for record in records {
             let key = RunKey {
                 template: record.template,
                 parameters: record.parameters,
             };
-            *self.runs.entry(key).or_default() += 1;
+            *self.run_counts.entry(key).or_default() += 1;
         }
     }
 
@@ -79,8 +79,8 @@
     ///
     /// # Errors
     /// Where the query itself is not one of the published templates.
-    pub fn take_reply(&mut self, query: &SampleQuery, reply: &QueryReply) -> Result<Vec<String>> {
-        let checked = self.checked(query)?;
+    pub fn check_reply(&mut self, query: &SampleQuery, reply: &QueryReply) -> Result<Vec<String>> {
+        let checked = self.resolve_query(query)?;
         let found = match reply {
             QueryReply::Answer(answer) => checked.check_answer(answer),
             QueryReply::Error(body) => check_error(body),
@@ -96,7 +96,7 @@
             not_run: matches!(reply, QueryReply::Error(body) if body.error.not_run),
             outcome: reply.outcome(),
         };
-        self.replied.push(replied);
+        self.replied_queries.push(replied);
         Ok(found
             .into_iter()
             .map(|text| format!("query {}: {text}", query.number))
@@ -105,15 +105,19 @@
 
     /// Gets what the runs say against the replies, after the last run.
     #[must_use]
-    pub fn finish(&self) -> Vec<String> {
-        let replied = self.replied.iter().filter_map(|query| {
-            let runs = self.runs.get(&query.key).copied().unwrap_or_default();
-            let text = query.contradiction(runs)?;
+    pub fn check_runs(&self) -> Vec<String> {
+        let replied = self.replied_queries.iter().filter_map(|query| {
+            let runs = self.run_counts.get(&query.key).copied().unwrap_or_default();
+            let text = query.run_violation(runs)?;
             Some(format!("query {}: {text}", query.number))
         });
-        let known: HashSet<&RunKey> = self.replied.iter().map(|query| &query.key).collect();
+        let known: HashSet<&RunKey> = self
+            .replied_queries
+            .iter()
+            .map(|query| &query.key)
+            .collect();
         let strange = self
-            .runs
+            .run_counts
             .keys()
             .filter(|key| !known.contains(key))
             .map(|key| {
@@ -125,7 +129,7 @@
         replied.chain(strange).collect()
     }
 
-    fn checked(&self, query: &SampleQuery) -> Result<CheckedQuery<'_>> {
+    fn resolve_query(&self, query: &SampleQuery) -> Result<CheckedQuery<'_>> {
         let template = self
             .templates
             .get(&query.template)
@@ -134,22 +138,22 @@
             .manifests
             .get(&template.service)
             .ok_or_eyre("the service has no manifest")?;
-        let values = template.bind(&query.team, query.given.clone())?;
+        let values = template.bind(&query.team, query.parameters.clone())?;
         let positions = manifest.select(&template.shards, &values)?;
         Ok(CheckedQuery {
             template,
             manifest,
-            asked: positions
+            requested: positions
                 .into_iter()
                 .map(|position| manifest.shards[position].shard)
                 .collect(),
-            parameters: values.canonical(),
+            parameters: values.canonical_json(),
         })
     }
 }
 
 impl RepliedQuery {
-    fn contradiction(&self, runs: usize) -> Option<String> {
+    fn run_violation(&self, runs: usize) -> Option<String> {
         if self.not_run && runs > 0 {
             return Some(format!("was answered as not run and ran {runs} times"));
         }
@@ -170,21 +174,21 @@
         let coverage = &answer.coverage;
         let missing: HashSet<ShardId> = coverage.missing.iter().map(|shard| shard.shard).collect();
         let covered: Vec<ShardId> = self
-            .asked
+            .requested
             .iter()
             .copied()
             .filter(|shard| !missing.contains(shard))
             .collect();
-        let is_true = coverage.asked == self.asked.len()
+        let is_true = coverage.requested == self.requested.len()
             && coverage.answered == covered.len()
             && coverage.missing.len() == missing.len()
-            && missing.iter().all(|shard| self.asked.contains(shard));
+            && missing.iter().all(|shard| self.requested.contains(shard));
         if !is_true {
             found.push(format!(
                 "states a coverage of {} and {} missing of {}",
                 coverage.answered,
                 coverage.missing.len(),
-                self.asked.len()
+                self.requested.len()
             ));
         }
         let says_complete = answer.outcome == QueryOutcome::Complete;
--- a/alderhaven-quickstart/src/answer_text.rs
+++ b/alderhaven-quickstart/src/answer_text.rs
@@ -8,7 +8,7 @@
 use crate::sample_query::SampleQuery;
 
 /// The number of rows that are shown of an answer.
-const SHOWN_ROWS: usize = 3;
+const MAX_SHOWN_ROWS: usize = 3;
 
 /// Gets the text of a query and its reply, over several lines.
 #[must_use]
@@ -17,9 +17,9 @@
         "{} for {}: {}\n",
         query.template,
         query.team,
-        values_of(query)
+        parameters_text(query)
     );
-    if let Some(key) = query.key {
+    if let Some(key) = query.idempotency_key {
         // Writing to a string does not fail.
         let _written = writeln!(text, "  Idempotency-Key {key}");
     }
@@ -31,9 +31,9 @@
     text + &rest
 }
 
-fn values_of(query: &SampleQuery) -> String {
+fn parameters_text(query: &SampleQuery) -> String {
     let values: Vec<String> = query
-        .given
+        .parameters
         .0
         .iter()
         .map(|(name, value)| format!("{name}={value}"))
@@ -47,11 +47,11 @@
         "  {}: shards {}/{}, snapshot {}, rows {}, {:.1} ms (slowest target {:.1} ms, attempts {})\n",
         answer.outcome,
         coverage.answered,
-        coverage.asked,
+        coverage.requested,
         answer.snapshot,
         answer.rows.len(),
-        millis(answer.timing.total_us),
-        millis(answer.timing.slowest_target_us),
+        micros_to_millis(answer.timing.total_us),
+        micros_to_millis(answer.timing.slowest_target_us),
         answer.timing.attempts,
     );
     for missing in &coverage.missing {
@@ -61,11 +61,11 @@
             missing.shard, missing.reason
         );
     }
-    for row in answer.rows.iter().take(SHOWN_ROWS) {
+    for row in answer.rows.iter().take(MAX_SHOWN_ROWS) {
         let _written = writeln!(text, "    {}", row_text(row));
     }
-    if answer.rows.len() > SHOWN_ROWS {
-        let _written = writeln!(text, "    and {} more", answer.rows.len() - SHOWN_ROWS);
+    if answer.rows.len() > MAX_SHOWN_ROWS {
+        let _written = writeln!(text, "    and {} more", answer.rows.len() - MAX_SHOWN_ROWS);
     }
     text
 }
@@ -94,6 +94,6 @@
     format!("  {}: {} ({ran}{again})\n", error.code, error.message)
 }
 
-fn millis(micros: u64) -> f64 {
+fn micros_to_millis(micros: u64) -> f64 {
     micros as f64 / 1_000.0
 }
--- a/alderhaven-quickstart/src/example_objects.rs
+++ b/alderhaven-quickstart/src/example_objects.rs
@@ -14,7 +14,7 @@
 }
 
 /// The templates by file and content.
-const TEMPLATES: [(&str, &str); 11] = [
+const TEMPLATE_FILES: [(&str, &str); 11] = [
     example!("volta/templates/duplicate-check.yaml"),
     example!("volta/templates/title-lookup.yaml"),
     example!("volta/templates/record-fetch.yaml"),
@@ -29,7 +29,7 @@
 ];
 
 /// The teams by file and content.
-const TEAMS: [(&str, &str); 9] = [
+const TEAM_FILES: [(&str, &str); 9] = [
     example!("volta/teams/publishers.yaml"),
     example!("volta/teams/booksellers.yaml"),
     example!("volta/teams/libraries.yaml"),
@@ -46,11 +46,11 @@
 /// # Errors
 /// `Error::File` for an example that can't be read.
 pub fn load() -> Result<ObjectSet> {
-    let templates = TEMPLATES
+    let templates = TEMPLATE_FILES
         .iter()
         .map(|(path, text)| settings::read_text::<QueryTemplate>(path, text))
         .collect::<Result<_>>()?;
-    let teams = TEAMS
+    let teams = TEAM_FILES
         .iter()
         .map(|(path, text)| settings::read_text::<TeamPolicy>(path, text))
         .collect::<Result<_>>()?;
--- a/alderhaven-quickstart/src/expected_rows.rs
+++ b/alderhaven-quickstart/src/expected_rows.rs
@@ -23,7 +23,9 @@
         .shards
         .iter()
         .filter(|entry| shards.contains(&entry.shard))
-        .flat_map(|entry| rows::rows_for(&manifest.service, entry.shard, entry.version, parameters))
+        .flat_map(|entry| {
+            rows::derive_rows(&manifest.service, entry.shard, entry.version, parameters)
+        })
         .collect();
     let all = derived.iter().map(|row| json!(row));
     match rule {
@@ -35,14 +37,14 @@
         } => {
             let mut ordered: Vec<Value> = all.collect();
             ordered.sort_by_key(|row| {
-                let number = number_of(row, field);
+                let number = numeric_field(row, field);
                 if *ascending { number } else { -number }
             });
             ordered.truncate(*limit);
             ordered
         }
         MergeRule::Sum { field } => {
-            let total: i64 = all.map(|row| number_of(&row, field)).sum();
+            let total: i64 = all.map(|row| numeric_field(&row, field)).sum();
             vec![json!({ field: total })]
         }
         MergeRule::DistinctBy { field } => {
@@ -53,6 +55,6 @@
     }
 }
 
-fn number_of(row: &Value, field: &str) -> i64 {
+fn numeric_field(row: &Value, field: &str) -> i64 {
     row[field].as_i64().unwrap_or_default()
 }
--- a/alderhaven-quickstart/src/local_system.rs
+++ b/alderhaven-quickstart/src/local_system.rs
@@ -30,11 +30,11 @@
 /// The most entries and relays of each kind, as many as the hosts of a small trial.
 pub const MAX_NODES: usize = 64;
 /// The time within which the system must be ready.
-const READY_LIMIT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// The pause between two looks at whether the system is ready.
-const READY_TICK: Duration = Duration::from_millis(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The failure domains that the nodes are spread over.
-const DOMAINS: [&str; 4] = ["accra-1", "accra-2", "accra-3", "accra-4"];
+const FAILURE_DOMAINS: [&str; 4] = ["accra-1", "accra-2", "accra-3", "accra-4"];
 
 /// A `LocalSystem` is the running system.
 #[derive(Debug)]
@@ -133,8 +133,8 @@
 
     /// Gets the record of what the targets ran.
     #[must_use]
-    pub const fn runs(&self) -> &Arc<RunLog> {
-        self.fleet.runs()
+    pub const fn run_log(&self) -> &Arc<RunLog> {
+        self.fleet.run_log()
     }
 
     /// Stops everything; the targets finish what is in flight.
@@ -147,12 +147,12 @@
     }
 
     async fn wait_until_ready(&self) -> Result<()> {
-        let limit = Instant::now() + READY_LIMIT;
+        let limit = Instant::now() + READY_TIMEOUT;
         while !self.entries.iter().all(|entry| self.is_ready(entry)) {
             if Instant::now() >= limit {
-                bail!("the system is not ready after {READY_LIMIT:?}");
+                bail!("the system is not ready after {READY_TIMEOUT:?}");
             }
-            time::sleep(READY_TICK).await;
+            time::sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -178,8 +178,8 @@
 ) -> Result<Vec<RelayNode>> {
     let mut relays = Vec::new();
     for number in 1..=count {
-        let settings: RelaySettings = settings_of(node_settings("relay", number, platform))?;
-        relays.push(RelayNode::start(settings, follow(platform, shutdown)).await?);
+        let settings: RelaySettings = parse_settings(node_settings("relay", number, platform))?;
+        relays.push(RelayNode::start(settings, start_follower(platform, shutdown)).await?);
     }
     Ok(relays)
 }
@@ -195,13 +195,13 @@
         let mut values = node_settings("entry", number, platform);
         values["listen"] = json!("127.0.0.1:0");
         values["relays"] = json!(addresses);
-        let settings: EntrySettings = settings_of(values)?;
-        entries.push(EntryNode::start(settings, follow(platform, shutdown)).await?);
+        let settings: EntrySettings = parse_settings(values)?;
+        entries.push(EntryNode::start(settings, start_follower(platform, shutdown)).await?);
     }
     Ok(entries)
 }
 
-fn follow(platform: SocketAddr, shutdown: &CancellationToken) -> ConfigHandle {
+fn start_follower(platform: SocketAddr, shutdown: &CancellationToken) -> ConfigHandle {
     let store = Arc::new(HttpStore::new(platform, HttpStoreOptions::default()));
     ConfigFollower::start(store, FollowerOptions::default(), shutdown.clone())
 }
@@ -211,13 +211,13 @@
     json!({
         "node": format!("{role}-{number}"),
         "host": format!("host-{number}"),
-        "domain": DOMAINS[(number - 1) % DOMAINS.len()],
+        "domain": FAILURE_DOMAINS[(number - 1) % FAILURE_DOMAINS.len()],
         "peer_listen": "127.0.0.1:0",
         "operator_listen": "127.0.0.1:0",
         "platform": platform,
     })
 }
 
-fn settings_of<T: DeserializeOwned>(values: Value) -> Result<T> {
+fn parse_settings<T: DeserializeOwned>(values: Value) -> Result<T> {
     serde_json::from_value(values).wrap_err("the quickstart's settings don't check")
 }
--- a/alderhaven-quickstart/src/main.rs
+++ b/alderhaven-quickstart/src/main.rs
@@ -11,12 +11,12 @@
 
 use alderhaven_core::errors::Error;
 use alderhaven_core::logging;
-use alderhaven_core::program::EXIT_BAD_SETTINGS;
+use alderhaven_core::startup::EXIT_BAD_SETTINGS;
 use alderhaven_quickstart::answer_text;
 use alderhaven_quickstart::local_system::{LocalSystem, MAX_NODES};
 use alderhaven_quickstart::query_run;
-use alderhaven_quickstart::query_run::{RunOptions, RunReport, RunStep};
-use alderhaven_quickstart::sample_source::{MAX_QUERIES, SAMPLES};
+use alderhaven_quickstart::query_run::{CheckedReply, RunOptions, RunReport};
+use alderhaven_quickstart::sample_source::{MAX_QUERIES, SAMPLE_KINDS};
 use argh::FromArgs;
 use eyre::Result;
 use log::LevelFilter;
@@ -24,11 +24,11 @@
 use tokio::time;
 
 /// The most queries whose answers are shown one by one.
-const SHOWN_QUERIES: usize = 24;
+const MAX_SHOWN_QUERIES: usize = 24;
 /// The number of progress lines of a longer run.
-const PROGRESS_LINES: usize = 10;
+const PROGRESS_LINE_COUNT: usize = 10;
 /// The most broken promises that are shown.
-const SHOWN_VIOLATIONS: usize = 20;
+const MAX_SHOWN_VIOLATIONS: usize = 20;
 
 /// Runs sample queries of two deployments over stand-in targets on loopback and shows the answers.
 #[derive(FromArgs)]
@@ -38,7 +38,7 @@
     nodes: usize,
 
     /// the number of queries, 1 to 100000 (default 11: each template once)
-    #[argh(option, default = "SAMPLES.len()")]
+    #[argh(option, default = "SAMPLE_KINDS.len()")]
     queries: usize,
 
     /// the seed of parameters and of run times at targets (default 1)
@@ -101,7 +101,7 @@
     );
     let system = LocalSystem::start(arguments.nodes, arguments.seed).await?;
     eprintln!("ready: {} targets of 2 deployments", system.target_count());
-    let shown = arguments.queries <= SHOWN_QUERIES;
+    let shown = arguments.queries <= MAX_SHOWN_QUERIES;
     let options = RunOptions {
         queries: arguments.queries,
         seed: arguments.seed,
@@ -110,7 +110,7 @@
     let mut done = 0;
     let report = query_run::run(&system, options, |step| {
         done += 1;
-        show_step(step, shown);
+        show_reply(step, shown);
         if !shown {
             show_progress(done, options.queries);
         }
@@ -124,24 +124,24 @@
     Ok(report.totals.violations)
 }
 
-fn show_step(step: &RunStep, shown: bool) {
+fn show_reply(step: &CheckedReply, shown: bool) {
     if shown {
         println!("{}", answer_text::reply_text(&step.query, &step.reply));
     }
-    for violation in step.violations.iter().take(SHOWN_VIOLATIONS) {
+    for violation in step.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
         eprintln!("broken promise: {violation}");
     }
 }
 
 fn show_progress(done: usize, queries: usize) {
-    let stride = queries.div_ceil(PROGRESS_LINES);
+    let stride = queries.div_ceil(PROGRESS_LINE_COUNT);
     if done.is_multiple_of(stride) || done == queries {
         eprintln!("{done} of {queries} queries");
     }
 }
 
 fn show_report(report: &RunReport, json: bool) -> Result<()> {
-    for violation in report.violations.iter().take(SHOWN_VIOLATIONS) {
+    for violation in report.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
         eprintln!("broken promise: {violation}");
     }
     let totals = report.totals;
--- a/alderhaven-quickstart/src/query_reply.rs
+++ b/alderhaven-quickstart/src/query_reply.rs
@@ -73,7 +73,7 @@
 impl QueryReply {
     /// Reads a reply; a call without one is unreadable.
     #[must_use]
-    pub fn read(called: eyre::Result<Response<Bytes>>) -> Self {
+    pub fn from_result(called: eyre::Result<Response<Bytes>>) -> Self {
         let response = match called {
             Ok(response) => response,
             Err(error) => return Self::Unreadable(error.to_string()),
--- a/alderhaven-quickstart/src/query_run.rs
+++ b/alderhaven-quickstart/src/query_run.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use eyre::{Result, bail};
 use tokio::sync::mpsc;
 use tokio::sync::mpsc::UnboundedSender;
@@ -19,7 +19,7 @@
 use crate::sample_source::{MAX_QUERIES, SampleSource};
 
 /// The time after which a caller gives up on a reply; the longest deadline of a template is 60 s.
-const REPLY_LIMIT: Duration = Duration::from_secs(65);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(65);
 /// The most callers at once; more would queue at targets with 2 slots.
 const MAX_CALLERS: usize = 8;
 
@@ -36,7 +36,7 @@
 
 /// A `RunStep` is one reply with what the oracle found wrong with it.
 #[derive(Clone, Debug)]
-pub struct RunStep {
+pub struct CheckedReply {
     /// The query.
     pub query: SampleQuery,
     /// Its reply.
@@ -61,7 +61,7 @@
 pub async fn run(
     system: &LocalSystem,
     options: RunOptions,
-    mut step: impl FnMut(&RunStep),
+    mut step: impl FnMut(&CheckedReply),
 ) -> Result<RunReport> {
     if !(1..=MAX_QUERIES).contains(&options.queries) {
         let queries = options.queries;
@@ -81,15 +81,15 @@
     let addresses = system.entry_addresses();
     for number in 0..options.callers.clamp(1, MAX_CALLERS) {
         let address = addresses[number % addresses.len()];
-        callers.spawn(call_all(address, Arc::clone(&queries), sender.clone()));
+        callers.spawn(send_queries(address, Arc::clone(&queries), sender.clone()));
     }
     drop(sender);
     while let Some((query, reply)) = replies.recv().await {
-        oracle.take_runs(system.runs().take());
-        let violations = oracle.take_reply(&query, &reply)?;
-        report.totals.count(reply.outcome());
+        oracle.record_runs(system.run_log().take_records());
+        let violations = oracle.check_reply(&query, &reply)?;
+        report.totals.record_outcome(reply.outcome());
         report.totals.violations += violations.len();
-        step(&RunStep {
+        step(&CheckedReply {
             query,
             reply,
             violations,
@@ -98,31 +98,31 @@
     while let Some(ended) = callers.join_next().await {
         ended??;
     }
-    oracle.take_runs(system.runs().take());
-    report.violations = oracle.finish();
+    oracle.record_runs(system.run_log().take_records());
+    report.violations = oracle.check_runs();
     report.totals.violations += report.violations.len();
     Ok(report)
 }
 
 /// Takes queries until none is left, over one connection that is made again where it breaks.
-async fn call_all(
+async fn send_queries(
     address: SocketAddr,
     queries: Arc<Mutex<Vec<SampleQuery>>>,
     sender: UnboundedSender<(SampleQuery, QueryReply)>,
 ) -> Result<()> {
-    let mut caller = HttpCaller::connect(address).await?;
+    let mut caller = HttpConnection::connect(address).await?;
     loop {
         let next = queries.lock().unwrap_or_else(PoisonError::into_inner).pop();
         let Some(query) = next else {
             return Ok(());
         };
-        let outcome = time::timeout(REPLY_LIMIT, caller.call(query.request()?)).await;
+        let outcome = time::timeout(REPLY_TIMEOUT, caller.send(query.request()?)).await;
         let reply = match outcome {
-            Ok(result) => QueryReply::read(result),
-            Err(_) => QueryReply::Unreadable(format!("none within {REPLY_LIMIT:?}")),
+            Ok(result) => QueryReply::from_result(result),
+            Err(_) => QueryReply::Unreadable(format!("none within {REPLY_TIMEOUT:?}")),
         };
         if matches!(reply, QueryReply::Unreadable(_)) {
-            caller = HttpCaller::connect(address).await?;
+            caller = HttpConnection::connect(address).await?;
         }
         if sender.send((query, reply)).is_err() {
             return Ok(());
--- a/alderhaven-quickstart/src/run_totals.rs
+++ b/alderhaven-quickstart/src/run_totals.rs
@@ -24,7 +24,7 @@
 
 impl RunTotals {
     /// Counts the outcome of a query; none stands for an unreadable reply.
-    pub const fn count(&mut self, outcome: Option<QueryOutcome>) {
+    pub const fn record_outcome(&mut self, outcome: Option<QueryOutcome>) {
         self.queries += 1;
         match outcome {
             Some(QueryOutcome::Complete) => self.complete += 1,
--- a/alderhaven-quickstart/src/sample_query.rs
+++ b/alderhaven-quickstart/src/sample_query.rs
@@ -9,7 +9,7 @@
 use uuid::Uuid;
 
 /// The header with the key of a request that must run at most once.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// A `SampleQuery` is one query of a caller.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,9 +23,9 @@
     /// The team's bearer token, where it has one.
     pub token: Option<&'static str>,
     /// The values that the caller gives.
-    pub given: ParameterSet,
+    pub parameters: ParameterSet,
     /// The key of a request that must run at most once.
-    pub key: Option<Uuid>,
+    pub idempotency_key: Option<Uuid>,
 }
 
 #[derive(Serialize)]
@@ -46,7 +46,7 @@
     pub fn body(&self) -> String {
         let body = QueryBody {
             team: &self.team,
-            parameters: &self.given,
+            parameters: &self.parameters,
         };
         serde_json::to_string(&body).unwrap_or_default()
     }
@@ -61,8 +61,8 @@
         if let Some(token) = self.token {
             request = request.header(http::header::AUTHORIZATION, format!("Bearer {token}"));
         }
-        if let Some(key) = self.key {
-            request = request.header(KEY_HEADER, key.to_string());
+        if let Some(key) = self.idempotency_key {
+            request = request.header(IDEMPOTENCY_KEY_HEADER, key.to_string());
         }
         request.body(Full::from(self.body()))
     }
--- a/alderhaven-quickstart/src/sample_source.rs
+++ b/alderhaven-quickstart/src/sample_source.rs
@@ -12,7 +12,7 @@
 /// The most queries of a run: the numbers of more would not fit into the shortest parameter.
 pub const MAX_QUERIES: usize = 100_000;
 /// The samples in the order in which a newcomer sees them.
-pub const SAMPLES: [SampleKind; 11] = [
+pub const SAMPLE_KINDS: [SampleKind; 11] = [
     SampleKind::DuplicateCheck,
     SampleKind::TitleLookup,
     SampleKind::RecordFetch,
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct SampleSource {
     rng: StdRng,
-    next: usize,
+    next_number: usize,
 }
 
 impl SampleSource {
@@ -70,7 +70,7 @@
     pub fn new(seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
-            next: 0,
+            next_number: 0,
         }
     }
 
@@ -79,45 +79,51 @@
     /// # Errors
     /// Where a name in this file does not follow the rule for names.
     pub fn next_query(&mut self) -> Result<SampleQuery> {
-        let number = self.next;
-        self.next += 1;
-        let kind = match SAMPLES.get(number) {
+        let number = self.next_number;
+        self.next_number += 1;
+        let kind = match SAMPLE_KINDS.get(number) {
             Some(kind) => *kind,
-            None => SAMPLES[self.rng.random_range(0..SAMPLES.len())],
+            None => SAMPLE_KINDS[self.rng.random_range(0..SAMPLE_KINDS.len())],
         };
-        let (team, token) = kind.team();
+        let (team, token) = kind.team_and_token();
         Ok(SampleQuery {
             number,
-            template: kind.template().parse::<TemplateName>()?,
+            template: kind.template_name().parse::<TemplateName>()?,
             team: team.parse::<TeamId>()?,
             token,
-            given: self.values(kind, number),
-            key: kind.must_not_repeat().then(Uuid::now_v7),
+            parameters: self.parameters(kind, number),
+            idempotency_key: kind.is_at_most_once().then(Uuid::now_v7),
         })
     }
 
-    fn values(&mut self, kind: SampleKind, number: usize) -> ParameterSet {
+    fn parameters(&mut self, kind: SampleKind, number: usize) -> ParameterSet {
         let prefix = self.rng.random_range(0..8_000);
         match kind {
             SampleKind::DuplicateCheck => {
-                texts([("title", format!("Atlas of the Volta {number}"))])
+                text_parameters([("title", format!("Atlas of the Volta {number}"))])
             }
-            SampleKind::TitleLookup => texts([("title", format!("River Songs {number}"))]),
-            SampleKind::RecordFetch => texts([("isbn", format!("978{number:010}"))]),
-            SampleKind::AssignIsbn => texts([
+            SampleKind::TitleLookup => {
+                text_parameters([("title", format!("River Songs {number}"))])
+            }
+            SampleKind::RecordFetch => text_parameters([("isbn", format!("978{number:010}"))]),
+            SampleKind::AssignIsbn => text_parameters([
                 ("publisher_prefix", format!("{prefix:04}")),
                 ("title", format!("New Title {number}")),
                 ("format", "paperback".to_owned()),
             ]),
-            SampleKind::PrefixRange => texts([
+            SampleKind::PrefixRange => text_parameters([
                 ("first_prefix", format!("{prefix:04}{number:05}")),
                 ("last_prefix", format!("{:04}99999", prefix + 1_000)),
             ]),
-            SampleKind::BillingReport | SampleKind::MonthlySum => texts([("month", month(number))]),
-            SampleKind::StockSweep => texts([("drug", format!("insulin-{number}"))]),
-            SampleKind::FindAlternative => texts([("drug", format!("metformin-{number}"))]),
+            SampleKind::BillingReport | SampleKind::MonthlySum => {
+                text_parameters([("month", unique_month(number))])
+            }
+            SampleKind::StockSweep => text_parameters([("drug", format!("insulin-{number}"))]),
+            SampleKind::FindAlternative => {
+                text_parameters([("drug", format!("metformin-{number}"))])
+            }
             SampleKind::ReserveStock => {
-                let mut values = texts([
+                let mut values = text_parameters([
                     ("depot", format!("depot-{}", prefix % 300)),
                     ("drug", format!("insulin-{number}")),
                 ]);
@@ -125,13 +131,13 @@
                 values.0.insert("packs".to_owned(), packs);
                 values
             }
-            SampleKind::DepotRecord => texts([("depot", format!("depot-{number}"))]),
+            SampleKind::DepotRecord => text_parameters([("depot", format!("depot-{number}"))]),
         }
     }
 }
 
 impl SampleKind {
-    const fn template(self) -> &'static str {
+    const fn template_name(self) -> &'static str {
         match self {
             Self::DuplicateCheck => "duplicate-check",
             Self::TitleLookup => "title-lookup",
@@ -148,7 +154,7 @@
     }
 
     /// Gets the team and its bearer token, as the examples give them.
-    const fn team(self) -> (&'static str, Option<&'static str>) {
+    const fn team_and_token(self) -> (&'static str, Option<&'static str>) {
         match self {
             Self::DuplicateCheck | Self::PrefixRange => {
                 ("registry-staff", Some("volta-example-token"))
@@ -164,17 +170,17 @@
         }
     }
 
-    const fn must_not_repeat(self) -> bool {
+    const fn is_at_most_once(self) -> bool {
         matches!(self, Self::AssignIsbn | Self::ReserveStock)
     }
 }
 
 /// Gets a month that no other query of the run names.
-fn month(number: usize) -> String {
+fn unique_month(number: usize) -> String {
     format!("{:04}-{:02}", 2_000 + number / 12, number % 12 + 1)
 }
 
-fn texts<const COUNT: usize>(values: [(&str, String); COUNT]) -> ParameterSet {
+fn text_parameters<const COUNT: usize>(values: [(&str, String); COUNT]) -> ParameterSet {
     let named = values
         .into_iter()
         .map(|(name, value)| (name.to_owned(), ParameterValue::Text(value)));
--- a/alderhaven-quickstart/tests/answer_oracle.rs
+++ b/alderhaven-quickstart/tests/answer_oracle.rs
@@ -15,21 +15,21 @@
 };
 use alderhaven_quickstart::sample_query::SampleQuery;
 use alderhaven_quickstart::sample_source::SampleSource;
-use alderhaven_standin::run_log::{RunEnd, RunRecord};
+use alderhaven_standin::run_log::{RunRecord, RunStatus};
 use smallvec::smallvec;
 
-const SHARDS: u32 = 3;
+const SHARD_COUNT: u32 = 3;
 
 /// One query of a template, with all that is needed to answer it.
-struct Case {
+struct OracleCase {
     query: SampleQuery,
     template: QueryTemplate,
     manifest: SnapshotManifest,
     parameters: String,
 }
 
-impl Case {
-    fn of(template: &str) -> Self {
+impl OracleCase {
+    fn for_template(template: &str) -> Self {
         let mut source = SampleSource::new(1);
         let query = std::iter::repeat_with(|| source.next_query().unwrap())
             .take(11)
@@ -41,10 +41,12 @@
             .into_iter()
             .find(|known| known.name == query.template)
             .unwrap();
-        let values = template.bind(&query.team, query.given.clone()).unwrap();
+        let values = template
+            .bind(&query.team, query.parameters.clone())
+            .unwrap();
         Self {
-            manifest: manifest_of(&template),
-            parameters: values.canonical(),
+            manifest: build_manifest(&template),
+            parameters: values.canonical_json(),
             template,
             query,
         }
@@ -57,8 +59,8 @@
         )
     }
 
-    fn true_answer(&self) -> AnswerBody {
-        let shards: Vec<ShardId> = (0..SHARDS).map(ShardId).collect();
+    fn correct_answer(&self) -> AnswerBody {
+        let shards: Vec<ShardId> = (0..SHARD_COUNT).map(ShardId).collect();
         AnswerBody {
             outcome: QueryOutcome::Complete,
             rows: expected_rows(
@@ -68,7 +70,7 @@
                 &self.parameters,
             ),
             coverage: CoverageReport {
-                asked: shards.len(),
+                requested: shards.len(),
                 answered: shards.len(),
                 missing: Vec::new(),
             },
@@ -81,13 +83,13 @@
         }
     }
 
-    fn found(&self, answer: AnswerBody) -> usize {
+    fn violation_count(&self, answer: AnswerBody) -> usize {
         let reply = QueryReply::Answer(answer);
-        let found = self.oracle().take_reply(&self.query, &reply).unwrap();
+        let found = self.oracle().check_reply(&self.query, &reply).unwrap();
         found.len()
     }
 
-    fn run(&self, sequence: u64) -> RunRecord {
+    fn run_record(&self, sequence: u64) -> RunRecord {
         RunRecord {
             target: "desk-0-0".parse().unwrap(),
             attempt: AttemptId {
@@ -102,12 +104,12 @@
             parameters: self.parameters.clone(),
             started_us: 1,
             ended_us: 2,
-            end: RunEnd::Answered,
+            status: RunStatus::Answered,
         }
     }
 }
 
-fn manifest_of(template: &QueryTemplate) -> SnapshotManifest {
+fn build_manifest(template: &QueryTemplate) -> SnapshotManifest {
     let entry = |shard| ShardEntry {
         shard: ShardId(shard),
         version: IndexVersion(2),
@@ -123,11 +125,11 @@
     SnapshotManifest {
         service: template.service.clone(),
         snapshot: SnapshotId(4),
-        shards: (0..SHARDS).map(entry).collect(),
+        shards: (0..SHARD_COUNT).map(entry).collect(),
     }
 }
 
-fn refusal() -> QueryReply {
+fn overload_reply() -> QueryReply {
     QueryReply::Error(ErrorBody {
         error: ErrorPart {
             code: "overloaded".to_owned(),
@@ -142,105 +144,108 @@
 #[test]
 fn take_reply_true_answer() {
     for template in ["duplicate-check", "title-lookup", "find-alternative"] {
-        let case = Case::of(template);
-        assert_eq!(case.found(case.true_answer()), 0, "{template}");
+        let case = OracleCase::for_template(template);
+        assert_eq!(case.violation_count(case.correct_answer()), 0, "{template}");
     }
 }
 
 #[test]
 fn take_reply_rows_of_another_query() {
-    let case = Case::of("duplicate-check");
-    let mut answer = case.true_answer();
+    let case = OracleCase::for_template("duplicate-check");
+    let mut answer = case.correct_answer();
     answer.rows = expected_rows(
         &case.template.merge,
         &case.manifest,
         &[ShardId(0), ShardId(1), ShardId(2)],
         r#"{"title":"another"}"#,
     );
-    assert_eq!(case.found(answer), 1);
+    assert_eq!(case.violation_count(answer), 1);
 }
 
 #[test]
 fn take_reply_lost_and_doubled_rows() {
-    let case = Case::of("duplicate-check");
-    let mut answer = case.true_answer();
+    let case = OracleCase::for_template("duplicate-check");
+    let mut answer = case.correct_answer();
     answer.rows.pop();
-    assert_eq!(case.found(answer), 1);
-    let mut answer = case.true_answer();
+    assert_eq!(case.violation_count(answer), 1);
+    let mut answer = case.correct_answer();
     answer.rows.push(answer.rows[0].clone());
-    assert_eq!(case.found(answer), 1);
+    assert_eq!(case.violation_count(answer), 1);
 }
 
 #[test]
 fn take_reply_untrue_coverage() {
-    let case = Case::of("duplicate-check");
-    let mut answer = case.true_answer();
+    let case = OracleCase::for_template("duplicate-check");
+    let mut answer = case.correct_answer();
     answer.coverage.answered = 2;
     answer.outcome = QueryOutcome::Partial;
     assert!(
-        case.found(answer) > 0,
+        case.violation_count(answer) > 0,
         "a shard is neither answered nor missing"
     );
-    let mut answer = case.true_answer();
+    let mut answer = case.correct_answer();
     answer.coverage.answered = 2;
     answer.coverage.missing = vec![MissingShard {
         shard: ShardId(1),
         reason: MissingReason::Late,
     }];
-    assert!(case.found(answer) > 0, "complete, and a shard is missing");
+    assert!(
+        case.violation_count(answer) > 0,
+        "complete, and a shard is missing"
+    );
 }
 
 #[test]
 fn take_reply_other_snapshot() {
-    let case = Case::of("duplicate-check");
-    let mut answer = case.true_answer();
+    let case = OracleCase::for_template("duplicate-check");
+    let mut answer = case.correct_answer();
     answer.snapshot = SnapshotId(3);
-    assert_eq!(case.found(answer), 1);
+    assert_eq!(case.violation_count(answer), 1);
 }
 
 #[test]
 fn take_reply_unknown_that_says_not_run() {
-    let case = Case::of("duplicate-check");
-    let QueryReply::Error(mut body) = refusal() else {
+    let case = OracleCase::for_template("duplicate-check");
+    let QueryReply::Error(mut body) = overload_reply() else {
         unreachable!("a refusal is an error");
     };
     body.error.code = "unknown".to_owned();
     let reply = QueryReply::Error(body);
-    let found = case.oracle().take_reply(&case.query, &reply).unwrap();
+    let found = case.oracle().check_reply(&case.query, &reply).unwrap();
     assert_eq!(found.len(), 1);
 }
 
 #[test]
 fn finish_not_run_that_ran() {
-    let case = Case::of("assign-isbn");
+    let case = OracleCase::for_template("assign-isbn");
     let mut oracle = case.oracle();
     assert!(
         oracle
-            .take_reply(&case.query, &refusal())
+            .check_reply(&case.query, &overload_reply())
             .unwrap()
             .is_empty()
     );
-    assert!(oracle.finish().is_empty());
-    oracle.take_runs(vec![case.run(1)]);
-    assert_eq!(oracle.finish().len(), 1);
+    assert!(oracle.check_runs().is_empty());
+    oracle.record_runs(vec![case.run_record(1)]);
+    assert_eq!(oracle.check_runs().len(), 1);
 }
 
 #[test]
 fn finish_second_run() {
-    let case = Case::of("assign-isbn");
+    let case = OracleCase::for_template("assign-isbn");
     let mut oracle = case.oracle();
     let reply = QueryReply::Unreadable("cut".to_owned());
-    let _unreadable = oracle.take_reply(&case.query, &reply).unwrap();
-    oracle.take_runs(vec![case.run(1)]);
-    assert!(oracle.finish().is_empty());
-    oracle.take_runs(vec![case.run(2)]);
-    assert_eq!(oracle.finish().len(), 1);
+    let _unreadable = oracle.check_reply(&case.query, &reply).unwrap();
+    oracle.record_runs(vec![case.run_record(1)]);
+    assert!(oracle.check_runs().is_empty());
+    oracle.record_runs(vec![case.run_record(2)]);
+    assert_eq!(oracle.check_runs().len(), 1);
 }
 
 #[test]
 fn finish_run_that_nobody_asked() {
-    let case = Case::of("duplicate-check");
+    let case = OracleCase::for_template("duplicate-check");
     let mut oracle = case.oracle();
-    oracle.take_runs(vec![case.run(1)]);
-    assert_eq!(oracle.finish().len(), 1);
+    oracle.record_runs(vec![case.run_record(1)]);
+    assert_eq!(oracle.check_runs().len(), 1);
 }
--- a/alderhaven-quickstart/tests/interface_examples.rs
+++ b/alderhaven-quickstart/tests/interface_examples.rs
@@ -4,22 +4,22 @@
 
 use alderhaven_entry::answer::ErrorCode;
 use alderhaven_quickstart::local_system::LocalSystem;
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body_util::Full;
 use serde_json::{Value, json};
 
 /// The page.
-const PAGE: &str = include_str!("../../docs/INTERFACE.md");
+const INTERFACE_PAGE: &str = include_str!("../../docs/INTERFACE.md");
 
 /// The page with the metrics.
-const OPERATIONS: &str = include_str!("../../docs/OPERATIONS.md");
+const OPERATIONS_PAGE: &str = include_str!("../../docs/OPERATIONS.md");
 
 /// Gets the fenced blocks of a kind, in the page's order.
-fn blocks(kind: &str) -> Vec<String> {
+fn fenced_blocks(kind: &str) -> Vec<String> {
     let fence = format!("```{kind}\n");
-    let parts = PAGE.split(&fence).skip(1);
+    let parts = INTERFACE_PAGE.split(&fence).skip(1);
     parts
         .map(|part| part.split("```").next().unwrap().to_owned())
         .collect()
@@ -27,7 +27,7 @@
 
 /// Gets the JSON block that begins with a member.
 fn json_block(member: &str) -> Value {
-    let values = blocks("json")
+    let values = fenced_blocks("json")
         .into_iter()
         .map(|block| serde_json::from_str::<Value>(&block).unwrap());
     let mut found = values.filter(|value| value.get(member).is_some());
@@ -35,7 +35,7 @@
 }
 
 /// Sends a block as it stands on the page.
-async fn send(entry: SocketAddr, block: &str) -> Response<Bytes> {
+async fn send_block(entry: SocketAddr, block: &str) -> Response<Bytes> {
     let (head, body) = block.split_once("\n\n").unwrap();
     let mut lines = head.lines();
     let mut words = lines.next().unwrap().split(' ');
@@ -46,9 +46,9 @@
         let (name, value) = line.split_once(": ").unwrap();
         request = request.header(name, value);
     }
-    let mut caller = HttpCaller::connect(entry).await.unwrap();
+    let mut caller = HttpConnection::connect(entry).await.unwrap();
     let request = request.body(Full::from(body.to_owned())).unwrap();
-    caller.call(request).await.unwrap()
+    caller.send(request).await.unwrap()
 }
 
 /// Checks that `actual` has the members of the example, with values of the same types, and no
@@ -86,9 +86,9 @@
 async fn examples_are_answered_as_told() {
     let system = LocalSystem::start(1, 7).await.unwrap();
     let entry = system.entry_addresses()[0];
-    let [query, refused] = blocks("http").try_into().unwrap();
+    let [query, refused] = fenced_blocks("http").try_into().unwrap();
 
-    let reply = send(entry, &query).await;
+    let reply = send_block(entry, &query).await;
     let body: Value = serde_json::from_slice(reply.body()).unwrap();
     assert_eq!(reply.status(), 200, "{body}");
     assert_shape("answer", &json_block("outcome"), &body, false);
@@ -96,10 +96,10 @@
     assert_eq!(body["coverage"]["asked"], json!(30));
     assert!(!body["rows"].as_array().unwrap().is_empty());
 
-    let reply = send(entry, &refused).await;
+    let reply = send_block(entry, &refused).await;
     assert_eq!(reply.status(), 400);
     assert_eq!(reply.headers()["x-request-id"], "counter-4711");
-    let told = blocks("json")
+    let told = fenced_blocks("json")
         .into_iter()
         .find(|block| block.contains("deadline_ms"));
     let body = String::from_utf8(reply.into_body().to_vec()).unwrap();
@@ -107,24 +107,24 @@
 
     let status = Request::get("/debug/status").body(Full::default()).unwrap();
     for operator in system.operator_addresses() {
-        let mut caller = HttpCaller::connect(operator).await.unwrap();
-        let reply = caller.call(status.clone()).await.unwrap();
+        let mut caller = HttpConnection::connect(operator).await.unwrap();
+        let reply = caller.send(status.clone()).await.unwrap();
         let body: Value = serde_json::from_slice(reply.body()).unwrap();
         assert_shape("status", &json_block("node"), &body, true);
     }
     let request = Request::get("/v1/entries?domain=accra-1");
     let request = request.body(Full::default()).unwrap();
-    let mut caller = HttpCaller::connect(entry).await.unwrap();
-    let reply = caller.call(request).await.unwrap();
+    let mut caller = HttpConnection::connect(entry).await.unwrap();
+    let reply = caller.send(request).await.unwrap();
     let body: Value = serde_json::from_slice(reply.body()).unwrap();
     assert_shape("entries", &json_block("entries"), &body, false);
     assert!(!body["entries"].as_array().unwrap().is_empty());
 
     let health = Request::get("/v1/health").body(Full::default()).unwrap();
-    let mut caller = HttpCaller::connect(entry).await.unwrap();
-    let reply = caller.call(health).await.unwrap();
+    let mut caller = HttpConnection::connect(entry).await.unwrap();
+    let reply = caller.send(health).await.unwrap();
     let body = std::str::from_utf8(reply.body()).unwrap();
-    assert!(PAGE.contains(&format!("{} `{body}`", reply.status().as_u16())));
+    assert!(INTERFACE_PAGE.contains(&format!("{} `{body}`", reply.status().as_u16())));
     system.stop().await;
 }
 
@@ -135,12 +135,12 @@
     let mut named = 0;
     for operator in system.operator_addresses() {
         let request = Request::get("/metrics").body(Full::default()).unwrap();
-        let mut caller = HttpCaller::connect(operator).await.unwrap();
-        let reply = caller.call(request).await.unwrap();
+        let mut caller = HttpConnection::connect(operator).await.unwrap();
+        let reply = caller.send(request).await.unwrap();
         let text = String::from_utf8(reply.into_body().to_vec()).unwrap();
         for line in text.lines().filter_map(|line| line.strip_prefix("# TYPE ")) {
             let name = line.split(' ').next().unwrap();
-            let is_told = OPERATIONS
+            let is_told = OPERATIONS_PAGE
                 .lines()
                 .filter_map(|row| row.strip_prefix("| ")?.split(" | ").next())
                 .any(|cell| cell.contains(&format!("`{name}`")));
@@ -172,6 +172,6 @@
         let name = json!(code).as_str().unwrap().to_owned();
         let not_run = code.outcome().to_string() == "refused";
         let row = format!("| `{name}` | {} | {not_run} |", code.status().as_u16());
-        assert!(PAGE.contains(&row), "the page has no row `{row}`");
+        assert!(INTERFACE_PAGE.contains(&row), "the page has no row `{row}`");
     }
 }
--- a/alderhaven-quickstart/tests/query_run.rs
+++ b/alderhaven-quickstart/tests/query_run.rs
@@ -3,13 +3,13 @@
 use alderhaven_quickstart::local_system::LocalSystem;
 use alderhaven_quickstart::query_run;
 use alderhaven_quickstart::query_run::RunOptions;
-use alderhaven_quickstart::sample_source::SAMPLES;
+use alderhaven_quickstart::sample_source::SAMPLE_KINDS;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn run_every_sample() {
     let system = LocalSystem::start(2, 7).await.unwrap();
     let options = RunOptions {
-        queries: 3 * SAMPLES.len(),
+        queries: 3 * SAMPLE_KINDS.len(),
         seed: 7,
         callers: 2,
     };
--- a/alderhaven-relay/src/connection_probe.rs
+++ b/alderhaven-relay/src/connection_probe.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use alderhaven_core::ids::AttemptId;
-use alderhaven_store::dialect;
+use alderhaven_store::target_dialect;
 use bytes::Bytes;
 use http::Request;
 use http_body_util::{BodyExt, Full};
@@ -23,9 +23,9 @@
         origin: rand::random(),
         sequence: 0,
     };
-    let request = Request::post(dialect::CANCEL_PATH)
+    let request = Request::post(target_dialect::CANCEL_PATH)
         .header(http::header::HOST, connections.address().to_string())
-        .header(dialect::ATTEMPT_HEADER, attempt.to_string())
+        .header(target_dialect::ATTEMPT_HEADER, attempt.to_string())
         .body(Full::new(Bytes::new()))
         .map_err(io::Error::other)?;
     let response = sender
--- a/alderhaven-relay/src/lane_attempt.rs
+++ b/alderhaven-relay/src/lane_attempt.rs
@@ -7,7 +7,7 @@
 use alderhaven_peer::connection::FrameSender;
 use alderhaven_peer::frames::{AttemptReply, PeerMessage};
 use alderhaven_policy::relay_queue::QueueJob;
-use alderhaven_store::dialect::TargetRequest;
+use alderhaven_store::target_dialect::TargetRequest;
 
 /// A `LaneAttempt` is one attempt that a lane has taken.
 #[derive(Debug)]
--- a/alderhaven-relay/src/lane_table.rs
+++ b/alderhaven-relay/src/lane_table.rs
@@ -9,7 +9,7 @@
 use alderhaven_core::manifest::ReplicaEntry;
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_peer::frames::ScatterAttempt;
-use alderhaven_peer::strike_board::StrikeBoard;
+use alderhaven_peer::strike_tracker::StrikeTracker;
 use alderhaven_store::target_watch::TargetWatch;
 use arc_swap::ArcSwap;
 use smallvec::SmallVec;
@@ -39,7 +39,7 @@
     clock: ProcessClock,
     counters: AttemptCounters,
     watch: TargetWatch,
-    strikes: Arc<StrikeBoard>,
+    strikes: Arc<StrikeTracker>,
     lanes: ArcSwap<LaneMap>,
     writing: Mutex<()>,
 }
@@ -51,7 +51,7 @@
         options: LaneOptions,
         counters: AttemptCounters,
         watch: TargetWatch,
-        strikes: Arc<StrikeBoard>,
+        strikes: Arc<StrikeTracker>,
         clock: ProcessClock,
     ) -> Self {
         Self {
@@ -121,7 +121,7 @@
 
     /// Gets what is known of requests that crash targets.
     #[must_use]
-    pub const fn strikes(&self) -> &Arc<StrikeBoard> {
+    pub const fn strikes(&self) -> &Arc<StrikeTracker> {
         &self.strikes
     }
 
--- a/alderhaven-relay/src/node.rs
+++ b/alderhaven-relay/src/node.rs
@@ -11,7 +11,7 @@
 use alderhaven_node::node_group::{GroupOptions, NodeGroup};
 use alderhaven_node::process_main::ProcessNode;
 use alderhaven_node::stop_handle::StopHandle;
-use alderhaven_peer::strike_board::StrikeBoard;
+use alderhaven_peer::strike_tracker::StrikeTracker;
 use alderhaven_policy::drain::StopReport;
 use alderhaven_policy::membership::member_record::MemberRole;
 use alderhaven_policy::subset::{RelayCandidate, RelaySubsets, SubsetOptions, SubsetTarget};
@@ -77,7 +77,7 @@
         let watch = TargetWatch::default();
         let hosts = HttpHosts::new(settings.platform, ClientOptions::default());
         let clock = ProcessClock::default();
-        let strikes = Arc::new(StrikeBoard::new(
+        let strikes = Arc::new(StrikeTracker::new(
             settings.policy,
             settings.quarantine.clone(),
             clock,
@@ -208,7 +208,7 @@
     }
 
     fn dump(&self) -> Value {
-        json!({ "status": self.status(), "lanes": self.table.reports(), "leaving_targets": *self.watch.names(),
+        json!({ "status": self.status(), "lanes": self.table.reports(), "leaving_targets": *self.watch.leaving_names(),
             "quarantine": self.table.strikes().entries(),
             "members": &*self.group.members(), "group": self.group.snapshot() })
     }
@@ -244,8 +244,8 @@
 ///
 /// A new connection costs up to 6 ms, which the first queries after a hand-over would else pay.
 async fn prepare_lanes(state: Arc<RelayState>) {
-    let mut config_changed = state.config.changed();
-    let mut group_changed = state.group.changed();
+    let mut config_changed = state.config.subscribe();
+    let mut group_changed = state.group.subscribe();
     loop {
         config_changed.borrow_and_update();
         group_changed.borrow_and_update();
--- a/alderhaven-relay/src/peer_server.rs
+++ b/alderhaven-relay/src/peer_server.rs
@@ -15,7 +15,7 @@
     AttemptReply, CancelAttempts, LeavingNotice, PeerMessage, ReplyStatus, ScatterAttempt,
     ScatterRequest,
 };
-use alderhaven_store::dialect::TargetRequest;
+use alderhaven_store::target_dialect::TargetRequest;
 use prometheus_client::metrics::counter::Counter;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -70,7 +70,7 @@
     let Ok((sender, mut reader)) = connection::split(stream) else {
         return;
     };
-    let _hears_of_strikes = table.strikes().join(sender.clone());
+    let _hears_of_strikes = table.strikes().subscribe(sender.clone());
     let mut has_pinged = false;
     let leaving = stop.leaving();
     tokio::pin!(leaving);
@@ -108,7 +108,7 @@
     match message {
         PeerMessage::Scatter(request) => scatter(table, sender, &request),
         PeerMessage::Cancel(cancel) => cancel_attempts(table, &cancel),
-        PeerMessage::Strikes(notice) => table.strikes().take(&notice),
+        PeerMessage::Strikes(notice) => table.strikes().merge(&notice),
         PeerMessage::Ping(ping) => {
             let _entry_gone = sender.send(PeerMessage::Pong(ping));
         }
@@ -119,7 +119,7 @@
         | PeerMessage::Exchange(_)
         | PeerMessage::ClaimQuery(_)
         | PeerMessage::ClaimAnswer(_)
-        | PeerMessage::GroupAsk(_)
+        | PeerMessage::GroupRequest(_)
         | PeerMessage::GroupReply(_)
         | PeerMessage::GroupClose(_) => {}
     }
@@ -143,7 +143,7 @@
             is_idempotent: request.idempotent,
             class,
             order: request.order,
-            hedge: request.hedge,
+            hedge: request.is_hedge,
             deadline: arrived + remaining,
             arrived,
             reply_to: sender.clone(),
--- a/alderhaven-relay/src/settings.rs
+++ b/alderhaven-relay/src/settings.rs
@@ -5,8 +5,8 @@
 
 use alderhaven_core::errors::Error;
 use alderhaven_core::ids::{FailureDomain, HostId, NodeId};
-use alderhaven_core::program::CheckedSettings;
 use alderhaven_core::settings;
+use alderhaven_core::startup::CheckedSettings;
 use alderhaven_core::time::TimeSpan;
 use alderhaven_core::value_check::ValueCheck;
 use alderhaven_node::process_main::ProcessSettings;
--- a/alderhaven-relay/src/target_call.rs
+++ b/alderhaven-relay/src/target_call.rs
@@ -2,8 +2,8 @@
 
 use alderhaven_core::outcome::{AttemptOutcome, NotRunReason};
 use alderhaven_core::time::{TimePoint, TimeSpan};
-use alderhaven_store::dialect;
-use alderhaven_store::dialect::TargetRequest;
+use alderhaven_store::target_dialect;
+use alderhaven_store::target_dialect::TargetRequest;
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response};
 use http_body_util::{BodyExt, Full, Limited};
@@ -78,8 +78,8 @@
         Self {
             outcome,
             rows,
-            free_slots: dialect::free_slots(headers),
-            is_draining: dialect::is_draining(headers),
+            free_slots: target_dialect::free_slots(headers),
+            is_draining: target_dialect::is_draining(headers),
             loss: None,
             resent_at: None,
             found_silence: false,
@@ -167,9 +167,9 @@
     let Ok(TakenConnection { mut sender, .. }) = connections.take().await else {
         return;
     };
-    let cancel = Request::post(dialect::CANCEL_PATH)
+    let cancel = Request::post(target_dialect::CANCEL_PATH)
         .header(http::header::HOST, authority)
-        .header(dialect::ATTEMPT_HEADER, request.attempt.to_string())
+        .header(target_dialect::ATTEMPT_HEADER, request.attempt.to_string())
         .body(Full::new(Bytes::new()));
     let Ok(cancel) = cancel else {
         return;
@@ -263,7 +263,7 @@
     };
     connections.note_replied(call.is_kept, call.sent);
     let (head, body) = response.into_parts();
-    let judged = request.judge(head.status, &head.headers);
+    let judged = request.classify_reply(head.status, &head.headers);
     match Limited::new(body, MAX_REPLY_BYTES).collect().await {
         Ok(rows) => {
             connections.give_back(call.sender);
--- a/alderhaven-relay/src/target_lane.rs
+++ b/alderhaven-relay/src/target_lane.rs
@@ -11,7 +11,7 @@
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_peer::frames::{AttemptReply, ReplyStatus};
-use alderhaven_peer::strike_board::StrikeBoard;
+use alderhaven_peer::strike_tracker::StrikeTracker;
 use alderhaven_policy::crash_strike::TargetCrash;
 use alderhaven_policy::query_gather;
 use alderhaven_policy::relay_queue::{OfferOutcome, RelayQueue};
@@ -54,7 +54,7 @@
     /// The targets that get no new work.
     pub watch: TargetWatch,
     /// What is known of requests that crash targets.
-    pub strikes: Arc<StrikeBoard>,
+    pub strikes: Arc<StrikeTracker>,
 }
 
 #[derive(Debug)]
@@ -241,7 +241,7 @@
     /// here and use up its retries. What the host list or an operator says an entry hears itself,
     /// also when it is taken back: passed on as the target's word it would be held on to.
     fn leaving_reason(&self) -> NotRunReason {
-        if self.shared.watch.has_said(&self.shared.target) {
+        if self.shared.watch.has_reported_drain(&self.shared.target) {
             NotRunReason::Draining
         } else {
             NotRunReason::NoRoute
@@ -330,7 +330,7 @@
             None => {
                 if verdict.outcome == AttemptOutcome::Answered {
                     let answered = attempt.request.shard;
-                    shared.strikes.answered(&attempt.fingerprint, answered);
+                    shared.strikes.record_answer(&attempt.fingerprint, answered);
                 }
                 return;
             }
@@ -339,7 +339,7 @@
         if !Box::pin(shared.connections.is_process_dead()).await {
             return;
         }
-        let is_new = shared.strikes.note_crash(&TargetCrash {
+        let is_new = shared.strikes.record_crash(&TargetCrash {
             id: incident.number,
             target: shared.target.clone(),
             domain: shared.domain.clone(),
@@ -409,7 +409,7 @@
             state.limit.record_report(used, now);
         }
         if verdict.is_draining {
-            self.shared.watch.note_reply(&self.shared.target);
+            self.shared.watch.record_draining_reply(&self.shared.target);
             state.queue.drop_all(NotRunReason::Draining);
         }
         state.wait_of(attempt, now)
@@ -435,7 +435,7 @@
     /// A suspect runs with nothing else at the target: if that crashes, the cause is known, and the
     /// requests that were beside it at the first crash are cleared by their answers. What runs is
     /// awaited, and nothing is started meanwhile.
-    fn start_next(&mut self, now: TimePoint, strikes: &StrikeBoard) -> Option<NextAttempt> {
+    fn start_next(&mut self, now: TimePoint, strikes: &StrikeTracker) -> Option<NextAttempt> {
         if self.is_reserved {
             return None;
         }
@@ -463,7 +463,7 @@
     }
 
     /// Starts the held suspect where nothing else runs any more.
-    fn start_held(&mut self, now: TimePoint, strikes: &StrikeBoard) -> Option<NextAttempt> {
+    fn start_held(&mut self, now: TimePoint, strikes: &StrikeTracker) -> Option<NextAttempt> {
         if !self.running.is_empty() {
             return None;
         }
--- a/alderhaven-relay/tests/peer_frames.rs
+++ b/alderhaven-relay/tests/peer_frames.rs
@@ -60,7 +60,7 @@
         version: IndexVersion(1),
         slots: 2,
         connections: 25,
-        queue: 4,
+        max_queue_length: 4,
         connect_cost: TimeSpan::ZERO,
         service_time: ServiceTime {
             mean: TimeSpan::from_millis(1),
@@ -94,7 +94,7 @@
             connections: 25,
             domain: "accra-a".to_owned(),
         }],
-        hedge: false,
+        is_hedge: false,
     }
 }
 
--- a/alderhaven-soak/src/front_process.rs
+++ b/alderhaven-soak/src/front_process.rs
@@ -12,16 +12,16 @@
 use rustix::process::{Pid, Signal};
 use tokio::sync::mpsc;
 
-use crate::soak_history::{FrontLife, HistoryLog, TroubleSubject};
+use crate::soak_history::{DisruptionSubject, HistoryLog, ProcessRecord};
 
 /// How often the process is looked at.
-const TICK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long after its end a process is started again, as a supervisor does it.
-const RESTART_AFTER: TimeSpan = TimeSpan::from_millis(300);
+const RESTART_DELAY: TimeSpan = TimeSpan::from_millis(300);
 
 /// A `FrontOrder` is something that is done to the process of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FrontOrder {
+pub enum FrontCommand {
     /// It is asked to stop (SIGTERM), and killed once its grace is over.
     Stop,
     /// It is killed (SIGKILL).
@@ -39,7 +39,7 @@
     binary: PathBuf,
     folder: PathBuf,
     log: HistoryLog,
-    starts: usize,
+    start_count: usize,
     child: Option<Child>,
     restart_at: TimePoint,
     kill_at: Option<TimePoint>,
@@ -65,7 +65,7 @@
             binary: binary.to_owned(),
             folder: folder.to_owned(),
             log,
-            starts: 0,
+            start_count: 0,
             child: None,
             restart_at: TimePoint::START,
             kill_at: None,
@@ -79,16 +79,16 @@
     ///
     /// # Errors
     /// The program can't be started again, or a signal can't be sent.
-    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<FrontOrder>) -> Result<()> {
+    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<FrontCommand>) -> Result<()> {
         loop {
             tokio::select! {
                 order = orders.recv() => match order {
-                    Some(order) => self.carry_out(order)?,
+                    Some(order) => self.execute(order)?,
                     None => return Ok(()),
                 },
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
-            self.keep_up()?;
+            self.run_maintenance()?;
         }
     }
 
@@ -97,9 +97,9 @@
     }
 
     fn start_child(&mut self) -> Result<()> {
-        self.starts += 1;
+        self.start_count += 1;
         let name = &self.settings.name;
-        let output = self.folder.join(format!("{name}.{}.log", self.starts));
+        let output = self.folder.join(format!("{name}.{}.log", self.start_count));
         let output = File::create(&output).wrap_err("the log can't be created")?;
         let errors = output.try_clone().wrap_err("the log can't be shared")?;
         let child = Command::new(&self.binary)
@@ -111,46 +111,48 @@
             .wrap_err_with(|| format!("{} can't be started", self.binary.display()))?;
         self.child = Some(child);
         let started = self.log.now();
-        self.log.lock().lives.push(FrontLife {
+        self.log.lock().processes.push(ProcessRecord {
             front: self.host(),
-            started,
-            asked_to_stop: None,
+            started_at: started,
+            stop_requested_at: None,
             is_killed: false,
-            ended: None,
+            ended_at: None,
         });
         Ok(())
     }
 
-    fn carry_out(&mut self, order: FrontOrder) -> Result<()> {
+    fn execute(&mut self, order: FrontCommand) -> Result<()> {
         if self.child.is_none() {
             return Ok(());
         }
         let now = self.log.now();
         match order {
-            FrontOrder::Stop => {
-                self.change_life(|life| life.asked_to_stop = life.asked_to_stop.or(Some(now)));
+            FrontCommand::Stop => {
+                self.update_process_record(|life| {
+                    life.stop_requested_at = life.stop_requested_at.or(Some(now))
+                });
                 let grace = TimeSpan::from_secs(self.settings.grace_s);
                 self.kill_at = self.kill_at.or(Some(now + grace));
                 self.signal(Signal::TERM)
             }
-            FrontOrder::Kill => self.kill(),
-            FrontOrder::Freeze(span) => {
-                self.thaw()?;
+            FrontCommand::Kill => self.kill(),
+            FrontCommand::Freeze(span) => {
+                self.resume()?;
                 let place = self
                     .log
-                    .begin_trouble(TroubleSubject::Front(self.host()), "frozen");
+                    .begin_disruption(DisruptionSubject::Front(self.host()), "frozen");
                 self.frozen = Some((now + span, place));
                 self.signal(Signal::STOP)
             }
-            FrontOrder::Reload => self.signal(Signal::HUP),
+            FrontCommand::Reload => self.signal(Signal::HUP),
         }
     }
 
     /// Does what is due by time, and notes where the process has ended.
-    fn keep_up(&mut self) -> Result<()> {
+    fn run_maintenance(&mut self) -> Result<()> {
         let now = self.log.now();
         if self.frozen.is_some_and(|(until, _)| now >= until) {
-            self.thaw()?;
+            self.resume()?;
         }
         if self.kill_at.is_some_and(|at| now >= at) {
             self.kill()?;
@@ -158,7 +160,7 @@
         match &mut self.child {
             Some(child) => {
                 if child.try_wait().wrap_err("no status")?.is_some() {
-                    self.note_end(now);
+                    self.record_exit(now);
                 }
                 Ok(())
             }
@@ -167,29 +169,29 @@
         }
     }
 
-    fn note_end(&mut self, now: TimePoint) {
+    fn record_exit(&mut self, now: TimePoint) {
         self.child = None;
         self.kill_at = None;
         if let Some((_, place)) = self.frozen.take() {
-            self.log.end_trouble(place);
+            self.log.end_disruption(place);
         }
-        self.restart_at = now + RESTART_AFTER;
-        self.change_life(|life| life.ended = Some(now));
+        self.restart_at = now + RESTART_DELAY;
+        self.update_process_record(|life| life.ended_at = Some(now));
     }
 
     fn kill(&mut self) -> Result<()> {
         self.kill_at = None;
-        self.change_life(|life| life.is_killed = true);
+        self.update_process_record(|life| life.is_killed = true);
         self.log
-            .note_trouble(TroubleSubject::Front(self.host()), "killed");
+            .record_disruption(DisruptionSubject::Front(self.host()), "killed");
         self.signal(Signal::KILL)
     }
 
-    fn thaw(&mut self) -> Result<()> {
+    fn resume(&mut self) -> Result<()> {
         let Some((_, place)) = self.frozen.take() else {
             return Ok(());
         };
-        self.log.end_trouble(place);
+        self.log.end_disruption(place);
         self.signal(Signal::CONT)
     }
 
@@ -202,10 +204,13 @@
             .wrap_err_with(|| format!("{signal:?} can't be sent to {}", self.settings.name))
     }
 
-    fn change_life(&self, change: impl FnOnce(&mut FrontLife)) {
+    fn update_process_record(&self, change: impl FnOnce(&mut ProcessRecord)) {
         let host = self.host();
         let mut history = self.log.lock();
-        let life = history.lives.iter_mut().rfind(|life| life.front == host);
+        let life = history
+            .processes
+            .iter_mut()
+            .rfind(|life| life.front == host);
         if let Some(life) = life {
             change(life);
         }
--- a/alderhaven-soak/src/history_index.rs
+++ b/alderhaven-soak/src/history_index.rs
@@ -6,13 +6,13 @@
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
 use crate::soak_history::{
-    ArrivalRecord, ConfigRecord, FrontLife, RequestRecord, SoakHistory, TroubleRecord,
-    TroubleSubject,
+    ArrivalRecord, ConfigRecord, DisruptionRecord, DisruptionSubject, ProcessRecord, RequestRecord,
+    SoakHistory,
 };
 
 /// For how long after a disturbance what it touched is not held to promises with a time: connections
 /// are opened again, peers are heard, queues empty. The users' platform allows as much.
-pub const SETTLING: TimeSpan = TimeSpan::from_secs(4);
+pub const SETTLING_TIME: TimeSpan = TimeSpan::from_secs(4);
 
 /// A `HistoryIndex` is a history with what the checks look up in it.
 #[derive(Debug)]
@@ -54,11 +54,16 @@
 
     /// Returns true where nothing disturbed the subject in that span, nor the machine.
     #[must_use]
-    pub fn is_calm(&self, subject: &TroubleSubject, from: TimePoint, until: TimePoint) -> bool {
-        let touches = |trouble: &&TroubleRecord| {
-            trouble.subject == *subject || trouble.subject == TroubleSubject::Machine
+    pub fn is_undisrupted(
+        &self,
+        subject: &DisruptionSubject,
+        from: TimePoint,
+        until: TimePoint,
+    ) -> bool {
+        let touches = |trouble: &&DisruptionRecord| {
+            trouble.subject == *subject || trouble.subject == DisruptionSubject::Machine
         };
-        let mut troubles = self.history.troubles.iter().filter(touches);
+        let mut troubles = self.history.disruptions.iter().filter(touches);
         troubles
             .all(|trouble| trouble.from > until || trouble.until.is_some_and(|ended| ended < from))
     }
@@ -66,25 +71,29 @@
     /// Returns true where a front was running and undisturbed for the whole span, and long enough
     /// before it.
     #[must_use]
-    pub fn is_front_calm(&self, front: IpAddr, from: TimePoint, until: TimePoint) -> bool {
-        let from = before(from, SETTLING);
-        let life = self.life(front, until);
+    pub fn is_front_undisrupted(&self, front: IpAddr, from: TimePoint, until: TimePoint) -> bool {
+        let from = time_before(from, SETTLING_TIME);
+        let life = self.process_at(front, until);
         life.is_some_and(|life| {
-            life.started <= from && life.asked_to_stop.is_none_or(|at| at > until)
-        }) && self.is_calm(&TroubleSubject::Front(front), from, until)
+            life.started_at <= from && life.stop_requested_at.is_none_or(|at| at > until)
+        }) && self.is_undisrupted(&DisruptionSubject::Front(front), from, until)
     }
 
     /// Returns true where the store was undisturbed for the whole span and long enough before it.
     #[must_use]
-    pub fn is_store_calm(&self, from: TimePoint, until: TimePoint) -> bool {
-        self.is_calm(&TroubleSubject::Store, before(from, SETTLING), until)
+    pub fn is_store_undisrupted(&self, from: TimePoint, until: TimePoint) -> bool {
+        self.is_undisrupted(
+            &DisruptionSubject::Store,
+            time_before(from, SETTLING_TIME),
+            until,
+        )
     }
 
     /// Gets the process of a front that was the latest at a time.
     #[must_use]
-    pub fn life(&self, front: IpAddr, at: TimePoint) -> Option<&'h FrontLife> {
-        let mut lives = self.history.lives.iter();
-        lives.rfind(|life| life.front == front && life.started <= at)
+    pub fn process_at(&self, front: IpAddr, at: TimePoint) -> Option<&'h ProcessRecord> {
+        let mut lives = self.history.processes.iter();
+        lives.rfind(|life| life.front == front && life.started_at <= at)
     }
 
     /// Gets the configurations that may be in force for a request that was sent and ended so, where
@@ -100,11 +109,11 @@
         let is_superseded = |place: usize| {
             let next = configs.get(place + 1);
             let lag = lag.unwrap_or(TimeSpan::from_secs(3_600));
-            next.is_some_and(|next| next.acked + lag < sent)
+            next.is_some_and(|next| next.accepted_at + lag < sent)
         };
         let known = configs.iter().enumerate();
         known
-            .filter(|(place, config)| config.acked <= ended && !is_superseded(*place))
+            .filter(|(place, config)| config.accepted_at <= ended && !is_superseded(*place))
             .map(|(_, config)| config)
             .collect()
     }
@@ -112,6 +121,6 @@
 
 /// Gets the point that lies so long before another one.
 #[must_use]
-pub fn before(point: TimePoint, span: TimeSpan) -> TimePoint {
+pub fn time_before(point: TimePoint, span: TimeSpan) -> TimePoint {
     TimePoint::START + point.since(TimePoint::START).saturating_sub(span)
 }
--- a/alderhaven-soak/src/lib.rs
+++ b/alderhaven-soak/src/lib.rs
@@ -5,7 +5,6 @@
 pub mod front_process;
 pub mod history_index;
 pub mod link_proxy;
-pub mod machine_watch;
 pub mod promises;
 pub mod seed_cases;
 pub mod shard_records;
@@ -17,5 +16,6 @@
 pub mod soak_plan;
 pub mod soak_report;
 pub mod soak_run;
-pub mod soak_site;
-pub mod target_crew;
+pub mod soak_workload;
+pub mod stall_detector;
+pub mod target_fleet;
--- a/alderhaven-soak/src/link_proxy.rs
+++ b/alderhaven-soak/src/link_proxy.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 /// The bytes that are passed on at a time.
-const BLOCK_BYTES: usize = 16 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 
 /// A `LinkMode` is how a link treats what goes over it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -25,28 +25,28 @@
     /// It passes everything on so much later.
     Delayed(Duration),
     /// What goes to the server is held up.
-    CutForth,
+    UpstreamBlocked,
     /// What comes from the server is held up.
-    CutBack,
+    DownstreamBlocked,
     /// Both are held up, and new connections too.
-    Silent,
+    Blocked,
     /// Open connections are reset, and new ones at once.
     Reset,
 }
 
 /// A `LinkWay` is one of the two directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LinkWay {
-    Forth,
-    Back,
+enum LinkDirection {
+    Upstream,
+    Downstream,
 }
 
 impl LinkMode {
-    const fn holds(self, way: LinkWay) -> bool {
+    const fn blocks(self, way: LinkDirection) -> bool {
         match self {
-            Self::CutForth => matches!(way, LinkWay::Forth),
-            Self::CutBack => matches!(way, LinkWay::Back),
-            Self::Silent => true,
+            Self::UpstreamBlocked => matches!(way, LinkDirection::Upstream),
+            Self::DownstreamBlocked => matches!(way, LinkDirection::Downstream),
+            Self::Blocked => true,
             Self::Open | Self::Delayed(_) | Self::Reset => false,
         }
     }
@@ -57,7 +57,7 @@
 pub struct LinkProxy {
     address: SocketAddr,
     mode: watch::Sender<LinkMode>,
-    _running: Arc<DropGuard>,
+    _stop_guard: Arc<DropGuard>,
 }
 
 impl LinkProxy {
@@ -75,13 +75,13 @@
         tokio::spawn(async move {
             tokio::select! {
                 () = stopped.cancelled() => {}
-                () = accept(listener, server, seen, stopped.clone()) => {}
+                () = accept_connections(listener, server, seen, stopped.clone()) => {}
             }
         });
         Ok(Self {
             address,
             mode,
-            _running: Arc::new(stopping.drop_guard()),
+            _stop_guard: Arc::new(stopping.drop_guard()),
         })
     }
 
@@ -97,7 +97,7 @@
     }
 }
 
-async fn accept(
+async fn accept_connections(
     listener: TcpListener,
     server: SocketAddr,
     mode: watch::Receiver<LinkMode>,
@@ -108,17 +108,21 @@
         tokio::spawn(async move {
             tokio::select! {
                 () = stopped.cancelled() => {}
-                () = pass(near, server, mode) => {}
+                () = forward_connection(near, server, mode) => {}
             }
         });
     }
 }
 
 /// Passes one connection on until it ends or is reset.
-async fn pass(mut near: TcpStream, server: SocketAddr, mut mode: watch::Receiver<LinkMode>) {
+async fn forward_connection(
+    mut near: TcpStream,
+    server: SocketAddr,
+    mut mode: watch::Receiver<LinkMode>,
+) {
     let mut waiting = mode.clone();
     // A link that is silent takes the connection and passes nothing on.
-    let is_open = waiting.wait_for(|mode| !mode.holds(LinkWay::Forth));
+    let is_open = waiting.wait_for(|mode| !mode.blocks(LinkDirection::Upstream));
     if is_open.await.is_err() {
         return;
     }
@@ -137,9 +141,9 @@
         let (near_in, near_out) = near.split();
         let (far_in, far_out) = far.split();
         tokio::select! {
-            () = until_reset(&mut mode) => true,
-            () = copy(near_in, far_out, ways.clone(), LinkWay::Forth) => false,
-            () = copy(far_in, near_out, ways, LinkWay::Back) => false,
+            () = wait_for_reset(&mut mode) => true,
+            () = forward_bytes(near_in, far_out, ways.clone(), LinkDirection::Upstream) => false,
+            () = forward_bytes(far_in, near_out, ways, LinkDirection::Downstream) => false,
         }
     };
     if is_reset {
@@ -148,7 +152,7 @@
     }
 }
 
-async fn until_reset(mode: &mut watch::Receiver<LinkMode>) {
+async fn wait_for_reset(mode: &mut watch::Receiver<LinkMode>) {
     let is_reset = mode.wait_for(|mode| *mode == LinkMode::Reset);
     if is_reset.await.is_err() {
         // The link's owner is gone: nothing will be reset any more.
@@ -156,20 +160,20 @@
     }
 }
 
-async fn copy(
+async fn forward_bytes(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut mode: watch::Receiver<LinkMode>,
-    way: LinkWay,
+    way: LinkDirection,
 ) {
-    let mut block = vec![0; BLOCK_BYTES];
+    let mut block = vec![0; BUFFER_BYTES];
     loop {
         let length = match from.read(&mut block).await {
             Ok(length) if length > 0 => length,
             // The end of one direction ends the connection: no side here uses half of one.
             _ => return,
         };
-        let now = match mode.wait_for(|mode| !mode.holds(way)).await {
+        let now = match mode.wait_for(|mode| !mode.blocks(way)).await {
             Ok(mode) => *mode,
             Err(_) => return,
         };
--- a/alderhaven-soak/src/main.rs
+++ b/alderhaven-soak/src/main.rs
@@ -4,10 +4,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use alderhaven_core::program;
+use alderhaven_core::startup;
 use alderhaven_core::time::TimeSpan;
 use alderhaven_soak::seed_cases::{self, SeedCase};
-use alderhaven_soak::soak_options::{MOST_FRONTS, PromiseScope, SoakOptions};
+use alderhaven_soak::soak_options::{MAX_FRONTS, PromiseScope, SoakOptions};
 use alderhaven_soak::soak_report::SoakReport;
 use alderhaven_soak::soak_run;
 use argh::FromArgs;
@@ -16,13 +16,13 @@
 use tokio::signal::unix::SignalKind;
 
 /// The exit code where a promise was broken.
-const VIOLATED: u8 = 1;
+const EXIT_VIOLATIONS: u8 = 1;
 /// The exit code where a run could not be made.
-const NOT_RUN: u8 = 2;
+const EXIT_NOT_RUN: u8 = 2;
 /// The shortest run, in seconds: the calm time at its end, and some faults before.
-const FEWEST_SECONDS: u64 = 10;
+const MIN_SECONDS: u64 = 10;
 /// The longest run, in seconds.
-const MOST_SECONDS: u64 = 3_600;
+const MAX_SECONDS: u64 = 3_600;
 
 /// Soak of alderhaven's fronts: real processes on loopback, faults from outside, promises checked.
 #[derive(FromArgs)]
@@ -87,7 +87,7 @@
 }
 
 fn main() -> ExitCode {
-    let arguments: SoakArgs = match program::arguments("alder-soak") {
+    let arguments: SoakArgs = match startup::parse_arguments("alder-soak") {
         Ok(arguments) => arguments,
         Err(code) => return code,
     };
@@ -97,20 +97,20 @@
     };
     match ended {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(VIOLATED),
+        Ok(false) => ExitCode::from(EXIT_VIOLATIONS),
         Err(error) => {
             eprintln!("error: {error:#}");
-            ExitCode::from(NOT_RUN)
+            ExitCode::from(EXIT_NOT_RUN)
         }
     }
 }
 
 fn run(arguments: RunArgs) -> Result<bool> {
-    if !(FEWEST_SECONDS..=MOST_SECONDS).contains(&arguments.seconds) {
-        bail!("--seconds is not from {FEWEST_SECONDS} to {MOST_SECONDS}");
+    if !(MIN_SECONDS..=MAX_SECONDS).contains(&arguments.seconds) {
+        bail!("--seconds is not from {MIN_SECONDS} to {MAX_SECONDS}");
     }
-    if !(1..=MOST_FRONTS).contains(&arguments.fronts) {
-        bail!("--fronts is not from 1 to {MOST_FRONTS}");
+    if !(1..=MAX_FRONTS).contains(&arguments.fronts) {
+        bail!("--fronts is not from 1 to {MAX_FRONTS}");
     }
     let runner = SeedRunner::new(arguments.front, arguments.logs, arguments.json)?;
     let mut is_kept = true;
@@ -123,7 +123,7 @@
                 callers: arguments.callers,
                 cause: String::new(),
             },
-            Evacuations::Drawn,
+            EvacuationMode::Seeded,
         )?;
     }
     Ok(is_kept)
@@ -139,16 +139,16 @@
     }
     let mut is_kept = true;
     for case in &cases {
-        is_kept &= runner.run(case, Evacuations::None)?;
+        is_kept &= runner.run(case, EvacuationMode::None)?;
     }
     Ok(is_kept)
 }
 
 /// Whether failure domains are evacuated in a run: kept seeds stay as they were.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Evacuations {
+enum EvacuationMode {
     None,
-    Drawn,
+    Seeded,
 }
 
 /// A `SeedRunner` runs seeds and prints what they came to.
@@ -168,7 +168,7 @@
     }
 
     /// Runs one seed; returns true where every promise was kept.
-    fn run(&self, case: &SeedCase, evacuations: Evacuations) -> Result<bool> {
+    fn run(&self, case: &SeedCase, evacuations: EvacuationMode) -> Result<bool> {
         let options = SoakOptions::builder()
             .seed(case.seed)
             .span(TimeSpan::from_secs(case.seconds))
@@ -176,7 +176,7 @@
             .callers(case.callers)
             .front_binary(self.front.clone())
             .logs(self.logs.clone())
-            .has_evacuations(evacuations == Evacuations::Drawn)
+            .has_evacuations(evacuations == EvacuationMode::Seeded)
             .scope(PromiseScope::All)
             .build();
         let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/alderhaven-soak/src/promises.rs
+++ b/alderhaven-soak/src/promises.rs
@@ -6,14 +6,14 @@
 use crate::soak_options::PromiseScope;
 
 pub mod answers;
+pub mod at_most_once;
 pub mod config;
+pub mod deadlines;
 pub mod evacuation;
 pub mod leaving;
-pub mod once;
-pub mod repeats;
-pub mod serving;
+pub mod recovery;
+pub mod repeat_budget;
 pub mod stops;
-pub mod timely;
 
 /// A `PromiseKind` is one of the promises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -64,7 +64,7 @@
     /// The request, target or front.
     pub subject: String,
     /// What was seen.
-    pub seen: String,
+    pub observed: String,
 }
 
 impl Violation {
@@ -74,7 +74,7 @@
         Self {
             promise,
             subject: subject.to_owned(),
-            seen: seen.into(),
+            observed: seen.into(),
         }
     }
 }
@@ -83,10 +83,10 @@
 #[must_use]
 pub fn check(index: &HistoryIndex, scope: PromiseScope, is_over: bool) -> Vec<Violation> {
     let mut broken = answers::check(index);
-    broken.extend(once::check(index));
-    broken.extend(config::check_kept(index));
+    broken.extend(at_most_once::check(index));
+    broken.extend(config::check_no_regression(index));
     broken.extend(stops::check(index));
-    if scope == PromiseScope::Timeless {
+    if scope == PromiseScope::Untimed {
         return broken;
     }
     broken.extend(config::check_in_force(index));
@@ -94,10 +94,10 @@
         broken.extend(leaving::check_arrival(index, arrival));
         broken.extend(evacuation::check_arrival(index, arrival));
     }
-    broken.extend(repeats::check(index));
-    broken.extend(timely::check(index));
+    broken.extend(repeat_budget::check(index));
+    broken.extend(deadlines::check(index));
     if is_over {
-        broken.extend(serving::check(index));
+        broken.extend(recovery::check(index));
     }
     broken
 }
--- a/alderhaven-soak/src/promises/answers.rs
+++ b/alderhaven-soak/src/promises/answers.rs
@@ -6,10 +6,10 @@
 use crate::promises::{PromiseKind, Violation};
 use crate::shard_records;
 use crate::soak_history::{AnswerRecord, RequestOutcome, RequestRecord};
-use crate::soak_site::{LEAST_SHARE, RECORDS, RequestKind, ShardSet};
+use crate::soak_workload::{MERGED_RECORDS, MIN_SHARD_SHARE, RequestKind, ShardSet};
 
 /// The status that a failing target answers with.
-const TARGET_FAILURE: u16 = 500;
+const TARGET_FAILURE_STATUS: u16 = 500;
 
 /// Checks the answers of all requests.
 #[must_use]
@@ -27,33 +27,36 @@
     };
     let (promise, seen) = if !answer.is_success() {
         check_failure(request, answer)?
-    } else if request.kind == RequestKind::Sweep {
+    } else if request.kind == RequestKind::FanOut {
         let seen = check_merged(index, id, request, answer)?;
         (PromiseKind::TrueCoverage, seen)
     } else {
-        (PromiseKind::OwnAnswer, check_passed(id, request, answer)?)
+        (
+            PromiseKind::OwnAnswer,
+            check_forwarded(id, request, answer)?,
+        )
     };
     Some(Violation::new(promise, id, seen))
 }
 
 fn check_failure(request: &RequestRecord, answer: &AnswerRecord) -> Option<(PromiseKind, String)> {
     let status = answer.status;
-    let is_missing_mark = status == 404 && matches!(request.kind, RequestKind::Mark(_));
+    let is_missing_mark = status == 404 && matches!(request.kind, RequestKind::VersionRoute(_));
     if (300..500).contains(&status) && !answer.is_refusal && !is_missing_mark {
         return Some((
             PromiseKind::NotDenied,
             format!("{} got {status}", request.kind),
         ));
     }
-    let is_changed = !answer.proof.is_empty() && status != TARGET_FAILURE;
+    let is_changed = !answer.proof.is_empty() && status != TARGET_FAILURE_STATUS;
     is_changed.then(|| {
         let seen = format!("a target's failure came as {status}");
         (PromiseKind::OwnAnswer, seen)
     })
 }
 
-fn check_passed(id: &str, request: &RequestRecord, answer: &AnswerRecord) -> Option<String> {
-    let Some((service, answered)) = shard_records::read_proof(&answer.proof) else {
+fn check_forwarded(id: &str, request: &RequestRecord, answer: &AnswerRecord) -> Option<String> {
+    let Some((service, answered)) = shard_records::parse_proof(&answer.proof) else {
         return Some(format!("a success with the digest `{}`", answer.proof));
     };
     if answered != id {
@@ -63,7 +66,7 @@
     if !allowed.iter().any(|name| name == service) {
         return Some(format!("an answer of {service} to a {}", request.kind));
     }
-    let is_whole = answer.body == shard_records::body(service, id);
+    let is_whole = answer.body == shard_records::response_body(service, id);
     (!is_whole).then(|| format!("another body than that of {service}"))
 }
 
@@ -75,7 +78,7 @@
 ) -> Option<String> {
     let proofs = answer.part_proofs.iter();
     let parts: Option<Vec<(&str, &str)>> = proofs
-        .map(|proof| shard_records::read_proof(proof))
+        .map(|proof| shard_records::parse_proof(proof))
         .collect();
     let Some(parts) = parts else {
         return Some(format!("no digest: {:?}", answer.part_proofs));
@@ -89,7 +92,7 @@
         return Some(format!("a shard twice: {services:?}"));
     }
     let ended = request.end.as_ref()?.at;
-    let configs = index.configs_in_force(request.sent, ended, None);
+    let configs = index.configs_in_force(request.sent_at, ended, None);
     let is_one_set = configs.iter().any(|config| {
         let set = config.shards.services();
         let holds_all = distinct
@@ -104,9 +107,9 @@
         ));
     }
     let share = distinct.len() as f64 / (distinct.len() + answer.missing) as f64;
-    if share < LEAST_SHARE {
+    if share < MIN_SHARD_SHARE {
         return Some(format!("only {share:.2} of the shards"));
     }
-    let is_greatest = answer.body == shard_records::greatest(&services, id, RECORDS);
+    let is_greatest = answer.body == shard_records::greatest_records(&services, id, MERGED_RECORDS);
     (!is_greatest).then(|| "other records than the greatest of the parts".to_owned())
 }
--- a/alderhaven-soak/src/promises/once.rs
+++ b/alderhaven-soak/src/promises/at_most_once.rs
@@ -4,8 +4,8 @@
 
 use crate::history_index::HistoryIndex;
 use crate::promises::{PromiseKind, Violation};
-use crate::soak_history::{ArrivalRecord, RequestOutcome, RequestRecord, TroubleSubject};
-use crate::soak_site::MOST_TARGETS;
+use crate::soak_history::{ArrivalRecord, DisruptionSubject, RequestOutcome, RequestRecord};
+use crate::soak_workload::MAX_TARGETS_PER_SHARD;
 
 /// Checks the requests that reached targets.
 #[must_use]
@@ -51,15 +51,15 @@
     runs: &[&ArrivalRecord],
 ) -> Option<Violation> {
     let violation = if request.kind.is_idempotent() {
-        check_spread(index, id, runs)
+        check_target_count(index, id, runs)
     } else {
-        check_single(id, runs)
+        check_run_count(id, runs)
     };
     violation.or_else(|| check_refusal(id, request, runs))
 }
 
 /// Checks that a request that may run once did.
-fn check_single(id: &str, runs: &[&ArrivalRecord]) -> Option<Violation> {
+fn check_run_count(id: &str, runs: &[&ArrivalRecord]) -> Option<Violation> {
     if runs.len() < 2 {
         return None;
     }
@@ -80,17 +80,21 @@
 
 /// Checks that no shard ran the request on more targets than allowed; those that were disturbed may
 /// have been given up before.
-fn check_spread(index: &HistoryIndex, id: &str, runs: &[&ArrivalRecord]) -> Option<Violation> {
+fn check_target_count(
+    index: &HistoryIndex,
+    id: &str,
+    runs: &[&ArrivalRecord],
+) -> Option<Violation> {
     let mut targets: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
     for run in runs {
-        let subject = TroubleSubject::Target(run.target.clone());
-        if index.is_calm(&subject, run.at, index.now) {
+        let subject = DisruptionSubject::Target(run.target.clone());
+        if index.is_undisrupted(&subject, run.at, index.now) {
             targets.entry(&run.service).or_default().insert(&run.target);
         }
     }
     let spread = targets
         .values()
-        .find(|targets| targets.len() > MOST_TARGETS)?;
+        .find(|targets| targets.len() > MAX_TARGETS_PER_SHARD)?;
     let seen = format!("ran on {spread:?}");
     Some(Violation::new(PromiseKind::AtMostOnce, id, seen))
 }
