--- a/alderhaven-soak/src/promises/config.rs
+++ b/alderhaven-soak/src/promises/config.rs
@@ -8,10 +8,10 @@
 use crate::promises::{PromiseKind, Violation};
 use crate::shard_records;
 use crate::soak_history::{ConfigRecord, RequestOutcome, RequestRecord};
-use crate::soak_site::RequestKind;
+use crate::soak_workload::RequestKind;
 
 /// Within which time a configuration must be in force at fronts that are undisturbed.
-const APPLY_LIMIT: TimeSpan = TimeSpan::from_millis(3_000);
+const APPLY_BOUND: TimeSpan = TimeSpan::from_millis(3_000);
 
 /// Checks that requests are handled by configurations that are not too old.
 #[must_use]
@@ -19,13 +19,13 @@
     let requests = index.history.requests.iter();
     let broken = requests.filter_map(|(id, request)| {
         let end = request.end.as_ref()?;
-        let is_calm = index.is_front_calm(request.front, request.sent, end.at)
-            && index.is_store_calm(request.sent, end.at);
+        let is_calm = index.is_front_undisrupted(request.front, request.sent_at, end.at)
+            && index.is_store_undisrupted(request.sent_at, end.at);
         if !is_calm {
             return None;
         }
-        let configs = index.configs_in_force(request.sent, end.at, Some(APPLY_LIMIT));
-        let is_held = configs.iter().any(|config| agrees(config, request));
+        let configs = index.configs_in_force(request.sent_at, end.at, Some(APPLY_BOUND));
+        let is_held = configs.iter().any(|config| is_consistent(config, request));
         let versions: Vec<u64> = configs.iter().map(|config| config.version).collect();
         (!is_held).then(|| {
             let seen = format!(
@@ -41,39 +41,42 @@
 /// Checks that no process goes back: once an answer has shown a version, later requests to the process
 /// are handled by that version or a newer one.
 #[must_use]
-pub fn check_kept(index: &HistoryIndex) -> Vec<Violation> {
+pub fn check_no_regression(index: &HistoryIndex) -> Vec<Violation> {
     let mut by_life: BTreeMap<(std::net::IpAddr, TimePoint), Vec<(&str, &RequestRecord)>> =
         BTreeMap::new();
     for (id, request) in &index.history.requests {
-        if let Some(life) = index.life(request.front, request.sent) {
-            let requests = by_life.entry((request.front, life.started)).or_default();
+        if let Some(life) = index.process_at(request.front, request.sent_at) {
+            let requests = by_life.entry((request.front, life.started_at)).or_default();
             requests.push((id, request));
         }
     }
     let lives = by_life.values();
     lives
-        .flat_map(|requests| check_life(index, requests))
+        .flat_map(|requests| check_process(index, requests))
         .collect()
 }
 
-fn check_life(index: &HistoryIndex, requests: &[(&str, &RequestRecord)]) -> Vec<Violation> {
+fn check_process(index: &HistoryIndex, requests: &[(&str, &RequestRecord)]) -> Vec<Violation> {
     let configs = &index.history.configs;
     // When each version was first seen in force.
     let mut shown: Vec<(TimePoint, u64)> = requests
         .iter()
         .filter_map(|(_, request)| {
-            Some((request.end.as_ref()?.at, shown_version(configs, request)?))
+            Some((
+                request.end.as_ref()?.at,
+                oldest_possible_version(configs, request)?,
+            ))
         })
         .collect();
     shown.sort_unstable();
     let broken = requests.iter().filter_map(|(id, request)| {
         let ended = request.end.as_ref()?.at;
-        let before = shown.iter().filter(|(at, _)| *at < request.sent);
+        let before = shown.iter().filter(|(at, _)| *at < request.sent_at);
         let newest = before.map(|(_, version)| *version).max()?;
         let mut possible = configs
             .iter()
-            .filter(|config| config.version >= newest && config.acked <= ended);
-        let is_held = possible.any(|config| agrees(config, request));
+            .filter(|config| config.version >= newest && config.accepted_at <= ended);
+        let is_held = possible.any(|config| is_consistent(config, request));
         (!is_held).then(|| {
             let seen = format!("{} handled by a version before {newest}", request.kind);
             Violation::new(PromiseKind::ConfigKept, id, seen)
@@ -83,13 +86,15 @@
 }
 
 /// Gets the oldest version that can have handled a request; none where any can.
-fn shown_version(configs: &[ConfigRecord], request: &RequestRecord) -> Option<u64> {
-    let mut agreeing = configs.iter().filter(|config| agrees(config, request));
+fn oldest_possible_version(configs: &[ConfigRecord], request: &RequestRecord) -> Option<u64> {
+    let mut agreeing = configs
+        .iter()
+        .filter(|config| is_consistent(config, request));
     agreeing.next().map(|config| config.version)
 }
 
 /// Returns true where a request may have come to its end under a configuration.
-fn agrees(config: &ConfigRecord, request: &RequestRecord) -> bool {
+fn is_consistent(config: &ConfigRecord, request: &RequestRecord) -> bool {
     let Some(end) = &request.end else {
         return true;
     };
@@ -97,16 +102,16 @@
         return true;
     };
     match request.kind {
-        RequestKind::Mark(version) => {
+        RequestKind::VersionRoute(version) => {
             let is_served = answer.is_success();
             let is_missing = answer.status == 404;
-            let has_route = config.marks.contains(&version);
+            let has_route = config.version_routes.contains(&version);
             (!is_served || has_route) && (!is_missing || !has_route)
         }
-        RequestKind::Sweep if answer.is_success() => {
+        RequestKind::FanOut if answer.is_success() => {
             let set: BTreeSet<String> = config.shards.services().into_iter().collect();
             let proofs = answer.part_proofs.iter();
-            let mut parts = proofs.filter_map(|proof| shard_records::read_proof(proof));
+            let mut parts = proofs.filter_map(|proof| shard_records::parse_proof(proof));
             parts.all(|(service, _)| set.contains(service))
         }
         _ => true,
--- a/alderhaven-soak/src/promises/timely.rs
+++ b/alderhaven-soak/src/promises/deadlines.rs
@@ -5,10 +5,10 @@
 
 use crate::history_index::HistoryIndex;
 use crate::promises::{PromiseKind, Violation};
-use crate::soak_history::{ArrivalRecord, RequestOutcome, RequestRecord, TroubleSubject};
+use crate::soak_history::{ArrivalRecord, DisruptionSubject, RequestOutcome, RequestRecord};
 
 /// How much later than promised something may be: the ways there and back, and a busy moment.
-const SLACK: TimeSpan = TimeSpan::from_millis(500);
+const TIME_TOLERANCE: TimeSpan = TimeSpan::from_millis(500);
 
 /// Checks answers, and what reached targets.
 #[must_use]
@@ -22,13 +22,13 @@
 
 fn check_request(index: &HistoryIndex, id: &str, request: &RequestRecord) -> Option<Violation> {
     let end = request.end.as_ref()?;
-    let took = end.at.since(request.sent);
+    let took = end.at.since(request.sent_at);
     let is_final = matches!(
         end.outcome,
         RequestOutcome::Answered(_) | RequestOutcome::Closed | RequestOutcome::Unanswered
     );
-    let is_late = is_final && took > request.patience + SLACK;
-    let is_held = is_late && index.is_front_calm(request.front, request.sent, end.at);
+    let is_late = is_final && took > request.timeout + TIME_TOLERANCE;
+    let is_held = is_late && index.is_front_undisrupted(request.front, request.sent_at, end.at);
     is_held.then(|| {
         let seen = format!("a {} took {took}", request.kind);
         Violation::new(PromiseKind::AnswerInTime, id, seen)
@@ -37,22 +37,25 @@
 
 fn check_arrival(index: &HistoryIndex, arrival: &ArrivalRecord) -> Option<Violation> {
     let request = index.request(arrival)?;
-    let subject = TroubleSubject::Target(arrival.target.clone());
-    let is_calm = index.is_front_calm(request.front, request.sent, arrival.at)
-        && index.is_calm(&subject, request.sent, arrival.at);
+    let subject = DisruptionSubject::Target(arrival.target.clone());
+    let is_calm = index.is_front_undisrupted(request.front, request.sent_at, arrival.at)
+        && index.is_undisrupted(&subject, request.sent_at, arrival.at);
     if !is_calm {
         return None;
     }
     let id = &arrival.request_id;
-    let waited = arrival.at.since(request.sent);
-    let left = request.patience.saturating_sub(waited);
-    if arrival.time_left.is_none_or(|told| told > left + SLACK) {
+    let waited = arrival.at.since(request.sent_at);
+    let left = request.timeout.saturating_sub(waited);
+    if arrival
+        .time_left
+        .is_none_or(|told| told > left + TIME_TOLERANCE)
+    {
         let seen = format!("{:?} told, {left} left", arrival.time_left);
         return Some(Violation::new(PromiseKind::TimeLeft, id, seen));
     }
     let end = request.end.as_ref()?;
-    let has_left = matches!(end.outcome, RequestOutcome::Left);
-    let is_after = has_left && arrival.at > end.at + SLACK;
+    let has_left = matches!(end.outcome, RequestOutcome::Abandoned);
+    let is_after = has_left && arrival.at > end.at + TIME_TOLERANCE;
     is_after.then(|| {
         let after = arrival.at.since(end.at);
         let seen = format!("sent to {} {after} after its caller left", arrival.target);
--- a/alderhaven-soak/src/promises/evacuation.rs
+++ b/alderhaven-soak/src/promises/evacuation.rs
@@ -5,10 +5,10 @@
 use crate::history_index::HistoryIndex;
 use crate::promises::{PromiseKind, Violation};
 use crate::soak_history::{ArrivalRecord, EvacuationRecord};
-use crate::soak_site;
+use crate::soak_workload;
 
 /// The time within which an evacuation is in force.
-pub const BOUND: TimeSpan = TimeSpan::from_secs(5);
+pub const EVACUATION_BOUND: TimeSpan = TimeSpan::from_secs(5);
 
 /// Checks a request that reached a target, whose failure domain may be evacuated.
 #[must_use]
@@ -16,18 +16,18 @@
     let mut evacuations = index.history.evacuations.iter();
     let evacuation = evacuations.find(|evacuation| is_in_force(evacuation, arrival))?;
     let request = index.request(arrival)?;
-    let is_held = index.is_front_calm(request.front, evacuation.acked, arrival.at)
-        && index.is_store_calm(evacuation.acked, arrival.at);
+    let is_held = index.is_front_undisrupted(request.front, evacuation.accepted_at, arrival.at)
+        && index.is_store_undisrupted(evacuation.accepted_at, arrival.at);
     is_held.then(|| {
-        let after = arrival.at.since(evacuation.acked);
+        let after = arrival.at.since(evacuation.accepted_at);
         let seen = format!("{} came {after} after its evacuation", arrival.request_id);
         Violation::new(PromiseKind::EvacuatedLeftAlone, &arrival.target, seen)
     })
 }
 
 fn is_in_force(evacuation: &EvacuationRecord, arrival: &ArrivalRecord) -> bool {
-    let is_over = evacuation.taken_back.is_some_and(|over| arrival.at >= over);
-    evacuation.domain == soak_site::domain_of(&arrival.target)
-        && arrival.at > evacuation.acked + BOUND
+    let is_over = evacuation.revoked_at.is_some_and(|over| arrival.at >= over);
+    evacuation.domain == soak_workload::target_domain(&arrival.target)
+        && arrival.at > evacuation.accepted_at + EVACUATION_BOUND
         && !is_over
 }
--- a/alderhaven-soak/src/promises/repeats.rs
+++ b/alderhaven-soak/src/promises/repeat_budget.rs
@@ -6,14 +6,14 @@
 
 use crate::history_index::{self, HistoryIndex};
 use crate::promises::{PromiseKind, Violation};
-use crate::soak_site::{RequestKind, ShardSet};
+use crate::soak_workload::{RequestKind, ShardSet};
 
 /// The window of the budget.
-const WINDOW: TimeSpan = TimeSpan::from_secs(10);
+const BUDGET_WINDOW: TimeSpan = TimeSpan::from_secs(10);
 /// The share of the requests for a service that it may get as repeats.
-const RATIO: f64 = 0.2;
+const REPEAT_RATIO: f64 = 0.2;
 /// The repeats beyond that share in each window.
-pub const EXTRA: u64 = 30;
+pub const FREE_REPEATS_PER_WINDOW: u64 = 30;
 
 /// Checks the arrivals at each service.
 #[must_use]
@@ -37,13 +37,14 @@
         .history
         .requests
         .values()
-        .filter(|request| is_for(request.kind, service))
-        .map(|request| request.sent)
+        .filter(|request| may_use_service(request.kind, service))
+        .map(|request| request.sent_at)
         .collect();
     let over = times.iter().find_map(|end| {
-        let from = history_index::before(*end, WINDOW);
+        let from = history_index::time_before(*end, BUDGET_WINDOW);
         let count = count_within(times, from, *end);
-        let allowed = most_requests(&sent, *end) as f64 * RATIO + EXTRA as f64;
+        let allowed =
+            max_window_requests(&sent, *end) as f64 * REPEAT_RATIO + FREE_REPEATS_PER_WINDOW as f64;
         (count as f64 > allowed).then_some((count, allowed))
     });
     let (count, allowed) = over?;
@@ -53,9 +54,11 @@
 
 /// Gets the most requests of the window that ends then, the one half a window earlier and the one
 /// before.
-fn most_requests(sent: &[TimePoint], end: TimePoint) -> usize {
-    let ends = [0.0, 0.5, 1.0].map(|windows| history_index::before(end, WINDOW.mul_f64(windows)));
-    let counts = ends.map(|end| count_within(sent, history_index::before(end, WINDOW), end));
+fn max_window_requests(sent: &[TimePoint], end: TimePoint) -> usize {
+    let ends = [0.0, 0.5, 1.0]
+        .map(|windows| history_index::time_before(end, BUDGET_WINDOW.mul_f64(windows)));
+    let counts =
+        ends.map(|end| count_within(sent, history_index::time_before(end, BUDGET_WINDOW), end));
     counts.into_iter().max().unwrap_or_default()
 }
 
@@ -66,7 +69,7 @@
         .count()
 }
 
-fn is_for(kind: RequestKind, service: &str) -> bool {
+fn may_use_service(kind: RequestKind, service: &str) -> bool {
     let sets = [ShardSet::Old, ShardSet::New];
     let mut services = sets.into_iter().flat_map(|set| kind.services(set));
     services.any(|name| name == service)
--- a/alderhaven-soak/src/seed_cases.rs
+++ b/alderhaven-soak/src/seed_cases.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The cases, as they stand in the repository.
-const CASES: &str = include_str!("../cases.yaml");
+const CASES_YAML: &str = include_str!("../cases.yaml");
 
 /// A `SeedCase` is a seed that once broke a promise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,5 +26,5 @@
 /// # Errors
 /// The file does not hold a list of cases.
 pub fn read() -> Result<Vec<SeedCase>> {
-    serde_saphyr::from_str(CASES).map_err(|error| Error::invalid("cases", error.to_string()))
+    serde_saphyr::from_str(CASES_YAML).map_err(|error| Error::invalid("cases", error.to_string()))
 }
--- a/alderhaven-soak/src/soak_caller.rs
+++ b/alderhaven-soak/src/soak_caller.rs
@@ -14,28 +14,28 @@
 use tokio::time;
 
 use crate::soak_history::{AnswerRecord, HistoryLog, RequestEnd, RequestOutcome, RequestRecord};
-use crate::soak_site::{DOMAINS, RequestKind};
+use crate::soak_workload::{DOMAINS, RequestKind};
 
 /// How long a caller waits for a directory or a connection.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The pause after a directory or a front that could not be reached.
-const CONNECT_PAUSE: Duration = Duration::from_millis(30);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(30);
 /// How much longer than it says a caller waits for an answer, so that late ones are seen.
-const EXTRA_WAIT: TimeSpan = TimeSpan::from_millis(1_000);
+const LATE_ANSWER_WAIT: TimeSpan = TimeSpan::from_millis(1_000);
 /// The share of the requests whose caller leaves early.
-const LEAVING_SHARE: f64 = 0.03;
+const ABANDONED_SHARE: f64 = 0.03;
 /// The longest pause between two requests, in milliseconds.
-const THINK_MS: u64 = 40;
+const MAX_THINK_TIME_MS: u64 = 40;
 
 /// A `SoakCaller` is one caller.
 #[derive(Debug)]
 pub struct SoakCaller {
     number: usize,
-    sent: usize,
+    sent_count: usize,
     log: HistoryLog,
     fronts: Vec<FrontSettings>,
     rng: StdRng,
-    open: Option<(IpAddr, CallerConnection)>,
+    open_connection: Option<(IpAddr, CallerConnection)>,
 }
 
 impl SoakCaller {
@@ -49,26 +49,26 @@
     ) -> Self {
         Self {
             number,
-            sent: 0,
+            sent_count: 0,
             log,
             fronts,
             rng,
-            open: None,
+            open_connection: None,
         }
     }
 
     /// Sends requests until it is dropped.
     pub async fn run(mut self) {
         loop {
-            let connected = match self.open.take() {
+            let connected = match self.open_connection.take() {
                 Some((front, connection)) if !connection.is_closed() => Some((front, connection)),
                 _ => self.connect().await,
             };
             match connected {
-                Some((front, connection)) => self.ask(front, connection).await,
-                None => time::sleep(CONNECT_PAUSE).await,
+                Some((front, connection)) => self.send_request(front, connection).await,
+                None => time::sleep(CONNECT_RETRY_DELAY).await,
             }
-            let think = Duration::from_millis(self.rng.random_range(0..THINK_MS));
+            let think = Duration::from_millis(self.rng.random_range(0..MAX_THINK_TIME_MS));
             time::sleep(think).await;
         }
     }
@@ -78,23 +78,23 @@
         let directory = self.fronts[asked].directory_address();
         let domain = DOMAINS[self.rng.random_range(0..DOMAINS.len())];
         let found = caller_client::find_fronts(directory, domain);
-        let found = time::timeout(CONNECT_LIMIT, found).await.ok()??;
+        let found = time::timeout(CONNECT_TIMEOUT, found).await.ok()??;
         if found.is_empty() {
             return None;
         }
         let front = found[self.rng.random_range(0..found.len())];
-        let opened = time::timeout(CONNECT_LIMIT, CallerConnection::open(front));
+        let opened = time::timeout(CONNECT_TIMEOUT, CallerConnection::open(front));
         Some((front.ip(), opened.await.ok()??))
     }
 
     /// Sends one request, and keeps the connection where it can be used again.
-    async fn ask(&mut self, front: IpAddr, mut connection: CallerConnection) {
+    async fn send_request(&mut self, front: IpAddr, mut connection: CallerConnection) {
         let kind = self.draw_kind();
-        self.sent += 1;
-        let request_id = format!("q{}x{}", self.number, self.sent);
-        let request = self.begin(&request_id, kind, front);
-        let most = (kind.patience() + EXTRA_WAIT).as_duration();
-        let leaves = self.rng.random_bool(LEAVING_SHARE);
+        self.sent_count += 1;
+        let request_id = format!("q{}x{}", self.number, self.sent_count);
+        let request = self.start_request(&request_id, kind, front);
+        let most = (kind.timeout() + LATE_ANSWER_WAIT).as_duration();
+        let leaves = self.rng.random_bool(ABANDONED_SHARE);
         let limit = if leaves {
             Duration::from_millis(self.rng.random_range(1..60))
         } else {
@@ -102,18 +102,18 @@
         };
         let reply = time::timeout(limit, connection.send(&request)).await;
         let outcome = match &reply {
-            Ok(Some(reply)) => RequestOutcome::Answered(record(reply)),
+            Ok(Some(reply)) => RequestOutcome::Answered(answer_record(reply)),
             Ok(None) => RequestOutcome::Closed,
-            Err(_) if leaves => RequestOutcome::Left,
+            Err(_) if leaves => RequestOutcome::Abandoned,
             Err(_) => RequestOutcome::Unanswered,
         };
         let may_go_on = matches!(&reply, Ok(Some(reply)) if !reply.closes_connection());
         if may_go_on {
-            self.open = Some((front, connection));
+            self.open_connection = Some((front, connection));
         } else {
             drop(connection);
         }
-        self.end(&request_id, outcome);
+        self.record_outcome(&request_id, outcome);
         if let Ok(Some(reply)) = &reply
             && let Some(wait) = reply.retry_after()
         {
@@ -123,24 +123,24 @@
 
     fn draw_kind(&mut self) -> RequestKind {
         match self.rng.random_range(0..100) {
-            0..45 => RequestKind::Sweep,
+            0..45 => RequestKind::FanOut,
             45..65 => RequestKind::Record,
             65..85 => RequestKind::Order,
             _ => self
-                .draw_mark()
-                .map_or(RequestKind::Record, RequestKind::Mark),
+                .draw_version_route()
+                .map_or(RequestKind::Record, RequestKind::VersionRoute),
         }
     }
 
     /// Draws the route of a version that was accepted lately, or that was taken away lately.
-    fn draw_mark(&mut self) -> Option<u64> {
+    fn draw_version_route(&mut self) -> Option<u64> {
         let history = self.log.lock();
         let mut marks: Vec<u64> = history
             .configs
             .iter()
             .rev()
             .take(3)
-            .flat_map(|config| config.marks.clone())
+            .flat_map(|config| config.version_routes.clone())
             .collect();
         drop(history);
         marks.sort_unstable();
@@ -151,7 +151,7 @@
         Some(marks[self.rng.random_range(0..marks.len())])
     }
 
-    fn begin(&self, request_id: &str, kind: RequestKind, front: IpAddr) -> CallerRequest {
+    fn start_request(&self, request_id: &str, kind: RequestKind, front: IpAddr) -> CallerRequest {
         let body = match kind {
             RequestKind::Order => Bytes::from(format!("order {request_id}")),
             _ => Bytes::new(),
@@ -160,14 +160,14 @@
             method: kind.method().to_owned(),
             path: kind.path(request_id),
             request_id: request_id.to_owned(),
-            timeout: kind.patience().as_duration(),
+            timeout: kind.timeout().as_duration(),
             body,
         };
         let record = RequestRecord {
             kind,
             front,
-            sent: self.log.now(),
-            patience: kind.patience(),
+            sent_at: self.log.now(),
+            timeout: kind.timeout(),
             method: request.method.clone(),
             path: request.path.clone(),
             body: request.body.clone(),
@@ -178,7 +178,7 @@
         request
     }
 
-    fn end(&self, request_id: &str, outcome: RequestOutcome) {
+    fn record_outcome(&self, request_id: &str, outcome: RequestOutcome) {
         let at = self.log.now();
         if let Some(record) = self.log.lock().requests.get_mut(request_id) {
             record.end = Some(RequestEnd { at, outcome });
@@ -186,7 +186,7 @@
     }
 }
 
-fn record(reply: &CallerReply) -> AnswerRecord {
+fn answer_record(reply: &CallerReply) -> AnswerRecord {
     AnswerRecord {
         status: reply.status.as_u16(),
         is_refusal: reply.is_refusal(),
--- a/alderhaven-soak/src/soak_fault.rs
+++ b/alderhaven-soak/src/soak_fault.rs
@@ -28,7 +28,7 @@
     /// The store treats all calls so for a while.
     StoreFault(StoreFault, TimeSpan),
     /// The store drops its history.
-    StoreForgets,
+    StoreCompaction,
     /// A target crashes; another starts after a while.
     CrashTarget(usize, TimeSpan),
     /// A target says that it leaves, serves on for a while and ends; another starts.
@@ -36,7 +36,7 @@
     /// The way to a target is disturbed for a while.
     TargetLink(usize, LinkMode, TimeSpan),
     /// A target treats some requests so for a while.
-    TargetFault(usize, TargetTrouble, TimeSpan),
+    TargetFault(usize, TargetFault, TimeSpan),
     /// The operator changes the configuration.
     ChangeConfig,
     /// The operator cuts the index into the other set of shards.
@@ -48,19 +48,19 @@
 /// A `TargetTrouble` is how a target fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TargetTrouble {
+pub enum TargetFault {
     /// It works many times as long.
     Slow,
     /// It runs requests and says nothing.
-    Mute,
+    NoReply,
     /// It runs requests and fails.
     Fails,
     /// It refuses without running.
     Refuses,
     /// It runs requests and closes the connection.
-    LosesAnswers,
+    Disconnects,
     /// It breaks answers off.
-    CutsAnswers,
+    TruncatesAnswers,
     /// It answers twice.
     AnswersTwice,
 }
@@ -78,7 +78,7 @@
             Self::ReloadFront(_) => "reload_front",
             Self::StoreLink(..) => "store_link",
             Self::StoreFault(..) => "store_fault",
-            Self::StoreForgets => "store_forgets",
+            Self::StoreCompaction => "store_forgets",
             Self::CrashTarget(..) => "crash_target",
             Self::DrainTarget(_) => "drain_target",
             Self::TargetLink(..) => "target_link",
--- a/alderhaven-soak/src/soak_history.rs
+++ b/alderhaven-soak/src/soak_history.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use serde_json::json;
 
-use crate::soak_site::{RequestKind, ShardSet};
+use crate::soak_workload::{RequestKind, ShardSet};
 
 /// A `SoakHistory` is all that was seen in a run.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -24,13 +24,13 @@
     /// Configurations that the store accepted.
     pub configs: Vec<ConfigRecord>,
     /// Targets that said that they leave, with the time at which the store accepted it.
-    pub leavings: Vec<(String, TimePoint)>,
+    pub leaving_targets: Vec<(String, TimePoint)>,
     /// The failure domains that the operator evacuated.
     pub evacuations: Vec<EvacuationRecord>,
     /// What was disturbed, and when.
-    pub troubles: Vec<TroubleRecord>,
+    pub disruptions: Vec<DisruptionRecord>,
     /// The fronts' processes.
-    pub lives: Vec<FrontLife>,
+    pub processes: Vec<ProcessRecord>,
 }
 
 /// A `RequestRecord` is a caller's request and what became of it.
@@ -42,9 +42,9 @@
     /// The host of the front that was asked.
     pub front: IpAddr,
     /// When it was sent.
-    pub sent: TimePoint,
+    pub sent_at: TimePoint,
     /// How long its caller waits.
-    pub patience: TimeSpan,
+    pub timeout: TimeSpan,
     /// The method.
     pub method: String,
     /// The path.
@@ -74,7 +74,7 @@
     /// The connection ended without one.
     Closed,
     /// The caller closed the connection early.
-    Left,
+    Abandoned,
     /// Nothing came for longer than the caller waits.
     Unanswered,
 }
@@ -137,11 +137,11 @@
     /// Its version.
     pub version: u64,
     /// When it was accepted.
-    pub acked: TimePoint,
+    pub accepted_at: TimePoint,
     /// The shards that are asked.
     pub shards: ShardSet,
     /// The versions whose own routes it holds.
-    pub marks: Vec<u64>,
+    pub version_routes: Vec<u64>,
 }
 
 /// An `EvacuationRecord` is a failure domain whose targets were to get nothing new.
@@ -150,15 +150,15 @@
     /// The failure domain.
     pub domain: String,
     /// When the store accepted it.
-    pub acked: TimePoint,
+    pub accepted_at: TimePoint,
     /// When it was taken back; none while it is in force.
-    pub taken_back: Option<TimePoint>,
+    pub revoked_at: Option<TimePoint>,
 }
 
 /// A `TroubleSubject` is what a disturbance touches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TroubleSubject {
+pub enum DisruptionSubject {
     /// The process of a front, or its way to the store.
     Front(IpAddr),
     /// The store.
@@ -171,11 +171,11 @@
 
 /// A `TroubleRecord` is one disturbance.
 #[derive(Clone, Debug, Serialize)]
-pub struct TroubleRecord {
+pub struct DisruptionRecord {
     /// What is disturbed.
-    pub subject: TroubleSubject,
+    pub subject: DisruptionSubject,
     /// What is done to it.
-    pub what: String,
+    pub kind: String,
     /// From when.
     pub from: TimePoint,
     /// Until when; none while it goes on.
@@ -184,17 +184,17 @@
 
 /// A `FrontLife` is one process of a front.
 #[derive(Clone, Debug, Serialize)]
-pub struct FrontLife {
+pub struct ProcessRecord {
     /// The host.
     pub front: IpAddr,
     /// When it was started.
-    pub started: TimePoint,
+    pub started_at: TimePoint,
     /// When it was asked to stop.
-    pub asked_to_stop: Option<TimePoint>,
+    pub stop_requested_at: Option<TimePoint>,
     /// Whether it was killed.
     pub is_killed: bool,
     /// When it ended.
-    pub ended: Option<TimePoint>,
+    pub ended_at: Option<TimePoint>,
 }
 
 /// A `HistoryLog` is the history of a run that goes on; its clones share it.
@@ -218,22 +218,22 @@
 
     /// Notes that a disturbance begins; gets its place for [`Self::end_trouble`].
     #[must_use]
-    pub fn begin_trouble(&self, subject: TroubleSubject, what: &str) -> usize {
+    pub fn begin_disruption(&self, subject: DisruptionSubject, what: &str) -> usize {
         let from = self.now();
         let mut history = self.lock();
-        history.troubles.push(TroubleRecord {
+        history.disruptions.push(DisruptionRecord {
             subject,
-            what: what.to_owned(),
+            kind: what.to_owned(),
             from,
             until: None,
         });
-        history.troubles.len() - 1
+        history.disruptions.len() - 1
     }
 
     /// Notes that a disturbance is over.
-    pub fn end_trouble(&self, place: usize) {
+    pub fn end_disruption(&self, place: usize) {
         let now = self.now();
-        if let Some(trouble) = self.lock().troubles.get_mut(place) {
+        if let Some(trouble) = self.lock().disruptions.get_mut(place) {
             trouble.until = Some(now);
         }
     }
@@ -246,8 +246,8 @@
         store.put(store_fixtures::EVACUATION_KIND, domain, json!({}));
         history.evacuations.push(EvacuationRecord {
             domain: domain.to_owned(),
-            acked: self.now(),
-            taken_back: None,
+            accepted_at: self.now(),
+            revoked_at: None,
         });
         history.evacuations.len() - 1
     }
@@ -257,14 +257,14 @@
         let mut history = self.lock();
         let now = self.now();
         if let Some(evacuation) = history.evacuations.get_mut(place) {
-            evacuation.taken_back = Some(now);
+            evacuation.revoked_at = Some(now);
             store.remove(store_fixtures::EVACUATION_KIND, &evacuation.domain);
         }
     }
 
     /// Notes a disturbance of a moment.
-    pub fn note_trouble(&self, subject: TroubleSubject, what: &str) {
-        let place = self.begin_trouble(subject, what);
-        self.end_trouble(place);
+    pub fn record_disruption(&self, subject: DisruptionSubject, what: &str) {
+        let place = self.begin_disruption(subject, what);
+        self.end_disruption(place);
     }
 }
--- a/alderhaven-soak/src/soak_options.rs
+++ b/alderhaven-soak/src/soak_options.rs
@@ -5,7 +5,7 @@
 use alderhaven_core::time::TimeSpan;
 
 /// The most fronts: a process each, and the whole run stays under a few hundred.
-pub const MOST_FRONTS: usize = 200;
+pub const MAX_FRONTS: usize = 200;
 
 /// A `PromiseScope` says which promises are held against a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -14,7 +14,7 @@
     #[default]
     All,
     /// Those without a time in them: they hold on a machine that is as busy as it likes.
-    Timeless,
+    Untimed,
 }
 
 /// A `SoakOptions` says what one run does.
--- a/alderhaven-soak/src/soak_plan.rs
+++ b/alderhaven-soak/src/soak_plan.rs
@@ -9,22 +9,22 @@
 use serde::Serialize;
 
 use crate::link_proxy::LinkMode;
-use crate::soak_fault::{SoakFault, TargetTrouble};
+use crate::soak_fault::{SoakFault, TargetFault};
 
 /// The calm time at the start: the fronts are ready, and callers have their connections.
-const LEAD: TimeSpan = TimeSpan::from_millis(1_000);
+const FAULT_FREE_START: TimeSpan = TimeSpan::from_millis(1_000);
 /// The calm time at the end: everything has started again and settled, and what is served then is
 /// counted.
-pub const TAIL: TimeSpan = TimeSpan::from_millis(7_000);
+pub const FAULT_FREE_END: TimeSpan = TimeSpan::from_millis(7_000);
 /// The longest pause between faults, in milliseconds. Most faults last longer, so that they overlap.
-const PAUSE_MS: u64 = 900;
+const MAX_FAULT_INTERVAL_MS: u64 = 900;
 /// The shortest and the longest disturbance, in milliseconds: from less than a time-out to more than
 /// what peers take for a death.
-const LASTING_MS: std::ops::Range<u64> = 100..4_000;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 100..4_000;
 /// The shortest and the longest evacuation, in milliseconds: it is checked some seconds after its start.
-const EVACUATION_MS: std::ops::Range<u64> = 5_600..9_000;
+const EVACUATION_DURATION_MS: std::ops::Range<u64> = 5_600..9_000;
 /// How likely a fault comes again at once, in the same place: what one has left behind meets the next.
-const AGAIN_SHARE: f64 = 0.2;
+const REPEAT_PROBABILITY: f64 = 0.2;
 
 /// A `SoakPlan` is the faults of a run in their order.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -49,15 +49,15 @@
     #[must_use]
     pub fn new(seed: u64, span: TimeSpan) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let faults_end = span.saturating_sub(TAIL);
+        let faults_end = span.saturating_sub(FAULT_FREE_END);
         let mut steps: Vec<SoakStep> = Vec::new();
-        let mut at = LEAD;
+        let mut at = FAULT_FREE_START;
         while at < faults_end {
             let last = steps.last().map(|step| step.fault);
-            let again = last.filter(|_| rng.random_bool(AGAIN_SHARE));
+            let again = last.filter(|_| rng.random_bool(REPEAT_PROBABILITY));
             let fault = again.unwrap_or_else(|| draw_fault(&mut rng));
             steps.push(SoakStep { at, fault });
-            at = at + TimeSpan::from_millis(rng.random_range(0..PAUSE_MS));
+            at = at + TimeSpan::from_millis(rng.random_range(0..MAX_FAULT_INTERVAL_MS));
         }
         Self { steps, span }
     }
@@ -66,17 +66,17 @@
     #[must_use]
     pub fn with_evacuations(mut self, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(!seed);
-        let faults_end = self.span.saturating_sub(TAIL);
-        let mut at = LEAD;
+        let faults_end = self.span.saturating_sub(FAULT_FREE_END);
+        let mut at = FAULT_FREE_START;
         loop {
-            let span = TimeSpan::from_millis(rng.random_range(EVACUATION_MS));
+            let span = TimeSpan::from_millis(rng.random_range(EVACUATION_DURATION_MS));
             let place = rng.random_range(0..usize::MAX >> 1);
             if at + span > faults_end {
                 break;
             }
             let fault = SoakFault::Evacuate(place, span);
             self.steps.push(SoakStep { at, fault });
-            at = at + span + TimeSpan::from_millis(rng.random_range(0..PAUSE_MS));
+            at = at + span + TimeSpan::from_millis(rng.random_range(0..MAX_FAULT_INTERVAL_MS));
         }
         self.steps.sort_by_key(|step| step.at);
         self
@@ -85,7 +85,7 @@
 
 fn draw_fault(rng: &mut StdRng) -> SoakFault {
     let place = rng.random_range(0..usize::MAX >> 1);
-    let lasting = TimeSpan::from_millis(rng.random_range(LASTING_MS));
+    let lasting = TimeSpan::from_millis(rng.random_range(FAULT_DURATION_MS));
     match rng.random_range(0..100) {
         0..8 => SoakFault::StopFront(place),
         8..10 => SoakFault::StopAll(TimeSpan::from_millis(rng.random_range(100..1_500))),
@@ -93,24 +93,24 @@
         16..18 => SoakFault::KillAll,
         18..25 => SoakFault::FreezeFront(place, lasting),
         25..29 => SoakFault::ReloadFront(place),
-        29..36 => SoakFault::StoreLink(place, draw_mode(rng), lasting),
+        29..36 => SoakFault::StoreLink(place, draw_link_mode(rng), lasting),
         36..42 => SoakFault::StoreFault(draw_store_fault(rng), lasting),
-        42..45 => SoakFault::StoreForgets,
+        42..45 => SoakFault::StoreCompaction,
         45..53 => SoakFault::CrashTarget(place, lasting),
         53..61 => SoakFault::DrainTarget(place),
-        61..69 => SoakFault::TargetLink(place, draw_mode(rng), lasting),
-        69..83 => SoakFault::TargetFault(place, draw_target_trouble(rng), lasting),
+        61..69 => SoakFault::TargetLink(place, draw_link_mode(rng), lasting),
+        69..83 => SoakFault::TargetFault(place, draw_target_fault(rng), lasting),
         83..96 => SoakFault::ChangeConfig,
         _ => SoakFault::Reshard,
     }
 }
 
-fn draw_mode(rng: &mut StdRng) -> LinkMode {
+fn draw_link_mode(rng: &mut StdRng) -> LinkMode {
     match rng.random_range(0..5) {
         0 => LinkMode::Delayed(Duration::from_millis(rng.random_range(5..400))),
-        1 => LinkMode::CutForth,
-        2 => LinkMode::CutBack,
-        3 => LinkMode::Silent,
+        1 => LinkMode::UpstreamBlocked,
+        2 => LinkMode::DownstreamBlocked,
+        3 => LinkMode::Blocked,
         _ => LinkMode::Reset,
     }
 }
@@ -124,14 +124,14 @@
     }
 }
 
-fn draw_target_trouble(rng: &mut StdRng) -> TargetTrouble {
+fn draw_target_fault(rng: &mut StdRng) -> TargetFault {
     match rng.random_range(0..7) {
-        0 => TargetTrouble::Slow,
-        1 => TargetTrouble::Mute,
-        2 => TargetTrouble::Fails,
-        3 => TargetTrouble::Refuses,
-        4 => TargetTrouble::LosesAnswers,
-        5 => TargetTrouble::CutsAnswers,
-        _ => TargetTrouble::AnswersTwice,
+        0 => TargetFault::Slow,
+        1 => TargetFault::NoReply,
+        2 => TargetFault::Fails,
+        3 => TargetFault::Refuses,
+        4 => TargetFault::Disconnects,
+        5 => TargetFault::TruncatesAnswers,
+        _ => TargetFault::AnswersTwice,
     }
 }
--- a/alderhaven-soak/src/soak_report.rs
+++ b/alderhaven-soak/src/soak_report.rs
@@ -6,10 +6,10 @@
 use serde::Serialize;
 
 use crate::promises::Violation;
-use crate::soak_history::{RequestOutcome, SoakHistory, TroubleSubject};
+use crate::soak_history::{DisruptionSubject, RequestOutcome, SoakHistory};
 
 /// The violations that are printed; the logs hold all.
-const MOST_SHOWN: usize = 10;
+const MAX_PRINTED_VIOLATIONS: usize = 10;
 
 /// A `SoakReport` is what a run came to.
 #[derive(Clone, Debug, Serialize)]
@@ -51,7 +51,7 @@
             Some(RequestOutcome::Answered(answer)) if answer.status == 404 => "not_found",
             Some(RequestOutcome::Answered(_)) => "failed",
             Some(RequestOutcome::Closed) => "closed",
-            Some(RequestOutcome::Left) => "left",
+            Some(RequestOutcome::Abandoned) => "left",
             Some(RequestOutcome::Unanswered) => "unanswered",
         };
         *counts.entry(name).or_default() += 1;
@@ -62,9 +62,9 @@
 /// Counts how often the machine did not keep up.
 #[must_use]
 pub fn count_stalls(history: &SoakHistory) -> usize {
-    let troubles = history.troubles.iter();
+    let troubles = history.disruptions.iter();
     troubles
-        .filter(|trouble| trouble.subject == TroubleSubject::Machine)
+        .filter(|trouble| trouble.subject == DisruptionSubject::Machine)
         .count()
 }
 
@@ -85,11 +85,11 @@
             write!(formatter, " {kind} {count}")?;
         }
         write!(formatter, "; violations {}", self.violations.len())?;
-        for violation in self.violations.iter().take(MOST_SHOWN) {
+        for violation in self.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
             let Violation {
                 promise,
                 subject,
-                seen,
+                observed: seen,
             } = violation;
             write!(formatter, "\n  {promise:?} {subject}: {seen}")?;
         }
--- a/alderhaven-soak/src/soak_run.rs
+++ b/alderhaven-soak/src/soak_run.rs
@@ -19,48 +19,48 @@
 use tokio::time;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::front_process::{FrontOrder, FrontProcess};
+use crate::front_process::{FrontCommand, FrontProcess};
 use crate::history_index::HistoryIndex;
 use crate::link_proxy::{LinkMode, LinkProxy};
-use crate::machine_watch;
-use crate::promises::{self, Violation, repeats};
+use crate::promises::{self, Violation, repeat_budget};
 use crate::soak_caller::SoakCaller;
 use crate::soak_fault::SoakFault;
-use crate::soak_history::{HistoryLog, TroubleSubject};
+use crate::soak_history::{DisruptionSubject, HistoryLog};
 use crate::soak_operator::SoakOperator;
 use crate::soak_options::SoakOptions;
 use crate::soak_plan::{SoakPlan, SoakStep};
 use crate::soak_report::{self, SoakReport};
-use crate::soak_site::DOMAINS;
-use crate::target_crew::TargetCrew;
+use crate::soak_workload::DOMAINS;
+use crate::stall_detector;
+use crate::target_fleet::TargetFleet;
 
 /// How long all fronts may take to be ready; far above what a busy machine needs.
-const READY_LIMIT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// How often that is asked.
-const READY_PAUSE: Duration = Duration::from_millis(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How often the promises are checked while the run goes on.
-const CHECK_PAUSE: Duration = Duration::from_secs(4);
+const CHECK_INTERVAL: Duration = Duration::from_secs(4);
 /// The fronts that a front knows at its start.
-const SEEDS: usize = 3;
+const MAX_SEED_FRONTS: usize = 3;
 /// The time between SIGTERM and SIGKILL.
-const GRACE: TimeSpan = TimeSpan::from_secs(6);
+const STOP_GRACE_PERIOD: TimeSpan = TimeSpan::from_secs(6);
 
 /// A `SoakRun` is a run that goes on.
 struct SoakRun {
     log: HistoryLog,
     store: StoreStandin,
-    crew: TargetCrew,
+    targets: TargetFleet,
     operator: SoakOperator,
     fronts: Vec<RunningFront>,
-    faults: JoinSet<Result<()>>,
-    callers: Vec<AbortOnDropHandle<()>>,
+    fault_tasks: JoinSet<Result<()>>,
+    caller_tasks: Vec<AbortOnDropHandle<()>>,
 }
 
 struct RunningFront {
     settings: FrontSettings,
     link: LinkProxy,
-    orders: mpsc::UnboundedSender<FrontOrder>,
-    process: AbortOnDropHandle<Result<()>>,
+    commands: mpsc::UnboundedSender<FrontCommand>,
+    process_task: AbortOnDropHandle<Result<()>>,
 }
 
 /// Runs the faults of a seed, and gets what it came to.
@@ -68,14 +68,14 @@
 /// # Errors
 /// Something of the run itself can't be started; a broken promise is in the report.
 pub async fn run(options: &SoakOptions) -> Result<SoakReport> {
-    let folder = folder_of(options)?;
+    let folder = create_log_folder(options)?;
     let mut plan = SoakPlan::new(options.seed, options.span);
     if options.has_evacuations {
         plan = plan.with_evacuations(options.seed);
     }
     let mut run = SoakRun::start(options, &folder).await?;
-    let _watch = machine_watch::start(run.log.clone());
-    let violations = run.play(options, &plan).await?;
+    let _watch = stall_detector::start(run.log.clone());
+    let violations = run.run_plan(options, &plan).await?;
     let history = run.log.lock().clone();
     let logs = if violations.is_empty() {
         std::fs::remove_dir_all(&folder).wrap_err("the logs can't be removed")?;
@@ -94,7 +94,7 @@
         seed: options.seed,
         seconds: run.log.now().since(TimePoint::START).as_secs_f64(),
         fronts: options.fronts,
-        processes: history.lives.len(),
+        processes: history.processes.len(),
         requests: soak_report::count_requests(&history),
         arrivals: history.arrivals.len(),
         faults,
@@ -105,7 +105,7 @@
     })
 }
 
-fn folder_of(options: &SoakOptions) -> Result<PathBuf> {
+fn create_log_folder(options: &SoakOptions) -> Result<PathBuf> {
     let name = format!("seed-{}-{}", options.seed, std::process::id());
     let folder = options.logs.join(name);
     std::fs::create_dir_all(&folder)
@@ -125,16 +125,16 @@
     async fn start(options: &SoakOptions, folder: &std::path::Path) -> Result<Self> {
         let log = HistoryLog::default();
         let store = StoreStandin::start().await.wrap_err("no store")?;
-        let crew = TargetCrew::start(log.clone(), store.clone()).await?;
+        let crew = TargetFleet::start(log.clone(), store.clone()).await?;
         let operator = SoakOperator::start(log.clone(), store.clone());
         let mut run = Self {
             log,
             store,
-            crew,
+            targets: crew,
             operator,
             fronts: Vec::new(),
-            faults: JoinSet::new(),
-            callers: Vec::new(),
+            fault_tasks: JoinSet::new(),
+            caller_tasks: Vec::new(),
         };
         for place in 0..options.fronts {
             let front = run.start_front(options, folder, place).await?;
@@ -158,10 +158,12 @@
             name: format!("front-{place}"),
             ip: host_address(place),
             domain: DOMAINS[place % DOMAINS.len()].to_owned(),
-            seeds: (0..SEEDS.min(options.fronts)).map(host_address).collect(),
+            seeds: (0..MAX_SEED_FRONTS.min(options.fronts))
+                .map(host_address)
+                .collect(),
             store: link.address(),
-            grace_s: GRACE.as_millis() / 1_000,
-            repeat_extra: repeats::EXTRA,
+            grace_s: STOP_GRACE_PERIOD.as_millis() / 1_000,
+            repeat_extra: repeat_budget::FREE_REPEATS_PER_WINDOW,
         };
         let log = self.log.clone();
         let process = FrontProcess::start(settings.clone(), &options.front_binary, folder, log)?;
@@ -169,8 +171,8 @@
         Ok(RunningFront {
             settings,
             link,
-            orders,
-            process: AbortOnDropHandle::new(tokio::spawn(process.run(received))),
+            commands: orders,
+            process_task: AbortOnDropHandle::new(tokio::spawn(process.run(received))),
         })
     }
 
@@ -178,18 +180,18 @@
         let waiting = async {
             for front in &self.fronts {
                 while !caller_client::is_ready(front.settings.ready_address()).await {
-                    time::sleep(READY_PAUSE).await;
+                    time::sleep(READY_POLL_INTERVAL).await;
                 }
             }
         };
-        let in_time = time::timeout(READY_LIMIT, waiting).await;
+        let in_time = time::timeout(READY_TIMEOUT, waiting).await;
         in_time.wrap_err("the fronts are not ready")
     }
 
     fn start_callers(&mut self, options: &SoakOptions) {
         let settings = self.fronts.iter().map(|front| front.settings.clone());
         let settings: Vec<FrontSettings> = settings.collect();
-        self.callers = (0..options.callers)
+        self.caller_tasks = (0..options.callers)
             .map(|number| {
                 let rng = StdRng::seed_from_u64(options.seed.wrapping_add(number as u64));
                 let caller = SoakCaller::new(number, self.log.clone(), settings.clone(), rng);
@@ -199,25 +201,29 @@
     }
 
     /// Plays the plan to its end, or until a promise is broken.
-    async fn play(&mut self, options: &SoakOptions, plan: &SoakPlan) -> Result<Vec<Violation>> {
+    async fn run_plan(&mut self, options: &SoakOptions, plan: &SoakPlan) -> Result<Vec<Violation>> {
         let start = time::Instant::now();
-        let mut next_check = start + CHECK_PAUSE;
+        let mut next_check = start + CHECK_INTERVAL;
         for SoakStep { at, fault } in &plan.steps {
             time::sleep_until(start + at.as_duration()).await;
-            self.begin(*fault);
+            self.inject_fault(*fault);
             if time::Instant::now() >= next_check {
-                next_check = time::Instant::now() + CHECK_PAUSE;
+                next_check = time::Instant::now() + CHECK_INTERVAL;
                 let broken = self.check(options, false);
                 if !broken.is_empty() {
                     return Ok(broken);
                 }
             }
         }
-        while let Some(fault) = self.faults.join_next().await {
+        while let Some(fault) = self.fault_tasks.join_next().await {
             fault.wrap_err("a fault's task failed")??;
         }
         time::sleep_until(start + plan.span.as_duration()).await;
-        if let Some(front) = self.fronts.iter().find(|front| front.process.is_finished()) {
+        if let Some(front) = self
+            .fronts
+            .iter()
+            .find(|front| front.process_task.is_finished())
+        {
             bail!("{} is not looked after any more", front.settings.name);
         }
         Ok(self.check(options, true))
@@ -230,85 +236,89 @@
     }
 
     /// Begins a fault; what ends it goes on beside the run.
-    fn begin(&mut self, fault: SoakFault) {
-        let crew = self.crew.clone();
-        let target = |place: usize| place % crew.places();
+    fn inject_fault(&mut self, fault: SoakFault) {
+        let crew = self.targets.clone();
+        let target = |place: usize| place % crew.slot_count();
         match fault {
-            SoakFault::StopFront(place) => self.order(place, FrontOrder::Stop),
+            SoakFault::StopFront(place) => self.send_command(place, FrontCommand::Stop),
             SoakFault::StopAll(pause) => self.stop_all(pause),
-            SoakFault::KillFront(place) => self.order(place, FrontOrder::Kill),
+            SoakFault::KillFront(place) => self.send_command(place, FrontCommand::Kill),
             SoakFault::KillAll => (0..self.fronts.len()).for_each(|place| {
-                self.order(place, FrontOrder::Kill);
+                self.send_command(place, FrontCommand::Kill);
             }),
-            SoakFault::FreezeFront(place, span) => self.order(place, FrontOrder::Freeze(span)),
-            SoakFault::ReloadFront(place) => self.order(place, FrontOrder::Reload),
-            SoakFault::StoreLink(place, mode, span) => self.disturb_store_link(place, mode, span),
-            SoakFault::StoreFault(fault, span) => self.disturb_store(fault, span),
-            SoakFault::StoreForgets => {
+            SoakFault::FreezeFront(place, span) => {
+                self.send_command(place, FrontCommand::Freeze(span))
+            }
+            SoakFault::ReloadFront(place) => self.send_command(place, FrontCommand::Reload),
+            SoakFault::StoreLink(place, mode, span) => self.disrupt_store_link(place, mode, span),
+            SoakFault::StoreFault(fault, span) => self.disrupt_store(fault, span),
+            SoakFault::StoreCompaction => {
                 self.store.compact_history();
-                self.log.note_trouble(TroubleSubject::Store, "forgot");
+                self.log
+                    .record_disruption(DisruptionSubject::Store, "forgot");
             }
             SoakFault::CrashTarget(place, pause) => {
                 let place = target(place);
-                self.faults
+                self.fault_tasks
                     .spawn(async move { crew.crash(place, pause).await });
             }
             SoakFault::DrainTarget(place) => {
                 let place = target(place);
-                self.faults.spawn(async move { crew.drain(place).await });
+                self.fault_tasks
+                    .spawn(async move { crew.drain(place).await });
             }
             SoakFault::TargetLink(place, mode, span) => {
                 let place = target(place);
-                self.faults.spawn(async move {
-                    crew.disturb_link(place, mode, span).await;
+                self.fault_tasks.spawn(async move {
+                    crew.disrupt_link(place, mode, span).await;
                     Ok(())
                 });
             }
             SoakFault::TargetFault(place, trouble, span) => {
                 let place = target(place);
-                self.faults.spawn(async move {
-                    crew.disturb(place, trouble, span).await;
+                self.fault_tasks.spawn(async move {
+                    crew.inject_fault(place, trouble, span).await;
                     Ok(())
                 });
             }
-            SoakFault::ChangeConfig => self.operator.change(),
+            SoakFault::ChangeConfig => self.operator.change_config(),
             SoakFault::Reshard => self.operator.reshard(),
             SoakFault::Evacuate(place, span) => self.evacuate(place, span),
         }
     }
 
-    fn order(&self, place: usize, order: FrontOrder) {
+    fn send_command(&self, place: usize, order: FrontCommand) {
         let front = &self.fronts[place % self.fronts.len()];
         // Its task is gone only where it failed, which the end of the run tells.
-        let _is_gone = front.orders.send(order);
+        let _is_gone = front.commands.send(order);
     }
 
     fn stop_all(&mut self, pause: TimeSpan) {
         let orders: Vec<_> = self
             .fronts
             .iter()
-            .map(|front| front.orders.clone())
+            .map(|front| front.commands.clone())
             .collect();
-        self.faults.spawn(async move {
+        self.fault_tasks.spawn(async move {
             for order in orders {
-                let _is_gone = order.send(FrontOrder::Stop);
+                let _is_gone = order.send(FrontCommand::Stop);
                 time::sleep(pause.as_duration()).await;
             }
             Ok(())
         });
     }
 
-    fn disturb_store_link(&mut self, place: usize, mode: LinkMode, span: TimeSpan) {
+    fn disrupt_store_link(&mut self, place: usize, mode: LinkMode, span: TimeSpan) {
         let front = &self.fronts[place % self.fronts.len()];
         let link = front.link.clone();
         let log = self.log.clone();
-        let subject = TroubleSubject::Front(front.settings.ip);
-        self.faults.spawn(async move {
-            let trouble = log.begin_trouble(subject, "store link");
+        let subject = DisruptionSubject::Front(front.settings.ip);
+        self.fault_tasks.spawn(async move {
+            let trouble = log.begin_disruption(subject, "store link");
             link.set_mode(mode);
             time::sleep(span.as_duration()).await;
             link.set_mode(LinkMode::Open);
-            log.end_trouble(trouble);
+            log.end_disruption(trouble);
             Ok(())
         });
     }
@@ -316,7 +326,7 @@
     fn evacuate(&mut self, place: usize, span: TimeSpan) {
         let domain = DOMAINS[place % DOMAINS.len()];
         let (store, log) = (self.store.clone(), self.log.clone());
-        self.faults.spawn(async move {
+        self.fault_tasks.spawn(async move {
             let place = log.begin_evacuation(&store, domain);
             time::sleep(span.as_duration()).await;
             log.end_evacuation(&store, place);
@@ -324,14 +334,14 @@
         });
     }
 
-    fn disturb_store(&mut self, fault: StoreFault, span: TimeSpan) {
+    fn disrupt_store(&mut self, fault: StoreFault, span: TimeSpan) {
         let (store, log) = (self.store.clone(), self.log.clone());
-        self.faults.spawn(async move {
-            let place = log.begin_trouble(TroubleSubject::Store, "failing");
+        self.fault_tasks.spawn(async move {
+            let place = log.begin_disruption(DisruptionSubject::Store, "failing");
             store.set_fault(fault);
             time::sleep(span.as_duration()).await;
             store.set_fault(StoreFault::None);
-            log.end_trouble(place);
+            log.end_disruption(place);
             Ok(())
         });
     }
--- a/alderhaven-soak/src/soak_site.rs
+++ b/alderhaven-soak/src/soak_workload.rs
@@ -11,15 +11,15 @@
 use crate::soak_history::ConfigRecord;
 
 /// The records in a merged answer.
-pub const RECORDS: usize = 10;
+pub const MERGED_RECORDS: usize = 10;
 /// The least share of the shards that a merged answer holds.
-pub const LEAST_SHARE: f64 = 0.5;
+pub const MIN_SHARD_SHARE: f64 = 0.5;
 /// The most targets that a request is sent to, a shard.
-pub const MOST_TARGETS: usize = 2;
+pub const MAX_TARGETS_PER_SHARD: usize = 2;
 /// The failure domains.
 pub const DOMAINS: [&str; 2] = ["a", "b"];
 /// The targets of a service, one a domain.
-pub const REPLICAS: usize = DOMAINS.len();
+pub const REPLICAS_PER_SERVICE: usize = DOMAINS.len();
 
 /// Gets the id of a target of a service in a failure domain, in its `life`-th process.
 #[must_use]
@@ -29,7 +29,7 @@
 
 /// Gets the failure domain of a target by its id.
 #[must_use]
-pub fn domain_of(target: &str) -> &str {
+pub fn target_domain(target: &str) -> &str {
     let (_, place) = target.rsplit_once('.').unwrap_or_default();
     place.trim_end_matches(|letter: char| letter.is_ascii_digit())
 }
@@ -78,13 +78,13 @@
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
     /// The greatest records of all shards.
-    Sweep,
+    FanOut,
     /// One record; idempotent.
     Record,
     /// An order, which may run once at most.
     Order,
     /// A request on the route that a version of the configuration added.
-    Mark(u64),
+    VersionRoute(u64),
 }
 
 impl RequestKind {
@@ -92,10 +92,10 @@
     #[must_use]
     pub fn path(self, request_id: &str) -> String {
         match self {
-            Self::Sweep => format!("/sweep/{request_id}?all=1"),
+            Self::FanOut => format!("/sweep/{request_id}?all=1"),
             Self::Record => format!("/record/{request_id}"),
             Self::Order => format!("/order/{request_id}"),
-            Self::Mark(version) => format!("/mark-{version}/{request_id}"),
+            Self::VersionRoute(version) => format!("/mark-{version}/{request_id}"),
         }
     }
 
@@ -116,18 +116,18 @@
 
     /// Gets how long a caller waits.
     #[must_use]
-    pub const fn patience(self) -> TimeSpan {
+    pub const fn timeout(self) -> TimeSpan {
         match self {
-            Self::Sweep => TimeSpan::from_millis(1_500),
+            Self::FanOut => TimeSpan::from_millis(1_500),
             _ => TimeSpan::from_millis(3_000),
         }
     }
 
     /// Gets how long a target works on it, on average.
     #[must_use]
-    pub const fn work(self) -> Duration {
+    pub const fn mean_service_time(self) -> Duration {
         match self {
-            Self::Sweep => Duration::from_millis(5),
+            Self::FanOut => Duration::from_millis(5),
             _ => Duration::from_millis(30),
         }
     }
@@ -136,8 +136,8 @@
     #[must_use]
     pub fn services(self, shards: ShardSet) -> Vec<String> {
         match self {
-            Self::Sweep => shards.services(),
-            Self::Record | Self::Mark(_) => vec![RECORD_SERVICE.to_owned()],
+            Self::FanOut => shards.services(),
+            Self::Record | Self::VersionRoute(_) => vec![RECORD_SERVICE.to_owned()],
             Self::Order => vec![ORDER_SERVICE.to_owned()],
         }
     }
@@ -146,17 +146,17 @@
 impl fmt::Display for RequestKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Sweep => formatter.write_str("sweep"),
+            Self::FanOut => formatter.write_str("sweep"),
             Self::Record => formatter.write_str("record"),
             Self::Order => formatter.write_str("order"),
-            Self::Mark(version) => write!(formatter, "mark {version}"),
+            Self::VersionRoute(version) => write!(formatter, "mark {version}"),
         }
     }
 }
 
 /// Gets all services of the site.
 #[must_use]
-pub fn services() -> Vec<String> {
+pub fn all_services() -> Vec<String> {
     let mut services = ShardSet::Old.services();
     services.extend(ShardSet::New.services());
     services.push(RECORD_SERVICE.to_owned());
@@ -166,19 +166,19 @@
 
 /// Returns the text of a configuration as the operator writes it.
 #[must_use]
-pub fn config_text(config: &ConfigRecord) -> Value {
+pub fn config_json(config: &ConfigRecord) -> Value {
     let shards = config.shards.services();
     let shards: Vec<&str> = shards.iter().map(String::as_str).collect();
     let mut routes = vec![
-        store_fixtures::gather_route(&shards, LEAST_SHARE, RECORDS),
+        store_fixtures::gather_route(&shards, MIN_SHARD_SHARE, MERGED_RECORDS),
         store_fixtures::path_route("record", "/record/", "safe", RECORD_SERVICE),
         store_fixtures::path_route("order", "/order/", "unsafe", ORDER_SERVICE),
     ];
-    routes.extend(config.marks.iter().map(|mark| {
+    routes.extend(config.version_routes.iter().map(|mark| {
         let name = format!("mark-{mark}");
         store_fixtures::path_route(&name, &format!("/{name}/"), "safe", RECORD_SERVICE)
     }));
-    let services = services();
+    let services = all_services();
     let services: Vec<&str> = services.iter().map(String::as_str).collect();
     store_fixtures::config(config.version, &routes, &services)
 }
--- a/alderhaven-soak/src/machine_watch.rs
+++ b/alderhaven-soak/src/stall_detector.rs
@@ -5,12 +5,12 @@
 
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::soak_history::{HistoryLog, TroubleRecord, TroubleSubject};
+use crate::soak_history::{DisruptionRecord, DisruptionSubject, HistoryLog};
 
 /// How often it is looked.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_PERIOD: Duration = Duration::from_millis(10);
 /// How late a tick may be: processes that wait so long for a core answer late themselves.
-const MOST_LATE: Duration = Duration::from_millis(100);
+const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
 
 /// Watches until the guard is dropped.
 #[must_use]
@@ -21,12 +21,12 @@
         while !stopped.is_cancelled() {
             let from = log.now();
             let asleep = Instant::now();
-            thread::sleep(TICK);
-            if asleep.elapsed() > MOST_LATE {
+            thread::sleep(TICK_PERIOD);
+            if asleep.elapsed() > MAX_TICK_DELAY {
                 let until = log.now();
-                log.lock().troubles.push(TroubleRecord {
-                    subject: TroubleSubject::Machine,
-                    what: "late".to_owned(),
+                log.lock().disruptions.push(DisruptionRecord {
+                    subject: DisruptionSubject::Machine,
+                    kind: "late".to_owned(),
                     from,
                     until: Some(until),
                 });
--- a/alderhaven-soak/src/target_crew.rs
+++ b/alderhaven-soak/src/target_fleet.rs
@@ -15,36 +15,36 @@
 
 use crate::link_proxy::{LinkMode, LinkProxy};
 use crate::shard_records;
-use crate::soak_fault::TargetTrouble;
-use crate::soak_history::{ArrivalRecord, HistoryLog, TroubleSubject};
-use crate::soak_site::{self, DOMAINS, RequestKind};
+use crate::soak_fault::TargetFault;
+use crate::soak_history::{ArrivalRecord, DisruptionSubject, HistoryLog};
+use crate::soak_workload::{self, DOMAINS, RequestKind};
 
 /// How long a target serves after it has said that it leaves: the promise that it gets no more work by
 /// then, and a little.
-pub const DRAIN: TimeSpan = TimeSpan::from_millis(3_000);
+pub const DRAIN_TIME: TimeSpan = TimeSpan::from_millis(3_000);
 /// How much longer it serves, so that work that comes too late is seen.
 const DRAIN_MARGIN: TimeSpan = TimeSpan::from_millis(500);
 /// After how long the registration of a crashed target lapses: three missed heartbeats.
-const LAPSE: Duration = Duration::from_millis(1_500);
+const REGISTRATION_TTL: Duration = Duration::from_millis(1_500);
 /// How many times as long a slow target works.
 const SLOW_FACTOR: u32 = 20;
 /// The share of the requests that a failing target treats badly.
-const BAD_SHARE: f64 = 0.6;
+const FAULTY_SHARE: f64 = 0.6;
 
 /// A `TargetCrew` is all targets of a run; its clones share them.
 #[derive(Clone, Debug)]
-pub struct TargetCrew {
+pub struct TargetFleet {
     log: HistoryLog,
     store: StoreStandin,
-    posts: Arc<Mutex<Vec<TargetPost>>>,
+    slots: Arc<Mutex<Vec<TargetSlot>>>,
 }
 
 /// A `TargetPost` is a place of a service, at which one target runs after the other.
 #[derive(Debug)]
-struct TargetPost {
+struct TargetSlot {
     service: String,
     domain: &'static str,
-    lives: usize,
+    start_count: usize,
     target: Option<RunningTarget>,
 }
 
@@ -53,21 +53,21 @@
 struct RunningTarget {
     target: TargetStandin,
     link: LinkProxy,
-    trouble: Arc<Mutex<Option<TargetTrouble>>>,
+    fault: Arc<Mutex<Option<TargetFault>>>,
 }
 
-impl TargetCrew {
+impl TargetFleet {
     /// Starts and registers the targets of all services.
     ///
     /// # Errors
     /// No port can be had.
     pub async fn start(log: HistoryLog, store: StoreStandin) -> Result<Self> {
         let mut posts = Vec::new();
-        for service in soak_site::services() {
-            posts.extend(DOMAINS.iter().map(|domain| TargetPost {
+        for service in soak_workload::all_services() {
+            posts.extend(DOMAINS.iter().map(|domain| TargetSlot {
                 service: service.clone(),
                 domain,
-                lives: 0,
+                start_count: 0,
                 target: None,
             }));
         }
@@ -75,7 +75,7 @@
         let crew = Self {
             log,
             store,
-            posts: Arc::new(Mutex::new(posts)),
+            slots: Arc::new(Mutex::new(posts)),
         };
         for place in 0..count {
             crew.start_target(place).await?;
@@ -88,16 +88,16 @@
     /// # Errors
     /// The other one can't be started.
     pub async fn crash(&self, place: usize, pause: TimeSpan) -> Result<()> {
-        let Some(running) = self.take(place) else {
+        let Some(running) = self.take_running(place) else {
             return Ok(());
         };
         let id = running.target.id.clone();
-        let trouble = self.begin_trouble(&id, "crashed");
+        let trouble = self.begin_disruption(&id, "crashed");
         running.target.crash();
-        tokio::time::sleep(LAPSE).await;
+        tokio::time::sleep(REGISTRATION_TTL).await;
         self.store.remove(store_fixtures::TARGET_KIND, &id);
         tokio::time::sleep(pause.as_duration()).await;
-        self.log.end_trouble(trouble);
+        self.log.end_disruption(trouble);
         self.start_target(place).await
     }
 
@@ -106,55 +106,55 @@
     /// # Errors
     /// The other one can't be started.
     pub async fn drain(&self, place: usize) -> Result<()> {
-        let Some(running) = self.take(place) else {
+        let Some(running) = self.take_running(place) else {
             return Ok(());
         };
         self.start_target(place).await?;
-        let (service, domain) = self.place(place);
+        let (service, domain) = self.service_and_domain(place);
         let id = running.target.id.clone();
         let address = running.link.address();
         let leaving = store_fixtures::registration(address, &service, domain, "draining");
         self.store.put(store_fixtures::TARGET_KIND, &id, leaving);
         let now = self.log.now();
-        self.log.lock().leavings.push((id.clone(), now));
-        tokio::time::sleep((DRAIN + DRAIN_MARGIN).as_duration()).await;
+        self.log.lock().leaving_targets.push((id.clone(), now));
+        tokio::time::sleep((DRAIN_TIME + DRAIN_MARGIN).as_duration()).await;
         self.store.remove(store_fixtures::TARGET_KIND, &id);
         running.target.crash();
         Ok(())
     }
 
     /// Disturbs the link to the target at a place for a while.
-    pub async fn disturb_link(&self, place: usize, mode: LinkMode, span: TimeSpan) {
-        let Some(running) = self.running(place) else {
+    pub async fn disrupt_link(&self, place: usize, mode: LinkMode, span: TimeSpan) {
+        let Some(running) = self.running_target(place) else {
             return;
         };
-        let trouble = self.begin_trouble(&running.target.id, "link");
+        let trouble = self.begin_disruption(&running.target.id, "link");
         running.link.set_mode(mode);
         tokio::time::sleep(span.as_duration()).await;
         running.link.set_mode(LinkMode::Open);
-        self.log.end_trouble(trouble);
+        self.log.end_disruption(trouble);
     }
 
     /// Lets the target at a place fail for a while.
-    pub async fn disturb(&self, place: usize, fault: TargetTrouble, span: TimeSpan) {
-        let Some(running) = self.running(place) else {
+    pub async fn inject_fault(&self, place: usize, fault: TargetFault, span: TimeSpan) {
+        let Some(running) = self.running_target(place) else {
             return;
         };
-        let trouble = self.begin_trouble(&running.target.id, "failing");
-        running.set_trouble(Some(fault));
+        let trouble = self.begin_disruption(&running.target.id, "failing");
+        running.set_fault(Some(fault));
         tokio::time::sleep(span.as_duration()).await;
-        running.set_trouble(None);
-        self.log.end_trouble(trouble);
+        running.set_fault(None);
+        self.log.end_disruption(trouble);
     }
 
     async fn start_target(&self, place: usize) -> Result<()> {
-        let (service, domain) = self.place(place);
+        let (service, domain) = self.service_and_domain(place);
         let id = {
-            let mut posts = self.posts();
+            let mut posts = self.lock_slots();
             let post = &mut posts[place];
-            post.lives += 1;
-            let life = post.lives;
-            soak_site::target_id(&service, domain, life)
+            post.start_count += 1;
+            let life = post.start_count;
+            soak_workload::target_id(&service, domain, life)
         };
         let trouble = Arc::new(Mutex::new(None));
         let log = self.log.clone();
@@ -162,82 +162,86 @@
             (id.clone(), service.clone(), Arc::clone(&trouble));
         let target = TargetStandin::start_scripted(&id, move |request| {
             let trouble = *own_trouble.lock().unwrap_or_else(PoisonError::into_inner);
-            let act = act(&own_service, request, trouble);
-            note_arrival(&log, &own_id, &own_service, request, &act);
+            let act = choose_behavior(&own_service, request, trouble);
+            record_arrival(&log, &own_id, &own_service, request, &act);
             act
         });
         let target = target.await.wrap_err("no target")?;
         let link = LinkProxy::start(target.address).await.wrap_err("no link")?;
         let entry = store_fixtures::registration(link.address(), &service, domain, "ready");
         self.store.put(store_fixtures::TARGET_KIND, &id, entry);
-        self.posts()[place].target = Some(RunningTarget {
+        self.lock_slots()[place].target = Some(RunningTarget {
             target,
             link,
-            trouble,
+            fault: trouble,
         });
         Ok(())
     }
 
-    fn begin_trouble(&self, id: &str, what: &str) -> usize {
+    fn begin_disruption(&self, id: &str, what: &str) -> usize {
         self.log
-            .begin_trouble(TroubleSubject::Target(id.to_owned()), what)
+            .begin_disruption(DisruptionSubject::Target(id.to_owned()), what)
     }
 
-    fn place(&self, place: usize) -> (String, &'static str) {
-        let posts = self.posts();
+    fn service_and_domain(&self, place: usize) -> (String, &'static str) {
+        let posts = self.lock_slots();
         let post = &posts[place % posts.len()];
         (post.service.clone(), post.domain)
     }
 
-    fn take(&self, place: usize) -> Option<RunningTarget> {
-        self.posts().get_mut(place)?.target.take()
+    fn take_running(&self, place: usize) -> Option<RunningTarget> {
+        self.lock_slots().get_mut(place)?.target.take()
     }
 
-    fn running(&self, place: usize) -> Option<RunningTarget> {
-        self.posts().get(place)?.target.clone()
+    fn running_target(&self, place: usize) -> Option<RunningTarget> {
+        self.lock_slots().get(place)?.target.clone()
     }
 
     /// Gets the count of places.
     #[must_use]
-    pub fn places(&self) -> usize {
-        self.posts().len()
+    pub fn slot_count(&self) -> usize {
+        self.lock_slots().len()
     }
 
-    fn posts(&self) -> MutexGuard<'_, Vec<TargetPost>> {
-        self.posts.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_slots(&self) -> MutexGuard<'_, Vec<TargetSlot>> {
+        self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl RunningTarget {
-    fn set_trouble(&self, trouble: Option<TargetTrouble>) {
-        let mut current = self.trouble.lock().unwrap_or_else(PoisonError::into_inner);
+    fn set_fault(&self, trouble: Option<TargetFault>) {
+        let mut current = self.fault.lock().unwrap_or_else(PoisonError::into_inner);
         *current = trouble;
     }
 }
 
-fn act(service: &str, request: &TargetRequest, trouble: Option<TargetTrouble>) -> TargetBehavior {
+fn choose_behavior(
+    service: &str,
+    request: &TargetRequest,
+    trouble: Option<TargetFault>,
+) -> TargetBehavior {
     let kind = if request.path.starts_with("/sweep/") {
-        RequestKind::Sweep
+        RequestKind::FanOut
     } else {
         RequestKind::Record
     };
-    let body = shard_records::body(service, &request.request_id);
+    let body = shard_records::response_body(service, &request.request_id);
     let mut rng = rand::rng();
-    let work = kind.work().mul_f64(rng.random_range(0.5..2.0));
-    let trouble = trouble.filter(|_| rng.random_bool(BAD_SHARE));
+    let work = kind.mean_service_time().mul_f64(rng.random_range(0.5..2.0));
+    let trouble = trouble.filter(|_| rng.random_bool(FAULTY_SHARE));
     match trouble {
         None => TargetBehavior::AnswerAfter(work, body),
-        Some(TargetTrouble::Slow) => TargetBehavior::AnswerAfter(work * SLOW_FACTOR, body),
-        Some(TargetTrouble::Mute) => TargetBehavior::RunWithoutReply,
-        Some(TargetTrouble::Fails) => TargetBehavior::Fail,
-        Some(TargetTrouble::Refuses) => TargetBehavior::Refuse,
-        Some(TargetTrouble::LosesAnswers) => TargetBehavior::RunAndDisconnect,
-        Some(TargetTrouble::CutsAnswers) => TargetBehavior::AnswerTruncated(body),
-        Some(TargetTrouble::AnswersTwice) => TargetBehavior::AnswerTwice(body),
+        Some(TargetFault::Slow) => TargetBehavior::AnswerAfter(work * SLOW_FACTOR, body),
+        Some(TargetFault::NoReply) => TargetBehavior::RunWithoutReply,
+        Some(TargetFault::Fails) => TargetBehavior::Fail,
+        Some(TargetFault::Refuses) => TargetBehavior::Refuse,
+        Some(TargetFault::Disconnects) => TargetBehavior::RunAndDisconnect,
+        Some(TargetFault::TruncatesAnswers) => TargetBehavior::AnswerTruncated(body),
+        Some(TargetFault::AnswersTwice) => TargetBehavior::AnswerTwice(body),
     }
 }
 
-fn note_arrival(
+fn record_arrival(
     log: &HistoryLog,
     target: &str,
     service: &str,
--- a/alderhaven-soak/tests/history/mod.rs
+++ b/alderhaven-soak/tests/history/mod.rs
@@ -7,71 +7,79 @@
 use alderhaven_soak::promises::{self, PromiseKind};
 use alderhaven_soak::shard_records;
 use alderhaven_soak::soak_history::{
-    AnswerRecord, ArrivalRecord, ConfigRecord, EvacuationRecord, FrontLife, RequestEnd,
-    RequestOutcome, RequestRecord, SoakHistory, TroubleRecord, TroubleSubject,
+    AnswerRecord, ArrivalRecord, ConfigRecord, DisruptionRecord, DisruptionSubject,
+    EvacuationRecord, ProcessRecord, RequestEnd, RequestOutcome, RequestRecord, SoakHistory,
 };
 use alderhaven_soak::soak_options::PromiseScope;
-use alderhaven_soak::soak_site::{RECORDS, RequestKind, ShardSet};
+use alderhaven_soak::soak_workload::{MERGED_RECORDS, RequestKind, ShardSet};
 use bytes::Bytes;
 
 /// The one front.
-pub const FRONT: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 200, 0, 1));
+pub const FRONT_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 200, 0, 1));
 /// How long an answer takes.
 const ANSWER_TIME: TimeSpan = TimeSpan::from_millis(50);
 /// When the history ends, in milliseconds.
-const END_MS: u64 = 20_000;
+const HISTORY_END_MS: u64 = 20_000;
 
-pub fn at(millis: u64) -> TimePoint {
+pub fn at_millis(millis: u64) -> TimePoint {
     TimePoint::START + TimeSpan::from_millis(millis)
 }
 
 /// The body of an answer that is merged from these shards.
-pub fn merged(services: &[String], request_id: &str) -> Bytes {
+pub fn merged_body(services: &[String], request_id: &str) -> Bytes {
     let services: Vec<&str> = services.iter().map(String::as_str).collect();
-    Bytes::from(shard_records::greatest(&services, request_id, RECORDS))
+    Bytes::from(shard_records::greatest_records(
+        &services,
+        request_id,
+        MERGED_RECORDS,
+    ))
 }
 
 /// A `HistoryMaker` holds a history in the making.
-pub struct HistoryMaker {
+pub struct HistoryBuilder {
     pub history: SoakHistory,
 }
 
-impl HistoryMaker {
+impl HistoryBuilder {
     /// A sweep, a record and an order at nine seconds, all served, and enough requests at the end.
-    pub fn sound() -> Self {
+    pub fn valid() -> Self {
         let mut maker = Self {
             history: SoakHistory::default(),
         };
-        maker.history.lives.push(FrontLife {
-            front: FRONT,
-            started: at(0),
-            asked_to_stop: None,
+        maker.history.processes.push(ProcessRecord {
+            front: FRONT_ADDRESS,
+            started_at: at_millis(0),
+            stop_requested_at: None,
             is_killed: false,
-            ended: None,
+            ended_at: None,
         });
-        maker.configure(1, &[1], ShardSet::Old, at(0));
-        maker.ask("sweep", RequestKind::Sweep, at(9_000));
-        maker.ask("record", RequestKind::Record, at(9_000));
-        maker.ask("order", RequestKind::Order, at(9_000));
+        maker.add_config(1, &[1], ShardSet::Old, at_millis(0));
+        maker.add_request("sweep", RequestKind::FanOut, at_millis(9_000));
+        maker.add_request("record", RequestKind::Record, at_millis(9_000));
+        maker.add_request("order", RequestKind::Order, at_millis(9_000));
         for number in 0..10 {
-            maker.ask(&format!("tail{number}"), RequestKind::Record, at(18_500));
+            maker.add_request(
+                &format!("tail{number}"),
+                RequestKind::Record,
+                at_millis(18_500),
+            );
         }
         maker
     }
 
-    pub fn configure(&mut self, version: u64, marks: &[u64], shards: ShardSet, acked: TimePoint) {
+    pub fn add_config(&mut self, version: u64, marks: &[u64], shards: ShardSet, acked: TimePoint) {
         self.history.configs.push(ConfigRecord {
             version,
-            acked,
+            accepted_at: acked,
             shards,
-            marks: marks.to_vec(),
+            version_routes: marks.to_vec(),
         });
     }
 
     /// Adds a request that is served.
-    pub fn ask(&mut self, id: &str, kind: RequestKind, sent: TimePoint) {
+    pub fn add_request(&mut self, id: &str, kind: RequestKind, sent: TimePoint) {
         let services = kind.services(ShardSet::Old);
-        let answer = if kind == RequestKind::Sweep {
+        let answer = if kind == RequestKind::FanOut {
             let proofs = services
                 .iter()
                 .map(|service| format!("d-{service}.a1-{id}"));
@@ -81,7 +89,7 @@
                 part_proofs: proofs.collect(),
                 proof: String::new(),
                 missing: 0,
-                body: merged(&services, id),
+                body: merged_body(&services, id),
             }
         } else {
             AnswerRecord {
@@ -90,14 +98,14 @@
                 part_proofs: Vec::new(),
                 proof: format!("d-{}.a1-{id}", services[0]),
                 missing: 0,
-                body: Bytes::from(shard_records::body(&services[0], id)),
+                body: Bytes::from(shard_records::response_body(&services[0], id)),
             }
         };
         let request = RequestRecord {
             kind,
-            front: FRONT,
-            sent,
-            patience: kind.patience(),
+            front: FRONT_ADDRESS,
+            sent_at: sent,
+            timeout: kind.timeout(),
             method: kind.method().to_owned(),
             path: kind.path(id),
             body: Bytes::new(),
@@ -108,7 +116,7 @@
         };
         self.history.requests.insert(id.to_owned(), request);
         for service in &services {
-            self.arrive(
+            self.add_arrival(
                 id,
                 &format!("{service}.a1"),
                 service,
@@ -118,7 +126,7 @@
     }
 
     /// Adds the arrival of a request at a target that runs and answers it.
-    pub fn arrive(&mut self, id: &str, target: &str, service: &str, at: TimePoint) {
+    pub fn add_arrival(&mut self, id: &str, target: &str, service: &str, at: TimePoint) {
         let request = self.history.requests.get(id);
         let kind = request.map_or(RequestKind::Record, |request| request.kind);
         self.history.arrivals.push(ArrivalRecord {
@@ -136,16 +144,21 @@
     }
 
     /// Evacuates a failure domain.
-    pub fn evacuate(&mut self, domain: &str, acked: TimePoint, taken_back: Option<TimePoint>) {
+    pub fn add_evacuation(
+        &mut self,
+        domain: &str,
+        acked: TimePoint,
+        taken_back: Option<TimePoint>,
+    ) {
         self.history.evacuations.push(EvacuationRecord {
             domain: domain.to_owned(),
-            acked,
-            taken_back,
+            accepted_at: acked,
+            revoked_at: taken_back,
         });
     }
 
     /// Changes the answer to a request.
-    pub fn answer(&mut self, id: &str, change: impl FnOnce(&mut AnswerRecord)) {
+    pub fn edit_answer(&mut self, id: &str, change: impl FnOnce(&mut AnswerRecord)) {
         let request = self.history.requests.get_mut(id).expect("a request");
         let end = request.end.as_mut().expect("it has ended");
         let RequestOutcome::Answered(answer) = &mut end.outcome else {
@@ -155,33 +168,38 @@
     }
 
     /// Lets a request end otherwise.
-    pub fn end(&mut self, id: &str, outcome: RequestOutcome) {
+    pub fn set_outcome(&mut self, id: &str, outcome: RequestOutcome) {
         let request = self.history.requests.get_mut(id).expect("a request");
         request.end.as_mut().expect("it has ended").outcome = outcome;
     }
 
     /// Lets a request end otherwise, at another time.
-    pub fn end_at(&mut self, id: &str, at: TimePoint, outcome: RequestOutcome) {
+    pub fn set_end(&mut self, id: &str, at: TimePoint, outcome: RequestOutcome) {
         let request = self.history.requests.get_mut(id).expect("a request");
         request.end = Some(RequestEnd { at, outcome });
     }
 
-    pub fn leave(&mut self, target: &str, at: TimePoint) {
-        self.history.leavings.push((target.to_owned(), at));
+    pub fn add_leaving_target(&mut self, target: &str, at: TimePoint) {
+        self.history.leaving_targets.push((target.to_owned(), at));
     }
 
-    pub fn disturb(&mut self, subject: TroubleSubject, from: TimePoint, until: TimePoint) {
-        self.history.troubles.push(TroubleRecord {
+    pub fn add_disruption(
+        &mut self,
+        subject: DisruptionSubject,
+        from: TimePoint,
+        until: TimePoint,
+    ) {
+        self.history.disruptions.push(DisruptionRecord {
             subject,
-            what: "test".to_owned(),
+            kind: "test".to_owned(),
             from,
             until: Some(until),
         });
     }
 
     /// The promises that are broken, each once.
-    pub fn broken(&self, scope: PromiseScope) -> Vec<PromiseKind> {
-        let index = HistoryIndex::new(&self.history, at(END_MS));
+    pub fn broken_promises(&self, scope: PromiseScope) -> Vec<PromiseKind> {
+        let index = HistoryIndex::new(&self.history, at_millis(HISTORY_END_MS));
         let broken = promises::check(&index, scope, true);
         let mut kinds: Vec<PromiseKind> = broken.iter().map(|broken| broken.promise).collect();
         kinds.dedup();
--- a/alderhaven-soak/tests/links.rs
+++ b/alderhaven-soak/tests/links.rs
@@ -4,12 +4,12 @@
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_soak::link_proxy::{LinkMode, LinkProxy};
-use alderhaven_soak::soak_plan::{SoakPlan, TAIL};
+use alderhaven_soak::soak_plan::{FAULT_FREE_END, SoakPlan};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
 /// How long silence is waited for.
-const SILENCE: Duration = Duration::from_millis(50);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A server that sends back what it gets, and a connection to it through a link.
 async fn echo_link() -> (LinkProxy, TcpStream) {
@@ -45,10 +45,14 @@
 #[tokio::test]
 async fn link_cut_and_healed() {
     let (link, mut stream) = echo_link().await;
-    for mode in [LinkMode::CutForth, LinkMode::CutBack, LinkMode::Silent] {
+    for mode in [
+        LinkMode::UpstreamBlocked,
+        LinkMode::DownstreamBlocked,
+        LinkMode::Blocked,
+    ] {
         link.set_mode(mode);
         stream.write_u8(8).await.expect("it is open");
-        let silent = tokio::time::timeout(SILENCE, stream.read_u8()).await;
+        let silent = tokio::time::timeout(SILENCE_TIMEOUT, stream.read_u8()).await;
         assert!(silent.is_err(), "{mode:?}");
         link.set_mode(LinkMode::Open);
         assert_eq!(read_byte(&mut stream).await, Some(8));
@@ -75,5 +79,5 @@
     assert_ne!(plan, SoakPlan::new(8, span));
     assert!(plan.steps.len() > 20);
     let last = plan.steps.last().expect("a fault").at;
-    assert!(last + TAIL <= span, "the end is calm");
+    assert!(last + FAULT_FREE_END <= span, "the end is calm");
 }
--- a/alderhaven-soak/tests/promises.rs
+++ b/alderhaven-soak/tests/promises.rs
@@ -5,295 +5,307 @@
 use alderhaven_core::time::TimeSpan;
 use alderhaven_soak::promises::PromiseKind;
 use alderhaven_soak::shard_records;
-use alderhaven_soak::soak_history::{RequestOutcome, TroubleSubject};
+use alderhaven_soak::soak_history::{DisruptionSubject, RequestOutcome};
 use alderhaven_soak::soak_options::PromiseScope;
-use alderhaven_soak::soak_site::{RECORDS, RequestKind, ShardSet};
-use history::{FRONT, HistoryMaker, at};
+use alderhaven_soak::soak_workload::{MERGED_RECORDS, RequestKind, ShardSet};
+use history::{FRONT_ADDRESS, HistoryBuilder, at_millis};
 
 const ALL: PromiseScope = PromiseScope::All;
 
 #[test]
 fn check_sound_history() {
-    let maker = HistoryMaker::sound();
-    assert_eq!(maker.broken(ALL), []);
-    assert_eq!(maker.broken(PromiseScope::Timeless), []);
+    let maker = HistoryBuilder::valid();
+    assert_eq!(maker.broken_promises(ALL), []);
+    assert_eq!(maker.broken_promises(PromiseScope::Untimed), []);
 }
 
 /// A caller asks for a record and gets the answer to another caller's request.
 #[test]
 fn check_foreign_answer() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("record", |answer| {
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("record", |answer| {
         answer.proof = "d-records.a1-other".to_owned();
     });
-    assert_eq!(maker.broken(ALL), [PromiseKind::OwnAnswer]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::OwnAnswer]);
 }
 
 /// The answer of a target is cut on the way and reaches the caller as a whole one.
 #[test]
 fn check_short_answer() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("record", |answer| answer.body = answer.body.slice(..20));
-    assert_eq!(maker.broken(ALL), [PromiseKind::OwnAnswer]);
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("record", |answer| answer.body = answer.body.slice(..20));
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::OwnAnswer]);
 }
 
 /// A target fails, and its failure reaches the caller with another status.
 #[test]
 fn check_changed_failure() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("record", |answer| answer.status = 502);
-    assert_eq!(maker.broken(ALL), [PromiseKind::OwnAnswer]);
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("record", |answer| answer.status = 502);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::OwnAnswer]);
 }
 
 /// An answer is merged from the shards of two configurations.
 #[test]
 fn check_mixed_shards() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("sweep", |answer| {
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("sweep", |answer| {
         answer.part_proofs[0] = "d-new-0.a1-sweep".to_owned();
         let mut services = ShardSet::Old.services();
         services[0] = "new-0".to_owned();
-        answer.body = history::merged(&services, "sweep");
+        answer.body = history::merged_body(&services, "sweep");
     });
-    let broken = maker.broken(PromiseScope::Timeless);
+    let broken = maker.broken_promises(PromiseScope::Untimed);
     assert!(broken.contains(&PromiseKind::TrueCoverage), "{broken:?}");
 }
 
 /// A shard is missing and the answer does not say so.
 #[test]
 fn check_hidden_gap() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("sweep", |answer| {
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("sweep", |answer| {
         answer.part_proofs.pop();
         let services = &ShardSet::Old.services()[..5];
-        answer.body = history::merged(services, "sweep");
+        answer.body = history::merged_body(services, "sweep");
     });
-    assert_eq!(maker.broken(ALL), [PromiseKind::TrueCoverage]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
 /// The digests of all shards are there, and the records of one of them are not.
 #[test]
 fn check_lost_records() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("sweep", |answer| {
-        answer.body = history::merged(&ShardSet::Old.services()[1..], "sweep");
-        assert_eq!(answer.body.len(), RECORDS * 16);
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("sweep", |answer| {
+        answer.body = history::merged_body(&ShardSet::Old.services()[1..], "sweep");
+        assert_eq!(answer.body.len(), MERGED_RECORDS * 16);
     });
-    assert_eq!(maker.broken(ALL), [PromiseKind::TrueCoverage]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
 /// More shards are missing than a caller can do without, and it gets a success all the same.
 #[test]
 fn check_thin_answer() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("sweep", |answer| {
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("sweep", |answer| {
         answer.part_proofs.truncate(2);
         answer.missing = 4;
-        answer.body = history::merged(&ShardSet::Old.services()[..2], "sweep");
+        answer.body = history::merged_body(&ShardSet::Old.services()[..2], "sweep");
     });
-    assert_eq!(maker.broken(ALL), [PromiseKind::TrueCoverage]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
 /// A proper request is called wrong.
 #[test]
 fn check_denied_request() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("order", |answer| answer.status = 400);
-    assert_eq!(maker.broken(ALL), [PromiseKind::NotDenied]);
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("order", |answer| answer.status = 400);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NotDenied]);
 }
 
 /// An order is sent to a second target because the first one was slow, and both run it.
 #[test]
 fn check_order_run_twice() {
-    let mut maker = HistoryMaker::sound();
-    maker.arrive("order", "orders.b1", "orders", at(9_050));
-    assert_eq!(maker.broken(ALL), [PromiseKind::AtMostOnce]);
+    let mut maker = HistoryBuilder::valid();
+    maker.add_arrival("order", "orders.b1", "orders", at_millis(9_050));
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::AtMostOnce]);
 }
 
 /// A shard's third target is asked although two is the most.
 #[test]
 fn check_too_many_targets() {
-    let mut maker = HistoryMaker::sound();
-    maker.arrive("sweep", "old-0.b1", "old-0", at(9_020));
-    assert_eq!(maker.broken(ALL), []);
-    maker.arrive("sweep", "old-0.a2", "old-0", at(9_030));
-    assert_eq!(maker.broken(ALL), [PromiseKind::AtMostOnce]);
+    let mut maker = HistoryBuilder::valid();
+    maker.add_arrival("sweep", "old-0.b1", "old-0", at_millis(9_020));
+    assert_eq!(maker.broken_promises(ALL), []);
+    maker.add_arrival("sweep", "old-0.a2", "old-0", at_millis(9_030));
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::AtMostOnce]);
 }
 
 /// A caller is told that its order has not run, sends it again, and it had run.
 #[test]
 fn check_false_refusal() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("order", |answer| {
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("order", |answer| {
         answer.status = 503;
         answer.is_refusal = true;
         answer.proof = String::new();
     });
-    assert_eq!(maker.broken(ALL), [PromiseKind::NotRun]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NotRun]);
 }
 
 /// A caller is told that its query over all shards has not run and when to come back, and a part of it had
 /// run: the refusal cost the targets work that nobody gets.
 #[test]
 fn check_false_refusal_of_a_query() {
-    let mut maker = HistoryMaker::sound();
-    maker.answer("sweep", |answer| {
+    let mut maker = HistoryBuilder::valid();
+    maker.edit_answer("sweep", |answer| {
         answer.status = 503;
         answer.is_refusal = true;
         answer.proof = String::new();
         answer.part_proofs.clear();
     });
-    assert_eq!(maker.broken(ALL), [PromiseKind::NotRun]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NotRun]);
 }
 
 /// A target gets a request that no caller sent, and one whose path has changed.
 #[test]
 fn check_invented_request() {
-    let mut maker = HistoryMaker::sound();
-    maker.arrive("nobody", "records.a1", "records", at(9_020));
-    assert_eq!(maker.broken(ALL), [PromiseKind::NothingInvented]);
-    let mut maker = HistoryMaker::sound();
+    let mut maker = HistoryBuilder::valid();
+    maker.add_arrival("nobody", "records.a1", "records", at_millis(9_020));
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NothingInvented]);
+    let mut maker = HistoryBuilder::valid();
     maker.history.arrivals[0].path = "/sweep/".to_owned();
-    assert_eq!(maker.broken(ALL), [PromiseKind::NothingInvented]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NothingInvented]);
 }
 
 /// A target says that it leaves, and gets work after its time. While the store fails that may be.
 #[test]
 fn check_work_for_leaving_target() {
-    let mut maker = HistoryMaker::sound();
-    maker.leave("records.a1", at(5_000));
-    assert_eq!(maker.broken(ALL), [PromiseKind::LeavingLeftAlone]);
-    maker.disturb(TroubleSubject::Store, at(4_000), at(6_000));
-    assert_eq!(maker.broken(ALL), []);
+    let mut maker = HistoryBuilder::valid();
+    maker.add_leaving_target("records.a1", at_millis(5_000));
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::LeavingLeftAlone]);
+    maker.add_disruption(DisruptionSubject::Store, at_millis(4_000), at_millis(6_000));
+    assert_eq!(maker.broken_promises(ALL), []);
 }
 
 /// A failure domain is evacuated, and its targets get work after the bound; not while the store fails, not within the
 /// bound, and not once it is taken back.
 #[test]
 fn check_work_for_evacuated_domain() {
-    let mut maker = HistoryMaker::sound();
-    maker.evacuate("b", at(1_000), None);
-    assert_eq!(maker.broken(ALL), [], "the targets lie in the other one");
-    maker.evacuate("a", at(3_000), Some(at(10_000)));
-    assert!(maker.broken(ALL).contains(&PromiseKind::EvacuatedLeftAlone));
-    maker.disturb(TroubleSubject::Store, at(2_000), at(4_000));
-    assert_eq!(maker.broken(ALL), []);
-    let mut maker = HistoryMaker::sound();
-    maker.evacuate("a", at(4_500), Some(at(10_000)));
-    assert_eq!(maker.broken(ALL), [], "within the bound");
-    let mut maker = HistoryMaker::sound();
-    maker.evacuate("a", at(1_000), Some(at(8_000)));
-    assert_eq!(maker.broken(ALL), [], "taken back");
+    let mut maker = HistoryBuilder::valid();
+    maker.add_evacuation("b", at_millis(1_000), None);
+    assert_eq!(
+        maker.broken_promises(ALL),
+        [],
+        "the targets lie in the other one"
+    );
+    maker.add_evacuation("a", at_millis(3_000), Some(at_millis(10_000)));
+    assert!(
+        maker
+            .broken_promises(ALL)
+            .contains(&PromiseKind::EvacuatedLeftAlone)
+    );
+    maker.add_disruption(DisruptionSubject::Store, at_millis(2_000), at_millis(4_000));
+    assert_eq!(maker.broken_promises(ALL), []);
+    let mut maker = HistoryBuilder::valid();
+    maker.add_evacuation("a", at_millis(4_500), Some(at_millis(10_000)));
+    assert_eq!(maker.broken_promises(ALL), [], "within the bound");
+    let mut maker = HistoryBuilder::valid();
+    maker.add_evacuation("a", at_millis(1_000), Some(at_millis(8_000)));
+    assert_eq!(maker.broken_promises(ALL), [], "taken back");
 }
 
 /// A route that was added long ago is missing at a front; within the first seconds that may be.
 #[test]
 fn check_late_configuration() {
-    let mut maker = HistoryMaker::sound();
-    maker.ask("mark", RequestKind::Mark(4), at(9_000));
-    maker.answer("mark", |answer| {
+    let mut maker = HistoryBuilder::valid();
+    maker.add_request("mark", RequestKind::VersionRoute(4), at_millis(9_000));
+    maker.edit_answer("mark", |answer| {
         answer.status = 404;
         answer.proof = String::new();
     });
-    maker.configure(4, &[1, 4], ShardSet::Old, at(7_000));
-    assert_eq!(maker.broken(ALL), []);
-    maker.history.configs[1].acked = at(4_000);
-    assert_eq!(maker.broken(ALL), [PromiseKind::ConfigInForce]);
+    maker.add_config(4, &[1, 4], ShardSet::Old, at_millis(7_000));
+    assert_eq!(maker.broken_promises(ALL), []);
+    maker.history.configs[1].accepted_at = at_millis(4_000);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::ConfigInForce]);
 }
 
 /// A route that was taken away long ago is still served.
 #[test]
 fn check_route_that_is_gone() {
-    let mut maker = HistoryMaker::sound();
-    maker.ask("mark", RequestKind::Mark(1), at(9_000));
-    maker.configure(4, &[4], ShardSet::Old, at(4_000));
-    assert_eq!(maker.broken(ALL), [PromiseKind::ConfigInForce]);
+    let mut maker = HistoryBuilder::valid();
+    maker.add_request("mark", RequestKind::VersionRoute(1), at_millis(9_000));
+    maker.add_config(4, &[4], ShardSet::Old, at_millis(4_000));
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::ConfigInForce]);
 }
 
 /// A front serves a new route and then, after a late word from a peer, does not know it.
 #[test]
 fn check_configuration_that_goes_back() {
-    let mut maker = HistoryMaker::sound();
-    maker.configure(4, &[1, 4], ShardSet::Old, at(8_500));
-    maker.ask("first", RequestKind::Mark(4), at(9_000));
-    maker.ask("second", RequestKind::Mark(4), at(9_200));
-    assert_eq!(maker.broken(ALL), []);
-    maker.answer("second", |answer| {
+    let mut maker = HistoryBuilder::valid();
+    maker.add_config(4, &[1, 4], ShardSet::Old, at_millis(8_500));
+    maker.add_request("first", RequestKind::VersionRoute(4), at_millis(9_000));
+    maker.add_request("second", RequestKind::VersionRoute(4), at_millis(9_200));
+    assert_eq!(maker.broken_promises(ALL), []);
+    maker.edit_answer("second", |answer| {
         answer.status = 404;
         answer.proof = String::new();
     });
-    assert_eq!(maker.broken(ALL), [PromiseKind::ConfigKept]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::ConfigKept]);
 }
 
 /// A front is asked to stop and closes a connection although the target's answer is coming. Where it
 /// is killed that may be.
 #[test]
 fn check_cut_request() {
-    let mut maker = HistoryMaker::sound();
-    maker.end("order", RequestOutcome::Closed);
-    assert_eq!(maker.broken(ALL), [PromiseKind::NothingCut]);
-    maker.history.lives[0].asked_to_stop = Some(at(8_000));
-    assert_eq!(maker.broken(ALL), [PromiseKind::NothingCut]);
-    maker.history.lives[0].is_killed = true;
-    assert_eq!(maker.broken(ALL), []);
+    let mut maker = HistoryBuilder::valid();
+    maker.set_outcome("order", RequestOutcome::Closed);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NothingCut]);
+    maker.history.processes[0].stop_requested_at = Some(at_millis(8_000));
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NothingCut]);
+    maker.history.processes[0].is_killed = true;
+    assert_eq!(maker.broken_promises(ALL), []);
 }
 
 /// A process ends although nobody asked it to.
 #[test]
 fn check_crash() {
-    let mut maker = HistoryMaker::sound();
-    maker.history.lives[0].ended = Some(at(11_000));
-    assert_eq!(maker.broken(ALL), [PromiseKind::ProcessLives]);
+    let mut maker = HistoryBuilder::valid();
+    maker.history.processes[0].ended_at = Some(at_millis(11_000));
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::ProcessLives]);
 }
 
 /// A service that fails gets more repeats than all fronts together may send.
 #[test]
 fn check_flood_of_repeats() {
-    let mut maker = HistoryMaker::sound();
+    let mut maker = HistoryBuilder::valid();
     for number in 0..40 {
         let id = format!("again{number}");
-        maker.ask(&id, RequestKind::Record, at(9_000));
-        maker.arrive(&id, "records.b1", "records", at(9_100));
+        maker.add_request(&id, RequestKind::Record, at_millis(9_000));
+        maker.add_arrival(&id, "records.b1", "records", at_millis(9_100));
     }
-    assert_eq!(maker.broken(ALL), [PromiseKind::RepeatBudget]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::RepeatBudget]);
 }
 
 /// A target is told that it may work for longer than the caller waits.
 #[test]
 fn check_borrowed_time() {
-    let mut maker = HistoryMaker::sound();
+    let mut maker = HistoryBuilder::valid();
     maker.history.arrivals[0].time_left = Some(TimeSpan::from_secs(30));
-    assert_eq!(maker.broken(ALL), [PromiseKind::TimeLeft]);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::TimeLeft]);
 }
 
 /// A front keeps a caller waiting beyond its time. While the front stands still that may be.
 #[test]
 fn check_late_answer() {
-    let mut maker = HistoryMaker::sound();
-    maker.end_at("order", at(13_000), RequestOutcome::Unanswered);
-    assert_eq!(maker.broken(ALL), [PromiseKind::AnswerInTime]);
-    maker.disturb(TroubleSubject::Front(FRONT), at(9_000), at(12_000));
-    assert_eq!(maker.broken(ALL), []);
+    let mut maker = HistoryBuilder::valid();
+    maker.set_end("order", at_millis(13_000), RequestOutcome::Unanswered);
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::AnswerInTime]);
+    maker.add_disruption(
+        DisruptionSubject::Front(FRONT_ADDRESS),
+        at_millis(9_000),
+        at_millis(12_000),
+    );
+    assert_eq!(maker.broken_promises(ALL), []);
 }
 
 /// A caller leaves, and the front still sends its request to another target.
 #[test]
 fn check_work_for_gone_caller() {
-    let mut maker = HistoryMaker::sound();
-    maker.end_at("sweep", at(9_040), RequestOutcome::Left);
-    assert_eq!(maker.broken(ALL), []);
-    maker.arrive("sweep", "old-1.b1", "old-1", at(9_700));
-    assert_eq!(maker.broken(ALL), [PromiseKind::CallerGone]);
+    let mut maker = HistoryBuilder::valid();
+    maker.set_end("sweep", at_millis(9_040), RequestOutcome::Abandoned);
+    assert_eq!(maker.broken_promises(ALL), []);
+    maker.add_arrival("sweep", "old-1.b1", "old-1", at_millis(9_700));
+    assert_eq!(maker.broken_promises(ALL), [PromiseKind::CallerGone]);
 }
 
 /// All faults are over and the fronts still refuse.
 #[test]
 fn check_missing_recovery() {
-    let mut maker = HistoryMaker::sound();
+    let mut maker = HistoryBuilder::valid();
     for number in 0..12 {
         let id = format!("last{number}");
-        maker.ask(&id, RequestKind::Record, at(19_000));
-        maker.answer(&id, |answer| {
+        maker.add_request(&id, RequestKind::Record, at_millis(19_000));
+        maker.edit_answer(&id, |answer| {
             answer.status = 503;
             answer.is_refusal = true;
             answer.proof = String::new();
@@ -302,13 +314,13 @@
     // What is refused is sent nowhere.
     let arrivals = &mut maker.history.arrivals;
     arrivals.retain(|arrival| !arrival.request_id.starts_with("last"));
-    let broken = maker.broken(ALL);
+    let broken = maker.broken_promises(ALL);
     assert_eq!(broken, [PromiseKind::Recovery]);
 }
 
 #[test]
 fn read_proof_parts() {
-    let parts = shard_records::read_proof("d-old-3.b12-q1x7");
+    let parts = shard_records::parse_proof("d-old-3.b12-q1x7");
     assert_eq!(parts, Some(("old-3", "q1x7")));
-    assert_eq!(shard_records::read_proof("old-3"), None);
+    assert_eq!(shard_records::parse_proof("old-3"), None);
 }
--- a/alderhaven-standin/src/attempt_head.rs
+++ b/alderhaven-standin/src/attempt_head.rs
@@ -5,7 +5,7 @@
 
 use alderhaven_core::ids::{AttemptId, IndexVersion, ServiceName, ShardId, SnapshotId};
 use alderhaven_core::time::TimeSpan;
-use alderhaven_store::dialect;
+use alderhaven_store::target_dialect;
 use http::{HeaderMap, HeaderValue, StatusCode};
 
 use crate::http_server::{HttpReply, text_reply};
@@ -36,22 +36,23 @@
     /// The name of the header that is missing or unreadable.
     pub fn parse(headers: &HeaderMap) -> Result<Self, &'static str> {
         Ok(Self {
-            attempt: attempt_of(headers)?,
-            service: value_of(headers, dialect::SERVICE_HEADER)?,
-            template: value_of(headers, dialect::TEMPLATE_HEADER)?,
-            snapshot: value_of(headers, dialect::SNAPSHOT_HEADER)?,
-            shard: value_of(headers, dialect::SHARD_HEADER)?,
-            version: value_of(headers, dialect::VERSION_HEADER)?,
-            remaining: value_of(headers, dialect::DEADLINE_HEADER).map(TimeSpan::from_millis)?,
+            attempt: parse_attempt_id(headers)?,
+            service: parse_header(headers, target_dialect::SERVICE_HEADER)?,
+            template: parse_header(headers, target_dialect::TEMPLATE_HEADER)?,
+            snapshot: parse_header(headers, target_dialect::SNAPSHOT_HEADER)?,
+            shard: parse_header(headers, target_dialect::SHARD_HEADER)?,
+            version: parse_header(headers, target_dialect::VERSION_HEADER)?,
+            remaining: parse_header(headers, target_dialect::DEADLINE_HEADER)
+                .map(TimeSpan::from_millis)?,
         })
     }
 
     /// Adds the headers that a reply echoes.
-    pub fn echo(&self, reply: &mut HttpReply) {
-        set_header(reply, dialect::ATTEMPT_HEADER, self.attempt);
-        set_header(reply, dialect::SNAPSHOT_HEADER, self.snapshot);
-        set_header(reply, dialect::SHARD_HEADER, self.shard);
-        set_header(reply, dialect::VERSION_HEADER, self.version);
+    pub fn echo_headers(&self, reply: &mut HttpReply) {
+        set_header(reply, target_dialect::ATTEMPT_HEADER, self.attempt);
+        set_header(reply, target_dialect::SNAPSHOT_HEADER, self.snapshot);
+        set_header(reply, target_dialect::SHARD_HEADER, self.shard);
+        set_header(reply, target_dialect::VERSION_HEADER, self.version);
     }
 }
 
@@ -59,15 +60,15 @@
 ///
 /// # Errors
 /// The name of the header where it is missing or unreadable.
-pub fn attempt_of(headers: &HeaderMap) -> Result<AttemptId, &'static str> {
-    value_of(headers, dialect::ATTEMPT_HEADER)
+pub fn parse_attempt_id(headers: &HeaderMap) -> Result<AttemptId, &'static str> {
+    parse_header(headers, target_dialect::ATTEMPT_HEADER)
 }
 
 /// Returns a reply that says that the attempt did not run.
 #[must_use]
 pub fn not_run_reply(status: StatusCode, reason: &str) -> HttpReply {
     let mut reply = text_reply(status, reason);
-    set_header(&mut reply, dialect::NOT_RUN_HEADER, "true");
+    set_header(&mut reply, target_dialect::NOT_RUN_HEADER, "true");
     reply
 }
 
@@ -78,7 +79,7 @@
     }
 }
 
-fn value_of<T: FromStr>(headers: &HeaderMap, name: &'static str) -> Result<T, &'static str> {
+fn parse_header<T: FromStr>(headers: &HeaderMap, name: &'static str) -> Result<T, &'static str> {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
--- a/alderhaven-standin/src/fake_store.rs
+++ b/alderhaven-standin/src/fake_store.rs
@@ -19,10 +19,10 @@
 
 use crate::object_table::ObjectTable;
 use crate::platform_faults::PlatformFaults;
-use crate::rate_gate::RateGate;
+use crate::rate_limiter::RateLimiter;
 
 /// The number of older host listings that are kept for the lag.
-const HOST_HISTORY: usize = 1_000;
+const MAX_HOST_LISTINGS: usize = 1_000;
 
 /// A `FakeStore` is a platform in memory; its clones share the same state.
 ///
@@ -34,22 +34,22 @@
 
 #[derive(Debug)]
 struct StoreShared {
-    core: Mutex<StoreCore>,
+    state: Mutex<StoreState>,
     changed: Notify,
-    started: Instant,
+    started_at: Instant,
 }
 
 #[derive(Debug)]
-struct StoreCore {
+struct StoreState {
     table: ObjectTable,
     faults: PlatformFaults,
-    reads: RateGate,
-    writes: RateGate,
-    held: Vec<ConditionalWrite>,
-    stale: Option<ObjectTable>,
+    read_limiter: RateLimiter,
+    write_limiter: RateLimiter,
+    held_writes: Vec<ConditionalWrite>,
+    stale_table: Option<ObjectTable>,
     hosts: BTreeMap<HostId, HostRecord>,
     listings: Vec<(TimePoint, HostListing)>,
-    calls: CallCounts,
+    call_counts: CallCounts,
 }
 
 /// A `CallCounts` counts the calls of the object API, refused ones included.
@@ -66,8 +66,8 @@
 }
 
 /// A `WriteFate` says what a fault makes of a write.
-enum WriteFate {
-    Plain,
+enum WriteFault {
+    NoFault,
     ReplyLost,
     Dropped,
     Held,
@@ -84,32 +84,32 @@
     #[must_use]
     pub fn new(table: ObjectTable) -> Self {
         let faults = PlatformFaults::default();
-        let core = StoreCore {
+        let core = StoreState {
             table,
-            reads: RateGate::new(faults.reads_per_second),
-            writes: RateGate::new(faults.writes_per_second),
+            read_limiter: RateLimiter::new(faults.reads_per_second),
+            write_limiter: RateLimiter::new(faults.writes_per_second),
             faults,
-            held: Vec::new(),
-            stale: None,
+            held_writes: Vec::new(),
+            stale_table: None,
             hosts: BTreeMap::new(),
             listings: Vec::new(),
-            calls: CallCounts::default(),
+            call_counts: CallCounts::default(),
         };
         Self {
             shared: Arc::new(StoreShared {
-                core: Mutex::new(core),
+                state: Mutex::new(core),
                 changed: Notify::new(),
-                started: Instant::now(),
+                started_at: Instant::now(),
             }),
         }
     }
 
     /// Replaces the whole set of fault switches.
     pub fn set_faults(&self, faults: PlatformFaults) {
-        let mut core = self.lock();
-        core.reads = RateGate::new(faults.reads_per_second);
-        core.writes = RateGate::new(faults.writes_per_second);
-        core.stale = match (faults.stale_list, core.stale.take()) {
+        let mut core = self.lock_state();
+        core.read_limiter = RateLimiter::new(faults.reads_per_second);
+        core.write_limiter = RateLimiter::new(faults.writes_per_second);
+        core.stale_table = match (faults.stale_list, core.stale_table.take()) {
             (false, _) => None,
             (true, Some(table)) => Some(table),
             (true, None) => Some(core.table.clone()),
@@ -122,30 +122,30 @@
     /// Gets the fault switches as they stand, counters counted down.
     #[must_use]
     pub fn faults(&self) -> PlatformFaults {
-        self.lock().faults.clone()
+        self.lock_state().faults.clone()
     }
 
     /// Gets the counts of calls so far.
     #[must_use]
-    pub fn calls(&self) -> CallCounts {
-        self.lock().calls
+    pub fn call_counts(&self) -> CallCounts {
+        self.lock_state().call_counts
     }
 
     /// Gets a copy of the objects.
     #[must_use]
     pub fn table(&self) -> ObjectTable {
-        self.lock().table.clone()
+        self.lock_state().table.clone()
     }
 
     /// Puts `table` in place of the objects, as when the platform is restored from an old copy.
     pub fn restore(&self, table: ObjectTable) {
-        self.lock().table = table;
+        self.lock_state().table = table;
         self.shared.changed.notify_waiters();
     }
 
     /// Writes an object whatever its version, beside all faults and rates.
     pub fn put(&self, key: ObjectKey, body: Option<String>) {
-        let mut core = self.lock();
+        let mut core = self.lock_state();
         let expected = core
             .table
             .get(&key)
@@ -162,9 +162,9 @@
     }
 
     /// Lets the held writes take effect in the order in which they came.
-    pub fn release_held(&self) {
-        let mut core = self.lock();
-        for write in std::mem::take(&mut core.held) {
+    pub fn release_held_writes(&self) {
+        let mut core = self.lock_state();
+        for write in std::mem::take(&mut core.held_writes) {
             core.table.write(write);
         }
         drop(core);
@@ -174,52 +174,56 @@
     /// Adds a host to the list or replaces it.
     pub fn put_host(&self, record: HostRecord) {
         let now = self.now();
-        let mut core = self.lock();
+        let mut core = self.lock_state();
         core.hosts.insert(record.host.clone(), record);
-        core.keep_listing(now);
+        core.record_listing(now);
     }
 
     /// Takes a host from the list.
     pub fn remove_host(&self, host: &HostId) {
         let now = self.now();
-        let mut core = self.lock();
+        let mut core = self.lock_state();
         core.hosts.remove(host);
-        core.keep_listing(now);
+        core.record_listing(now);
     }
 
     fn now(&self) -> TimePoint {
-        TimePoint::START + TimeSpan::from(self.shared.started.elapsed())
+        TimePoint::START + TimeSpan::from(self.shared.started_at.elapsed())
     }
 
-    fn lock(&self) -> MutexGuard<'_, StoreCore> {
+    fn lock_state(&self) -> MutexGuard<'_, StoreState> {
         self.shared
-            .core
+            .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Begins a call: it waits as long as the API is slow, then the outage and the rate are asked.
-    async fn begin(&self, count: impl FnOnce(&mut CallCounts), is_write: bool) -> StoreResult<()> {
-        let delay = self.lock().faults.delay_ms;
+    async fn start_call(
+        &self,
+        count: impl FnOnce(&mut CallCounts),
+        is_write: bool,
+    ) -> StoreResult<()> {
+        let delay = self.lock_state().faults.delay_ms;
         if delay > 0 {
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
         let now = self.now();
-        let mut core = self.lock();
-        count(&mut core.calls);
+        let mut core = self.lock_state();
+        count(&mut core.call_counts);
         core.admit(now, is_write)
     }
 }
 
-impl StoreCore {
+impl StoreState {
     fn admit(&mut self, now: TimePoint, is_write: bool) -> StoreResult<()> {
         if self.faults.outage {
             return Err(StoreError::not_done("out of service"));
         }
         let gate = if is_write {
-            &mut self.writes
+            &mut self.write_limiter
         } else {
-            &mut self.reads
+            &mut self.read_limiter
         };
         let admitted = gate.admit(now);
         let wait = match (self.faults.throttle, admitted) {
@@ -227,7 +231,7 @@
             (true, Ok(())) => TimeSpan::from_millis(100),
             (_, Err(wait)) => wait,
         };
-        self.calls.throttled += 1;
+        self.call_counts.throttled += 1;
         Err(StoreError::NotDone {
             reason: "above the rate".to_owned(),
             retry_after: Some(wait),
@@ -235,22 +239,22 @@
     }
 
     /// Takes the next write's fate from the counting switches.
-    const fn next_fate(&mut self) -> WriteFate {
+    const fn next_write_fault(&mut self) -> WriteFault {
         if self.faults.lose_write_replies > 0 {
             self.faults.lose_write_replies -= 1;
-            WriteFate::ReplyLost
+            WriteFault::ReplyLost
         } else if self.faults.drop_writes > 0 {
             self.faults.drop_writes -= 1;
-            WriteFate::Dropped
+            WriteFault::Dropped
         } else if self.faults.hold_writes > 0 {
             self.faults.hold_writes -= 1;
-            WriteFate::Held
+            WriteFault::Held
         } else {
-            WriteFate::Plain
+            WriteFault::NoFault
         }
     }
 
-    fn keep_listing(&mut self, now: TimePoint) {
+    fn record_listing(&mut self, now: TimePoint) {
         let revision = self
             .listings
             .last()
@@ -260,7 +264,7 @@
             revision,
             hosts: self.hosts.values().cloned().collect(),
         };
-        if self.listings.len() >= HOST_HISTORY {
+        if self.listings.len() >= MAX_HOST_LISTINGS {
             self.listings.remove(0);
         }
         self.listings.push((now, listing));
@@ -280,14 +284,14 @@
 
 impl ObjectStore for FakeStore {
     async fn list(&self, kinds: &[ObjectKind]) -> StoreResult<ObjectList> {
-        self.begin(|calls| calls.reads += 1, false).await?;
-        let core = self.lock();
-        Ok(core.stale.as_ref().unwrap_or(&core.table).list(kinds))
+        self.start_call(|calls| calls.reads += 1, false).await?;
+        let core = self.lock_state();
+        Ok(core.stale_table.as_ref().unwrap_or(&core.table).list(kinds))
     }
 
     async fn get(&self, key: &ObjectKey) -> StoreResult<Option<StoredObject>> {
-        self.begin(|calls| calls.reads += 1, false).await?;
-        Ok(self.lock().table.get(key).cloned())
+        self.start_call(|calls| calls.reads += 1, false).await?;
+        Ok(self.lock_state().table.get(key).cloned())
     }
 
     async fn write(&self, write: ConditionalWrite) -> StoreResult<WriteOutcome> {
@@ -298,17 +302,17 @@
         {
             return Err(StoreError::not_done("the value is too large"));
         }
-        self.begin(|calls| calls.writes += 1, true).await?;
-        let mut core = self.lock();
-        let outcome = match core.next_fate() {
-            WriteFate::Plain => Ok(core.table.write(write)),
-            WriteFate::ReplyLost => {
+        self.start_call(|calls| calls.writes += 1, true).await?;
+        let mut core = self.lock_state();
+        let outcome = match core.next_write_fault() {
+            WriteFault::NoFault => Ok(core.table.write(write)),
+            WriteFault::ReplyLost => {
                 core.table.write(write);
                 Err(StoreError::unknown("the answer was lost"))
             }
-            WriteFate::Dropped => Err(StoreError::unknown("the call was lost")),
-            WriteFate::Held => {
-                core.held.push(write);
+            WriteFault::Dropped => Err(StoreError::unknown("the call was lost")),
+            WriteFault::Held => {
+                core.held_writes.push(write);
                 Err(StoreError::unknown("the call is late"))
             }
         };
@@ -323,14 +327,14 @@
         after: StoreVersion,
         wait: TimeSpan,
     ) -> StoreResult<WatchOutcome> {
-        self.begin(|calls| calls.watches += 1, false).await?;
+        self.start_call(|calls| calls.watches += 1, false).await?;
         let end = Instant::now() + wait.as_duration();
         loop {
             // The notice is registered before the table is read, so that no change falls between.
             let mut changed = std::pin::pin!(self.shared.changed.notified());
             changed.as_mut().enable();
             let outcome = {
-                let core = self.lock();
+                let core = self.lock_state();
                 if core.faults.outage {
                     return Err(StoreError::unknown("the watch was cut off"));
                 }
@@ -348,7 +352,7 @@
 impl HostSource for FakeStore {
     async fn hosts(&self) -> StoreResult<HostListing> {
         let now = self.now();
-        let core = self.lock();
+        let core = self.lock_state();
         if core.faults.hosts_outage {
             return Err(StoreError::not_done("the host list is out of service"));
         }
--- a/alderhaven-standin/src/fleet_control.rs
+++ b/alderhaven-standin/src/fleet_control.rs
@@ -94,13 +94,13 @@
 }
 
 /// Answers a request to the control address.
-pub async fn handle(services: Arc<FleetServices>, request: Request<Incoming>) -> HttpReply {
+pub async fn handle_request(services: Arc<FleetServices>, request: Request<Incoming>) -> HttpReply {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/runs") => json_reply(StatusCode::OK, &services.runs().records()),
-        (&Method::GET, "/targets") => json_reply(StatusCode::OK, &reports(&services)),
+        (&Method::GET, "/runs") => json_reply(StatusCode::OK, &services.run_log().records()),
+        (&Method::GET, "/targets") => json_reply(StatusCode::OK, &target_reports(&services)),
         (&Method::POST, "/control") => match read_body(request.into_body()).await {
             Ok(body) => match serde_json::from_slice(&body) {
-                Ok(call) => control(&services, call).await,
+                Ok(call) => control_reply(&services, call).await,
                 Err(error) => text_reply(StatusCode::BAD_REQUEST, error.to_string()),
             },
             Err(refusal) => refusal.reply(),
@@ -109,18 +109,18 @@
     }
 }
 
-async fn control(services: &Arc<FleetServices>, call: ControlCall) -> HttpReply {
-    match apply(services, call).await {
+async fn control_reply(services: &Arc<FleetServices>, call: ControlCall) -> HttpReply {
+    match apply_call(services, call).await {
         Ok(reply) => json_reply(StatusCode::OK, &reply),
         Err(error) => text_reply(StatusCode::BAD_REQUEST, format!("{error:#}")),
     }
 }
 
-fn reports(services: &FleetServices) -> Vec<TargetReport> {
+fn target_reports(services: &FleetServices) -> Vec<TargetReport> {
     let report = |target: &TargetServer| TargetReport {
         target: target.state().spec().target.clone(),
         address: target.address(),
-        crashes: target.state().life().crashes(),
+        crashes: target.state().lifecycle().crash_count(),
         faults: target.state().faults(),
     };
     services.targets().map(report).collect()
@@ -130,22 +130,25 @@
 ///
 /// # Errors
 /// For a target or service that is not there, and where the platform does not take a change.
-pub async fn apply(services: &Arc<FleetServices>, call: ControlCall) -> Result<ControlReply> {
+pub async fn apply_call(services: &Arc<FleetServices>, call: ControlCall) -> Result<ControlReply> {
     let mut reply = ControlReply::default();
     match call {
         ControlCall::SetFaults { targets, faults } => {
-            for target in chosen(services, &targets)? {
+            for target in select_targets(services, &targets)? {
                 target.state().set_faults(faults);
             }
         }
         ControlCall::Silence { targets } => {
-            for target in chosen(services, &targets)? {
-                target.state().life().silence();
+            for target in select_targets(services, &targets)? {
+                target.state().lifecycle().silence_connections();
             }
         }
         ControlCall::Crash { targets, down_ms } => {
-            for target in chosen(services, &targets)? {
-                target.state().life().crash(Duration::from_millis(down_ms));
+            for target in select_targets(services, &targets)? {
+                target
+                    .state()
+                    .lifecycle()
+                    .crash(Duration::from_millis(down_ms));
             }
         }
         ControlCall::Publish {
@@ -154,7 +157,7 @@
             grace_ms,
             platform,
         } => {
-            services.advance(&service, shards, Duration::from_millis(grace_ms))?;
+            services.install_next_version(&service, shards, Duration::from_millis(grace_ms))?;
             let manifest = services.manifest(&service, SnapshotId(1))?;
             reply.manifest = Some(match platform {
                 Some(platform) => registration::publish(platform, manifest).await?,
@@ -167,40 +170,47 @@
             stop_after_ms,
         } => {
             let wait = Duration::from_millis(stop_after_ms);
-            leave(services, targets, platform, wait).await?;
+            start_leaving(services, targets, platform, wait).await?;
         }
         ControlCall::Stop { targets } => {
-            chosen(services, &targets)?;
-            tokio::spawn(stop_later(Arc::clone(services), targets, Duration::ZERO));
+            select_targets(services, &targets)?;
+            tokio::spawn(stop_after_delay(
+                Arc::clone(services),
+                targets,
+                Duration::ZERO,
+            ));
         }
     }
     Ok(reply)
 }
 
-async fn leave(
+async fn start_leaving(
     services: &Arc<FleetServices>,
     targets: Vec<TargetId>,
     platform: SocketAddr,
     wait: Duration,
 ) -> Result<()> {
-    for target in chosen(services, &targets)? {
-        services.note_leaving(&target.state().spec().target);
-        if let Some(host) = services.host(target) {
+    for target in select_targets(services, &targets)? {
+        services.record_leaving(&target.state().spec().target);
+        if let Some(host) = services.host_record(target) {
             registration::put_host(platform, &host).await?;
         }
     }
-    tokio::spawn(stop_later(Arc::clone(services), targets, wait));
+    tokio::spawn(stop_after_delay(Arc::clone(services), targets, wait));
     Ok(())
 }
 
-async fn stop_later(services: Arc<FleetServices>, targets: Vec<TargetId>, wait: Duration) {
+async fn stop_after_delay(services: Arc<FleetServices>, targets: Vec<TargetId>, wait: Duration) {
     tokio::time::sleep(wait).await;
     let servers = targets.iter().filter_map(|target| services.target(target));
     futures::future::join_all(servers.map(TargetServer::stop)).await;
 }
 
 /// Gets the named targets; all where none is named.
-fn chosen<'s>(services: &'s FleetServices, names: &[TargetId]) -> Result<Vec<&'s TargetServer>> {
+fn select_targets<'s>(
+    services: &'s FleetServices,
+    names: &[TargetId],
+) -> Result<Vec<&'s TargetServer>> {
     if names.is_empty() {
         return Ok(services.targets().collect());
     }
--- a/alderhaven-standin/src/fleet_services.rs
+++ b/alderhaven-standin/src/fleet_services.rs
@@ -19,8 +19,8 @@
 #[derive(Debug)]
 pub struct FleetServices {
     services: Vec<RunningService>,
-    runs: Arc<RunLog>,
-    leavings: Mutex<Vec<LeavingRecord>>,
+    run_log: Arc<RunLog>,
+    leaving: Mutex<Vec<LeavingRecord>>,
 }
 
 /// A `LeavingRecord` is the moment from which the host list called a target leaving.
@@ -29,7 +29,7 @@
     /// The target.
     pub target: TargetId,
     /// The moment, in microseconds since the run log began.
-    pub at_us: u64,
+    pub leaving_since_us: u64,
 }
 
 /// A `RunningService` is one service with its targets.
@@ -55,8 +55,8 @@
         }
         Ok(Self {
             services,
-            runs,
-            leavings: Mutex::default(),
+            run_log: runs,
+            leaving: Mutex::default(),
         })
     }
 
@@ -65,7 +65,7 @@
     pub fn manifests(&self, snapshot: SnapshotId) -> Vec<SnapshotManifest> {
         self.services
             .iter()
-            .map(|service| service.manifest(snapshot, &self.leavings()))
+            .map(|service| service.manifest(snapshot, &self.leaving_targets()))
             .collect()
     }
 
@@ -78,8 +78,8 @@
         service: &ServiceName,
         snapshot: SnapshotId,
     ) -> Result<SnapshotManifest> {
-        let service = self.service(service)?;
-        Ok(service.manifest(snapshot, &self.leavings()))
+        let service = self.find_service(service)?;
+        Ok(service.manifest(snapshot, &self.leaving_targets()))
     }
 
     /// Gives a service's targets the next index version, with `shards` shards where that is given;
@@ -89,29 +89,30 @@
     ///
     /// # Errors
     /// `Error::Invalid` for a service that is not there or more shards than targets.
-    pub fn advance(
+    pub fn install_next_version(
         &self,
         service: &ServiceName,
         shards: Option<u32>,
         grace: Duration,
     ) -> Result<()> {
-        self.service(service)?.advance(shards, grace)
+        self.find_service(service)?
+            .install_next_version(shards, grace)
     }
 
     /// Gets the targets' lines of the host list, without those that stopped.
     #[must_use]
-    pub fn hosts(&self) -> Vec<HostRecord> {
+    pub fn host_records(&self) -> Vec<HostRecord> {
         self.targets()
             .filter(|target| !target.is_stopping())
-            .filter_map(|target| self.host(target))
+            .filter_map(|target| self.host_record(target))
             .collect()
     }
 
     /// Gets a target's line of the host list.
     #[must_use]
-    pub fn host(&self, target: &TargetServer) -> Option<HostRecord> {
-        let replica = target.replica();
-        let is_leaving = is_leaving(&self.lock(), &replica.target);
+    pub fn host_record(&self, target: &TargetServer) -> Option<HostRecord> {
+        let replica = target.replica_entry();
+        let is_leaving = is_leaving(&self.lock_leaving(), &replica.target);
         Some(HostRecord {
             host: replica.target.as_str().parse().ok()?,
             role: HostRole::Target,
@@ -126,21 +127,21 @@
     }
 
     /// Notes that a target leaves from now on.
-    pub fn note_leaving(&self, target: &TargetId) {
-        let at_us = self.runs.now_us();
-        let mut leavings = self.lock();
+    pub fn record_leaving(&self, target: &TargetId) {
+        let at_us = self.run_log.elapsed_us();
+        let mut leavings = self.lock_leaving();
         if !is_leaving(&leavings, target) {
             leavings.push(LeavingRecord {
                 target: target.clone(),
-                at_us,
+                leaving_since_us: at_us,
             });
         }
     }
 
     /// Gets the targets that leave or left.
     #[must_use]
-    pub fn leavings(&self) -> Vec<LeavingRecord> {
-        self.lock().clone()
+    pub fn leaving_targets(&self) -> Vec<LeavingRecord> {
+        self.lock_leaving().clone()
     }
 
     /// Gets all targets, by service, shard and replica.
@@ -157,19 +158,19 @@
 
     /// Gets the record of runs.
     #[must_use]
-    pub const fn runs(&self) -> &Arc<RunLog> {
-        &self.runs
+    pub const fn run_log(&self) -> &Arc<RunLog> {
+        &self.run_log
     }
 
-    fn service(&self, name: &ServiceName) -> Result<&RunningService> {
+    fn find_service(&self, name: &ServiceName) -> Result<&RunningService> {
         self.services
             .iter()
             .find(|service| service.layout().service == *name)
             .ok_or_else(|| Error::invalid("service", format!("there is no `{name}`")))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<LeavingRecord>> {
-        self.leavings.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_leaving(&self) -> MutexGuard<'_, Vec<LeavingRecord>> {
+        self.leaving.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -178,7 +179,8 @@
         let mut targets = Vec::new();
         for shard in 0..layout.shards {
             for replica in 0..layout.replicas {
-                let spec = spec_of(&layout, shard, replica, seed).map_err(invalid_input)?;
+                let spec =
+                    build_target_spec(&layout, shard, replica, seed).map_err(invalid_input)?;
                 targets.push(TargetServer::start(spec, Arc::clone(runs)).await?);
             }
         }
@@ -188,7 +190,7 @@
         })
     }
 
-    fn advance(&self, shards: Option<u32>, grace: Duration) -> Result<()> {
+    fn install_next_version(&self, shards: Option<u32>, grace: Duration) -> Result<()> {
         let mut layout = self.layout();
         let mut next = layout.clone();
         next.shards = shards.unwrap_or(layout.shards);
@@ -231,7 +233,10 @@
                 shard,
                 version: layout.version,
                 first_key: layout.first_key(shard),
-                replicas: listed.into_iter().map(TargetServer::replica).collect(),
+                replicas: listed
+                    .into_iter()
+                    .map(TargetServer::replica_entry)
+                    .collect(),
             }
         });
         SnapshotManifest {
@@ -250,8 +255,13 @@
     leavings.iter().any(|leaving| leaving.target == *target)
 }
 
-fn spec_of(layout: &ServiceLayout, shard: u32, replica: u32, seed: u64) -> Result<TargetSpec> {
-    let target = layout.target(shard, replica)?;
+fn build_target_spec(
+    layout: &ServiceLayout,
+    shard: u32,
+    replica: u32,
+    seed: u64,
+) -> Result<TargetSpec> {
+    let target = layout.target_id(shard, replica)?;
     // Each target has a seed of its own, or all replicas would be slow at the same run.
     let mut head = [0_u8; 8];
     let hash = blake3::hash(format!("{seed}/{target}").as_bytes());
@@ -264,7 +274,7 @@
         version: layout.version,
         slots: layout.slots,
         connections: layout.connections,
-        queue: layout.queue,
+        max_queue_length: layout.max_queue_length,
         connect_cost: layout.connect_cost,
         service_time: layout.service_time.clone(),
         seed: u64::from_le_bytes(head),
--- a/alderhaven-standin/src/held_indexes.rs
+++ b/alderhaven-standin/src/held_indexes.rs
@@ -9,7 +9,7 @@
 /// A `HeldIndexes` is the set of indexes of a target.
 #[derive(Debug)]
 pub struct HeldIndexes {
-    held: Mutex<HeldState>,
+    state: Mutex<HeldState>,
 }
 
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// The target holds or held the shard, and not this version any more.
     Gone,
     /// The shard is not the target's.
-    Elsewhere,
+    OtherShard,
 }
 
 impl HeldIndexes {
@@ -44,7 +44,7 @@
     #[must_use]
     pub const fn new(current: HeldIndex) -> Self {
         Self {
-            held: Mutex::new(HeldState {
+            state: Mutex::new(HeldState {
                 current,
                 former: Vec::new(),
             }),
@@ -54,12 +54,12 @@
     /// Gets the current index.
     #[must_use]
     pub fn current(&self) -> HeldIndex {
-        self.lock().current
+        self.lock_state().current
     }
 
     /// Makes another index the current one; the former is kept for `grace`.
     pub fn replace(&self, next: HeldIndex, grace: Duration) {
-        let mut held = self.lock();
+        let mut held = self.lock_state();
         let former = std::mem::replace(&mut held.current, next);
         held.former.push((former, Instant::now() + grace));
     }
@@ -67,7 +67,7 @@
     /// Says whether an index is held now.
     #[must_use]
     pub fn state_of(&self, asked: HeldIndex) -> IndexState {
-        let held = self.lock();
+        let held = self.lock_state();
         let now = Instant::now();
         let is_kept = |(former, until): &(HeldIndex, Instant)| *former == asked && now < *until;
         if held.current == asked || held.former.iter().any(is_kept) {
@@ -81,11 +81,11 @@
         if is_known {
             IndexState::Gone
         } else {
-            IndexState::Elsewhere
+            IndexState::OtherShard
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HeldState> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_state(&self) -> MutexGuard<'_, HeldState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/alderhaven-standin/src/http_caller.rs
+++ b/alderhaven-standin/src/http_connection.rs
@@ -13,12 +13,12 @@
 
 /// An `HttpCaller` sends one request at a time over its connection.
 #[derive(Debug)]
-pub struct HttpCaller {
-    host: HeaderValue,
+pub struct HttpConnection {
+    host_header: HeaderValue,
     sender: SendRequest<Full<Bytes>>,
 }
 
-impl HttpCaller {
+impl HttpConnection {
     /// Connects.
     ///
     /// # Errors
@@ -30,7 +30,7 @@
         // The connection's end shows in the next call.
         tokio::spawn(connection);
         Ok(Self {
-            host: HeaderValue::from_str(&server.to_string())?,
+            host_header: HeaderValue::from_str(&server.to_string())?,
             sender,
         })
     }
@@ -39,8 +39,8 @@
     ///
     /// # Errors
     /// Where the connection ends before the reply does.
-    pub async fn call(&mut self, mut request: Request<Full<Bytes>>) -> Result<Response<Bytes>> {
-        request.headers_mut().insert(HOST, self.host.clone());
+    pub async fn send(&mut self, mut request: Request<Full<Bytes>>) -> Result<Response<Bytes>> {
+        request.headers_mut().insert(HOST, self.host_header.clone());
         self.sender.ready().await?;
         let response = self.sender.send_request(request).await?;
         let (parts, body) = response.into_parts();
--- a/alderhaven-standin/src/http_server.rs
+++ b/alderhaven-standin/src/http_server.rs
@@ -25,21 +25,21 @@
 
 /// A `ConnectionCut` ends a connection without a reply.
 #[derive(Clone, Copy, Debug)]
-pub struct ConnectionCut;
+pub struct ConnectionAborted;
 
-impl fmt::Display for ConnectionCut {
+impl fmt::Display for ConnectionAborted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("the connection is cut without a reply")
     }
 }
 
-impl std::error::Error for ConnectionCut {}
+impl std::error::Error for ConnectionAborted {}
 
 /// A `ServerHandle` is a running server.
 #[derive(Debug)]
 pub struct ServerHandle {
     address: SocketAddr,
-    stopping: CancellationToken,
+    stop_token: CancellationToken,
     tasks: TaskTracker,
 }
 
@@ -51,19 +51,19 @@
     pub async fn start<H, F>(listen: SocketAddr, handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-        F: Future<Output = Result<HttpReply, ConnectionCut>> + Send + 'static,
+        F: Future<Output = Result<HttpReply, ConnectionAborted>> + Send + 'static,
     {
         let listener = TcpListener::bind(listen).await?;
         let server = Self {
             address: listener.local_addr()?,
-            stopping: CancellationToken::new(),
+            stop_token: CancellationToken::new(),
             tasks: TaskTracker::new(),
         };
-        let stopping = server.stopping.clone();
+        let stopping = server.stop_token.clone();
         let tasks = server.tasks.clone();
         server.tasks.spawn(async move {
-            while let Some(stream) = accept(&listener, &stopping).await {
-                tasks.spawn(serve(stream, handler.clone(), stopping.clone()));
+            while let Some(stream) = accept_connection(&listener, &stopping).await {
+                tasks.spawn(serve_connection(stream, handler.clone(), stopping.clone()));
             }
         });
         Ok(server)
@@ -77,14 +77,17 @@
 
     /// Stops taking connections, lets the requests in flight finish and waits for them.
     pub async fn stop(&self) {
-        self.stopping.cancel();
+        self.stop_token.cancel();
         self.tasks.close();
         self.tasks.wait().await;
     }
 }
 
 /// Accepts the next connection; none where the server stops.
-pub async fn accept(listener: &TcpListener, stopping: &CancellationToken) -> Option<TcpStream> {
+pub async fn accept_connection(
+    listener: &TcpListener,
+    stopping: &CancellationToken,
+) -> Option<TcpStream> {
     loop {
         let accepted = tokio::select! {
             () = stopping.cancelled() => return None,
@@ -103,10 +106,10 @@
 }
 
 /// Serves one connection until its end, or until the requests in flight are done at a stop.
-pub async fn serve<H, F>(stream: TcpStream, handler: H, stopping: CancellationToken)
+pub async fn serve_connection<H, F>(stream: TcpStream, handler: H, stopping: CancellationToken)
 where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
-    F: Future<Output = Result<HttpReply, ConnectionCut>> + Send + 'static,
+    F: Future<Output = Result<HttpReply, ConnectionAborted>> + Send + 'static,
 {
     let connection =
         http1::Builder::new().serve_connection(TokioIo::new(stream), service_fn(handler));
@@ -122,17 +125,17 @@
 /// Returns a reply with a JSON body.
 pub fn json_reply(status: StatusCode, content: &impl Serialize) -> HttpReply {
     match serde_json::to_vec(content) {
-        Ok(body) => reply(status, "application/json", Bytes::from(body)),
+        Ok(body) => build_reply(status, "application/json", Bytes::from(body)),
         Err(error) => text_reply(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
 
 /// Returns a reply with a plain text.
 pub fn text_reply(status: StatusCode, text: impl Into<String>) -> HttpReply {
-    reply(status, "text/plain", Bytes::from(text.into()))
+    build_reply(status, "text/plain", Bytes::from(text.into()))
 }
 
-fn reply(status: StatusCode, content_type: &'static str, body: Bytes) -> HttpReply {
+fn build_reply(status: StatusCode, content_type: &'static str, body: Bytes) -> HttpReply {
     let mut reply = Response::new(Full::new(body));
     *reply.status_mut() = status;
     reply.headers_mut().insert(
@@ -144,20 +147,20 @@
 
 /// A `BodyRefusal` says why the body of a request could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyRefusal {
+pub enum BodyError {
     /// The body is larger than [`MAX_BODY_BYTES`].
     TooLarge,
     /// The body was broken off.
-    Broken,
+    Truncated,
 }
 
-impl BodyRefusal {
+impl BodyError {
     /// Gets the reply that tells the caller.
     #[must_use]
     pub fn reply(self) -> HttpReply {
         match self {
             Self::TooLarge => text_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-            Self::Broken => text_reply(StatusCode::BAD_REQUEST, "the body was broken off"),
+            Self::Truncated => text_reply(StatusCode::BAD_REQUEST, "the body was broken off"),
         }
     }
 }
@@ -166,18 +169,18 @@
 ///
 /// # Errors
 /// `BodyRefusal` where the body is too large or broken off.
-pub async fn read_body(body: Incoming) -> Result<Bytes, BodyRefusal> {
+pub async fn read_body(body: Incoming) -> Result<Bytes, BodyError> {
     let limited = Limited::new(body, MAX_BODY_BYTES);
     match limited.collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(BodyRefusal::TooLarge),
-        Err(_) => Err(BodyRefusal::Broken),
+        Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLarge),
+        Err(_) => Err(BodyError::Truncated),
     }
 }
 
 /// Gets a value of a query string by its name.
 #[must_use]
-pub fn query_value<'q>(query: Option<&'q str>, name: &str) -> Option<&'q str> {
+pub fn query_parameter<'q>(query: Option<&'q str>, name: &str) -> Option<&'q str> {
     query?
         .split('&')
         .filter_map(|pair| pair.split_once('='))
--- a/alderhaven-standin/src/main.rs
+++ b/alderhaven-standin/src/main.rs
@@ -19,7 +19,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// The exit code for arguments, files and addresses that can't be used.
-const BAD_SETTINGS: u8 = 2;
+const EXIT_BAD_SETTINGS: u8 = 2;
 
 /// Small stand-ins of the platform and of targets, for trials on loopback.
 #[derive(FromArgs)]
@@ -111,7 +111,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             print_error(&error);
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(EXIT_BAD_SETTINGS)
         }
     }
 }
@@ -131,7 +131,7 @@
         ready: true,
         address: platform.address(),
     })?;
-    wait_for_stop().await?;
+    wait_for_stop_signal().await?;
     platform.stop().await;
     Ok(())
 }
@@ -162,7 +162,7 @@
         control: fleet.control_address(),
         manifests,
     })?;
-    wait_for_stop().await?;
+    wait_for_stop_signal().await?;
     fleet.stop().await;
     Ok(())
 }
@@ -181,7 +181,7 @@
     eprintln!("alder-standin: {error:#}");
 }
 
-async fn wait_for_stop() -> Result<()> {
+async fn wait_for_stop_signal() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     tokio::select! {
         _ = terminate.recv() => {}
--- a/alderhaven-standin/src/object_set.rs
+++ b/alderhaven-standin/src/object_set.rs
@@ -37,20 +37,23 @@
         let templates = self
             .templates
             .iter()
-            .map(|template| object(ObjectKind::Template, template.name.as_str(), template));
+            .map(|template| encode_object(ObjectKind::Template, template.name.as_str(), template));
         let teams = self
             .teams
             .iter()
-            .map(|team| object(ObjectKind::Team, team.name.as_str(), team));
-        let manifests = self
-            .manifests
-            .iter()
-            .map(|manifest| object(ObjectKind::Manifest, manifest.service.as_str(), manifest));
+            .map(|team| encode_object(ObjectKind::Team, team.name.as_str(), team));
+        let manifests = self.manifests.iter().map(|manifest| {
+            encode_object(ObjectKind::Manifest, manifest.service.as_str(), manifest)
+        });
         templates.chain(teams).chain(manifests).collect()
     }
 }
 
-fn object(kind: ObjectKind, name: &str, content: &impl Serialize) -> Result<(ObjectKey, String)> {
+fn encode_object(
+    kind: ObjectKind,
+    name: &str,
+    content: &impl Serialize,
+) -> Result<(ObjectKey, String)> {
     let key = ObjectKey {
         kind,
         name: name.to_owned(),
--- a/alderhaven-standin/src/object_table.rs
+++ b/alderhaven-standin/src/object_table.rs
@@ -7,19 +7,19 @@
 use alderhaven_store::object_store::{ConditionalWrite, ObjectList, WatchOutcome, WriteOutcome};
 
 /// The number of revisions that a watch may lag behind before it has to list again.
-pub const DEFAULT_HISTORY: u64 = 10_000;
+pub const DEFAULT_HISTORY_REVISIONS: u64 = 10_000;
 
 /// An `ObjectTable` holds the objects, without network, clock or faults.
 #[derive(Clone, Debug)]
 pub struct ObjectTable {
     objects: BTreeMap<ObjectKey, StoredObject>,
     revision: StoreVersion,
-    history: u64,
+    history_revisions: u64,
 }
 
 impl Default for ObjectTable {
     fn default() -> Self {
-        Self::new(DEFAULT_HISTORY)
+        Self::new(DEFAULT_HISTORY_REVISIONS)
     }
 }
 
@@ -30,7 +30,7 @@
         Self {
             objects: BTreeMap::new(),
             revision: StoreVersion(0),
-            history,
+            history_revisions: history,
         }
     }
 
@@ -90,9 +90,9 @@
     /// restored from an older copy), is a gap.
     #[must_use]
     pub fn changes(&self, kinds: &[ObjectKind], after: StoreVersion) -> WatchOutcome {
-        let oldest = self.revision.0.saturating_sub(self.history);
+        let oldest = self.revision.0.saturating_sub(self.history_revisions);
         if after.0 < oldest || after > self.revision {
-            return WatchOutcome::Gap;
+            return WatchOutcome::Compacted;
         }
         let mut objects: Vec<StoredObject> = self
             .of_kinds(kinds)
--- a/alderhaven-standin/src/platform_server.rs
+++ b/alderhaven-standin/src/platform_server.rs
@@ -23,7 +23,7 @@
 
 use crate::fake_store::FakeStore;
 use crate::http_server::{
-    BodyRefusal, ConnectionCut, HttpReply, ServerHandle, json_reply, query_value, read_body,
+    BodyError, ConnectionAborted, HttpReply, ServerHandle, json_reply, query_parameter, read_body,
     text_reply,
 };
 use crate::object_set::ObjectSet;
@@ -58,31 +58,31 @@
 pub struct PlatformServer {
     store: FakeStore,
     server: ServerHandle,
-    closing: CancellationToken,
+    close_token: CancellationToken,
 }
 
 /// A `CallEnd` says how a call ends where it has no result to show.
-enum CallEnd {
+enum CallError {
     Reply(Box<HttpReply>),
-    Cut,
+    Aborted,
 }
 
-impl From<HttpReply> for CallEnd {
+impl From<HttpReply> for CallError {
     fn from(reply: HttpReply) -> Self {
         Self::Reply(Box::new(reply))
     }
 }
 
-impl From<BodyRefusal> for CallEnd {
-    fn from(refusal: BodyRefusal) -> Self {
+impl From<BodyError> for CallError {
+    fn from(refusal: BodyError) -> Self {
         refusal.reply().into()
     }
 }
 
-impl From<StoreError> for CallEnd {
+impl From<StoreError> for CallError {
     fn from(error: StoreError) -> Self {
         match error {
-            StoreError::Unknown { .. } => Self::Cut,
+            StoreError::Unknown { .. } => Self::Aborted,
             StoreError::NotDone {
                 reason,
                 retry_after: None,
@@ -100,7 +100,7 @@
     }
 }
 
-type CallResult = Result<HttpReply, CallEnd>;
+type CallResult = Result<HttpReply, CallError>;
 
 impl PlatformServer {
     /// Starts the server.
@@ -126,13 +126,13 @@
             let closed = closed.clone();
             async move {
                 let result = tokio::select! {
-                    result = handle(&store, request) => result,
-                    () = closed.cancelled() => Err(CallEnd::Cut),
+                    result = handle_request(&store, request) => result,
+                    () = closed.cancelled() => Err(CallError::Aborted),
                 };
                 match result {
                     Ok(reply) => Ok(reply),
-                    Err(CallEnd::Reply(reply)) => Ok(*reply),
-                    Err(CallEnd::Cut) => Err(ConnectionCut),
+                    Err(CallError::Reply(reply)) => Ok(*reply),
+                    Err(CallError::Aborted) => Err(ConnectionAborted),
                 }
             }
         })
@@ -140,7 +140,7 @@
         Ok(Self {
             store,
             server,
-            closing,
+            close_token: closing,
         })
     }
 
@@ -158,12 +158,12 @@
 
     /// Stops the server; waiting watches and other calls in flight are cut off.
     pub async fn stop(&self) {
-        self.closing.cancel();
+        self.close_token.cancel();
         self.server.stop().await;
     }
 }
 
-async fn handle(store: &FakeStore, request: Request<Incoming>) -> CallResult {
+async fn handle_request(store: &FakeStore, request: Request<Incoming>) -> CallResult {
     let (parts, body) = request.into_parts();
     let path = parts.uri.path().to_owned();
     let segments: Vec<&str> = path.split('/').skip(1).collect();
@@ -196,16 +196,16 @@
             Ok(json_reply(StatusCode::OK, &store.faults()))
         }
         (&Method::POST, ["release"]) => {
-            store.release_held();
+            store.release_held_writes();
             Ok(text_reply(StatusCode::OK, ""))
         }
-        (&Method::GET, ["calls"]) => Ok(json_reply(StatusCode::OK, &store.calls())),
+        (&Method::GET, ["calls"]) => Ok(json_reply(StatusCode::OK, &store.call_counts())),
         _ => Ok(text_reply(StatusCode::NOT_FOUND, "no such call")),
     }
 }
 
 async fn list(store: &FakeStore, parts: &Parts) -> CallResult {
-    let list = store.list(&kinds_of(parts)?).await?;
+    let list = store.list(&parse_kinds(parts)?).await?;
     Ok(json_reply(StatusCode::OK, &list))
 }
 
@@ -244,30 +244,30 @@
 }
 
 async fn watch(store: &FakeStore, parts: &Parts) -> CallResult {
-    let kinds = kinds_of(parts)?;
+    let kinds = parse_kinds(parts)?;
     let after = StoreVersion(query_number(parts, "after")?);
     let wait = TimeSpan::from_millis(query_number(parts, "wait_ms")?).min(MAX_WATCH_WAIT);
     match store.watch(&kinds, after, wait).await? {
         WatchOutcome::Changes(list) => Ok(json_reply(StatusCode::OK, &list)),
-        WatchOutcome::Gap => Ok(text_reply(StatusCode::GONE, "list again")),
+        WatchOutcome::Compacted => Ok(text_reply(StatusCode::GONE, "list again")),
     }
 }
 
-fn kinds_of(parts: &Parts) -> Result<Vec<ObjectKind>, CallEnd> {
-    query_value(parts.uri.query(), "kinds")
+fn parse_kinds(parts: &Parts) -> Result<Vec<ObjectKind>, CallError> {
+    query_parameter(parts.uri.query(), "kinds")
         .unwrap_or_default()
         .split(',')
         .map(|kind| kind.parse().map_err(bad_request))
         .collect()
 }
 
-fn query_number(parts: &Parts, name: &str) -> Result<u64, CallEnd> {
-    query_value(parts.uri.query(), name)
+fn query_number(parts: &Parts, name: &str) -> Result<u64, CallError> {
+    query_parameter(parts.uri.query(), name)
         .and_then(|text| text.parse().ok())
         .ok_or_else(|| bad_request(format!("`{name}` must be a whole number")))
 }
 
-fn object_key(kind: &str, name: &str) -> Result<ObjectKey, CallEnd> {
+fn object_key(kind: &str, name: &str) -> Result<ObjectKey, CallError> {
     // Objects are named like hosts: the same characters, the same length.
     let name: HostId = name.parse().map_err(bad_request)?;
     Ok(ObjectKey {
@@ -276,29 +276,29 @@
     })
 }
 
-fn header_text<'h>(headers: &'h HeaderMap, name: &str) -> Result<&'h str, CallEnd> {
+fn header_text<'h>(headers: &'h HeaderMap, name: &str) -> Result<&'h str, CallError> {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
         .ok_or_else(|| bad_request(format!("header `{name}` is required")))
 }
 
-fn header_number(headers: &HeaderMap, name: &str) -> Result<u64, CallEnd> {
+fn header_number(headers: &HeaderMap, name: &str) -> Result<u64, CallError> {
     header_text(headers, name)?
         .parse()
         .map_err(|_| bad_request(format!("header `{name}` must be a whole number")))
 }
 
-async fn read_text(body: Incoming) -> Result<String, CallEnd> {
+async fn read_text(body: Incoming) -> Result<String, CallError> {
     let bytes = read_body(body).await?;
     String::from_utf8(bytes.to_vec()).map_err(bad_request)
 }
 
-async fn read_json<T: serde::de::DeserializeOwned>(body: Incoming) -> Result<T, CallEnd> {
+async fn read_json<T: serde::de::DeserializeOwned>(body: Incoming) -> Result<T, CallError> {
     let bytes = read_body(body).await?;
     serde_json::from_slice(&bytes).map_err(bad_request)
 }
 
-fn bad_request(reason: impl std::fmt::Display) -> CallEnd {
+fn bad_request(reason: impl std::fmt::Display) -> CallError {
     text_reply(StatusCode::BAD_REQUEST, reason.to_string()).into()
 }
--- a/alderhaven-standin/src/rate_gate.rs
+++ b/alderhaven-standin/src/rate_limiter.rs
@@ -7,20 +7,20 @@
 
 /// A `RateGate` is a token bucket that says how long to wait where a call comes too early.
 #[derive(Clone, Debug)]
-pub struct RateGate {
+pub struct RateLimiter {
     per_second: f64,
     tokens: f64,
-    refilled: TimePoint,
+    refilled_at: TimePoint,
 }
 
-impl RateGate {
+impl RateLimiter {
     /// Returns a full gate for `per_second` calls a second.
     #[must_use]
     pub fn new(per_second: f64) -> Self {
         Self {
             per_second,
-            tokens: Self::burst(per_second),
-            refilled: TimePoint::START,
+            tokens: Self::burst_capacity(per_second),
+            refilled_at: TimePoint::START,
         }
     }
 
@@ -29,9 +29,9 @@
     /// # Errors
     /// The span after which the next call fits, where this one is above the rate.
     pub fn admit(&mut self, now: TimePoint) -> Result<(), TimeSpan> {
-        let gained = now.since(self.refilled).as_secs_f64() * self.per_second;
-        self.tokens = (self.tokens + gained).min(Self::burst(self.per_second));
-        self.refilled = now;
+        let gained = now.since(self.refilled_at).as_secs_f64() * self.per_second;
+        self.tokens = (self.tokens + gained).min(Self::burst_capacity(self.per_second));
+        self.refilled_at = now;
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
@@ -40,7 +40,7 @@
         Err(TimeSpan::from_secs(1).mul_f64(missing.min(60.0)))
     }
 
-    fn burst(per_second: f64) -> f64 {
+    fn burst_capacity(per_second: f64) -> f64 {
         (per_second * BURST_SHARE).max(1.0)
     }
 }
--- a/alderhaven-standin/src/registration.rs
+++ b/alderhaven-standin/src/registration.rs
@@ -12,7 +12,7 @@
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
 
-use crate::http_caller::HttpCaller;
+use crate::http_connection::HttpConnection;
 use crate::target_fleet::TargetFleet;
 
 /// Registers the fleet, and gets the manifests as they were written.
@@ -27,7 +27,7 @@
     for manifest in fleet.manifests(SnapshotId(1)) {
         written.push(put_manifest(&mut caller, manifest).await?);
     }
-    for host in fleet.hosts() {
+    for host in fleet.host_records() {
         write_host(&mut caller, &host).await?;
     }
     Ok(written)
@@ -50,25 +50,25 @@
     write_host(&mut connect(platform).await?, host).await
 }
 
-async fn connect(platform: SocketAddr) -> Result<HttpCaller> {
-    HttpCaller::connect(platform)
+async fn connect(platform: SocketAddr) -> Result<HttpConnection> {
+    HttpConnection::connect(platform)
         .await
         .wrap_err_with(|| format!("can't reach the platform at {platform}"))
 }
 
-async fn write_host(caller: &mut HttpCaller, host: &HostRecord) -> Result<()> {
+async fn write_host(caller: &mut HttpConnection, host: &HostRecord) -> Result<()> {
     let path = format!("/hosts/{}", host.host);
     let body = serde_json::to_vec(host)?;
-    call(caller, Method::PUT, &path, 0, body).await?;
+    send_request(caller, Method::PUT, &path, 0, body).await?;
     Ok(())
 }
 
 async fn put_manifest(
-    caller: &mut HttpCaller,
+    caller: &mut HttpConnection,
     mut manifest: SnapshotManifest,
 ) -> Result<SnapshotManifest> {
     let path = format!("/objects/{}/{}", ObjectKind::Manifest, manifest.service);
-    let (status, body) = call(caller, Method::GET, &path, 0, Vec::new()).await?;
+    let (status, body) = send_request(caller, Method::GET, &path, 0, Vec::new()).await?;
     let mut expected = 0;
     if status == StatusCode::OK {
         let stored: StoredObject = serde_json::from_slice(&body)?;
@@ -79,7 +79,7 @@
         }
     }
     let body = serde_json::to_vec(&manifest)?;
-    let (status, _) = call(caller, Method::PUT, &path, expected, body).await?;
+    let (status, _) = send_request(caller, Method::PUT, &path, expected, body).await?;
     if status == StatusCode::CONFLICT {
         bail!("another writer changed {path} at the same time");
     }
@@ -87,8 +87,8 @@
 }
 
 /// Makes a call; a status other than 200, 404 and 409 is an error.
-async fn call(
-    caller: &mut HttpCaller,
+async fn send_request(
+    caller: &mut HttpConnection,
     method: Method,
     path: &str,
     expected: u64,
@@ -100,7 +100,7 @@
         .header(IF_VERSION_HEADER, expected)
         .header(WRITE_ID_HEADER, uuid::Uuid::new_v4().to_string())
         .body(Full::new(Bytes::from(body)))?;
-    let response = caller.call(request).await?;
+    let response = caller.send(request).await?;
     match response.status() {
         status @ (StatusCode::OK | StatusCode::NOT_FOUND | StatusCode::CONFLICT) => {
             Ok((status, response.into_body()))
--- a/alderhaven-standin/src/rows.rs
+++ b/alderhaven-standin/src/rows.rs
@@ -31,7 +31,7 @@
 ///
 /// `parameters` is the canonical JSON text.
 #[must_use]
-pub fn rows_for(
+pub fn derive_rows(
     service: &ServiceName,
     shard: ShardId,
     version: IndexVersion,
--- a/alderhaven-standin/src/run_log.rs
+++ b/alderhaven-standin/src/run_log.rs
@@ -31,13 +31,13 @@
     /// When the run ended, 0 while it runs.
     pub ended_us: u64,
     /// How the run ended.
-    pub end: RunEnd,
+    pub status: RunStatus,
 }
 
 /// A `RunEnd` says how a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RunEnd {
+pub enum RunStatus {
     /// The run goes on.
     Running,
     /// The target answered.
@@ -53,22 +53,22 @@
 /// A `RunLog` keeps the records of a whole fleet.
 #[derive(Debug)]
 pub struct RunLog {
-    began: Instant,
-    kept: Mutex<KeptRuns>,
+    started_at: Instant,
+    state: Mutex<LogState>,
 }
 
 #[derive(Debug, Default)]
-struct KeptRuns {
+struct LogState {
     /// The number of records that were taken before those in `records`.
-    taken: usize,
+    taken_count: usize,
     records: Vec<RunRecord>,
 }
 
 impl Default for RunLog {
     fn default() -> Self {
         Self {
-            began: Instant::now(),
-            kept: Mutex::default(),
+            started_at: Instant::now(),
+            state: Mutex::default(),
         }
     }
 }
@@ -76,64 +76,64 @@
 impl RunLog {
     /// Gets the microseconds since the log began.
     #[must_use]
-    pub fn now_us(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX)
+    pub fn elapsed_us(&self) -> u64 {
+        u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
     /// Gets a copy of the records.
     #[must_use]
     pub fn records(&self) -> Vec<RunRecord> {
-        self.lock().records.clone()
+        self.lock_state().records.clone()
     }
 
     /// Takes the records of runs out of the log; those still running keep the end they have now.
     #[must_use]
-    pub fn take(&self) -> Vec<RunRecord> {
-        let mut kept = self.lock();
-        kept.taken += kept.records.len();
+    pub fn take_records(&self) -> Vec<RunRecord> {
+        let mut kept = self.lock_state();
+        kept.taken_count += kept.records.len();
         std::mem::take(&mut kept.records)
     }
 
     /// Gets the number of recorded runs that go on.
     #[must_use]
-    pub fn running(&self) -> usize {
-        let kept = self.lock();
-        let running = |record: &&RunRecord| record.end == RunEnd::Running;
+    pub fn running_count(&self) -> usize {
+        let kept = self.lock_state();
+        let running = |record: &&RunRecord| record.status == RunStatus::Running;
         kept.records.iter().filter(running).count()
     }
 
     /// Gets the number of runs since the log began.
     #[must_use]
-    pub fn count(&self) -> usize {
-        let kept = self.lock();
-        kept.taken + kept.records.len()
+    pub fn run_count(&self) -> usize {
+        let kept = self.lock_state();
+        kept.taken_count + kept.records.len()
     }
 
     /// Begins a run; the guard ends it as dropped unless it is ended otherwise.
     #[must_use]
-    pub fn begin(self: &Arc<Self>, mut record: RunRecord) -> RunGuard {
-        record.started_us = self.now_us();
-        let mut kept = self.lock();
+    pub fn start_run(self: &Arc<Self>, mut record: RunRecord) -> RunGuard {
+        record.started_us = self.elapsed_us();
+        let mut kept = self.lock_state();
         kept.records.push(record);
-        let number = kept.taken + kept.records.len() - 1;
+        let number = kept.taken_count + kept.records.len() - 1;
         drop(kept);
         RunGuard {
             log: Arc::clone(self),
-            number,
-            end: RunEnd::Dropped,
+            run_number: number,
+            status: RunStatus::Dropped,
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, KeptRuns> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_state(&self) -> MutexGuard<'_, LogState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn end(&self, number: usize, end: RunEnd) {
-        let now = self.now_us();
-        let mut kept = self.lock();
-        let position = number.checked_sub(kept.taken);
+    fn end_run(&self, number: usize, end: RunStatus) {
+        let now = self.elapsed_us();
+        let mut kept = self.lock_state();
+        let position = number.checked_sub(kept.taken_count);
         if let Some(record) = position.and_then(|position| kept.records.get_mut(position)) {
-            record.end = end;
+            record.status = end;
             record.ended_us = now;
         }
     }
@@ -143,20 +143,20 @@
 #[derive(Debug)]
 pub struct RunGuard {
     log: Arc<RunLog>,
-    number: usize,
-    end: RunEnd,
+    run_number: usize,
+    status: RunStatus,
 }
 
 impl RunGuard {
     /// Ends the run.
-    pub fn finish(mut self, end: RunEnd) {
-        self.end = end;
+    pub fn finish(mut self, end: RunStatus) {
+        self.status = end;
     }
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.log.end(self.number, self.end);
+        self.log.end_run(self.run_number, self.status);
     }
 }
 
--- a/alderhaven-standin/src/service_layout.rs
+++ b/alderhaven-standin/src/service_layout.rs
@@ -11,7 +11,7 @@
 use crate::service_time::ServiceTime;
 
 /// The number of key ranges that decimal keys are cut into.
-const KEY_SPACE: u32 = 10_000;
+const KEY_RANGE_COUNT: u32 = 10_000;
 
 /// A `ServiceLayout` says how a service is spread over targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
     /// The connections that a target takes.
     pub connections: u32,
     /// The attempts that a target lets wait for a slot before it sheds.
-    pub queue: u32,
+    pub max_queue_length: u32,
     /// What a new connection costs before its first reply.
     pub connect_cost: TimeSpan,
     /// The failure domains, over which the replicas of a shard are spread.
@@ -72,7 +72,7 @@
 
 impl Default for ServiceLayout {
     fn default() -> Self {
-        sized("sample", (4, 2, 2, 25, 6), &["domain-1", "domain-2"])
+        build_layout("sample", (4, 2, 2, 25, 6), &["domain-1", "domain-2"])
     }
 }
 
@@ -84,33 +84,37 @@
         const LAGERBLIK: [&str; 3] = ["sjaelland-1", "sjaelland-2", "sjaelland-3"];
         match self {
             Self::Volta => vec![
-                sized("assignment-desk", (20, 2, 2, 25, 6), &VOLTA),
-                sized("trade-portal", (30, 2, 2, 25, 6), &VOLTA),
-                sized("record-view", (1, 4, 4, 100, 1), &VOLTA),
-                sized("billing-ledger", (1, 4, 4, 100, 1), &VOLTA),
+                build_layout("assignment-desk", (20, 2, 2, 25, 6), &VOLTA),
+                build_layout("trade-portal", (30, 2, 2, 25, 6), &VOLTA),
+                build_layout("record-view", (1, 4, 4, 100, 1), &VOLTA),
+                build_layout("billing-ledger", (1, 4, 4, 100, 1), &VOLTA),
             ],
             Self::Lagerblik => vec![
-                sized("shortage-desk", (20, 2, 2, 25, 6), &LAGERBLIK),
-                sized("stock-intake", (30, 2, 2, 25, 6), &LAGERBLIK),
-                sized("inspector-lookup", (1, 10, 3, 40, 1), &LAGERBLIK),
-                sized("monthly-statistics", (1, 5, 3, 40, 1), &LAGERBLIK),
+                build_layout("shortage-desk", (20, 2, 2, 25, 6), &LAGERBLIK),
+                build_layout("stock-intake", (30, 2, 2, 25, 6), &LAGERBLIK),
+                build_layout("inspector-lookup", (1, 10, 3, 40, 1), &LAGERBLIK),
+                build_layout("monthly-statistics", (1, 5, 3, 40, 1), &LAGERBLIK),
             ],
         }
     }
 }
 
 /// Returns a layout of shards, replicas, slots, connections and milliseconds a new connection.
-fn sized(service: &str, sizes: (u32, u32, u32, u32, u64), domains: &[&str]) -> ServiceLayout {
+fn build_layout(
+    service: &str,
+    sizes: (u32, u32, u32, u32, u64),
+    domains: &[&str],
+) -> ServiceLayout {
     let (shards, replicas, slots, connections, connect_ms) = sizes;
     ServiceLayout {
-        service: literal(service),
+        service: parse_literal(service),
         shards,
         replicas,
         slots,
         connections,
-        queue: 2 * slots,
+        max_queue_length: 2 * slots,
         connect_cost: TimeSpan::from_millis(connect_ms),
-        domains: domains.iter().copied().map(literal).collect(),
+        domains: domains.iter().copied().map(parse_literal).collect(),
         version: IndexVersion(1),
         service_time: ServiceTime::default(),
     }
@@ -121,7 +125,7 @@
     ///
     /// # Errors
     /// `Error::Parse` where the name becomes too long.
-    pub fn target(&self, shard: u32, replica: u32) -> Result<TargetId> {
+    pub fn target_id(&self, shard: u32, replica: u32) -> Result<TargetId> {
         format!("{}-{shard}-{replica}", self.service).parse()
     }
 
@@ -132,7 +136,7 @@
         self.domains
             .get(position)
             .cloned()
-            .unwrap_or_else(|| literal("domain-1"))
+            .unwrap_or_else(|| parse_literal("domain-1"))
     }
 
     /// Gets the least key of a shard: decimal keys are spread evenly.
@@ -141,7 +145,7 @@
         if shard.0 == 0 {
             return String::new();
         }
-        format!("{:04}", shard.0 * KEY_SPACE / self.shards.max(1))
+        format!("{:04}", shard.0 * KEY_RANGE_COUNT / self.shards.max(1))
     }
 
     /// Checks the layout.
@@ -168,7 +172,7 @@
 }
 
 /// Reads a name that stands in this file.
-fn literal<T: FromStr>(text: &str) -> T
+fn parse_literal<T: FromStr>(text: &str) -> T
 where
     T::Err: fmt::Debug,
 {
--- a/alderhaven-standin/src/service_time.rs
+++ b/alderhaven-standin/src/service_time.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The default mean of a run.
-const DEFAULT_MEAN: TimeSpan = TimeSpan::from_millis(4);
+const DEFAULT_MEAN_RUN_TIME: TimeSpan = TimeSpan::from_millis(4);
 /// The default spread: the 99th percentile is about 3 times the median.
 const DEFAULT_SIGMA: f64 = 0.5;
 
@@ -27,7 +27,7 @@
 impl Default for ServiceTime {
     fn default() -> Self {
         Self {
-            mean: DEFAULT_MEAN,
+            mean: DEFAULT_MEAN_RUN_TIME,
             sigma: DEFAULT_SIGMA,
             templates: BTreeMap::new(),
         }
@@ -42,7 +42,7 @@
     }
 
     /// Draws a run time.
-    pub fn draw(&self, template: &str, rng: &mut impl Rng) -> TimeSpan {
+    pub fn sample(&self, template: &str, rng: &mut impl Rng) -> TimeSpan {
         // Box-Muller; the first number is kept above zero, where the logarithm has no value.
         let radius = (-2.0 * (1.0 - rng.random::<f64>()).ln()).sqrt();
         let normal = radius * (TAU * rng.random::<f64>()).cos();
--- a/alderhaven-standin/src/target_faults.rs
+++ b/alderhaven-standin/src/target_faults.rs
@@ -46,7 +46,7 @@
     /// Gets the factor by which a run is slower that has `runs` runs before it since the target's
     /// start, and begins `age` after it.
     #[must_use]
-    pub fn run_factor(&self, runs: u32, age: Duration) -> f64 {
+    pub fn slowdown_factor(&self, runs: u32, age: Duration) -> f64 {
         let is_cold = runs < self.cold_runs || age < Duration::from_millis(self.cold_ms);
         let cold = if is_cold { self.cold_factor } else { 1.0 };
         self.slow_factor * cold
@@ -55,7 +55,7 @@
     /// Gets the time for which the target is down after a request with these parameters; none where
     /// it does no harm.
     #[must_use]
-    pub fn crash_time(&self, parameters: &str) -> Option<Duration> {
+    pub fn crash_downtime(&self, parameters: &str) -> Option<Duration> {
         let down = self.poison_down_ms.map(Duration::from_millis)?;
         parameters.contains(POISON_MARKER).then_some(down)
     }
--- a/alderhaven-standin/src/target_fleet.rs
+++ b/alderhaven-standin/src/target_fleet.rs
@@ -40,8 +40,8 @@
 #[derive(Debug)]
 pub struct TargetFleet {
     services: Arc<FleetServices>,
-    runs: Arc<RunLog>,
-    control: ServerHandle,
+    run_log: Arc<RunLog>,
+    control_server: ServerHandle,
 }
 
 impl TargetFleet {
@@ -56,13 +56,13 @@
         let shared = Arc::clone(&services);
         let control = ServerHandle::start(options.control, move |request| {
             let services = Arc::clone(&shared);
-            async move { Ok(fleet_control::handle(services, request).await) }
+            async move { Ok(fleet_control::handle_request(services, request).await) }
         })
         .await?;
         Ok(Self {
-            runs: Arc::clone(services.runs()),
+            run_log: Arc::clone(services.run_log()),
             services,
-            control,
+            control_server: control,
         })
     }
 
@@ -80,8 +80,8 @@
 
     /// Gets the targets' lines of the host list.
     #[must_use]
-    pub fn hosts(&self) -> Vec<HostRecord> {
-        self.services.hosts()
+    pub fn host_records(&self) -> Vec<HostRecord> {
+        self.services.host_records()
     }
 
     /// Gets all targets, by service, shard and replica.
@@ -97,19 +97,19 @@
 
     /// Gets the record of runs.
     #[must_use]
-    pub const fn runs(&self) -> &Arc<RunLog> {
-        &self.runs
+    pub const fn run_log(&self) -> &Arc<RunLog> {
+        &self.run_log
     }
 
     /// Gets the address of the control calls.
     #[must_use]
     pub const fn control_address(&self) -> SocketAddr {
-        self.control.address()
+        self.control_server.address()
     }
 
     /// Stops all targets and waits for the attempts in flight.
     pub async fn stop(&self) {
         futures::future::join_all(self.targets().map(TargetServer::stop)).await;
-        self.control.stop().await;
+        self.control_server.stop().await;
     }
 }
--- a/alderhaven-standin/src/target_server.rs
+++ b/alderhaven-standin/src/target_server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use alderhaven_core::manifest::ReplicaEntry;
-use alderhaven_store::dialect;
+use alderhaven_store::target_dialect;
 use http::{Method, Request, StatusCode};
 use hyper::body::Incoming;
 use tokio::net::{TcpListener, TcpStream};
@@ -14,21 +14,21 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::attempt_head::{AttemptHead, attempt_of};
-use crate::http_server::{self, ConnectionCut, HttpReply, read_body, text_reply};
+use crate::attempt_head::{AttemptHead, parse_attempt_id};
+use crate::http_server::{self, ConnectionAborted, HttpReply, read_body, text_reply};
 use crate::run_log::RunLog;
 use crate::target_spec::TargetSpec;
 use crate::target_state::TargetState;
 
 /// The pause before another try to bind the address after a crash.
-const REBIND_PAUSE: Duration = Duration::from_millis(5);
+const REBIND_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// A `TargetServer` is a running target.
 #[derive(Debug)]
 pub struct TargetServer {
     state: Arc<TargetState>,
     address: SocketAddr,
-    stopping: CancellationToken,
+    stop_token: CancellationToken,
     tasks: TaskTracker,
 }
 
@@ -42,17 +42,17 @@
         let server = Self {
             address: listener.local_addr()?,
             state: Arc::new(TargetState::new(spec, runs)),
-            stopping: CancellationToken::new(),
+            stop_token: CancellationToken::new(),
             tasks: TaskTracker::new(),
         };
-        let parts = ServerParts {
+        let parts = TargetContext {
             state: Arc::clone(&server.state),
-            stopping: server.stopping.clone(),
+            stop_token: server.stop_token.clone(),
             tasks: server.tasks.clone(),
         };
         server
             .tasks
-            .spawn(live_and_crash(listener, server.address, parts));
+            .spawn(serve_until_stopped(listener, server.address, parts));
         Ok(server)
     }
 
@@ -70,7 +70,7 @@
 
     /// Gets the target's line in a manifest.
     #[must_use]
-    pub fn replica(&self) -> ReplicaEntry {
+    pub fn replica_entry(&self) -> ReplicaEntry {
         let spec = self.state.spec();
         ReplicaEntry {
             target: spec.target.clone(),
@@ -84,12 +84,12 @@
     /// Returns true where the target was told to stop.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
-        self.stopping.is_cancelled()
+        self.stop_token.is_cancelled()
     }
 
     /// Stops taking connections and waits for the attempts in flight.
     pub async fn stop(&self) {
-        self.stopping.cancel();
+        self.stop_token.cancel();
         self.tasks.close();
         self.tasks.wait().await;
     }
@@ -97,26 +97,26 @@
 
 /// A `ServerParts` is what the tasks of a target share.
 #[derive(Clone)]
-struct ServerParts {
+struct TargetContext {
     state: Arc<TargetState>,
-    stopping: CancellationToken,
+    stop_token: CancellationToken,
     tasks: TaskTracker,
 }
 
 /// Serves until the stop; after a crash the target comes back on the same address.
-async fn live_and_crash(mut listener: TcpListener, address: SocketAddr, parts: ServerParts) {
+async fn serve_until_stopped(mut listener: TcpListener, address: SocketAddr, parts: TargetContext) {
     loop {
-        let life = parts.state.life().begin();
+        let life = parts.state.lifecycle().start();
         tokio::select! {
             biased;
             () = life.cancelled() => {}
-            () = accept_all(&listener, &parts, &life) => return,
+            () = accept_connections(&listener, &parts, &life) => return,
         }
         drop(listener);
-        let down = parts.state.life().down();
+        let down = parts.state.lifecycle().downtime();
         match parts
-            .stopping
-            .run_until_cancelled(come_back(address, down))
+            .stop_token
+            .run_until_cancelled(rebind(address, down))
             .await
         {
             Some(returned) => listener = returned,
@@ -126,22 +126,26 @@
 }
 
 /// Binds the address anew after the time down, again and again where it is taken for a moment.
-async fn come_back(address: SocketAddr, down: Duration) -> TcpListener {
+async fn rebind(address: SocketAddr, down: Duration) -> TcpListener {
     tokio::time::sleep(down).await;
     loop {
         if let Ok(listener) = TcpListener::bind(address).await {
             return listener;
         }
-        tokio::time::sleep(REBIND_PAUSE).await;
+        tokio::time::sleep(REBIND_RETRY_DELAY).await;
     }
 }
 
-async fn accept_all(listener: &TcpListener, parts: &ServerParts, life: &CancellationToken) {
+async fn accept_connections(
+    listener: &TcpListener,
+    parts: &TargetContext,
+    life: &CancellationToken,
+) {
     let places = Arc::new(Semaphore::new(parts.state.spec().connections as usize));
-    while let Some(stream) = http_server::accept(listener, &parts.stopping).await {
+    while let Some(stream) = http_server::accept_connection(listener, &parts.stop_token).await {
         // A connection beyond the limit is closed at once.
         if let Ok(place) = Arc::clone(&places).try_acquire_owned() {
-            let connection = serve(stream, parts.clone());
+            let connection = serve_connection(stream, parts.clone());
             let life = life.clone();
             parts.tasks.spawn(async move {
                 life.run_until_cancelled(connection).await;
@@ -151,61 +155,61 @@
     }
 }
 
-async fn serve(stream: TcpStream, parts: ServerParts) {
-    let silenced = parts.state.life().silenced();
+async fn serve_connection(stream: TcpStream, parts: TargetContext) {
+    let silenced = parts.state.lifecycle().silence_token();
     tokio::time::sleep(parts.state.spec().connect_cost.as_duration()).await;
-    let stopping = parts.stopping.clone();
+    let stopping = parts.stop_token.clone();
     let handler = move |request| {
         let (parts, silenced) = (parts.clone(), silenced.clone());
         async move {
             // A request on a silent connection doesn't reach the target, and a reply is lost.
             if silenced.is_cancelled() {
-                return stay_silent(&parts.stopping).await;
+                return withhold_reply(&parts.stop_token).await;
             }
-            let reply = handle(parts.state, request).await;
+            let reply = handle_request(parts.state, request).await;
             if silenced.is_cancelled() {
-                return stay_silent(&parts.stopping).await;
+                return withhold_reply(&parts.stop_token).await;
             }
             reply
         }
     };
-    http_server::serve(stream, handler, stopping).await;
+    http_server::serve_connection(stream, handler, stopping).await;
 }
 
-async fn stay_silent(stopping: &CancellationToken) -> Result<HttpReply, ConnectionCut> {
+async fn withhold_reply(stopping: &CancellationToken) -> Result<HttpReply, ConnectionAborted> {
     stopping.cancelled().await;
-    Err(ConnectionCut)
+    Err(ConnectionAborted)
 }
 
-async fn handle(
+async fn handle_request(
     state: Arc<TargetState>,
     request: Request<Incoming>,
-) -> Result<HttpReply, ConnectionCut> {
+) -> Result<HttpReply, ConnectionAborted> {
     let (parts, body) = request.into_parts();
     Ok(match (&parts.method, parts.uri.path()) {
-        (&Method::POST, dialect::QUERY_PATH) => {
+        (&Method::POST, target_dialect::QUERY_PATH) => {
             let head = match AttemptHead::parse(&parts.headers) {
                 Ok(head) => head,
-                Err(header) => return Ok(bad_header(header)),
+                Err(header) => return Ok(bad_header_reply(header)),
             };
             match read_body(body).await {
                 Ok(body) => {
                     let parameters = String::from_utf8_lossy(&body).into_owned();
-                    state.query(&head, parameters).await
+                    state.handle_attempt(&head, parameters).await
                 }
                 Err(refusal) => refusal.reply(),
             }
         }
-        (&Method::POST, dialect::CANCEL_PATH) => match attempt_of(&parts.headers) {
+        (&Method::POST, target_dialect::CANCEL_PATH) => match parse_attempt_id(&parts.headers) {
             Ok(attempt) if state.cancel(attempt) => text_reply(StatusCode::OK, ""),
             Ok(_) => text_reply(StatusCode::NOT_FOUND, "not in flight"),
-            Err(header) => bad_header(header),
+            Err(header) => bad_header_reply(header),
         },
         _ => text_reply(StatusCode::NOT_FOUND, "no such call"),
     })
 }
 
-fn bad_header(header: &str) -> HttpReply {
+fn bad_header_reply(header: &str) -> HttpReply {
     text_reply(
         StatusCode::BAD_REQUEST,
         format!("header `{header}` is missing or unreadable"),
--- a/alderhaven-standin/src/target_spec.rs
+++ b/alderhaven-standin/src/target_spec.rs
@@ -23,7 +23,7 @@
     /// The connections that it takes.
     pub connections: u32,
     /// The attempts that it lets wait for a slot.
-    pub queue: u32,
+    pub max_queue_length: u32,
     /// What a new connection costs before its first reply.
     pub connect_cost: TimeSpan,
     /// How long a run takes.
--- a/alderhaven-standin/src/target_state.rs
+++ b/alderhaven-standin/src/target_state.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use alderhaven_core::ids::AttemptId;
-use alderhaven_store::dialect;
+use alderhaven_store::target_dialect;
 use http::StatusCode;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -17,9 +17,9 @@
 use crate::held_indexes::{HeldIndex, HeldIndexes, IndexState};
 use crate::http_server::{HttpReply, json_reply, text_reply};
 use crate::rows;
-use crate::run_log::{RunEnd, RunLog, RunRecord};
+use crate::run_log::{RunLog, RunRecord, RunStatus};
 pub use crate::target_faults::TargetFaults;
-use crate::target_life::TargetLife;
+use crate::target_lifecycle::TargetLifecycle;
 pub use crate::target_spec::TargetSpec;
 
 /// A `TargetState` runs the attempts of one target, whatever connection they come by.
@@ -27,13 +27,13 @@
 pub struct TargetState {
     spec: TargetSpec,
     slots: Semaphore,
-    waiting: AtomicU32,
+    waiting_count: AtomicU32,
     rng: Mutex<StdRng>,
     faults: Mutex<TargetFaults>,
-    cancels: Mutex<HashMap<AttemptId, CancellationToken>>,
+    cancel_tokens: Mutex<HashMap<AttemptId, CancellationToken>>,
     indexes: HeldIndexes,
-    life: TargetLife,
-    runs: Arc<RunLog>,
+    lifecycle: TargetLifecycle,
+    run_log: Arc<RunLog>,
 }
 
 impl TargetState {
@@ -42,16 +42,16 @@
     pub fn new(spec: TargetSpec, runs: Arc<RunLog>) -> Self {
         Self {
             slots: Semaphore::new(spec.slots as usize),
-            waiting: AtomicU32::new(0),
+            waiting_count: AtomicU32::new(0),
             rng: Mutex::new(StdRng::seed_from_u64(spec.seed)),
             faults: Mutex::default(),
-            cancels: Mutex::default(),
+            cancel_tokens: Mutex::default(),
             indexes: HeldIndexes::new(HeldIndex {
                 shard: spec.shard,
                 version: spec.version,
             }),
-            life: TargetLife::default(),
-            runs,
+            lifecycle: TargetLifecycle::default(),
+            run_log: runs,
             spec,
         }
     }
@@ -81,35 +81,35 @@
 
     /// Gets the target's starts and crashes.
     #[must_use]
-    pub const fn life(&self) -> &TargetLife {
-        &self.life
+    pub const fn lifecycle(&self) -> &TargetLifecycle {
+        &self.lifecycle
     }
 
     /// Drops an attempt, whether it waits or runs; returns false where it is not known.
     pub fn cancel(&self, attempt: AttemptId) -> bool {
-        let cancel = lock(&self.cancels).get(&attempt).cloned();
+        let cancel = lock(&self.cancel_tokens).get(&attempt).cloned();
         cancel.as_ref().inspect(|token| token.cancel()).is_some()
     }
 
     /// Runs or refuses an attempt.
-    pub async fn query(&self, head: &AttemptHead, parameters: String) -> HttpReply {
-        let mut reply = match self.refusal(head) {
+    pub async fn handle_attempt(&self, head: &AttemptHead, parameters: String) -> HttpReply {
+        let mut reply = match self.refusal_reply(head) {
             Some(refusal) => refusal,
             None => self.admit(head, parameters).await,
         };
-        head.echo(&mut reply);
+        head.echo_headers(&mut reply);
         set_header(
             &mut reply,
-            dialect::FREE_SLOTS_HEADER,
+            target_dialect::FREE_SLOTS_HEADER,
             self.slots.available_permits(),
         );
         if self.faults().draining {
-            set_header(&mut reply, dialect::DRAINING_HEADER, "true");
+            set_header(&mut reply, target_dialect::DRAINING_HEADER, "true");
         }
         reply
     }
 
-    fn refusal(&self, head: &AttemptHead) -> Option<HttpReply> {
+    fn refusal_reply(&self, head: &AttemptHead) -> Option<HttpReply> {
         let faults = self.faults();
         if faults.draining || faults.shedding {
             let reason = if faults.draining { "draining" } else { "shed" };
@@ -123,7 +123,7 @@
             _ if head.service != self.spec.service => {
                 Some(text_reply(StatusCode::NOT_FOUND, "not held here"))
             }
-            IndexState::Elsewhere => Some(text_reply(StatusCode::NOT_FOUND, "not held here")),
+            IndexState::OtherShard => Some(text_reply(StatusCode::NOT_FOUND, "not held here")),
             IndexState::Gone => Some(not_run_reply(StatusCode::GONE, "the version is gone")),
             IndexState::Held => None,
         }
@@ -131,65 +131,65 @@
 
     async fn admit(&self, head: &AttemptHead, parameters: String) -> HttpReply {
         let end = Instant::now() + head.remaining.as_duration();
-        let cancel = CancelGuard::new(&self.cancels, head.attempt);
+        let cancel = CancelRegistration::new(&self.cancel_tokens, head.attempt);
         let slot = tokio::select! {
-            slot = self.take_slot() => slot,
+            slot = self.acquire_slot() => slot,
             () = cancel.token.cancelled() => None,
             () = tokio::time::sleep_until(end) => None,
         };
         match slot {
-            Some(_slot) => self.run(head, parameters, end, &cancel.token).await,
+            Some(_slot) => self.run_attempt(head, parameters, end, &cancel.token).await,
             None => not_run_reply(StatusCode::SERVICE_UNAVAILABLE, "shed"),
         }
     }
 
     /// Waits for a slot; none where the queue is full.
-    async fn take_slot(&self) -> Option<SemaphorePermit<'_>> {
+    async fn acquire_slot(&self) -> Option<SemaphorePermit<'_>> {
         if let Ok(slot) = self.slots.try_acquire() {
             return Some(slot);
         }
-        let _place = QueuePlace::take(&self.waiting, self.spec.queue)?;
+        let _place = QueuePermit::try_acquire(&self.waiting_count, self.spec.max_queue_length)?;
         self.slots.acquire().await.ok()
     }
 
-    async fn run(
+    async fn run_attempt(
         &self,
         head: &AttemptHead,
         parameters: String,
         end: Instant,
         cancel: &CancellationToken,
     ) -> HttpReply {
-        let guard = self.runs.begin(self.record(head, &parameters));
+        let guard = self.run_log.start_run(self.new_record(head, &parameters));
         let faults = self.faults();
-        if let Some(down) = faults.crash_time(&parameters) {
-            self.life.crash(down);
+        if let Some(down) = faults.crash_downtime(&parameters) {
+            self.lifecycle.crash(down);
             // The crash ends the connection, and this run with it.
             std::future::pending::<()>().await;
         }
-        let (runs, age) = self.life.count_run();
+        let (runs, age) = self.lifecycle.record_run();
         let span = self
             .spec
             .service_time
-            .draw(&head.template, &mut *lock(&self.rng))
-            .mul_f64(faults.run_factor(runs, age));
+            .sample(&head.template, &mut *lock(&self.rng))
+            .mul_f64(faults.slowdown_factor(runs, age));
         tokio::select! {
             () = tokio::time::sleep(span.as_duration()) => {
-                guard.finish(RunEnd::Answered);
-                let rows = rows::rows_for(&head.service, head.shard, head.version, &parameters);
+                guard.finish(RunStatus::Answered);
+                let rows = rows::derive_rows(&head.service, head.shard, head.version, &parameters);
                 json_reply(StatusCode::OK, &rows)
             }
             () = cancel.cancelled() => {
-                guard.finish(RunEnd::Cancelled);
+                guard.finish(RunStatus::Cancelled);
                 text_reply(StatusCode::INTERNAL_SERVER_ERROR, "cancelled")
             }
             () = tokio::time::sleep_until(end) => {
-                guard.finish(RunEnd::Expired);
+                guard.finish(RunStatus::Expired);
                 text_reply(StatusCode::GATEWAY_TIMEOUT, "the deadline passed")
             }
         }
     }
 
-    fn record(&self, head: &AttemptHead, parameters: &str) -> RunRecord {
+    fn new_record(&self, head: &AttemptHead, parameters: &str) -> RunRecord {
         RunRecord {
             target: self.spec.target.clone(),
             attempt: head.attempt,
@@ -201,52 +201,54 @@
             parameters: parameters.to_owned(),
             started_us: 0,
             ended_us: 0,
-            end: RunEnd::Running,
+            status: RunStatus::Running,
         }
     }
 }
 
 /// A `QueuePlace` is a place in the queue before the slots.
-struct QueuePlace<'a> {
-    waiting: &'a AtomicU32,
+struct QueuePermit<'a> {
+    waiting_count: &'a AtomicU32,
 }
 
-impl<'a> QueuePlace<'a> {
-    fn take(waiting: &'a AtomicU32, places: u32) -> Option<Self> {
-        let place = Self { waiting };
+impl<'a> QueuePermit<'a> {
+    fn try_acquire(waiting: &'a AtomicU32, places: u32) -> Option<Self> {
+        let place = Self {
+            waiting_count: waiting,
+        };
         // The place is given back by `drop` where it was one too many.
         (waiting.fetch_add(1, Ordering::Relaxed) < places).then_some(place)
     }
 }
 
-impl Drop for QueuePlace<'_> {
+impl Drop for QueuePermit<'_> {
     fn drop(&mut self) {
-        self.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.waiting_count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// A `CancelGuard` keeps an attempt known to `cancel` while it waits or runs.
-struct CancelGuard<'a> {
-    cancels: &'a Mutex<HashMap<AttemptId, CancellationToken>>,
+struct CancelRegistration<'a> {
+    cancel_tokens: &'a Mutex<HashMap<AttemptId, CancellationToken>>,
     attempt: AttemptId,
     token: CancellationToken,
 }
 
-impl<'a> CancelGuard<'a> {
+impl<'a> CancelRegistration<'a> {
     fn new(cancels: &'a Mutex<HashMap<AttemptId, CancellationToken>>, attempt: AttemptId) -> Self {
         let token = CancellationToken::new();
         lock(cancels).insert(attempt, token.clone());
         Self {
-            cancels,
+            cancel_tokens: cancels,
             attempt,
             token,
         }
     }
 }
 
-impl Drop for CancelGuard<'_> {
+impl Drop for CancelRegistration<'_> {
     fn drop(&mut self) {
-        lock(self.cancels).remove(&self.attempt);
+        lock(self.cancel_tokens).remove(&self.attempt);
     }
 }
 
--- a/alderhaven-standin/tests/fake_store.rs
+++ b/alderhaven-standin/tests/fake_store.rs
@@ -61,7 +61,7 @@
     assert!(is_unknown(&store.write(write(0)).await));
     assert!(is_unknown(&store.write(write(0)).await));
     assert_eq!(store.get(&key()).await, Ok(None));
-    store.release_held();
+    store.release_held_writes();
     assert!(store.get(&key()).await.unwrap().is_some());
 }
 
@@ -95,7 +95,7 @@
     };
     tokio::time::sleep(wait.as_duration() + std::time::Duration::from_millis(1)).await;
     assert!(store.get(&key()).await.is_ok());
-    assert_eq!(store.calls().throttled, 1);
+    assert_eq!(store.call_counts().throttled, 1);
 }
 
 #[tokio::test(start_paused = true)]
--- a/alderhaven-standin/tests/object_table.rs
+++ b/alderhaven-standin/tests/object_table.rs
@@ -10,7 +10,7 @@
 use proptest::test_runner::RngSeed;
 
 /// A write as the test makes it: the object, whether its expected version is right, the body.
-type PlannedWrite = (u8, bool, Option<u8>);
+type DrawnWrite = (u8, bool, Option<u8>);
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -20,7 +20,7 @@
     }
 }
 
-fn writes() -> impl Strategy<Value = Vec<PlannedWrite>> {
+fn writes() -> impl Strategy<Value = Vec<DrawnWrite>> {
     proptest::collection::vec((0_u8..4, any::<bool>(), any::<Option<u8>>()), 0..40)
 }
 
@@ -68,7 +68,7 @@
             .filter(|(key, (_, body))| key.kind == ObjectKind::Team && body.is_some());
         prop_assert_eq!(listed.len(), live.count());
         match table.changes(&[ObjectKind::Team, ObjectKind::Template], StoreVersion(after)) {
-            WatchOutcome::Gap => prop_assert!(after > revision),
+            WatchOutcome::Compacted => prop_assert!(after > revision),
             WatchOutcome::Changes(list) => {
                 let versions: Vec<u64> = list.objects.iter().map(|o| o.version.0).collect();
                 let mut newer: Vec<u64> =
@@ -92,7 +92,10 @@
         });
     }
     let kinds = [ObjectKind::Team];
-    assert_eq!(table.changes(&kinds, StoreVersion(1)), WatchOutcome::Gap);
+    assert_eq!(
+        table.changes(&kinds, StoreVersion(1)),
+        WatchOutcome::Compacted
+    );
     assert!(matches!(
         table.changes(&kinds, StoreVersion(2)),
         WatchOutcome::Changes(list) if list.objects.len() == 1
