--- a/alderhaven-standin/tests/servers.rs
+++ b/alderhaven-standin/tests/servers.rs
@@ -5,19 +5,19 @@
 use alderhaven_core::manifest::SnapshotManifest;
 use alderhaven_core::outcome::{AttemptOutcome, NotRunReason};
 use alderhaven_core::time::TimeSpan;
-use alderhaven_standin::http_caller::HttpCaller;
+use alderhaven_standin::http_connection::HttpConnection;
 use alderhaven_standin::platform_faults::PlatformFaults;
 use alderhaven_standin::platform_server::{PlatformOptions, PlatformServer};
 use alderhaven_standin::registration;
-use alderhaven_standin::rows::{DerivedRow, rows_for};
-use alderhaven_standin::run_log::{RunEnd, RunRecord};
+use alderhaven_standin::rows::{DerivedRow, derive_rows};
+use alderhaven_standin::run_log::{RunRecord, RunStatus};
 use alderhaven_standin::service_layout::{DeploymentKind, ServiceLayout};
 use alderhaven_standin::service_time::ServiceTime;
 use alderhaven_standin::target_faults::TargetFaults;
 use alderhaven_standin::target_fleet::{FleetOptions, TargetFleet};
-use alderhaven_store::dialect::{TargetRequest, free_slots};
 use alderhaven_store::host_list::HostListing;
 use alderhaven_store::object_store::{IF_VERSION_HEADER, ObjectList, WRITE_ID_HEADER};
+use alderhaven_store::target_dialect::{TargetRequest, free_slots};
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
@@ -28,7 +28,7 @@
     ServiceLayout {
         shards: 2,
         slots: 1,
-        queue: 0,
+        max_queue_length: 0,
         service_time: ServiceTime {
             mean: TimeSpan::from_millis(1),
             ..ServiceTime::default()
@@ -62,9 +62,9 @@
     }
 }
 
-async fn send(caller: &mut HttpCaller, request: &TargetRequest) -> Response<Bytes> {
+async fn send(caller: &mut HttpConnection, request: &TargetRequest) -> Response<Bytes> {
     let request = request.to_http("target").unwrap();
-    caller.call(request).await.unwrap()
+    caller.send(request).await.unwrap()
 }
 
 fn get(path: &str) -> Request<Full<Bytes>> {
@@ -79,7 +79,7 @@
         .unwrap()
 }
 
-fn parsed<T: serde::de::DeserializeOwned>(response: &Response<Bytes>) -> T {
+fn parse_body<T: serde::de::DeserializeOwned>(response: &Response<Bytes>) -> T {
     serde_json::from_slice(response.body()).unwrap()
 }
 
@@ -88,23 +88,23 @@
     let platform = PlatformServer::start(PlatformOptions::default())
         .await
         .unwrap();
-    let mut caller = HttpCaller::connect(platform.address()).await.unwrap();
-    let absent = caller.call(get("/objects/team/desk")).await.unwrap();
+    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
+    let absent = caller.send(get("/objects/team/desk")).await.unwrap();
     assert_eq!(absent.status(), StatusCode::NOT_FOUND);
-    let written = caller.call(put("/objects/team/desk", 0, "{}")).await;
-    let written: StoredObject = parsed(&written.unwrap());
+    let written = caller.send(put("/objects/team/desk", 0, "{}")).await;
+    let written: StoredObject = parse_body(&written.unwrap());
     assert_eq!(written.version.0, 1);
-    let conflict = caller.call(put("/objects/team/desk", 0, "{}")).await;
+    let conflict = caller.send(put("/objects/team/desk", 0, "{}")).await;
     let conflict = conflict.unwrap();
     assert_eq!(conflict.status(), StatusCode::CONFLICT);
-    assert_eq!(parsed::<StoredObject>(&conflict), written);
-    let none = caller.call(put("/objects/team/other", 3, "{}")).await;
+    assert_eq!(parse_body::<StoredObject>(&conflict), written);
+    let none = caller.send(put("/objects/team/other", 3, "{}")).await;
     assert_eq!(none.unwrap().body().as_ref(), b"null");
-    let watched = caller.call(get("/watch?kinds=team,template&after=0&wait_ms=1000"));
-    let watched: ObjectList = parsed(&watched.await.unwrap());
+    let watched = caller.send(get("/watch?kinds=team,template&after=0&wait_ms=1000"));
+    let watched: ObjectList = parse_body(&watched.await.unwrap());
     assert_eq!(watched.objects, vec![written]);
     let gap = caller
-        .call(get("/watch?kinds=team&after=9&wait_ms=0"))
+        .send(get("/watch?kinds=team&after=9&wait_ms=0"))
         .await;
     assert_eq!(gap.unwrap().status(), StatusCode::GONE);
     platform.stop().await;
@@ -115,20 +115,20 @@
     let platform = PlatformServer::start(PlatformOptions::default())
         .await
         .unwrap();
-    let mut caller = HttpCaller::connect(platform.address()).await.unwrap();
+    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
     let faults = Request::post("/faults")
         .body(Full::from(r#"{"lose_write_replies":1}"#))
         .unwrap();
-    assert_eq!(caller.call(faults).await.unwrap().status(), StatusCode::OK);
-    let lost = caller.call(put("/objects/team/desk", 0, "{}")).await;
+    assert_eq!(caller.send(faults).await.unwrap().status(), StatusCode::OK);
+    let lost = caller.send(put("/objects/team/desk", 0, "{}")).await;
     assert!(lost.is_err(), "the connection ends without a reply");
     assert_eq!(platform.store().table().revision().0, 1);
     platform.store().set_faults(PlatformFaults {
         throttle: true,
         ..PlatformFaults::default()
     });
-    let mut caller = HttpCaller::connect(platform.address()).await.unwrap();
-    let throttled = caller.call(get("/objects?kinds=team")).await.unwrap();
+    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
+    let throttled = caller.send(get("/objects?kinds=team")).await.unwrap();
     assert_eq!(throttled.status(), StatusCode::TOO_MANY_REQUESTS);
     assert!(throttled.headers().contains_key("retry-after-ms"));
     platform.stop().await;
@@ -139,12 +139,12 @@
     let platform = PlatformServer::start(PlatformOptions::default())
         .await
         .unwrap();
-    let mut caller = HttpCaller::connect(platform.address()).await.unwrap();
+    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
     let watch = tokio::spawn(async move {
         let path = "/watch?kinds=team&after=0&wait_ms=30000";
-        caller.call(get(path)).await
+        caller.send(get(path)).await
     });
-    while platform.store().calls().watches == 0 {
+    while platform.store().call_counts().watches == 0 {
         tokio::task::yield_now().await;
     }
     platform.stop().await;
@@ -165,38 +165,40 @@
         .unwrap();
     assert_eq!(manifests[0].snapshot, SnapshotId(2));
     assert!(manifests[0].check().is_empty());
-    let mut caller = HttpCaller::connect(platform.address()).await.unwrap();
-    let listed = caller.call(get("/objects?kinds=manifest")).await.unwrap();
-    let listed: ObjectList = parsed(&listed);
+    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
+    let listed = caller.send(get("/objects?kinds=manifest")).await.unwrap();
+    let listed: ObjectList = parse_body(&listed);
     let body = listed.objects[0].body.as_ref().unwrap();
     let manifest: SnapshotManifest = serde_json::from_str(body).unwrap();
     assert_eq!(manifest, manifests[0]);
-    let hosts: HostListing = parsed(&caller.call(get("/hosts")).await.unwrap());
+    let hosts: HostListing = parse_body(&caller.send(get("/hosts")).await.unwrap());
     assert_eq!(hosts.hosts.len(), 4);
 
     let address = manifest.shards[1].replicas[0].address;
-    let mut caller = HttpCaller::connect(address).await.unwrap();
+    let mut caller = HttpConnection::connect(address).await.unwrap();
     let request = attempt(1, 1);
     let response = send(&mut caller, &request).await;
-    let outcome = request.judge(response.status(), response.headers());
+    let outcome = request.classify_reply(response.status(), response.headers());
     assert_eq!(outcome, AttemptOutcome::Answered);
     assert_eq!(free_slots(response.headers()), Some(1));
-    let rows: Vec<DerivedRow> = parsed(&response);
+    let rows: Vec<DerivedRow> = parse_body(&response);
     let service = "sample".parse().unwrap();
     assert_eq!(
         rows,
-        rows_for(&service, ShardId(1), IndexVersion(1), PARAMETERS)
+        derive_rows(&service, ShardId(1), IndexVersion(1), PARAMETERS)
     );
     let gone = attempt(2, 7);
     let response = send(&mut caller, &gone).await;
-    let outcome = gone.judge(response.status(), response.headers());
+    let outcome = gone.classify_reply(response.status(), response.headers());
     assert_eq!(outcome, AttemptOutcome::VersionGone);
 
-    let mut control = HttpCaller::connect(fleet.control_address()).await.unwrap();
-    let runs: Vec<RunRecord> = parsed(&control.call(get("/runs")).await.unwrap());
+    let mut control = HttpConnection::connect(fleet.control_address())
+        .await
+        .unwrap();
+    let runs: Vec<RunRecord> = parse_body(&control.send(get("/runs")).await.unwrap());
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].attempt, request.attempt);
-    assert_eq!(runs[0].end, RunEnd::Answered);
+    assert_eq!(runs[0].status, RunStatus::Answered);
     fleet.stop().await;
     platform.stop().await;
 }
@@ -209,34 +211,34 @@
     let fleet = sample_fleet(layout).await;
     let target = fleet.target(&"sample-1-0".parse().unwrap()).unwrap();
     let long = attempt(1, 1);
-    let mut busy = HttpCaller::connect(target.address()).await.unwrap();
+    let mut busy = HttpConnection::connect(target.address()).await.unwrap();
     let running = tokio::spawn({
         let long = long.clone();
         async move { send(&mut busy, &long).await }
     });
-    while fleet.runs().count() == 0 {
+    while fleet.run_log().run_count() == 0 {
         tokio::task::yield_now().await;
     }
-    let mut caller = HttpCaller::connect(target.address()).await.unwrap();
+    let mut caller = HttpConnection::connect(target.address()).await.unwrap();
     let shed = attempt(2, 1);
     let response = send(&mut caller, &shed).await;
-    let outcome = shed.judge(response.status(), response.headers());
+    let outcome = shed.classify_reply(response.status(), response.headers());
     assert_eq!(outcome, AttemptOutcome::NotRun(NotRunReason::Shed));
 
     assert!(target.state().cancel(long.attempt));
     let response = running.await.unwrap();
-    let outcome = long.judge(response.status(), response.headers());
+    let outcome = long.classify_reply(response.status(), response.headers());
     assert_eq!(outcome, AttemptOutcome::Failed);
-    assert_eq!(fleet.runs().records()[0].end, RunEnd::Cancelled);
+    assert_eq!(fleet.run_log().records()[0].status, RunStatus::Cancelled);
 
     target.state().set_faults(TargetFaults {
         draining: true,
         ..TargetFaults::default()
     });
     let response = send(&mut caller, &shed).await;
-    let outcome = shed.judge(response.status(), response.headers());
+    let outcome = shed.classify_reply(response.status(), response.headers());
     assert_eq!(outcome, AttemptOutcome::NotRun(NotRunReason::Draining));
-    assert_eq!(fleet.runs().count(), 1);
+    assert_eq!(fleet.run_log().run_count(), 1);
     fleet.stop().await;
 }
 
@@ -248,11 +250,11 @@
     };
     let fleet = sample_fleet(layout).await;
     let target = fleet.target(&"sample-1-0".parse().unwrap()).unwrap();
-    let mut first = HttpCaller::connect(target.address()).await.unwrap();
+    let mut first = HttpConnection::connect(target.address()).await.unwrap();
     send(&mut first, &attempt(1, 1)).await;
-    let mut second = HttpCaller::connect(target.address()).await.unwrap();
+    let mut second = HttpConnection::connect(target.address()).await.unwrap();
     let request = attempt(2, 1).to_http("target").unwrap();
-    assert!(second.call(request).await.is_err());
+    assert!(second.send(request).await.is_err());
     fleet.stop().await;
 }
 
--- a/alderhaven-store/src/config_follower.rs
+++ b/alderhaven-store/src/config_follower.rs
@@ -18,18 +18,18 @@
 use crate::retry_backoff::{BackoffOptions, RetryBackoff};
 
 /// The default wait of one watch call: a tenth of a read a second for each node.
-const DEFAULT_WATCH_WAIT: TimeSpan = TimeSpan::from_secs(10);
+const DEFAULT_WATCH_TIMEOUT: TimeSpan = TimeSpan::from_secs(10);
 /// The default time between two lists: 580 nodes make two lists a second.
-const DEFAULT_RELIST: TimeSpan = TimeSpan::from_secs(300);
+const DEFAULT_RELIST_INTERVAL: TimeSpan = TimeSpan::from_secs(300);
 
 /// `FollowerOptions` set the follower's waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FollowerOptions {
     /// How long one watch call waits for a change.
-    pub watch_wait: TimeSpan,
+    pub watch_timeout: TimeSpan,
     /// How long a list is good for.
-    pub relist: TimeSpan,
+    pub relist_interval: TimeSpan,
     /// The waits while the store fails.
     pub backoff: BackoffOptions,
 }
@@ -37,8 +37,8 @@
 impl Default for FollowerOptions {
     fn default() -> Self {
         Self {
-            watch_wait: DEFAULT_WATCH_WAIT,
-            relist: DEFAULT_RELIST,
+            watch_timeout: DEFAULT_WATCH_TIMEOUT,
+            relist_interval: DEFAULT_RELIST_INTERVAL,
             backoff: BackoffOptions::default(),
         }
     }
@@ -58,9 +58,9 @@
 enum FollowFailure {
     Store(StoreError),
     /// The store no longer has the changes: list again, but not at the rate of the answers.
-    Gap,
+    Compacted,
     /// The store went backwards: list again later.
-    Backwards,
+    StoreRegressed,
 }
 
 impl<S: ObjectStore> ConfigFollower<S> {
@@ -86,62 +86,69 @@
     async fn run(mut self) {
         let mut backoff = RetryBackoff::new(self.options.backoff);
         loop {
-            let Err(failure) = self.step().await else {
+            let Err(failure) = self.list_or_watch().await else {
                 backoff.reset();
                 continue;
             };
-            let wait = backoff.next(rand::random());
-            time::sleep(failure.wait_at_least(wait).as_duration()).await;
+            let wait = backoff.next_wait(rand::random());
+            time::sleep(failure.retry_wait(wait).as_duration()).await;
         }
     }
 
-    async fn step(&mut self) -> Result<(), FollowFailure> {
-        match self.handle.complete_at() {
+    async fn list_or_watch(&mut self) -> Result<(), FollowFailure> {
+        match self.handle.complete_revision() {
             Some(after) if Instant::now() < self.list_due => self.watch(after).await,
             _ => self.list().await,
         }
     }
 
     async fn list(&mut self) -> Result<(), FollowFailure> {
-        let floor = self.handle.floor();
+        let floor = self.handle.min_revision();
         let answer = self.store.list(&ObjectKind::CONFIGURATION).await;
-        let list = self.handle.note(answer).map_err(FollowFailure::Store)?;
+        let list = self
+            .handle
+            .record_result(answer)
+            .map_err(FollowFailure::Store)?;
         self.handle
-            .apply(|state| state.take_list(list, floor))
-            .map_err(|_regression| FollowFailure::Backwards)?;
-        self.list_due = Instant::now() + self.options.relist.as_duration();
+            .apply(|state| state.apply_list(list, floor))
+            .map_err(|_regression| FollowFailure::StoreRegressed)?;
+        self.list_due = Instant::now() + self.options.relist_interval.as_duration();
         Ok(())
     }
 
     async fn watch(&mut self, after: StoreVersion) -> Result<(), FollowFailure> {
-        let floor = self.handle.floor();
-        let wait = self.options.watch_wait;
+        let floor = self.handle.min_revision();
+        let wait = self.options.watch_timeout;
         let call = self.store.watch(&ObjectKind::CONFIGURATION, after, wait);
         let answer = call.await;
-        match self.handle.note(answer).map_err(FollowFailure::Store)? {
+        match self
+            .handle
+            .record_result(answer)
+            .map_err(FollowFailure::Store)?
+        {
             WatchOutcome::Changes(changes) => self
                 .handle
-                .apply(|state| state.take_changes(changes, floor))
+                .apply(|state| state.apply_changes(changes, floor))
                 .map_err(|_regression| {
                     self.list_due = Instant::now();
-                    FollowFailure::Backwards
+                    FollowFailure::StoreRegressed
                 }),
-            WatchOutcome::Gap => {
+            WatchOutcome::Compacted => {
                 self.list_due = Instant::now();
-                Err(FollowFailure::Gap)
+                Err(FollowFailure::Compacted)
             }
         }
     }
 }
 
 impl FollowFailure {
-    fn wait_at_least(&self, wait: TimeSpan) -> TimeSpan {
+    fn retry_wait(&self, wait: TimeSpan) -> TimeSpan {
         match self {
             Self::Store(StoreError::NotDone {
                 retry_after: Some(retry_after),
                 ..
             }) => wait.max(*retry_after),
-            Self::Store(_) | Self::Gap | Self::Backwards => wait,
+            Self::Store(_) | Self::Compacted | Self::StoreRegressed => wait,
         }
     }
 }
--- a/alderhaven-store/src/config_handle.rs
+++ b/alderhaven-store/src/config_handle.rs
@@ -29,20 +29,20 @@
     /// published out of order.
     view: ArcSwap<ConfigView>,
     state: Mutex<ConfigState>,
-    contact: Mutex<ContactRecord>,
-    changed: watch::Sender<u64>,
+    sync_record: Mutex<SyncRecord>,
+    view_changes: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
-struct ContactRecord {
-    contact: StoreContact,
-    last_answer: Option<Instant>,
+struct SyncRecord {
+    state: StoreSyncState,
+    last_answer_at: Option<Instant>,
 }
 
 /// A `StoreContact` says how the follower stands with the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
-pub enum StoreContact {
+pub enum StoreSyncState {
     /// The store has not answered yet.
     #[default]
     Waiting,
@@ -54,7 +54,7 @@
         reason: String,
     },
     /// The store went backwards; the node keeps what it has accepted.
-    Backwards {
+    Regressed {
         /// How it went backwards.
         regression: StoreRegression,
     },
@@ -64,15 +64,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FollowerStatus {
     /// How the follower stands with the store.
-    pub contact: StoreContact,
+    pub sync_state: StoreSyncState,
     /// The revision up to which every change is in force, none before the first list.
     pub revision: Option<StoreVersion>,
     /// The highest version heard of, from the store or from peers.
     pub highest_version: StoreVersion,
     /// The time since the store's last answer.
-    pub since_contact: Option<TimeSpan>,
+    pub time_since_answer: Option<TimeSpan>,
     /// The number of objects held, tombstones included.
-    pub objects: usize,
+    pub object_count: usize,
     /// The objects that did not check.
     pub rejected: Vec<RejectedStatus>,
 }
@@ -94,7 +94,7 @@
 enum ConfigEvent<'a> {
     StoreFollowed { revision: StoreVersion },
     StoreLost { reason: &'a str },
-    StoreBackwards { reason: String },
+    StoreRegressed { reason: String },
     ConfigChanged { key: String, version: StoreVersion },
     ConfigRejected(RejectedStatus),
 }
@@ -105,8 +105,8 @@
             shared: Arc::new(SharedConfig {
                 view: ArcSwap::default(),
                 state: Mutex::default(),
-                contact: Mutex::default(),
-                changed: watch::Sender::new(0),
+                sync_record: Mutex::default(),
+                view_changes: watch::Sender::new(0),
             }),
         }
     }
@@ -121,56 +121,56 @@
 
     /// Gets a channel that changes with each change of the view.
     #[must_use]
-    pub fn changed(&self) -> watch::Receiver<u64> {
-        self.shared.changed.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
+        self.shared.view_changes.subscribe()
     }
 
     /// Takes objects that a peer knows.
     pub fn accept(&self, objects: Vec<StoredObject>) {
-        let mut state = self.state();
-        let changed = state.take_from_peer(objects);
+        let mut state = self.lock_state();
+        let changed = state.accept_from_peer(objects);
         self.publish(&state, &changed);
     }
 
     /// Gets the versions of all objects that are known, tombstones included, for peers.
     #[must_use]
     pub fn stamps(&self) -> Vec<ObjectStamp> {
-        let state = self.state();
+        let state = self.lock_state();
         state.registry().objects().map(ObjectStamp::from).collect()
     }
 
     /// Gets one object for a peer.
     #[must_use]
     pub fn object(&self, key: &ObjectKey) -> Option<StoredObject> {
-        self.state().registry().object(key).cloned()
+        self.lock_state().registry().object(key).cloned()
     }
 
     /// Gets the revision up to which every change is known, none before the first list.
     #[must_use]
-    pub fn complete_at(&self) -> Option<StoreVersion> {
-        self.state().complete_at()
+    pub fn complete_revision(&self) -> Option<StoreVersion> {
+        self.lock_state().complete_revision()
     }
 
     /// Gets the follower's state.
     #[must_use]
     pub fn status(&self) -> FollowerStatus {
         let (contact, last_answer) = {
-            let record = self.contact();
-            (record.contact.clone(), record.last_answer)
+            let record = self.lock_sync_record();
+            (record.state.clone(), record.last_answer_at)
         };
-        let state = self.state();
+        let state = self.lock_state();
         FollowerStatus {
-            contact,
-            revision: state.complete_at(),
+            sync_state: contact,
+            revision: state.complete_revision(),
             highest_version: state.registry().highest_version(),
-            since_contact: last_answer.map(|answer| answer.elapsed().into()),
-            objects: state.registry().objects().count(),
-            rejected: rejected(&state),
+            time_since_answer: last_answer.map(|answer| answer.elapsed().into()),
+            object_count: state.registry().objects().count(),
+            rejected: rejected_objects(&state),
         }
     }
 
-    pub(crate) fn floor(&self) -> StoreVersion {
-        self.state().floor()
+    pub(crate) fn min_revision(&self) -> StoreVersion {
+        self.lock_state().min_revision()
     }
 
     /// Applies an answer of the store to the state and publishes what it changed.
@@ -178,37 +178,40 @@
         &self,
         take: impl FnOnce(&mut ConfigState) -> Result<Vec<ObjectKey>, StoreRegression>,
     ) -> Result<(), StoreRegression> {
-        let mut state = self.state();
+        let mut state = self.lock_state();
         let taken = take(&mut state);
-        let revision = state.complete_at().unwrap_or_default();
+        let revision = state.complete_revision().unwrap_or_default();
         if let Ok(changed) = &taken {
             self.publish(&state, changed);
         }
         drop(state);
         let contact = match &taken {
-            Ok(_) => StoreContact::Following,
-            Err(regression) => StoreContact::Backwards {
+            Ok(_) => StoreSyncState::Following,
+            Err(regression) => StoreSyncState::Regressed {
                 regression: regression.clone(),
             },
         };
-        self.contact().last_answer = Some(Instant::now());
-        self.set_contact(contact, revision);
+        self.lock_sync_record().last_answer_at = Some(Instant::now());
+        self.set_sync_state(contact, revision);
         taken.map(drop)
     }
 
     /// Notes that a call failed.
-    pub(crate) fn note_failure(&self, reason: &str) {
-        let is_backwards = matches!(self.contact().contact, StoreContact::Backwards { .. });
+    pub(crate) fn record_failure(&self, reason: &str) {
+        let is_backwards = matches!(
+            self.lock_sync_record().state,
+            StoreSyncState::Regressed { .. }
+        );
         // That the store went backwards is the graver news and stays until it has caught up.
         if !is_backwards {
             let reason = reason.to_owned();
-            self.set_contact(StoreContact::Lost { reason }, StoreVersion::default());
+            self.set_sync_state(StoreSyncState::Lost { reason }, StoreVersion::default());
         }
     }
 
     /// Passes on the answer to a call, and notes its failure.
-    pub(crate) fn note<T>(&self, answer: StoreResult<T>) -> StoreResult<T> {
-        answer.inspect_err(|error| self.note_failure(&error.to_string()))
+    pub(crate) fn record_result<T>(&self, answer: StoreResult<T>) -> StoreResult<T> {
+        answer.inspect_err(|error| self.record_failure(&error.to_string()))
     }
 
     fn publish(&self, state: &ConfigState, changed: &[ObjectKey]) {
@@ -216,36 +219,36 @@
             return;
         }
         self.shared.view.store(Arc::new(state.registry().view()));
-        self.shared.changed.send_modify(|count| *count += 1);
+        self.shared.view_changes.send_modify(|count| *count += 1);
         log_changes(state, changed);
     }
 
-    fn set_contact(&self, contact: StoreContact, revision: StoreVersion) {
-        let mut record = self.contact();
+    fn set_sync_state(&self, contact: StoreSyncState, revision: StoreVersion) {
+        let mut record = self.lock_sync_record();
         // One line for each change of state, not for each failed call of a long outage.
-        let is_new = std::mem::discriminant(&record.contact) != std::mem::discriminant(&contact);
+        let is_new = std::mem::discriminant(&record.state) != std::mem::discriminant(&contact);
         if is_new {
-            log_contact(&contact, revision);
+            log_sync_state(&contact, revision);
         }
-        record.contact = contact;
+        record.state = contact;
     }
 
-    fn state(&self) -> MutexGuard<'_, ConfigState> {
+    fn lock_state(&self) -> MutexGuard<'_, ConfigState> {
         self.shared
             .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn contact(&self) -> MutexGuard<'_, ContactRecord> {
+    fn lock_sync_record(&self) -> MutexGuard<'_, SyncRecord> {
         self.shared
-            .contact
+            .sync_record
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn rejected(state: &ConfigState) -> Vec<RejectedStatus> {
+fn rejected_objects(state: &ConfigState) -> Vec<RejectedStatus> {
     state
         .registry()
         .rejected()
@@ -272,25 +275,25 @@
         }
     }
     let names: Vec<String> = changed.iter().map(ToString::to_string).collect();
-    for status in rejected(state) {
+    for status in rejected_objects(state) {
         if names.contains(&status.key) {
             logging::emit(Level::Warn, &ConfigEvent::ConfigRejected(status));
         }
     }
 }
 
-fn log_contact(contact: &StoreContact, revision: StoreVersion) {
+fn log_sync_state(contact: &StoreSyncState, revision: StoreVersion) {
     match contact {
-        StoreContact::Waiting => {}
-        StoreContact::Following => {
+        StoreSyncState::Waiting => {}
+        StoreSyncState::Following => {
             logging::emit(Level::Info, &ConfigEvent::StoreFollowed { revision });
         }
-        StoreContact::Lost { reason } => {
+        StoreSyncState::Lost { reason } => {
             logging::emit(Level::Warn, &ConfigEvent::StoreLost { reason });
         }
-        StoreContact::Backwards { regression } => {
+        StoreSyncState::Regressed { regression } => {
             let reason = regression.to_string();
-            logging::emit(Level::Error, &ConfigEvent::StoreBackwards { reason });
+            logging::emit(Level::Error, &ConfigEvent::StoreRegressed { reason });
         }
     }
 }
--- a/alderhaven-store/src/config_state.rs
+++ b/alderhaven-store/src/config_state.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct ConfigState {
     registry: ConfigRegistry,
-    complete_at: Option<StoreVersion>,
+    complete_revision: Option<StoreVersion>,
     regression: Option<StoreRegression>,
 }
 
@@ -50,16 +50,16 @@
 impl ConfigState {
     /// Gets the highest revision heard of, which an answer to a later call may not fall below.
     #[must_use]
-    pub fn floor(&self) -> StoreVersion {
-        self.complete_at
+    pub fn min_revision(&self) -> StoreVersion {
+        self.complete_revision
             .unwrap_or_default()
             .max(self.registry.highest_version())
     }
 
     /// Gets the revision up to which every change is known, none before the first list.
     #[must_use]
-    pub const fn complete_at(&self) -> Option<StoreVersion> {
-        self.complete_at
+    pub const fn complete_revision(&self) -> Option<StoreVersion> {
+        self.complete_revision
     }
 
     /// Gets how the store went backwards; it stays until the store has caught up.
@@ -80,20 +80,20 @@
     ///
     /// # Errors
     /// How the store went backwards; nothing is taken then.
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         list: ObjectList,
         floor: StoreVersion,
     ) -> Result<Vec<ObjectKey>, StoreRegression> {
-        if let Some(regression) = self.check_list(&list, floor) {
+        if let Some(regression) = self.find_regression(&list, floor) {
             self.regression = Some(regression.clone());
             return Err(regression);
         }
         self.regression = None;
         let revision = list.revision;
-        let removed = self.removed_by(&list);
+        let removed = self.deletion_tombstones(&list);
         let changed = self.accept_all(list.objects.into_iter().chain(removed));
-        self.complete_at = Some(revision);
+        self.complete_revision = Some(revision);
         Ok(changed)
     }
 
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     /// How the store went backwards; nothing is taken then.
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         news: ObjectList,
         floor: StoreVersion,
@@ -117,7 +117,7 @@
             return Err(regression);
         }
         let changed = self.accept_all(news.objects);
-        self.complete_at = self.complete_at.max(Some(news.revision));
+        self.complete_revision = self.complete_revision.max(Some(news.revision));
         Ok(changed)
     }
 
@@ -125,8 +125,8 @@
     ///
     /// Up to the complete revision the node knows every object that is not deleted, so a peer's
     /// object of that age is either known or was deleted meanwhile; it is left out.
-    pub fn take_from_peer(&mut self, objects: Vec<StoredObject>) -> Vec<ObjectKey> {
-        let complete_at = self.complete_at;
+    pub fn accept_from_peer(&mut self, objects: Vec<StoredObject>) -> Vec<ObjectKey> {
+        let complete_at = self.complete_revision;
         let news = objects
             .into_iter()
             .filter(|object| Some(object.version) > complete_at);
@@ -145,7 +145,7 @@
         changed
     }
 
-    fn check_list(&self, list: &ObjectList, floor: StoreVersion) -> Option<StoreRegression> {
+    fn find_regression(&self, list: &ObjectList, floor: StoreVersion) -> Option<StoreRegression> {
         if list.revision < floor {
             return Some(StoreRegression::Revision {
                 known: floor,
@@ -160,7 +160,7 @@
         self.registry
             .objects()
             .filter(|known| known.version <= list.revision)
-            .find(|known| self.is_behind(known, listed.get(&known.key).copied()))
+            .find(|known| self.is_regressed(known, listed.get(&known.key).copied()))
             .map(|known| StoreRegression::Object {
                 key: known.key.to_string(),
                 known: known.version,
@@ -172,7 +172,7 @@
     ///
     /// An absent object was deleted, unless the store has gone backwards before: then it may as
     /// well have been lost, and only an operator who publishes it again can tell.
-    fn is_behind(&self, known: &StoredObject, listed: Option<&StoredObject>) -> bool {
+    fn is_regressed(&self, known: &StoredObject, listed: Option<&StoredObject>) -> bool {
         match listed {
             Some(listed) => {
                 listed.version < known.version
@@ -185,7 +185,7 @@
     /// Gets tombstones for the known objects that a list shows to be deleted.
     ///
     /// Their version is the list's: whatever was written up to then is gone.
-    fn removed_by(&self, list: &ObjectList) -> Vec<StoredObject> {
+    fn deletion_tombstones(&self, list: &ObjectList) -> Vec<StoredObject> {
         let listed: BTreeSet<&ObjectKey> = list.objects.iter().map(|object| &object.key).collect();
         self.registry
             .objects()
--- a/alderhaven-store/src/http_client.rs
+++ b/alderhaven-store/src/http_client.rs
@@ -23,9 +23,9 @@
 /// The default time to open a connection.
 const DEFAULT_CONNECT_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
 /// The default number of idle connections that are kept.
-const DEFAULT_MAX_IDLE: usize = 4;
+const DEFAULT_MAX_IDLE_CONNECTIONS: usize = 4;
 /// The default bound of an answer: a list of the whole configuration has to fit.
-const DEFAULT_MAX_ANSWER: ByteSize = ByteSize::from_kib(16 << 10);
+const DEFAULT_MAX_RESPONSE_SIZE: ByteSize = ByteSize::from_kib(16 << 10);
 
 /// `ClientOptions` bound the calls to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,9 +36,9 @@
     /// The time to open a connection.
     pub connect_timeout: TimeSpan,
     /// The number of idle connections that are kept.
-    pub max_idle: usize,
+    pub max_idle_connections: usize,
     /// The largest answer.
-    pub max_answer: ByteSize,
+    pub max_response_size: ByteSize,
 }
 
 impl Default for ClientOptions {
@@ -46,8 +46,8 @@
         Self {
             call_timeout: DEFAULT_CALL_TIMEOUT,
             connect_timeout: DEFAULT_CONNECT_TIMEOUT,
-            max_idle: DEFAULT_MAX_IDLE,
-            max_answer: DEFAULT_MAX_ANSWER,
+            max_idle_connections: DEFAULT_MAX_IDLE_CONNECTIONS,
+            max_response_size: DEFAULT_MAX_RESPONSE_SIZE,
         }
     }
 }
@@ -57,12 +57,12 @@
 pub struct HttpClient {
     address: SocketAddr,
     options: ClientOptions,
-    idle: Mutex<Vec<Connection>>,
+    idle_connections: Mutex<Vec<Connection>>,
 }
 
 /// A `ClientAnswer` is the whole answer to a call.
 #[derive(Debug)]
-pub struct ClientAnswer {
+pub struct ClientResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -80,7 +80,7 @@
         Self {
             address,
             options,
-            idle: Mutex::new(Vec::new()),
+            idle_connections: Mutex::new(Vec::new()),
         }
     }
 
@@ -92,7 +92,7 @@
 
     /// Gets what calls name as their host.
     #[must_use]
-    pub fn host(&self) -> String {
+    pub fn host_header(&self) -> String {
         self.address.to_string()
     }
 
@@ -107,14 +107,14 @@
         &self,
         request: Request<Full<Bytes>>,
         wait: TimeSpan,
-    ) -> StoreResult<ClientAnswer> {
-        let mut connection = self.connection().await?;
+    ) -> StoreResult<ClientResponse> {
+        let mut connection = self.acquire_connection().await?;
         // A call that fails drops its connection, so a late answer has nobody left to reach.
         let timeout = (self.options.call_timeout + wait).as_duration();
-        match time::timeout(timeout, self.exchange(&mut connection, request)).await {
+        match time::timeout(timeout, self.send_and_receive(&mut connection, request)).await {
             Ok(Ok(answer)) => {
-                self.keep(connection);
-                refuse_overload(answer)
+                self.release_connection(connection);
+                reject_overload(answer)
             }
             Ok(Err(error)) => Err(error),
             Err(_elapsed) => {
@@ -127,11 +127,11 @@
         }
     }
 
-    async fn exchange(
+    async fn send_and_receive(
         &self,
         connection: &mut Connection,
         request: Request<Full<Bytes>>,
-    ) -> StoreResult<ClientAnswer> {
+    ) -> StoreResult<ClientResponse> {
         let response = match connection.try_send_request(request).await {
             Ok(response) => response,
             Err(mut refused) => {
@@ -144,23 +144,23 @@
                 send_once(connection, request).await?
             }
         };
-        self.read(response).await
+        self.read_response(response).await
     }
 
-    async fn read(&self, response: Response<Incoming>) -> StoreResult<ClientAnswer> {
+    async fn read_response(&self, response: Response<Incoming>) -> StoreResult<ClientResponse> {
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, self.options.max_answer.as_bytes())
+        let body = Limited::new(body, self.options.max_response_size.as_bytes())
             .collect()
             .await
             .map_err(StoreError::unknown)?;
-        Ok(ClientAnswer {
+        Ok(ClientResponse {
             status: parts.status,
             headers: parts.headers,
             body: body.to_bytes(),
         })
     }
 
-    async fn connection(&self) -> StoreResult<Connection> {
+    async fn acquire_connection(&self) -> StoreResult<Connection> {
         loop {
             let Some(mut connection) = self.lock_idle().pop() else {
                 return self.connect().await;
@@ -187,15 +187,17 @@
         Ok(connection)
     }
 
-    fn keep(&self, connection: Connection) {
+    fn release_connection(&self, connection: Connection) {
         let mut idle = self.lock_idle();
-        if idle.len() < self.options.max_idle {
+        if idle.len() < self.options.max_idle_connections {
             idle.push(connection);
         }
     }
 
     fn lock_idle(&self) -> std::sync::MutexGuard<'_, Vec<Connection>> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+        self.idle_connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -215,7 +217,7 @@
         })
 }
 
-fn refuse_overload(answer: ClientAnswer) -> StoreResult<ClientAnswer> {
+fn reject_overload(answer: ClientResponse) -> StoreResult<ClientResponse> {
     match answer.status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             Err(StoreError::NotDone {
@@ -232,12 +234,12 @@
     text.parse().ok().map(TimeSpan::from_millis)
 }
 
-impl ClientAnswer {
+impl ClientResponse {
     /// Reads the body.
     ///
     /// # Errors
     /// It is no JSON of that form; what the call did is unknown then.
-    pub fn json<T: DeserializeOwned>(&self) -> StoreResult<T> {
+    pub fn parse_json<T: DeserializeOwned>(&self) -> StoreResult<T> {
         serde_json::from_slice(&self.body).map_err(StoreError::unknown)
     }
 
@@ -247,7 +249,7 @@
     /// effect.
     /// Gets the error of a call whose answer has a status that means nothing for it.
     #[must_use]
-    pub fn unexpected(&self) -> StoreError {
+    pub fn unexpected_status(&self) -> StoreError {
         if self.status.is_client_error() {
             StoreError::not_done(self.status)
         } else {
--- a/alderhaven-store/src/http_hosts.rs
+++ b/alderhaven-store/src/http_hosts.rs
@@ -32,13 +32,13 @@
 impl HostSource for HttpHosts {
     async fn hosts(&self) -> StoreResult<HostListing> {
         let request = Request::get(HOSTS_PATH)
-            .header(http::header::HOST, self.client.host())
+            .header(http::header::HOST, self.client.host_header())
             .body(Full::default())
             .map_err(StoreError::not_done)?;
         let answer = self.client.call(request, TimeSpan::ZERO).await?;
         match answer.status {
-            StatusCode::OK => answer.json(),
-            _ => Err(answer.unexpected()),
+            StatusCode::OK => answer.parse_json(),
+            _ => Err(answer.unexpected_status()),
         }
     }
 }
--- a/alderhaven-store/src/http_store.rs
+++ b/alderhaven-store/src/http_store.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::http_client::{ClientAnswer, ClientOptions, HttpClient};
+use crate::http_client::{ClientOptions, ClientResponse, HttpClient};
 use crate::object_store::{
     ConditionalWrite, IF_VERSION_HEADER, MAX_VALUE_BYTES, ObjectList, ObjectStore, StoreError,
     StoreResult, WRITE_ID_HEADER, WatchOutcome, WriteOutcome,
@@ -34,7 +34,7 @@
 pub struct HttpStore {
     client: HttpClient,
     budget: Mutex<StoreBudget>,
-    started: Instant,
+    started_at: Instant,
 }
 
 impl HttpStore {
@@ -44,7 +44,7 @@
         Self {
             client: HttpClient::new(address, options.client),
             budget: Mutex::new(StoreBudget::new(options.budget, TimePoint::START)),
-            started: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
@@ -59,8 +59,8 @@
         call: StoreCall,
         request: Request<Full<Bytes>>,
         wait: TimeSpan,
-    ) -> StoreResult<ClientAnswer> {
-        let now = TimePoint::START + TimeSpan::from(self.started.elapsed());
+    ) -> StoreResult<ClientResponse> {
+        let now = TimePoint::START + TimeSpan::from(self.started_at.elapsed());
         let taken = self
             .budget
             .lock()
@@ -75,14 +75,14 @@
         self.client.call(request, wait).await
     }
 
-    fn read_request(&self, path: &str) -> StoreResult<Request<Full<Bytes>>> {
+    fn build_read(&self, path: &str) -> StoreResult<Request<Full<Bytes>>> {
         Request::get(path)
-            .header(http::header::HOST, self.client.host())
+            .header(http::header::HOST, self.client.host_header())
             .body(Full::default())
             .map_err(StoreError::not_done)
     }
 
-    fn write_request(&self, write: &ConditionalWrite) -> StoreResult<Request<Full<Bytes>>> {
+    fn build_write(&self, write: &ConditionalWrite) -> StoreResult<Request<Full<Bytes>>> {
         let size = write.body.as_ref().map_or(0, String::len);
         if size > MAX_VALUE_BYTES {
             return Err(StoreError::not_done(format!(
@@ -96,7 +96,7 @@
             None => Request::delete(path),
         };
         request
-            .header(http::header::HOST, self.client.host())
+            .header(http::header::HOST, self.client.host_header())
             .header(IF_VERSION_HEADER, write.expected.0)
             .header(WRITE_ID_HEADER, write.write_id.as_str())
             .body(Full::from(write.body.clone().unwrap_or_default()))
@@ -106,38 +106,38 @@
 
 impl ObjectStore for HttpStore {
     async fn list(&self, kinds: &[ObjectKind]) -> StoreResult<ObjectList> {
-        let request = self.read_request(&format!("/objects?kinds={}", join(kinds)))?;
+        let request = self.build_read(&format!("/objects?kinds={}", join_kinds(kinds)))?;
         let answer = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
         match answer.status {
-            StatusCode::OK => answer.json(),
-            _ => Err(answer.unexpected()),
+            StatusCode::OK => answer.parse_json(),
+            _ => Err(answer.unexpected_status()),
         }
     }
 
     async fn get(&self, key: &ObjectKey) -> StoreResult<Option<StoredObject>> {
-        let request = self.read_request(&object_path(key)?)?;
+        let request = self.build_read(&object_path(key)?)?;
         let answer = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
         match answer.status {
-            StatusCode::OK => answer.json().map(Some),
+            StatusCode::OK => answer.parse_json().map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(answer.unexpected()),
+            _ => Err(answer.unexpected_status()),
         }
     }
 
     async fn write(&self, write: ConditionalWrite) -> StoreResult<WriteOutcome> {
-        let request = self.write_request(&write)?;
+        let request = self.build_write(&write)?;
         let answer = self.call(StoreCall::Write, request, TimeSpan::ZERO).await?;
         match answer.status {
             StatusCode::OK => {
-                let written: StoredObject = answer.json()?;
+                let written: StoredObject = answer.parse_json()?;
                 if written.write_id == write.write_id && written.key == write.key {
                     Ok(WriteOutcome::Written(written.version))
                 } else {
                     Err(StoreError::unknown("the answer names another write"))
                 }
             }
-            StatusCode::CONFLICT => answer.json().map(WriteOutcome::Conflict),
-            _ => Err(answer.unexpected()),
+            StatusCode::CONFLICT => answer.parse_json().map(WriteOutcome::Conflict),
+            _ => Err(answer.unexpected_status()),
         }
     }
 
@@ -147,21 +147,21 @@
         after: StoreVersion,
         wait: TimeSpan,
     ) -> StoreResult<WatchOutcome> {
-        let request = self.read_request(&format!(
+        let request = self.build_read(&format!(
             "/watch?kinds={}&after={after}&wait_ms={}",
-            join(kinds),
+            join_kinds(kinds),
             wait.as_millis()
         ))?;
         let answer = self.call(StoreCall::Read, request, wait).await?;
         match answer.status {
-            StatusCode::OK => answer.json().map(WatchOutcome::Changes),
-            StatusCode::GONE => Ok(WatchOutcome::Gap),
-            _ => Err(answer.unexpected()),
+            StatusCode::OK => answer.parse_json().map(WatchOutcome::Changes),
+            StatusCode::GONE => Ok(WatchOutcome::Compacted),
+            _ => Err(answer.unexpected_status()),
         }
     }
 }
 
-fn join(kinds: &[ObjectKind]) -> String {
+fn join_kinds(kinds: &[ObjectKind]) -> String {
     let names: Vec<&str> = kinds.iter().map(|kind| kind.as_str()).collect();
     names.join(",")
 }
--- a/alderhaven-store/src/lib.rs
+++ b/alderhaven-store/src/lib.rs
@@ -5,7 +5,6 @@
 pub mod config_follower;
 pub mod config_handle;
 pub mod config_state;
-pub mod dialect;
 pub mod host_list;
 pub mod http_client;
 pub mod http_hosts;
@@ -13,4 +12,5 @@
 pub mod object_store;
 pub mod operator_server;
 pub mod retry_backoff;
+pub mod target_dialect;
 pub mod target_watch;
--- a/alderhaven-store/src/object_store.rs
+++ b/alderhaven-store/src/object_store.rs
@@ -70,7 +70,7 @@
     /// What changed, in the order of versions; empty where nothing did.
     Changes(ObjectList),
     /// The revision to resume from is too old: list again.
-    Gap,
+    Compacted,
 }
 
 /// A `StoreError` says why a call has no answer, and whether it may have taken effect.
--- a/alderhaven-store/src/operator_server.rs
+++ b/alderhaven-store/src/operator_server.rs
@@ -31,11 +31,11 @@
 /// The path that starts the planned stop.
 pub const DRAIN_PATH: &str = "/drain";
 /// The content type of the `OpenMetrics` text form.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 /// The most connections from operators; a scraper and a few people need fewer.
 const MAX_CONNECTIONS: usize = 32;
 /// The time within which a request's head must have come in.
-const HEAD_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
+const HEADER_READ_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 
 /// An `OperatorSource` is a process as operators see it.
 pub trait OperatorSource: Send + Sync + 'static {
@@ -72,42 +72,52 @@
 
 async fn serve_connection<S: OperatorSource>(stream: TcpStream, source: Arc<S>) {
     let answering = service::service_fn(move |request: Request<Incoming>| {
-        let response = answer(&*source, request.method(), request.uri().path());
+        let response = handle_request(&*source, request.method(), request.uri().path());
         async move { Ok::<_, Infallible>(response) }
     });
     let _ended = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIMEOUT)
+        .header_read_timeout(HEADER_READ_TIMEOUT)
         .serve_connection(TokioIo::new(stream), answering)
         .await;
 }
 
-fn answer<S: OperatorSource>(source: &S, method: &Method, path: &str) -> Response<Full<Bytes>> {
+fn handle_request<S: OperatorSource>(
+    source: &S,
+    method: &Method,
+    path: &str,
+) -> Response<Full<Bytes>> {
     match (method, path) {
-        (&Method::GET, METRICS_PATH) => {
-            respond(StatusCode::OK, METRICS_TYPE, source.metrics().into_bytes())
-        }
-        (&Method::GET, DUMP_PATH) => respond_json(StatusCode::OK, &source.dump()),
-        (&Method::GET, STATUS_PATH) => respond_json(StatusCode::OK, &source.status()),
+        (&Method::GET, METRICS_PATH) => response_with_body(
+            StatusCode::OK,
+            METRICS_CONTENT_TYPE,
+            source.metrics().into_bytes(),
+        ),
+        (&Method::GET, DUMP_PATH) => json_response(StatusCode::OK, &source.dump()),
+        (&Method::GET, STATUS_PATH) => json_response(StatusCode::OK, &source.status()),
         (&Method::POST, DRAIN_PATH) => {
             source.drain();
-            respond_json(
+            json_response(
                 StatusCode::ACCEPTED,
                 &serde_json::json!({ "draining": true }),
             )
         }
-        _ => respond_json(
+        _ => json_response(
             StatusCode::NOT_FOUND,
             &serde_json::json!({ "error": { "code": "not_found", "message": format!("there is no {method} {path}") } }),
         ),
     }
 }
 
-fn respond_json(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
-    respond(status, "application/json", body.to_string().into_bytes())
+fn json_response(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
+    response_with_body(status, "application/json", body.to_string().into_bytes())
 }
 
-fn respond(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Response<Full<Bytes>> {
+fn response_with_body(
+    status: StatusCode,
+    kind: &'static str,
+    body: Vec<u8>,
+) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     response
--- a/alderhaven-store/src/retry_backoff.rs
+++ b/alderhaven-store/src/retry_backoff.rs
@@ -7,29 +7,29 @@
 use serde::{Deserialize, Serialize};
 
 /// The default first wait.
-const DEFAULT_FIRST: TimeSpan = TimeSpan::from_millis(100);
+const DEFAULT_INITIAL_WAIT: TimeSpan = TimeSpan::from_millis(100);
 /// The default longest wait: short beside the 9 s in which a change must be in force.
-const DEFAULT_LONGEST: TimeSpan = TimeSpan::from_secs(4);
+const DEFAULT_MAX_WAIT: TimeSpan = TimeSpan::from_secs(4);
 /// The factor between two waits.
-const GROWTH: f64 = 2.0;
+const GROWTH_FACTOR: f64 = 2.0;
 /// The part of each wait that is not random, so that no wait is next to nothing.
-const FIXED_PART: f64 = 0.5;
+const FIXED_SHARE: f64 = 0.5;
 
 /// `BackoffOptions` bound the waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackoffOptions {
     /// The first wait.
-    pub first: TimeSpan,
+    pub initial_wait: TimeSpan,
     /// The longest wait.
-    pub longest: TimeSpan,
+    pub max_wait: TimeSpan,
 }
 
 impl Default for BackoffOptions {
     fn default() -> Self {
         Self {
-            first: DEFAULT_FIRST,
-            longest: DEFAULT_LONGEST,
+            initial_wait: DEFAULT_INITIAL_WAIT,
+            max_wait: DEFAULT_MAX_WAIT,
         }
     }
 }
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct RetryBackoff {
     options: BackoffOptions,
-    ceiling: TimeSpan,
+    wait_bound: TimeSpan,
 }
 
 impl RetryBackoff {
@@ -47,21 +47,24 @@
     pub const fn new(options: BackoffOptions) -> Self {
         Self {
             options,
-            ceiling: options.first,
+            wait_bound: options.initial_wait,
         }
     }
 
     /// Gets the wait after one more failure; `random` is from 0 to 1.
-    pub fn next(&mut self, random: f64) -> TimeSpan {
+    pub fn next_wait(&mut self, random: f64) -> TimeSpan {
         let wait = self
-            .ceiling
-            .mul_f64(FIXED_PART + (1.0 - FIXED_PART) * random);
-        self.ceiling = self.ceiling.mul_f64(GROWTH).min(self.options.longest);
+            .wait_bound
+            .mul_f64(FIXED_SHARE + (1.0 - FIXED_SHARE) * random);
+        self.wait_bound = self
+            .wait_bound
+            .mul_f64(GROWTH_FACTOR)
+            .min(self.options.max_wait);
         wait
     }
 
     /// Begins anew after a success.
     pub const fn reset(&mut self) {
-        self.ceiling = self.options.first;
+        self.wait_bound = self.options.initial_wait;
     }
 }
--- a/alderhaven-store/src/dialect.rs
+++ b/alderhaven-store/src/target_dialect.rs
@@ -82,10 +82,10 @@
     /// A 200 that does not echo this attempt, snapshot, shard and version belongs to something
     /// else (a crossed or late reply), and the attempt's own fate is then unknown.
     #[must_use]
-    pub fn judge(&self, status: StatusCode, headers: &HeaderMap) -> AttemptOutcome {
-        let not_run = header_is(headers, NOT_RUN_HEADER, "true");
+    pub fn classify_reply(&self, status: StatusCode, headers: &HeaderMap) -> AttemptOutcome {
+        let not_run = header_equals(headers, NOT_RUN_HEADER, "true");
         match status {
-            StatusCode::OK if self.is_echoed(headers) => AttemptOutcome::Answered,
+            StatusCode::OK if self.echoes_request(headers) => AttemptOutcome::Answered,
             StatusCode::OK => AttemptOutcome::Unknown,
             StatusCode::SERVICE_UNAVAILABLE if not_run && is_draining(headers) => {
                 AttemptOutcome::NotRun(NotRunReason::Draining)
@@ -98,18 +98,18 @@
         }
     }
 
-    fn is_echoed(&self, headers: &HeaderMap) -> bool {
-        header_is(headers, ATTEMPT_HEADER, &self.attempt.to_string())
-            && header_is(headers, SNAPSHOT_HEADER, &self.snapshot.to_string())
-            && header_is(headers, SHARD_HEADER, &self.shard.to_string())
-            && header_is(headers, VERSION_HEADER, &self.version.to_string())
+    fn echoes_request(&self, headers: &HeaderMap) -> bool {
+        header_equals(headers, ATTEMPT_HEADER, &self.attempt.to_string())
+            && header_equals(headers, SNAPSHOT_HEADER, &self.snapshot.to_string())
+            && header_equals(headers, SHARD_HEADER, &self.shard.to_string())
+            && header_equals(headers, VERSION_HEADER, &self.version.to_string())
     }
 }
 
 /// Returns true where a reply says that its target drains.
 #[must_use]
 pub fn is_draining(headers: &HeaderMap) -> bool {
-    header_is(headers, DRAINING_HEADER, "true")
+    header_equals(headers, DRAINING_HEADER, "true")
 }
 
 /// Gets the free slots that a reply reports.
@@ -118,7 +118,7 @@
     headers.get(FREE_SLOTS_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-fn header_is(headers: &HeaderMap, name: &str, value: &str) -> bool {
+fn header_equals(headers: &HeaderMap, name: &str, value: &str) -> bool {
     headers
         .get(name)
         .is_some_and(|header| header.as_bytes() == value.as_bytes())
--- a/alderhaven-store/src/target_watch.rs
+++ b/alderhaven-store/src/target_watch.rs
@@ -16,7 +16,7 @@
 
 /// The time between two readings of the host list: a leaving target is left alone within 3 s, the
 /// list's own lag included.
-const LIST_PERIOD: TimeSpan = TimeSpan::from_secs(1);
+const HOST_LIST_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
 /// A `TargetWatch` knows which targets get no new work; its clones share it.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     clock: ProcessClock,
     targets: Mutex<LeavingTargets>,
     /// Read on the path of a request.
-    names: ArcSwap<BTreeSet<String>>,
+    leaving_names: ArcSwap<BTreeSet<String>>,
 }
 
 impl Default for TargetWatch {
@@ -46,7 +46,7 @@
             shared: Arc::new(SharedWatch {
                 clock: ProcessClock::default(),
                 targets: Mutex::new(LeavingTargets::new(options)),
-                names: ArcSwap::default(),
+                leaving_names: ArcSwap::default(),
             }),
         }
     }
@@ -54,46 +54,46 @@
     /// Returns true where a target gets no new work.
     #[must_use]
     pub fn is_leaving(&self, target: &str) -> bool {
-        self.shared.names.load().contains(target)
+        self.shared.leaving_names.load().contains(target)
     }
 
     /// Gets the names of the targets that get no new work.
     #[must_use]
-    pub fn names(&self) -> Arc<BTreeSet<String>> {
-        self.shared.names.load_full()
+    pub fn leaving_names(&self) -> Arc<BTreeSet<String>> {
+        self.shared.leaving_names.load_full()
     }
 
     /// Returns true where the target itself has said that it drains.
     ///
     /// What the list or an operator says every node hears; the target's own word is passed on.
     #[must_use]
-    pub fn has_said(&self, target: &TargetId) -> bool {
+    pub fn has_reported_drain(&self, target: &TargetId) -> bool {
         self.lock().has_reported_drain(target)
     }
 
     /// Notes that a reply of a target says that it drains.
-    pub fn note_reply(&self, target: &TargetId) {
+    pub fn record_draining_reply(&self, target: &TargetId) {
         if self.is_leaving(target.as_str()) {
             return;
         }
         let now = self.shared.clock.now();
-        self.change(|targets| targets.record_reply(target, now));
+        self.update(|targets| targets.record_reply(target, now));
     }
 
     /// Follows the host list and the published drains until the task is ended.
     ///
     /// While the list can't be read, what was known stays.
     pub async fn follow<H: HostSource>(self, hosts: Arc<H>, config: ConfigHandle) {
-        let mut changed = config.changed();
-        let mut ticks = time::interval(LIST_PERIOD.as_duration());
+        let mut changed = config.subscribe();
+        let mut ticks = time::interval(HOST_LIST_INTERVAL.as_duration());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let drains = config.view().drains.clone();
-            self.change(|targets| targets.set_drained(drains));
+            self.update(|targets| targets.set_drained(drains));
             tokio::select! {
                 _ = ticks.tick() => {
                     if let Ok(listing) = hosts.hosts().await {
-                        self.take_listing(&listing);
+                        self.apply_listing(&listing);
                     }
                 }
                 _ = changed.changed() => {}
@@ -101,7 +101,7 @@
         }
     }
 
-    fn take_listing(&self, listing: &HostListing) {
+    fn apply_listing(&self, listing: &HostListing) {
         let leaving = listing
             .hosts
             .iter()
@@ -109,14 +109,14 @@
             .map(|host| host.host.to_string())
             .collect();
         let now = self.shared.clock.now();
-        self.change(|targets| targets.set_listed(listing.revision, leaving, now));
+        self.update(|targets| targets.set_listed(listing.revision, leaving, now));
     }
 
-    fn change(&self, change: impl FnOnce(&mut LeavingTargets)) {
+    fn update(&self, change: impl FnOnce(&mut LeavingTargets)) {
         let mut targets = self.lock();
         change(&mut targets);
         // Stored with the lock held, so that names can't be published out of order.
-        self.shared.names.store(Arc::new(targets.names()));
+        self.shared.leaving_names.store(Arc::new(targets.names()));
     }
 
     fn lock(&self) -> MutexGuard<'_, LeavingTargets> {
--- a/alderhaven-store/tests/config_follower.rs
+++ b/alderhaven-store/tests/config_follower.rs
@@ -7,7 +7,7 @@
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_core::time::TimeSpan;
 use alderhaven_store::config_follower::{ConfigFollower, FollowerOptions};
-use alderhaven_store::config_handle::{ConfigHandle, StoreContact};
+use alderhaven_store::config_handle::{ConfigHandle, StoreSyncState};
 use alderhaven_store::object_store::{
     ConditionalWrite, ObjectList, ObjectStore, StoreError, StoreResult, WatchOutcome, WriteOutcome,
 };
@@ -37,7 +37,7 @@
         })
     }
 
-    async fn next(&self, call: String) -> Answer {
+    async fn next_answer(&self, call: String) -> Answer {
         self.calls.lock().expect("calls").push(call);
         let answer = self.answers.lock().expect("answers").pop_front();
         match answer {
@@ -46,7 +46,7 @@
         }
     }
 
-    async fn called(&self, count: usize) -> Vec<String> {
+    async fn wait_for_calls(&self, count: usize) -> Vec<String> {
         for _ in 0..WAIT_BOUND.as_millis() {
             let calls = self.calls.lock().expect("calls").clone();
             if calls.len() >= count {
@@ -60,7 +60,7 @@
 
 impl ObjectStore for ScriptedStore {
     async fn list(&self, _kinds: &[ObjectKind]) -> StoreResult<ObjectList> {
-        match self.next("list".to_owned()).await {
+        match self.next_answer("list".to_owned()).await {
             Answer::List(result) => result,
             Answer::Watch(_) => panic!("a watch was expected"),
         }
@@ -80,14 +80,14 @@
         after: StoreVersion,
         _wait: TimeSpan,
     ) -> StoreResult<WatchOutcome> {
-        match self.next(format!("watch {after}")).await {
+        match self.next_answer(format!("watch {after}")).await {
             Answer::Watch(result) => result,
             Answer::List(_) => panic!("a list was expected"),
         }
     }
 }
 
-fn objects(revision: u64, names: &[&str]) -> ObjectList {
+fn drain_objects(revision: u64, names: &[&str]) -> ObjectList {
     let drain = |name: &&str| StoredObject {
         key: ObjectKey {
             kind: ObjectKind::Drain,
@@ -103,25 +103,25 @@
     }
 }
 
-fn list(revision: u64, names: &[&str]) -> Answer {
-    Answer::List(Ok(objects(revision, names)))
+fn list_answer(revision: u64, names: &[&str]) -> Answer {
+    Answer::List(Ok(drain_objects(revision, names)))
 }
 
-fn changes(revision: u64, names: &[&str]) -> Answer {
-    Answer::Watch(Ok(WatchOutcome::Changes(objects(revision, names))))
+fn changes_answer(revision: u64, names: &[&str]) -> Answer {
+    Answer::Watch(Ok(WatchOutcome::Changes(drain_objects(revision, names))))
 }
 
-fn down() -> StoreError {
+fn unavailable_error() -> StoreError {
     StoreError::not_done("down")
 }
 
-fn follow(store: &Arc<ScriptedStore>) -> ConfigHandle {
+fn start_follower(store: &Arc<ScriptedStore>) -> ConfigHandle {
     let options = FollowerOptions::default();
     ConfigFollower::start(Arc::clone(store), options, CancellationToken::new())
 }
 
-async fn drains_reach(handle: &ConfigHandle, names: &[&str]) {
-    let mut receiver = handle.changed();
+async fn wait_for_drains(handle: &ConfigHandle, names: &[&str]) {
+    let mut receiver = handle.subscribe();
     loop {
         let view = handle.view();
         if view.drains.iter().eq(names.iter()) {
@@ -136,28 +136,28 @@
 #[tokio::test(start_paused = true)]
 async fn follow_resumes_where_it_was() {
     let store = ScriptedStore::new([
-        list(4, &["t1"]),
-        changes(6, &["t2"]),
+        list_answer(4, &["t1"]),
+        changes_answer(6, &["t2"]),
         Answer::Watch(Err(StoreError::unknown("lost"))),
-        changes(9, &["t3"]),
+        changes_answer(9, &["t3"]),
     ]);
-    let handle = follow(&store);
-    drains_reach(&handle, &["t1", "t2", "t3"]).await;
-    let calls = store.called(5).await;
+    let handle = start_follower(&store);
+    wait_for_drains(&handle, &["t1", "t2", "t3"]).await;
+    let calls = store.wait_for_calls(5).await;
     assert_eq!(calls, ["list", "watch 4", "watch 6", "watch 6", "watch 9"]);
-    assert_eq!(handle.status().contact, StoreContact::Following);
+    assert_eq!(handle.status().sync_state, StoreSyncState::Following);
 }
 
 #[tokio::test(start_paused = true)]
 async fn follow_gap_lists_again() {
     let store = ScriptedStore::new([
-        list(4, &["t1"]),
-        Answer::Watch(Ok(WatchOutcome::Gap)),
-        list(40, &["t2"]),
+        list_answer(4, &["t1"]),
+        Answer::Watch(Ok(WatchOutcome::Compacted)),
+        list_answer(40, &["t2"]),
     ]);
-    let handle = follow(&store);
-    drains_reach(&handle, &["t2"]).await;
-    assert_eq!(store.called(4).await[3], "watch 40");
+    let handle = start_follower(&store);
+    wait_for_drains(&handle, &["t2"]).await;
+    assert_eq!(store.wait_for_calls(4).await[3], "watch 40");
 }
 
 /// The store is down when the node starts. It serves what peers tell it, and follows the store
@@ -165,15 +165,15 @@
 #[tokio::test(start_paused = true)]
 async fn follow_store_down_at_start_lives_on_peers() {
     let store = ScriptedStore::new([
-        Answer::List(Err(down())),
-        Answer::List(Err(down())),
-        list(4, &["t1", "t2"]),
+        Answer::List(Err(unavailable_error())),
+        Answer::List(Err(unavailable_error())),
+        list_answer(4, &["t1", "t2"]),
     ]);
-    let handle = follow(&store);
-    handle.accept(objects(4, &["t1"]).objects);
-    drains_reach(&handle, &["t1"]).await;
-    drains_reach(&handle, &["t1", "t2"]).await;
-    assert_eq!(store.called(4).await[3], "watch 4");
+    let handle = start_follower(&store);
+    handle.accept(drain_objects(4, &["t1"]).objects);
+    wait_for_drains(&handle, &["t1"]).await;
+    wait_for_drains(&handle, &["t1", "t2"]).await;
+    assert_eq!(store.wait_for_calls(4).await[3], "watch 4");
 }
 
 /// The store comes back from an old copy: the revision in its answer is lower than before. The
@@ -181,17 +181,17 @@
 #[tokio::test(start_paused = true)]
 async fn follow_restored_store_changes_nothing() {
     let store = ScriptedStore::new([
-        list(8, &["t1", "t2"]),
-        changes(3, &[]),
-        list(3, &[]),
-        Answer::List(Err(down())),
+        list_answer(8, &["t1", "t2"]),
+        changes_answer(3, &[]),
+        list_answer(3, &[]),
+        Answer::List(Err(unavailable_error())),
     ]);
-    let handle = follow(&store);
-    store.called(5).await;
+    let handle = start_follower(&store);
+    store.wait_for_calls(5).await;
     assert!(matches!(
-        handle.status().contact,
-        StoreContact::Backwards { .. }
+        handle.status().sync_state,
+        StoreSyncState::Regressed { .. }
     ));
-    drains_reach(&handle, &["t1", "t2"]).await;
+    wait_for_drains(&handle, &["t1", "t2"]).await;
     assert_eq!(handle.status().revision, Some(StoreVersion(8)));
 }
--- a/alderhaven-store/tests/config_state.rs
+++ b/alderhaven-store/tests/config_state.rs
@@ -11,7 +11,7 @@
 };
 use proptest::test_runner::RngSeed;
 
-fn object(name: &str, version: u64, is_live: bool) -> StoredObject {
+fn drain_object(name: &str, version: u64, is_live: bool) -> StoredObject {
     StoredObject {
         key: ObjectKey {
             kind: ObjectKind::Drain,
@@ -23,7 +23,7 @@
     }
 }
 
-fn list(revision: u64, objects: Vec<StoredObject>) -> ObjectList {
+fn object_list(revision: u64, objects: Vec<StoredObject>) -> ObjectList {
     ObjectList {
         revision: StoreVersion(revision),
         objects,
@@ -36,9 +36,13 @@
 fn take_from_peer_deleted_object_stays_deleted() {
     let mut state = ConfigState::default();
     state
-        .take_list(list(9, vec![]), state.floor())
+        .apply_list(object_list(9, vec![]), state.min_revision())
         .expect("a list");
-    assert!(state.take_from_peer(vec![object("t1", 5, true)]).is_empty());
+    assert!(
+        state
+            .accept_from_peer(vec![drain_object("t1", 5, true)])
+            .is_empty()
+    );
     assert!(state.registry().view().drains.is_empty());
 }
 
@@ -48,10 +52,13 @@
 fn take_list_absent_object_is_removed() {
     let mut state = ConfigState::default();
     state
-        .take_list(list(5, vec![object("t1", 5, true)]), state.floor())
+        .apply_list(
+            object_list(5, vec![drain_object("t1", 5, true)]),
+            state.min_revision(),
+        )
         .expect("a list");
     let changed = state
-        .take_list(list(9, vec![]), state.floor())
+        .apply_list(object_list(9, vec![]), state.min_revision())
         .expect("a list");
     assert_eq!(changed.len(), 1);
     assert!(state.registry().view().drains.is_empty());
@@ -64,22 +71,32 @@
 fn take_list_restored_store_is_refused_until_it_has_caught_up() {
     let mut state = ConfigState::default();
     state
-        .take_list(
-            list(8, vec![object("t1", 3, true), object("t2", 8, true)]),
-            state.floor(),
+        .apply_list(
+            object_list(
+                8,
+                vec![drain_object("t1", 3, true), drain_object("t2", 8, true)],
+            ),
+            state.min_revision(),
         )
         .expect("a list");
-    let restored = |revision| list(revision, vec![object("t1", 3, true)]);
-    let refused = state.take_list(restored(4), state.floor());
+    let restored = |revision| object_list(revision, vec![drain_object("t1", 3, true)]);
+    let refused = state.apply_list(restored(4), state.min_revision());
     assert!(matches!(refused, Err(StoreRegression::Revision { .. })));
-    let refused = state.take_list(restored(20), state.floor());
+    let refused = state.apply_list(restored(20), state.min_revision());
     assert!(matches!(
         refused,
         Err(StoreRegression::Object { found: None, .. })
     ));
     assert_eq!(state.registry().view().drains.len(), 2);
-    let published_again = list(21, vec![object("t1", 3, true), object("t2", 21, true)]);
-    assert!(state.take_list(published_again, state.floor()).is_ok());
+    let published_again = object_list(
+        21,
+        vec![drain_object("t1", 3, true), drain_object("t2", 21, true)],
+    );
+    assert!(
+        state
+            .apply_list(published_again, state.min_revision())
+            .is_ok()
+    );
     assert!(state.regression().is_none());
 }
 
@@ -88,13 +105,16 @@
 fn take_list_other_write_of_known_version_is_refused() {
     let mut state = ConfigState::default();
     state
-        .take_list(list(5, vec![object("t1", 5, true)]), state.floor())
+        .apply_list(
+            object_list(5, vec![drain_object("t1", 5, true)]),
+            state.min_revision(),
+        )
         .expect("a list");
-    let mut other = object("t1", 5, true);
+    let mut other = drain_object("t1", 5, true);
     other.write_id = "other".to_owned();
     assert!(
         state
-            .take_list(list(5, vec![other]), state.floor())
+            .apply_list(object_list(5, vec![other]), state.min_revision())
             .is_err()
     );
 }
@@ -103,15 +123,19 @@
 fn take_changes_lower_revision_is_refused() {
     let mut state = ConfigState::default();
     state
-        .take_list(list(5, vec![]), state.floor())
+        .apply_list(object_list(5, vec![]), state.min_revision())
         .expect("a list");
-    assert!(state.take_changes(list(4, vec![]), state.floor()).is_err());
+    assert!(
+        state
+            .apply_changes(object_list(4, vec![]), state.min_revision())
+            .is_err()
+    );
     assert!(state.regression().is_some());
 }
 
 /// One step of a store, of its operators, or of a node that learns from it.
 #[derive(Clone, Debug)]
-enum Step {
+enum StoreStep {
     /// An operator writes or deletes an object.
     Write(u8, bool),
     /// The node lists.
@@ -122,12 +146,12 @@
     Peer(prop::sample::Index),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn store_step() -> impl Strategy<Value = StoreStep> {
     prop_oneof![
-        (0_u8..4, any::<bool>()).prop_map(|(name, live)| Step::Write(name, live)),
-        Just(Step::List),
-        Just(Step::Watch),
-        any::<prop::sample::Index>().prop_map(Step::Peer),
+        (0_u8..4, any::<bool>()).prop_map(|(name, live)| StoreStep::Write(name, live)),
+        Just(StoreStep::List),
+        Just(StoreStep::Watch),
+        any::<prop::sample::Index>().prop_map(StoreStep::Peer),
     ]
 }
 
@@ -141,7 +165,7 @@
     /// Lists, watches and stale peers in any order: what the node holds for an object never goes
     /// back, and after a list or a watch it holds exactly what the store does.
     #[test]
-    fn take_any_order_never_reverts(steps in prop::collection::vec(step(), 1..60)) {
+    fn take_any_order_never_reverts(steps in prop::collection::vec(store_step(), 1..60)) {
         let mut state = ConfigState::default();
         let mut history: Vec<StoredObject> = Vec::new();
         let mut reached: BTreeMap<ObjectKey, StoreVersion> = BTreeMap::new();
@@ -154,28 +178,28 @@
                 .filter(|object| object.body.is_some())
                 .map(|object| (*object).clone())
                 .collect();
-            let floor = state.floor();
+            let floor = state.min_revision();
             let is_current = match step {
-                Step::Write(name, is_live) => {
-                    history.push(object(&format!("t{name}"), revision + 1, is_live));
+                StoreStep::Write(name, is_live) => {
+                    history.push(drain_object(&format!("t{name}"), revision + 1, is_live));
                     false
                 }
-                Step::List => {
-                    state.take_list(list(revision, live.clone()), floor).expect("no regression");
+                StoreStep::List => {
+                    state.apply_list(object_list(revision, live.clone()), floor).expect("no regression");
                     true
                 }
-                Step::Watch => match state.complete_at() {
+                StoreStep::Watch => match state.complete_revision() {
                     None => false,
                     Some(after) => {
                         let later = history.iter().filter(|object| object.version > after);
-                        let later = list(revision, later.cloned().collect());
-                        state.take_changes(later, floor).expect("no regression");
+                        let later = object_list(revision, later.cloned().collect());
+                        state.apply_changes(later, floor).expect("no regression");
                         true
                     }
                 },
-                Step::Peer(index) => {
+                StoreStep::Peer(index) => {
                     if !history.is_empty() {
-                        state.take_from_peer(vec![index.get(&history).clone()]);
+                        state.accept_from_peer(vec![index.get(&history).clone()]);
                     }
                     false
                 }
--- a/alderhaven-store/tests/http_store.rs
+++ b/alderhaven-store/tests/http_store.rs
@@ -18,7 +18,7 @@
 
 /// What the scripted platform does with one request.
 #[derive(Clone, Copy)]
-enum Reply {
+enum ScriptedReply {
     /// Answers with a status line, extra headers and a body.
     Answer(&'static str, &'static str, &'static str),
     /// Answers, then closes the connection although it said nothing of it.
@@ -30,7 +30,7 @@
 }
 
 /// Serves `replies` one after the other, over any number of connections.
-async fn platform(replies: &'static [Reply]) -> (HttpStore, Arc<AtomicUsize>) {
+async fn start_platform(replies: &'static [ScriptedReply]) -> (HttpStore, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let served = Arc::new(AtomicUsize::new(0));
@@ -40,10 +40,10 @@
             tokio::spawn(serve(stream, replies, Arc::clone(&counter)));
         }
     });
-    (store(address), served)
+    (store_at(address), served)
 }
 
-fn store(address: SocketAddr) -> HttpStore {
+fn store_at(address: SocketAddr) -> HttpStore {
     let client = ClientOptions {
         call_timeout: TimeSpan::from_millis(200),
         ..ClientOptions::default()
@@ -55,18 +55,18 @@
     HttpStore::new(address, options)
 }
 
-async fn serve(mut stream: TcpStream, replies: &'static [Reply], served: Arc<AtomicUsize>) {
+async fn serve(mut stream: TcpStream, replies: &'static [ScriptedReply], served: Arc<AtomicUsize>) {
     while read_request(&mut stream).await {
         let turn = served.fetch_add(1, Ordering::SeqCst);
         match replies[turn.min(replies.len() - 1)] {
-            Reply::Answer(status, headers, body) => {
-                answer(&mut stream, status, headers, body).await;
+            ScriptedReply::Answer(status, headers, body) => {
+                send_answer(&mut stream, status, headers, body).await;
             }
-            Reply::AnswerAndClose(status, body) => {
-                return answer(&mut stream, status, "", body).await;
+            ScriptedReply::AnswerAndClose(status, body) => {
+                return send_answer(&mut stream, status, "", body).await;
             }
-            Reply::Close => return,
-            Reply::Silence => {
+            ScriptedReply::Close => return,
+            ScriptedReply::Silence => {
                 // Holds the connection open until the client gives it up.
                 let _closed = stream.read(&mut [0; 64]).await;
                 return;
@@ -75,7 +75,7 @@
     }
 }
 
-async fn answer(stream: &mut TcpStream, status: &str, headers: &str, body: &str) {
+async fn send_answer(stream: &mut TcpStream, status: &str, headers: &str, body: &str) {
     let text = format!(
         "HTTP/1.1 {status}\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
@@ -105,16 +105,16 @@
     }
 }
 
-fn write() -> ConditionalWrite {
+fn team_write() -> ConditionalWrite {
     ConditionalWrite {
-        key: key("volta"),
+        key: team_key("volta"),
         expected: StoreVersion(3),
         write_id: "w1".to_owned(),
         body: Some("{}".to_owned()),
     }
 }
 
-fn key(name: &str) -> ObjectKey {
+fn team_key(name: &str) -> ObjectKey {
     ObjectKey {
         kind: ObjectKind::Team,
         name: name.to_owned(),
@@ -136,19 +136,22 @@
 
 #[tokio::test]
 async fn write_reads_its_answers() {
-    let (store, _) = platform(&[
-        Reply::Answer("200 OK", "", WRITTEN),
-        Reply::Answer("409 Conflict", "", WRITTEN_BY_OTHER),
-        Reply::Answer("409 Conflict", "", "null"),
+    let (store, _) = start_platform(&[
+        ScriptedReply::Answer("200 OK", "", WRITTEN),
+        ScriptedReply::Answer("409 Conflict", "", WRITTEN_BY_OTHER),
+        ScriptedReply::Answer("409 Conflict", "", "null"),
     ])
     .await;
     assert_eq!(
-        store.write(write()).await,
+        store.write(team_write()).await,
         Ok(WriteOutcome::Written(StoreVersion(4)))
     );
-    let conflict = store.write(write()).await.expect("an answer");
+    let conflict = store.write(team_write()).await.expect("an answer");
     assert!(matches!(conflict, WriteOutcome::Conflict(Some(other)) if other.write_id == "w2"));
-    assert_eq!(store.write(write()).await, Ok(WriteOutcome::Conflict(None)));
+    assert_eq!(
+        store.write(team_write()).await,
+        Ok(WriteOutcome::Conflict(None))
+    );
 }
 
 #[tokio::test]
@@ -156,38 +159,38 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    assert!(is_not_done(&store(address).write(write()).await));
+    assert!(is_not_done(&store_at(address).write(team_write()).await));
 }
 
 #[tokio::test]
 async fn write_overload_is_not_done() {
-    let (store, _) = platform(&[
-        Reply::Answer("429 Too Many Requests", "retry-after-ms: 70\r\n", ""),
-        Reply::Answer("503 Service Unavailable", "", ""),
+    let (store, _) = start_platform(&[
+        ScriptedReply::Answer("429 Too Many Requests", "retry-after-ms: 70\r\n", ""),
+        ScriptedReply::Answer("503 Service Unavailable", "", ""),
     ])
     .await;
-    let refused = store.write(write()).await;
+    let refused = store.write(team_write()).await;
     assert!(matches!(
         refused,
         Err(StoreError::NotDone { retry_after: Some(wait), .. }) if wait == TimeSpan::from_millis(70)
     ));
-    assert!(is_not_done(&store.write(write()).await));
+    assert!(is_not_done(&store.write(team_write()).await));
 }
 
 /// The platform takes a write and its answer is lost: the connection breaks, stays silent, or
 /// brings something that can't be read or belongs to another write. The write may stand.
 #[tokio::test]
 async fn write_lost_answer_is_unknown() {
-    let (store, served) = platform(&[
-        Reply::Close,
-        Reply::Silence,
-        Reply::Answer("200 OK", "", "{"),
-        Reply::Answer("200 OK", "", WRITTEN_BY_OTHER),
-        Reply::Answer("500 Internal Server Error", "", ""),
+    let (store, served) = start_platform(&[
+        ScriptedReply::Close,
+        ScriptedReply::Silence,
+        ScriptedReply::Answer("200 OK", "", "{"),
+        ScriptedReply::Answer("200 OK", "", WRITTEN_BY_OTHER),
+        ScriptedReply::Answer("500 Internal Server Error", "", ""),
     ])
     .await;
     for turn in 1..=5 {
-        assert!(is_unknown(&store.write(write()).await), "turn {turn}");
+        assert!(is_unknown(&store.write(team_write()).await), "turn {turn}");
         // Each write was sent once: a lost answer never leads to a second write by the client.
         assert_eq!(served.load(Ordering::SeqCst), turn);
     }
@@ -197,16 +200,16 @@
 /// never sent, and succeeds on a new connection.
 #[tokio::test]
 async fn get_closed_idle_connection_is_replaced() {
-    let (store, served) = platform(&[
-        Reply::AnswerAndClose("404 Not Found", ""),
-        Reply::Answer("200 OK", "", WRITTEN),
+    let (store, served) = start_platform(&[
+        ScriptedReply::AnswerAndClose("404 Not Found", ""),
+        ScriptedReply::Answer("200 OK", "", WRITTEN),
     ])
     .await;
-    assert_eq!(store.get(&key("volta")).await, Ok(None));
-    let mut found = store.get(&key("volta")).await;
+    assert_eq!(store.get(&team_key("volta")).await, Ok(None));
+    let mut found = store.get(&team_key("volta")).await;
     // The close may arrive only after the request was written; then the answer is lost, not wrong.
     while is_unknown(&found) {
-        found = store.get(&key("volta")).await;
+        found = store.get(&team_key("volta")).await;
     }
     assert_eq!(found.expect("an answer").expect("an object").version.0, 4);
     assert!(served.load(Ordering::SeqCst) >= 2);
@@ -214,9 +217,9 @@
 
 #[tokio::test]
 async fn watch_reads_its_answers() {
-    let (store, _) = platform(&[
-        Reply::Answer("410 Gone", "", ""),
-        Reply::Answer("200 OK", "", r#"{"revision":9,"objects":[]}"#),
+    let (store, _) = start_platform(&[
+        ScriptedReply::Answer("410 Gone", "", ""),
+        ScriptedReply::Answer("200 OK", "", r#"{"revision":9,"objects":[]}"#),
     ])
     .await;
     let kinds = ObjectKind::CONFIGURATION;
@@ -225,23 +228,23 @@
             .watch(&kinds, StoreVersion(2), TimeSpan::from_millis(1))
             .await
     };
-    assert_eq!(watch().await, Ok(WatchOutcome::Gap));
+    assert_eq!(watch().await, Ok(WatchOutcome::Compacted));
     let changes = watch().await.expect("an answer");
     assert!(matches!(changes, WatchOutcome::Changes(list) if list.revision.0 == 9));
 }
 
 #[tokio::test]
 async fn get_bad_name_is_not_sent() {
-    let (store, served) = platform(&[Reply::Answer("404 Not Found", "", "")]).await;
+    let (store, served) = start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
     for name in ["..", "a/b", "a?kinds=team", "a b", ""] {
-        assert!(is_not_done(&store.get(&key(name)).await), "{name}");
+        assert!(is_not_done(&store.get(&team_key(name)).await), "{name}");
     }
     assert_eq!(served.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
 async fn call_budget_used_up_is_not_sent() {
-    let (store, served) = platform(&[Reply::Answer("404 Not Found", "", "")]).await;
+    let (store, served) = start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
     let budget = StoreBudgetOptions {
         reads: "0.001/s".parse().expect("a rate"),
         ..StoreBudgetOptions::default()
@@ -251,7 +254,7 @@
         ..HttpStoreOptions::default()
     };
     let store = HttpStore::new(store.address(), options);
-    assert_eq!(store.get(&key("volta")).await, Ok(None));
-    assert!(is_not_done(&store.get(&key("volta")).await));
+    assert_eq!(store.get(&team_key("volta")).await, Ok(None));
+    assert!(is_not_done(&store.get(&team_key("volta")).await));
     assert_eq!(served.load(Ordering::SeqCst), 1);
 }
