--- a/alderhaven-peer/examples/member-slopes/group_costs.rs
+++ b/alderhaven-peer/examples/member-slopes/group_costs.rs
@@ -8,6 +8,7 @@
     /// The number of members.
     pub members: usize,
     /// With nothing going on.
+    #[serde(rename = "rest")]
     pub idle: PhaseCosts,
     /// The resident memory a member, in KB.
     pub memory_kb: f64,
--- a/alderhaven-peer/src/peer_traffic.rs
+++ b/alderhaven-peer/src/peer_traffic.rs
@@ -13,6 +13,7 @@
     /// A probe of a member, a request for one, or the answer.
     Probe,
     /// News of members.
+    #[serde(rename = "news")]
     Updates,
     /// A comparison of views of the members.
     Sync,
@@ -82,8 +83,10 @@
     /// The messages.
     pub messages: u64,
     /// Their bytes, without what the network adds, to peers in the process's own failure domain.
+    #[serde(rename = "near_bytes")]
     pub own_domain_bytes: u64,
     /// The same to peers elsewhere.
+    #[serde(rename = "far_bytes")]
     pub cross_domain_bytes: u64,
 }
 
@@ -95,8 +98,10 @@
     /// The bytes of the datagrams received.
     pub bytes_received: u64,
     /// The datagrams that could not be read.
+    #[serde(rename = "malformed")]
     pub malformed_datagrams: u64,
     /// The exchange's messages received.
+    #[serde(rename = "exchange_received")]
     pub exchange_messages_received: u64,
     /// What was sent, in the order of [`MessageKind::ALL`].
     pub sent: [SentTraffic; MessageKind::ALL.len()],
