--- a/alderhaven-peer/examples/member-slopes/loopback_group.rs
+++ b/alderhaven-peer/examples/member-slopes/loopback_group.rs
@@ -51,18 +51,18 @@
             IDLE_DURATION / 4 + SETTLE_TIME_PER_MEMBER * u32::try_from(members).unwrap_or(0),
         )
         .await;
-        let (traffic, core_s) = (group.total_traffic(), process_usage::cpu_seconds());
+        let (traffic, cpu_s) = (group.total_traffic(), process_usage::cpu_seconds());
         time::sleep(IDLE_DURATION).await;
         let (datagrams, bytes) = group.total_traffic();
         let member_seconds = members as f64 * IDLE_DURATION.as_secs_f64();
-        let rest = PhaseCosts {
+        let idle = PhaseCosts {
             datagrams_per_s: (datagrams - traffic.0) as f64 / member_seconds,
             bytes_per_s: (bytes - traffic.1) as f64 / member_seconds,
-            core_share: (process_usage::cpu_seconds() - core_s) / member_seconds,
+            core_share: (process_usage::cpu_seconds() - cpu_s) / member_seconds,
         };
         GroupCosts {
             members,
-            idle: rest,
+            idle,
             memory_kb,
             events: None,
         }
@@ -93,9 +93,9 @@
             time::sleep(START_PAUSE).await;
         }
         for handle in &handles {
-            let mut changed = handle.subscribe();
+            let mut changes = handle.subscribe();
             while alive_count(handle) < members {
-                changed.changed().await.expect("the task runs");
+                changes.changed().await.expect("the task runs");
             }
         }
         Self { handles }
--- a/alderhaven-peer/examples/member-slopes/main.rs
+++ b/alderhaven-peer/examples/member-slopes/main.rs
@@ -34,11 +34,11 @@
 
 fn main() {
     let is_loopback = std::env::args().any(|argument| argument == "loopback");
-    let named: Vec<usize> = std::env::args()
+    let given_sizes: Vec<usize> = std::env::args()
         .filter_map(|argument| argument.parse().ok())
         .collect();
-    let sizes = match (named.is_empty(), is_loopback) {
-        (false, _) => named,
+    let sizes = match (given_sizes.is_empty(), is_loopback) {
+        (false, _) => given_sizes,
         (true, false) => DEFAULT_MEMBER_COUNTS.to_vec(),
         (true, true) => DEFAULT_LOOPBACK_MEMBER_COUNTS.to_vec(),
     };
@@ -86,12 +86,12 @@
     let (Some(at_smallest), Some(at_largest)) = (cost(first), cost(last)) else {
         return;
     };
-    let more = last.members as f64 - first.members as f64;
+    let added_members = last.members as f64 - first.members as f64;
     print_line(&SlopeLine {
         slope,
         at_smallest,
         at_largest,
-        per_100_members: (at_largest - at_smallest) * 100.0 / more,
+        per_100_members: (at_largest - at_smallest) * 100.0 / added_members,
     });
 }
 
--- a/alderhaven-peer/examples/member-slopes/simulated_group.rs
+++ b/alderhaven-peer/examples/member-slopes/simulated_group.rs
@@ -119,7 +119,7 @@
 }
 
 impl SimulatedProcess {
-    fn start(index: usize, start: u64, rng: &mut StdRng) -> Self {
+    fn start(index: usize, incarnation: u64, rng: &mut StdRng) -> Self {
         let record = MemberRecord {
             node: node_id(index),
             role: MemberRole::Relay,
@@ -133,7 +133,7 @@
             capacity: CpuCapacity::default(),
         };
         let version = MemberVersion {
-            incarnation: IncarnationNumber(start),
+            incarnation: IncarnationNumber(incarnation),
             refutation: 0,
         };
         let options = MembershipOptions {
@@ -167,40 +167,42 @@
         let memory_before = process_usage::resident_kb();
         let mut group = Self::start(members);
         let memory_kb = (process_usage::resident_kb() - memory_before) / members as f64;
-        let rest = group.measure_idle();
-        let events = Some(group.measure_events(&rest));
+        let idle = group.measure_idle();
+        let events = Some(group.measure_events(&idle));
         GroupCosts {
             members,
-            idle: rest,
+            idle,
             memory_kb,
             events,
         }
     }
 
-    fn measure_events(&mut self, rest: &PhaseCosts) -> GroupEvents {
-        let (change, change_reported_s) = self.measure_change(rest);
-        let gone = self.processes.len() - 1;
-        self.processes[gone].is_running = false;
-        let death = self.measure_event(rest, |group| group.all_see_state(gone, MemberState::Dead));
-        self.restart(gone);
+    fn measure_events(&mut self, idle: &PhaseCosts) -> GroupEvents {
+        let (change, change_reported_s) = self.measure_change(idle);
+        let crashed = self.processes.len() - 1;
+        self.processes[crashed].is_running = false;
+        let death = self.measure_event(idle, |group| {
+            group.all_see_state(crashed, MemberState::Dead)
+        });
+        self.restart(crashed);
         self.run(EVENT_DURATION);
         let left = self.processes.len() - 2;
         self.leave(left);
-        let leaving = self.measure_event(rest, |group| {
+        let leaving = self.measure_event(idle, |group| {
             group.all_see_state(left, MemberState::Leaving)
         });
         self.restart(left);
         let restart =
-            self.measure_event(rest, |group| group.all_see_state(left, MemberState::Alive));
-        let heal = self.measure_heal(rest);
+            self.measure_event(idle, |group| group.all_see_state(left, MemberState::Alive));
+        let heal = self.measure_heal(idle);
         let over_a_day = |cost: fn(&EventCosts) -> f64| {
             let restarts = RESTARTS_PER_DAY * (cost(&leaving) + cost(&restart));
             (CHANGES_PER_DAY * cost(&change) + restarts + DEATHS_PER_DAY * cost(&death))
                 / SECONDS_PER_DAY
         };
         GroupEvents {
-            day_bytes_per_s: rest.bytes_per_s + over_a_day(|event| event.bytes),
-            day_core_share: rest.core_share + over_a_day(|event| event.core_us / 1e6),
+            day_bytes_per_s: idle.bytes_per_s + over_a_day(|event| event.bytes),
+            day_core_share: idle.core_share + over_a_day(|event| event.core_us / 1e6),
             change,
             change_reported_s,
             death,
@@ -247,16 +249,16 @@
     fn measure_idle(&mut self) -> PhaseCosts {
         let mark = self.usage_mark();
         self.run(IDLE_DURATION);
-        let (traffic, core_s) = self.usage_since(&mark);
+        let (traffic, cpu_s) = self.usage_since(&mark);
         let member_seconds = self.processes.len() as f64 * IDLE_DURATION.as_secs_f64();
         PhaseCosts {
             datagrams_per_s: traffic.datagrams as f64 / member_seconds,
             bytes_per_s: traffic.bytes as f64 / member_seconds,
-            core_share: core_s / member_seconds,
+            core_share: cpu_s / member_seconds,
         }
     }
 
-    fn measure_change(&mut self, rest: &PhaseCosts) -> (EventCosts, f64) {
+    fn measure_change(&mut self, idle: &PhaseCosts) -> (EventCosts, f64) {
         let (mark, start) = (self.usage_mark(), self.now);
         self.publish(0..1);
         let known = self.run_until(EVENT_DURATION, Self::all_hold_config);
@@ -264,25 +266,25 @@
         let reported = self.now.since(start);
         self.run(EVENT_DURATION.saturating_sub(reported));
         (
-            self.event_costs(&mark, start, known, rest),
+            self.event_costs(&mark, start, known, idle),
             reported.as_secs_f64(),
         )
     }
 
-    fn measure_event(&mut self, rest: &PhaseCosts, is_known: impl Fn(&Self) -> bool) -> EventCosts {
+    fn measure_event(&mut self, idle: &PhaseCosts, is_known: impl Fn(&Self) -> bool) -> EventCosts {
         let (mark, start) = (self.usage_mark(), self.now);
         let known = self.run_until(EVENT_DURATION, is_known);
         self.run(EVENT_DURATION.saturating_sub(self.now.since(start)));
-        self.event_costs(&mark, start, known, rest)
+        self.event_costs(&mark, start, known, idle)
     }
 
-    fn measure_heal(&mut self, rest: &PhaseCosts) -> EventCosts {
+    fn measure_heal(&mut self, idle: &PhaseCosts) -> EventCosts {
         self.is_partitioned = true;
         self.run(PARTITION_DURATION);
         self.is_partitioned = false;
         let (mark, start) = (self.usage_mark(), self.now);
         let known = self.run_until(TimeSpan::from_secs(120), Self::views_agree);
-        self.event_costs(&mark, start, known, rest)
+        self.event_costs(&mark, start, known, idle)
     }
 
     fn event_costs(
@@ -290,17 +292,17 @@
         mark: &UsageMark,
         start: TimePoint,
         known: Option<TimeSpan>,
-        rest: &PhaseCosts,
+        idle: &PhaseCosts,
     ) -> EventCosts {
-        let (traffic, core_s) = self.usage_since(mark);
+        let (traffic, cpu_s) = self.usage_since(mark);
         let (seconds, members) = (
             self.now.since(start).as_secs_f64(),
             self.processes.len() as f64,
         );
         EventCosts {
             known_to_all_s: known.map_or(f64::INFINITY, TimeSpan::as_secs_f64),
-            bytes: traffic.bytes as f64 / members - rest.bytes_per_s * seconds,
-            core_us: (core_s / members - rest.core_share * seconds) * 1e6,
+            bytes: traffic.bytes as f64 / members - idle.bytes_per_s * seconds,
+            core_us: (cpu_s / members - idle.core_share * seconds) * 1e6,
         }
     }
 
@@ -332,10 +334,10 @@
                 process.registry.accept(object.clone());
             }
             let stamps = objects.iter().map(ObjectStamp::from).collect();
-            let step = process
+            let output = process
                 .exchange
                 .announce_held(stamps, &process.peers, &mut self.rng);
-            self.apply_output(watcher, step);
+            self.apply_output(watcher, output);
         }
     }
 
@@ -360,8 +362,8 @@
 
     fn restart(&mut self, index: usize) {
         let was_running = self.processes[index].is_running;
-        let start = self.now.as_micros();
-        self.processes[index] = SimulatedProcess::start(index, start, &mut self.rng);
+        let incarnation = self.now.as_micros();
+        self.processes[index] = SimulatedProcess::start(index, incarnation, &mut self.rng);
         if !was_running {
             self.schedule_tick(index);
         }
@@ -384,7 +386,7 @@
         let node = node_id(member);
         let live = self.processes.iter().filter(|process| process.is_running);
         live.map(|process| process.membership.state_of(&node))
-            .all(|believed| believed == Some(state))
+            .all(|seen_state| seen_state == Some(state))
     }
 
     fn all_hold_config(&self) -> bool {
@@ -415,10 +417,10 @@
     fn run_until(&mut self, span: TimeSpan, is_done: impl Fn(&Self) -> bool) -> Option<TimeSpan> {
         let start = self.now;
         while self.now.since(start) < span {
-            let checked = process_usage::cpu_seconds();
+            let check_start_s = process_usage::cpu_seconds();
             let is_over = is_done(self);
             // The check is the measurement's own work.
-            self.check_cpu_s += process_usage::cpu_seconds() - checked;
+            self.check_cpu_s += process_usage::cpu_seconds() - check_start_s;
             if is_over {
                 return Some(self.now.since(start));
             }
@@ -475,7 +477,7 @@
                 let frame = ExchangeFrame::decode(bytes.as_slice()).expect("it was encoded here");
                 let message = ExchangeMessage::try_from(frame).expect("it was encoded here");
                 let registry = &process.registry;
-                let step = process.exchange.receive(
+                let output = process.exchange.receive(
                     &node_id(packet.from),
                     message,
                     |key| registry.object(key).cloned(),
@@ -483,7 +485,7 @@
                     self.now,
                     &mut self.rng,
                 );
-                self.apply_output(packet.to, step);
+                self.apply_output(packet.to, output);
             }
         }
     }
@@ -493,17 +495,17 @@
         process.membership.set_config(process.exchange.digest());
         let outgoing = process.membership.tick(self.now, &mut self.rng);
         process.refresh_peers();
-        let step = process
+        let output = process
             .exchange
             .tick(&process.peers, self.now, &mut self.rng);
         self.send(index, outgoing);
-        self.apply_output(index, step);
+        self.apply_output(index, output);
     }
 
     fn schedule_tick(&mut self, index: usize) {
-        let phase = self.processes[index].tick_offset;
-        let whole_steps = self.now.as_micros() / TICK_INTERVAL.as_micros() + 1;
-        let at = TimePoint::from_micros(whole_steps * TICK_INTERVAL.as_micros()) + phase;
+        let tick_offset = self.processes[index].tick_offset;
+        let whole_ticks = self.now.as_micros() / TICK_INTERVAL.as_micros() + 1;
+        let at = TimePoint::from_micros(whole_ticks * TICK_INTERVAL.as_micros()) + tick_offset;
         let packet = Packet {
             from: index,
             to: index,
@@ -512,11 +514,11 @@
         self.packets.push(Reverse((at, 0, packet)));
     }
 
-    fn apply_output(&mut self, index: usize, step: ExchangeOutput) {
-        for object in step.accept {
+    fn apply_output(&mut self, index: usize, output: ExchangeOutput) {
+        for object in output.accept {
             self.processes[index].registry.accept(object);
         }
-        for (to, message) in step.send {
+        for (to, message) in output.send {
             let bytes = ExchangeFrame::from(message).encode_to_vec();
             self.traffic.bytes += bytes.len() + FRAME_OVERHEAD_BYTES;
             self.push(index, index_of(&to), PacketContent::Frame(bytes));
@@ -534,12 +536,16 @@
     }
 
     fn push(&mut self, from: usize, to: usize, content: PacketContent) {
-        let is_far = from % 2 != to % 2;
-        if to >= self.processes.len() || (is_far && self.is_partitioned) {
+        let is_cross_region = from % 2 != to % 2;
+        if to >= self.processes.len() || (is_cross_region && self.is_partitioned) {
             return;
         }
-        let further = if is_far { CROSS_REGION_DELAY_US } else { 0 };
-        let delay = TimeSpan::from_micros(self.rng.random_range(REGION_DELAY_RANGE_US) + further);
+        let extra_us = if is_cross_region {
+            CROSS_REGION_DELAY_US
+        } else {
+            0
+        };
+        let delay = TimeSpan::from_micros(self.rng.random_range(REGION_DELAY_RANGE_US) + extra_us);
         let order = self.rng.random();
         let packet = Packet { from, to, content };
         self.packets
--- a/alderhaven-peer/src/exchange_links.rs
+++ b/alderhaven-peer/src/exchange_links.rs
@@ -81,11 +81,11 @@
         let Some(address) = address else {
             return;
         };
-        let (queue, waiting) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let (queue, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let _is_queued = queue.try_send(message).is_ok();
         let link = LinkTask {
             peer: peer.clone(),
-            outgoing: waiting,
+            outgoing,
             events: self.events.clone(),
         };
         self.insert_link(peer, queue);
@@ -162,7 +162,7 @@
     if hello.protocol != PROTOCOL_VERSION {
         return;
     }
-    let (queue, waiting) = mpsc::channel(MAX_QUEUED_MESSAGES);
+    let (queue, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let opened = LinkEvent::Accepted {
         peer: peer.clone(),
         queue,
@@ -170,7 +170,7 @@
     if events.send(opened).await.is_ok() {
         let link = LinkTask {
             peer,
-            outgoing: waiting,
+            outgoing,
             events,
         };
         link.run(&sender, reader).await;
--- a/alderhaven-peer/src/exchange_messages.rs
+++ b/alderhaven-peer/src/exchange_messages.rs
@@ -107,11 +107,11 @@
             }),
             ExchangeMessage::Stamps {
                 stamps,
-                continue_after: next,
+                continue_after,
                 is_complete,
             } => ExchangeWire::Stamps(StampsWire {
                 stamps: stamps.into_iter().map(stamp_to_wire).collect(),
-                continue_after: next.map(key_to_wire),
+                continue_after: continue_after.map(key_to_wire),
                 is_complete,
             }),
             ExchangeMessage::Fetch { keys } => ExchangeWire::Fetch(FetchWire {
--- a/alderhaven-peer/src/gossip_messages.rs
+++ b/alderhaven-peer/src/gossip_messages.rs
@@ -246,10 +246,10 @@
     })
 }
 
-fn store_answer_to_wire(sighting: StoreAnswer) -> StoreAnswerWire {
+fn store_answer_to_wire(answer: StoreAnswer) -> StoreAnswerWire {
     StoreAnswerWire {
-        origin: sighting.origin,
-        age_ms: u32::try_from(sighting.age.as_millis()).unwrap_or(u32::MAX),
+        origin: answer.origin,
+        age_ms: u32::try_from(answer.age.as_millis()).unwrap_or(u32::MAX),
     }
 }
 
@@ -289,10 +289,10 @@
         }),
         GossipBody::SyncReply {
             sequence,
-            continue_after: next,
+            continue_after,
         } => BodyWire::SyncReply(SyncReplyWire {
             sequence,
-            continue_after: next.map(String::from).unwrap_or_default(),
+            continue_after: continue_after.map(String::from).unwrap_or_default(),
         }),
     }
 }
@@ -386,12 +386,12 @@
         RoleWire::Entry => MemberRole::Entry,
         RoleWire::Relay => MemberRole::Relay,
     };
-    let bad = |field: &'static str| MalformedMessage::InvalidField(field);
+    let invalid = |field: &'static str| MalformedMessage::InvalidField(field);
     Ok(MemberRecord {
         node,
         role,
-        host: wire.host.parse().map_err(|_| bad("host"))?,
-        domain: wire.domain.parse().map_err(|_| bad("domain"))?,
+        host: wire.host.parse().map_err(|_| invalid("host"))?,
+        domain: wire.domain.parse().map_err(|_| invalid("domain"))?,
         gossip_address: address_from_wire(&wire.gossip_address)?,
         peer_address: optional_address_from_wire(&wire.peer_address)?,
         caller_address: optional_address_from_wire(&wire.caller_address)?,
@@ -430,9 +430,9 @@
     }
 }
 
-const fn version_from_wire(start: u64, refutation: u32) -> MemberVersion {
+const fn version_from_wire(incarnation: u64, refutation: u32) -> MemberVersion {
     MemberVersion {
-        incarnation: IncarnationNumber(start),
+        incarnation: IncarnationNumber(incarnation),
         refutation,
     }
 }
@@ -465,16 +465,16 @@
 }
 
 fn address_from_wire(bytes: &[u8]) -> Result<SocketAddr, MalformedMessage> {
-    let bad = MalformedMessage::InvalidField("address");
+    let invalid = MalformedMessage::InvalidField("address");
     let Some((ip, port)) = bytes.split_last_chunk::<2>() else {
-        return Err(bad);
+        return Err(invalid);
     };
     let ip: IpAddr = if let Ok(octets) = <[u8; 4]>::try_from(ip) {
         Ipv4Addr::from(octets).into()
     } else if let Ok(octets) = <[u8; 16]>::try_from(ip) {
         Ipv6Addr::from(octets).into()
     } else {
-        return Err(bad);
+        return Err(invalid);
     };
     Ok(SocketAddr::new(ip, u16::from_be_bytes(*port)))
 }
--- a/alderhaven-peer/src/peer_driver.rs
+++ b/alderhaven-peer/src/peer_driver.rs
@@ -110,14 +110,14 @@
 
     /// Gets when the next tick is due: soon while anything is under way, and with the next probe at rest.
     fn next_tick(&self) -> Instant {
-        let is_quiet = self.membership.is_idle() && self.exchange.is_idle();
-        let next = if is_quiet {
+        let is_idle = self.membership.is_idle() && self.exchange.is_idle();
+        let due_at = if is_idle {
             let probe_at = self.membership.next_probe_at();
             probe_at.min(self.ticked_at + MAX_IDLE_TICK_INTERVAL)
         } else {
             self.ticked_at + ACTIVE_TICK_INTERVAL
         };
-        Instant::from_std(self.clock.instant(next))
+        Instant::from_std(self.clock.instant(due_at))
     }
 
     async fn tick(&mut self) {
@@ -126,8 +126,8 @@
         self.membership.set_config(self.exchange.digest());
         let outgoing = self.membership.tick(now, &mut self.rng);
         self.send_all(outgoing).await;
-        let step = self.exchange.tick(&self.peers, now, &mut self.rng);
-        self.apply_output(step);
+        let output = self.exchange.tick(&self.peers, now, &mut self.rng);
+        self.apply_output(output);
     }
 
     async fn receive(&mut self, received: io::Result<(usize, SocketAddr)>, datagram: &[u8]) {
@@ -148,10 +148,10 @@
             .handle_digest(node, config, &self.peers, now, &mut self.rng);
         let outgoing = self.membership.receive(from, message, now, &mut self.rng);
         if let Some(answered_at) = self.membership.other_store_answered_at() {
-            let micros = answered_at.as_micros();
+            let answered_us = answered_at.as_micros();
             self.shared
                 .other_store_answer_us
-                .store(micros, Ordering::Relaxed);
+                .store(answered_us, Ordering::Relaxed);
         }
         self.send_all(outgoing).await;
     }
@@ -170,7 +170,7 @@
     }
 
     fn handle_exchange_message(&mut self, peer: &NodeId, message: ExchangeMessage) {
-        let step = self.exchange.receive(
+        let output = self.exchange.receive(
             peer,
             message,
             &self.config.look_up,
@@ -178,36 +178,36 @@
             self.clock.now(),
             &mut self.rng,
         );
-        self.apply_output(step);
+        self.apply_output(output);
     }
 
     /// Tells the exchange what the process holds.
     async fn read_config(&mut self) {
         // Asked before the versions are read: a list that comes in between is not among them.
-        let is_listed = (self.config.is_fully_listed)();
+        let is_fully_listed = (self.config.is_fully_listed)();
         let stamps = (self.config.stamps)();
-        let step = self
+        let output = self
             .exchange
             .announce_held(stamps, &self.peers, &mut self.rng);
-        self.apply_output(step);
-        if is_listed {
+        self.apply_output(output);
+        if is_fully_listed {
             self.exchange.mark_complete();
         }
         tokio::task::yield_now().await;
     }
 
-    fn apply_output(&mut self, step: ExchangeOutput) {
-        if !step.accept.is_empty() {
-            (self.config.accept)(step.accept);
+    fn apply_output(&mut self, output: ExchangeOutput) {
+        if !output.accept.is_empty() {
+            (self.config.accept)(output.accept);
         }
-        for (peer, message) in step.send {
+        for (peer, message) in output.send {
             let kind = MessageKind::of_exchange(&message);
             let message = PeerMessage::Exchange(message.into());
             let address = self.peer_addresses.get(&peer).copied();
-            let is_near =
+            let is_own_domain =
                 address.is_some_and(|address| self.own_domain_addresses.contains(&address));
             self.traffic
-                .record_sent(kind, message.encoded_len(), is_near);
+                .record_sent(kind, message.encoded_len(), is_own_domain);
             self.links.send(peer, address, message);
         }
     }
@@ -232,14 +232,14 @@
             PeerCommand::Leave(sent) => {
                 let outgoing = self.membership.announce_leaving(now, &mut self.rng);
                 self.send_all(outgoing).await;
-                let _waiter_is_gone = sent.send(()).is_err();
+                let _receiver_is_gone = sent.send(()).is_err();
             }
             PeerCommand::ShutDown(sent) => {
                 let outgoing = self.membership.announce_gone(now, &mut self.rng);
                 self.send_all(outgoing).await;
                 // No later publication makes up for one that is put off here.
                 self.publish_now(now);
-                let _waiter_is_gone = sent.send(()).is_err();
+                let _receiver_is_gone = sent.send(()).is_err();
                 return true;
             }
         }
@@ -249,12 +249,12 @@
     fn publish(&mut self) {
         let now = self.clock.now();
         let is_changed = self.published_revision != self.membership.revision();
-        let period = if is_changed {
+        let interval = if is_changed {
             MIN_PUBLISH_INTERVAL
         } else {
             MIN_REPORT_PUBLISH_INTERVAL
         };
-        if now.since(self.published_at) >= period {
+        if now.since(self.published_at) >= interval {
             self.publish_now(now);
         }
     }
@@ -271,9 +271,9 @@
                 .map(|member| (member.record.node.clone(), member.record.gossip_address))
                 .collect();
             self.peers = PeerSet::of_members(&members);
-            let near = self.peer_addresses.iter();
-            let near = near.filter(|(node, _)| self.peers.is_in_own_domain(node));
-            self.own_domain_addresses = near.map(|(_, address)| *address).collect();
+            let own_domain = self.peer_addresses.iter();
+            let own_domain = own_domain.filter(|(node, _)| self.peers.is_in_own_domain(node));
+            self.own_domain_addresses = own_domain.map(|(_, address)| *address).collect();
         }
         self.shared.snapshot.store(Arc::new(PeerSnapshot {
             members,
--- a/alderhaven-peer/src/peer_node.rs
+++ b/alderhaven-peer/src/peer_node.rs
@@ -86,14 +86,14 @@
 }
 
 async fn bind_sockets(address: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
-    let mut tries = MAX_PORT_TRIES;
+    let mut tries_left = MAX_PORT_TRIES;
     loop {
         let socket = UdpSocket::bind(address).await?;
-        tries -= 1;
+        tries_left -= 1;
         match TcpListener::bind(socket.local_addr()?).await {
             Ok(listener) => return Ok((socket, listener)),
             // With port 0 the port that UDP got may be taken for TCP: another one is tried.
-            Err(error) if address.port() != 0 || tries == 0 => return Err(error),
+            Err(error) if address.port() != 0 || tries_left == 0 => return Err(error),
             Err(_) => {}
         }
     }
--- a/alderhaven-peer/src/peer_options.rs
+++ b/alderhaven-peer/src/peer_options.rs
@@ -59,7 +59,7 @@
     #[builder(with = |accept: impl Fn(Vec<StoredObject>) + Send + 'static| Box::new(accept))]
     pub(crate) accept: Box<dyn Fn(Vec<StoredObject>) + Send>,
     /// Returns true once the store has been listed.
-    #[builder(with = |is_listed: impl Fn() -> bool + Send + 'static| Box::new(is_listed))]
+    #[builder(with = |is_fully_listed: impl Fn() -> bool + Send + 'static| Box::new(is_fully_listed))]
     pub(crate) is_fully_listed: Box<dyn Fn() -> bool + Send>,
     /// Changes with each change of the objects.
     pub(crate) changes: watch::Receiver<u64>,
--- a/alderhaven-peer/src/peer_traffic.rs
+++ b/alderhaven-peer/src/peer_traffic.rs
@@ -109,10 +109,10 @@
 
 impl PeerTraffic {
     /// Counts a message that was sent.
-    pub const fn record_sent(&mut self, kind: MessageKind, bytes: usize, is_near: bool) {
+    pub const fn record_sent(&mut self, kind: MessageKind, bytes: usize, is_own_domain: bool) {
         let count = &mut self.sent[kind as usize];
         count.messages += 1;
-        if is_near {
+        if is_own_domain {
             count.own_domain_bytes += bytes as u64;
         } else {
             count.cross_domain_bytes += bytes as u64;
--- a/alderhaven-peer/src/strike_messages.rs
+++ b/alderhaven-peer/src/strike_messages.rs
@@ -71,19 +71,19 @@
 }
 
 impl From<&[StrikeUpdate]> for StrikeNotice {
-    fn from(news: &[StrikeUpdate]) -> Self {
-        let record = |news: &StrikeUpdate| StrikeRecord {
-            fingerprint: news.fingerprint.to_string(),
-            crash_id: news.strike.crash_id,
-            target: news.strike.target.to_string(),
-            domain: news.strike.domain.to_string(),
-            shard: news.strike.shard.0,
-            in_flight: news.strike.in_flight,
-            age_us: news.age.as_micros(),
-            cleared: news.strike.cleared,
+    fn from(updates: &[StrikeUpdate]) -> Self {
+        let record = |update: &StrikeUpdate| StrikeRecord {
+            fingerprint: update.fingerprint.to_string(),
+            crash_id: update.strike.crash_id,
+            target: update.strike.target.to_string(),
+            domain: update.strike.domain.to_string(),
+            shard: update.strike.shard.0,
+            in_flight: update.strike.in_flight,
+            age_us: update.age.as_micros(),
+            cleared: update.strike.cleared,
         };
         Self {
-            strikes: news.iter().map(record).collect(),
+            strikes: updates.iter().map(record).collect(),
         }
     }
 }
--- a/alderhaven-peer/src/strike_tracker.rs
+++ b/alderhaven-peer/src/strike_tracker.rs
@@ -65,27 +65,27 @@
         if !known.is_empty() {
             let _closed = sender.send(PeerMessage::Strikes(StrikeNotice::from(&known[..])));
         }
-        let key = peers.next_id;
+        let sender_id = peers.next_id;
         peers.next_id += 1;
-        peers.senders.insert(key, sender);
+        peers.senders.insert(sender_id, sender);
         StrikeSubscription {
             tracker: Arc::clone(self),
-            sender_id: key,
+            sender_id,
         }
     }
 
     /// Notes a crash that this process saw; returns true where it was not known before.
     pub fn record_crash(&self, crash: &TargetCrash) -> bool {
-        let fresh = self.lock_quarantine().record_crash(crash, self.clock.now());
-        self.broadcast(&fresh)
+        let updates = self.lock_quarantine().record_crash(crash, self.clock.now());
+        self.broadcast(&updates)
     }
 
     /// Takes over the strikes of another process.
     pub fn merge(&self, notice: &StrikeNotice) {
-        let fresh = self
+        let updates = self
             .lock_quarantine()
             .merge(&notice.updates(), self.clock.now());
-        self.broadcast(&fresh);
+        self.broadcast(&updates);
     }
 
     /// Notes that a replica of a shard answered a request.
@@ -129,12 +129,12 @@
     }
 
     /// Passes strikes on; returns true where there were any.
-    fn broadcast(&self, fresh: &[StrikeUpdate]) -> bool {
-        if fresh.is_empty() {
+    fn broadcast(&self, updates: &[StrikeUpdate]) -> bool {
+        if updates.is_empty() {
             return false;
         }
         self.has_strikes.store(true, Ordering::Release);
-        let notice = StrikeNotice::from(fresh);
+        let notice = StrikeNotice::from(updates);
         for sender in self.lock_peers().senders.values() {
             let _closed = sender.send(PeerMessage::Strikes(notice.clone()));
         }
--- a/alderhaven-peer/tests/gossip_messages.rs
+++ b/alderhaven-peer/tests/gossip_messages.rs
@@ -32,16 +32,16 @@
 }
 
 fn version() -> impl Strategy<Value = MemberVersion> {
-    (any::<u64>(), any::<u32>()).prop_map(|(start, refutation)| MemberVersion {
-        incarnation: IncarnationNumber(start),
+    (any::<u64>(), any::<u32>()).prop_map(|(incarnation, refutation)| MemberVersion {
+        incarnation: IncarnationNumber(incarnation),
         refutation,
     })
 }
 
 fn digest() -> impl Strategy<Value = ConfigDigest> {
-    any::<(u64, u64, u64)>().prop_map(|(highest, progress, hash)| ConfigDigest {
+    any::<(u64, u64, u64)>().prop_map(|(highest, version_sum, hash)| ConfigDigest {
         highest: StoreVersion(highest),
-        version_sum: progress,
+        version_sum,
         hash,
     })
 }
@@ -49,14 +49,14 @@
 fn header() -> impl Strategy<Value = SenderHeader> {
     let numbers = any::<(bool, u32, u64, Option<(u32, u32)>)>();
     (node(), version(), digest(), numbers).prop_map(
-        |(node, version, config, (leaving, load, view, sighting))| SenderHeader {
+        |(node, version, config, (is_leaving, load, view_hash, store_answer))| SenderHeader {
             node,
             version,
-            is_leaving: leaving,
+            is_leaving,
             load: LoadLevel(load),
             config,
-            view_hash: view,
-            store_answer: sighting.map(|(origin, age)| StoreAnswer {
+            view_hash,
+            store_answer: store_answer.map(|(origin, age)| StoreAnswer {
                 origin,
                 age: TimeSpan::from_millis(u64::from(age)),
             }),
@@ -84,9 +84,11 @@
                 buckets: buckets.into(),
             }
         }),
-        (any::<u32>(), option::of(node())).prop_map(|(sequence, next)| GossipBody::SyncReply {
-            sequence,
-            continue_after: next,
+        (any::<u32>(), option::of(node())).prop_map(|(sequence, continue_after)| {
+            GossipBody::SyncReply {
+                sequence,
+                continue_after,
+            }
         }),
     ]
 }
@@ -158,36 +160,36 @@
 
     /// A message that were larger than its parts are reckoned would not fit one packet.
     #[test]
-    fn encode_stays_within_the_bounds(
+    fn encode_stays_within_size_bounds(
         envelope in envelope(),
         update in update(),
         report in report(),
     ) {
-        let bare = encoded_size(&envelope);
-        prop_assert!(bare <= ENVELOPE_BYTES, "{bare} bytes");
+        let envelope_size = encoded_size(&envelope);
+        prop_assert!(envelope_size <= ENVELOPE_BYTES, "{envelope_size} bytes");
         let update_bound = update.size_bound();
         let report_bound = ReportGroup::size_bound(report.members.len());
         let with_update = GossipMessage { updates: vec![update], ..envelope.clone() };
-        prop_assert!(encoded_size(&with_update) - bare <= update_bound);
+        prop_assert!(encoded_size(&with_update) - envelope_size <= update_bound);
         let with_report = GossipMessage { reports: vec![report], ..envelope };
-        prop_assert!(encoded_size(&with_report) - bare <= report_bound);
+        prop_assert!(encoded_size(&with_report) - envelope_size <= report_bound);
     }
 
     #[test]
     fn decode_survives_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(message) = gossip_messages::decode(&bytes) {
-            let again = gossip_messages::decode(&gossip_messages::encode(message.clone()));
-            prop_assert_eq!(again, Ok(message));
+            let decoded_again = gossip_messages::decode(&gossip_messages::encode(message.clone()));
+            prop_assert_eq!(decoded_again, Ok(message));
         }
     }
 
     #[test]
-    fn decode_refuses_other_protocols(envelope in envelope()) {
+    fn decode_rejects_other_protocol_versions(envelope in envelope()) {
         let mut bytes = gossip_messages::encode(envelope);
         // The first field is the protocol's version, a number of one byte.
         prop_assert_eq!(bytes[0], 8);
         bytes[1] = 99;
-        let refused = gossip_messages::decode(&bytes);
-        prop_assert_eq!(refused, Err(MalformedMessage::UnsupportedProtocol(99)));
+        let rejected = gossip_messages::decode(&bytes);
+        prop_assert_eq!(rejected, Err(MalformedMessage::UnsupportedProtocol(99)));
     }
 }
--- a/alderhaven-peer/tests/peer_node.rs
+++ b/alderhaven-peer/tests/peer_node.rs
@@ -25,15 +25,15 @@
 #[derive(Clone)]
 struct FakeConfig {
     objects: Arc<Mutex<BTreeMap<ObjectKey, StoredObject>>>,
-    is_listed: bool,
+    is_fully_listed: bool,
     changes: watch::Sender<u64>,
 }
 
 impl FakeConfig {
-    fn new(is_listed: bool) -> Self {
+    fn new(is_fully_listed: bool) -> Self {
         Self {
             objects: Arc::default(),
-            is_listed,
+            is_fully_listed,
             changes: watch::Sender::new(0),
         }
     }
@@ -51,7 +51,7 @@
 
     fn access(&self) -> ConfigAccess {
         let (stamps, objects) = (self.clone(), self.clone());
-        let (writer, is_listed) = (self.clone(), self.is_listed);
+        let (writer, is_fully_listed) = (self.clone(), self.is_fully_listed);
         ConfigAccess::builder()
             .stamps(move || {
                 stamps
@@ -67,7 +67,7 @@
                     .find(|held| held.key == *key)
             })
             .accept(move |objects| writer.accept(objects))
-            .is_fully_listed(move || is_listed)
+            .is_fully_listed(move || is_fully_listed)
             .changes(self.changes.subscribe())
             .build()
     }
@@ -109,10 +109,10 @@
 }
 
 async fn wait_for(handle: &PeerHandle, is_met: impl Fn(&PeerSnapshot) -> bool) {
-    let mut changed = handle.subscribe();
+    let mut changes = handle.subscribe();
     let waiting = async {
         while !is_met(&handle.snapshot()) {
-            changed.changed().await.expect("the task runs");
+            changes.changed().await.expect("the task runs");
         }
     };
     time::timeout(WAIT_LIMIT, waiting)
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn start_finds_the_others() {
+async fn start_joins_the_group() {
     let config = FakeConfig::new(true);
     let first = start_node(0, None, &config).await;
     let mut handles = vec![first];
@@ -164,26 +164,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn start_takes_the_configuration_from_peers() {
+async fn start_fetches_the_configuration_from_peers() {
     // The store is down when a process starts. It must get all that its peers hold, here more than
     // fits one message, must not count as complete before, and later changes must reach it too.
-    let (full, empty) = (FakeConfig::new(true), FakeConfig::new(false));
-    full.accept((0..100).map(|index| drain_object(index, 1)).collect());
-    let first = start_node(0, None, &full).await;
-    let second = start_node(1, Some(&first), &empty).await;
+    let (listed, unlisted) = (FakeConfig::new(true), FakeConfig::new(false));
+    listed.accept((0..100).map(|index| drain_object(index, 1)).collect());
+    let first = start_node(0, None, &listed).await;
+    let second = start_node(1, Some(&first), &unlisted).await;
     wait_for(&second, |snapshot| snapshot.is_complete).await;
-    assert_eq!(empty.held_objects(), full.held_objects());
-    full.accept(vec![drain_object(7, 2)]);
+    assert_eq!(unlisted.held_objects(), listed.held_objects());
+    listed.accept(vec![drain_object(7, 2)]);
     wait_for(&second, |snapshot| {
         snapshot.config.highest == StoreVersion(2)
     })
     .await;
     wait_for(&second, |snapshot| {
-        let (lagging, of) = snapshot.lagging_members();
-        lagging.is_empty() && of == 2
+        let (lagging, compared) = snapshot.lagging_members();
+        lagging.is_empty() && compared == 2
     })
     .await;
-    assert_eq!(empty.held_objects(), full.held_objects());
+    assert_eq!(unlisted.held_objects(), listed.held_objects());
 }
 
 /// In a group of hundreds more nodes connect to one than it keeps connections. Each that comes asks for
@@ -196,7 +196,7 @@
     let held = drain_object(1, 5);
     config.accept(vec![held.clone()]);
     let node = start_node(0, None, &config).await;
-    let mut open = Vec::new();
+    let mut connections = Vec::new();
     for index in 1..=PEERS {
         let stream = TcpStream::connect(node.gossip_address()).await;
         let (sender, mut reader) =
@@ -213,6 +213,6 @@
         let answer = time::timeout(WAIT_LIMIT, connection::next_message(&mut reader)).await;
         let answer = answer.expect("an answer in time");
         assert!(matches!(answer, Some(PeerMessage::Exchange(_))), "{index}");
-        open.push((sender, reader));
+        connections.push((sender, reader));
     }
 }
