--- a/alderhaven-peer/examples/member-slopes/group_costs.rs
+++ b/alderhaven-peer/examples/member-slopes/group_costs.rs
@@ -1,61 +1,61 @@
-//! What is measured.
+//! Figures that the measurements report.
 
 use serde::Serialize;
 
-/// A `GroupCosts` is one line of figures.
+/// Costs of one group size; one line of output.
 #[derive(Debug, Serialize)]
 pub struct GroupCosts {
-    /// The number of members.
+    /// Number of members in the group.
     pub members: usize,
-    /// With nothing going on.
+    /// Costs without any event.
     #[serde(rename = "rest")]
     pub idle: PhaseCosts,
-    /// The resident memory a member, in KB.
+    /// Resident memory per member, in KB.
     pub memory_kb: f64,
-    /// What events cost, where they were measured.
+    /// Costs of events, if they were measured.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub events: Option<GroupEvents>,
 }
 
-/// A `GroupEvents` is what single events cost, and a day of them.
+/// Costs of single events and of a day of them.
 #[derive(Debug, Serialize)]
 pub struct GroupEvents {
-    /// One change of configuration, published where a few members watch.
+    /// One configuration change, published at the members that watch the store.
     pub change: EventCosts,
-    /// The time until every member knows that the change is in force on all.
+    /// Time until every member knows that all members have applied the change, in seconds.
     pub change_reported_s: f64,
-    /// One member dies without a word.
+    /// Crash of one member without an announcement.
     pub death: EventCosts,
-    /// One member announces that it leaves.
+    /// Announced leave of one member.
     pub leaving: EventCosts,
-    /// The member that left starts again with nothing kept.
+    /// Restart of the member that left, without any state.
     pub restart: EventCosts,
-    /// The two halves lose each other for a minute and find each other again.
+    /// Healing of a one-minute network partition into halves.
     pub heal: EventCosts,
-    /// The bytes a second a member over a day of 3,100 changes, 890 restarts and 6 deaths.
+    /// Bytes per second and member over a day with the assumed number of events.
     pub day_bytes_per_s: f64,
-    /// The share of a core a member over such a day.
+    /// Share of a core per member over such a day.
     pub day_core_share: f64,
 }
 
-/// A `PhaseCosts` is what a member costs while nothing happens.
+/// Costs per member while nothing happens.
 #[derive(Debug, Default, Serialize)]
 pub struct PhaseCosts {
-    /// The datagrams sent and received a second a member.
+    /// Datagrams sent and received per second and member.
     pub datagrams_per_s: f64,
-    /// Their bytes, IP and UDP headers and the exchange's frames included.
+    /// Bytes per second and member, including IP and UDP headers and exchange frames.
     pub bytes_per_s: f64,
-    /// The share of a core.
+    /// Share of a core per member.
     pub core_share: f64,
 }
 
-/// An `EventCosts` is what one event costs a member beyond rest.
+/// Costs per member of one event, beyond the idle costs.
 #[derive(Debug, Default, Serialize)]
 pub struct EventCosts {
-    /// The time until the last member knows.
+    /// Time until the last member knows of the event, in seconds.
     pub known_to_all_s: f64,
-    /// The bytes sent and received a member beyond rest.
+    /// Bytes sent and received per member beyond the idle costs.
     pub bytes: f64,
-    /// The processor time a member beyond rest, in microseconds.
+    /// CPU time per member beyond the idle costs, in microseconds.
     pub core_us: f64,
 }
--- a/alderhaven-peer/examples/member-slopes/loopback_group.rs
+++ b/alderhaven-peer/examples/member-slopes/loopback_group.rs
@@ -1,4 +1,4 @@
-//! Members in one process with real sockets on loopback.
+//! Group of members in one process with real sockets on loopback.
 
 use std::time::Duration;
 
@@ -16,30 +16,30 @@
 use crate::group_costs::{GroupCosts, PhaseCosts};
 use crate::process_usage;
 
-/// The time for which rest is measured.
+/// Duration of the measurement without events.
 const IDLE_DURATION: Duration = Duration::from_secs(20);
-/// The time for each member that the news of so many starts goes on for.
+/// Time per member to let the updates of all starts spread.
 const SETTLE_TIME_PER_MEMBER: Duration = Duration::from_millis(150);
-/// The pause between two starts: 20 members start a second.
+/// Pause between the starts of two members.
 const START_PAUSE: Duration = Duration::from_millis(50);
-/// The bytes of the IP and UDP headers of a datagram.
+/// Size of a datagram's IP and UDP headers.
 const DATAGRAM_HEADER_BYTES: u64 = 28;
-/// The worker threads for all members together.
+/// Number of worker threads shared by all members.
 const WORKER_THREADS: usize = 2;
 
-/// A `LoopbackGroup` runs the members.
+/// Running members, driven by their own tasks.
 pub struct LoopbackGroup {
     handles: Vec<PeerHandle>,
 }
 
 impl LoopbackGroup {
-    /// Measures a group of `members` members.
+    /// Starts and measures a group of `members` members.
     pub fn measure(members: usize) -> GroupCosts {
         let runtime = Builder::new_multi_thread()
             .worker_threads(WORKER_THREADS)
             .enable_all()
             .build()
-            .expect("threads can be started");
+            .expect("the worker threads start");
         runtime.block_on(Self::measure_idle(members))
     }
 
@@ -68,16 +68,28 @@
         }
     }
 
-    /// Starts the members and waits until all know all.
+    /// Starts the members and waits until each knows all of them as alive.
     async fn start(members: usize) -> Self {
         let mut handles: Vec<PeerHandle> = Vec::new();
         for index in 0..members {
             let options = PeerOptions::builder()
-                .node(format!("relay-{index:04}").parse().expect("a valid id"))
+                .node(
+                    format!("relay-{index:04}")
+                        .parse()
+                        .expect("the text is a valid id"),
+                )
                 .role(MemberRole::Relay)
-                .host(format!("host-{index:04}").parse().expect("a valid id"))
-                .domain(format!("domain-{}", index % 7).parse().expect("a valid id"))
-                .gossip_address("127.0.0.1:0".parse().expect("a valid address"))
+                .host(
+                    format!("host-{index:04}")
+                        .parse()
+                        .expect("the text is a valid id"),
+                )
+                .domain(
+                    format!("domain-{}", index % 7)
+                        .parse()
+                        .expect("the text is a valid id"),
+                )
+                .gossip_address("127.0.0.1:0".parse().expect("the text is a valid address"))
                 .incarnation(IncarnationNumber(1))
                 .membership(MembershipOptions {
                     seeds: handles
@@ -89,19 +101,19 @@
                 })
                 .build();
             let handle = PeerNode::start(options, empty_config()).await;
-            handles.push(handle.expect("loopback can be bound"));
+            handles.push(handle.expect("the loopback address can be bound"));
             time::sleep(START_PAUSE).await;
         }
         for handle in &handles {
             let mut changes = handle.subscribe();
             while alive_count(handle) < members {
-                changes.changed().await.expect("the task runs");
+                changes.changed().await.expect("the peer driver is running");
             }
         }
         Self { handles }
     }
 
-    /// Gets the datagrams and their bytes, sent and received, of all members together.
+    /// Returns the datagrams and bytes sent and received by all members.
     fn total_traffic(&self) -> (u64, u64) {
         let traffic = self.handles.iter().map(|handle| handle.snapshot().traffic);
         traffic.fold((0, 0), |(datagrams, bytes), traffic: PeerTraffic| {
--- a/alderhaven-peer/examples/member-slopes/main.rs
+++ b/alderhaven-peer/examples/member-slopes/main.rs
@@ -1,10 +1,9 @@
-//! Measures what membership and exchange cost a member, by the number of members, as JSON lines.
+//! Measures the cost of membership and exchange per member for several group sizes, as JSON lines.
 //!
-//! `cargo run --release -p alderhaven-peer --example member-slopes` runs 8, 64, 256 and 580 members
-//! in one process with passed-in time and the real form of all messages: every figure but the
-//! processor time and the memory is the same in each run. `… -- loopback` runs real sockets on
-//! loopback for 20 s a size, which adds the cost of system calls and timers. Numbers name other
-//! sizes.
+//! `cargo run --release -p alderhaven-peer --example member-slopes` simulates the groups in one
+//! process on a virtual clock with encoded messages; all figures except CPU time and memory are
+//! deterministic. `-- loopback` uses real sockets on loopback instead, which includes the cost of
+//! system calls and timers. Numbers as arguments replace the default sizes.
 
 mod group_costs;
 mod loopback_group;
@@ -16,14 +15,14 @@
 use serde::Serialize;
 use simulated_group::SimulatedGroup;
 
-/// The numbers of members where none are named: what runs today, two between, and the size of two years on.
+/// Group sizes of the simulation unless given as arguments.
 const DEFAULT_MEMBER_COUNTS: [usize; 4] = [8, 64, 256, 580];
 
-/// The numbers of members on loopback where none are named. 580 that start within half a minute
-/// keep the two threads of that mode busy for good and do not all find each other.
+/// Group sizes on loopback unless given as arguments; larger groups overload the worker threads and
+/// don't converge.
 const DEFAULT_LOOPBACK_MEMBER_COUNTS: [usize; 3] = [8, 64, 256];
 
-/// A `SlopeLine` says how a cost grows from the smallest to the largest number of members.
+/// Growth of a cost from the smallest to the largest group.
 #[derive(Serialize)]
 struct SlopeLine {
     slope: &'static str,
@@ -74,7 +73,7 @@
     });
 }
 
-/// Prints a slope, where the cost was measured at two sizes.
+/// Prints the growth of a cost if it was measured for the first and the last size.
 fn print_slope(
     slope: &'static str,
     costs: &[GroupCosts],
@@ -98,6 +97,6 @@
 fn print_line(line: &impl Serialize) {
     match serde_json::to_string(line) {
         Ok(text) => println!("{text}"),
-        Err(error) => eprintln!("a figure can't be written: {error}"),
+        Err(error) => eprintln!("the line can't be serialized as JSON: {error}"),
     }
 }
--- a/alderhaven-peer/examples/member-slopes/process_usage.rs
+++ b/alderhaven-peer/examples/member-slopes/process_usage.rs
@@ -1,16 +1,16 @@
-//! The process's own processor time and memory, as Linux tells them.
+//! CPU time and memory of this process, as reported by Linux.
 
 use std::fs;
 
-/// The unit of processor times in `/proc`, in seconds: the kernel's user-space clock tick.
+/// Unit of CPU times in `/proc`: the kernel's user-space clock tick.
 const CLOCK_TICK_S: f64 = 0.01;
 
-/// The size of a page in KB.
+/// Page size in KB.
 const PAGE_KB: f64 = 4.0;
 
-/// Gets the processor time used so far, in seconds; zero where it is not told.
+/// Returns the CPU time used so far, in seconds; zero if unavailable.
 pub fn cpu_seconds() -> f64 {
-    // Fields 14 and 15, counted after the program's name, which ends with the last `)`.
+    // Fields 14 and 15, counted from behind the program name, which ends with the last `)`.
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = text.rsplit(')').next().unwrap_or_default();
     let ticks = fields.split_whitespace().skip(11).take(2);
@@ -20,7 +20,7 @@
         * CLOCK_TICK_S
 }
 
-/// Gets the resident memory in KB; zero where it is not told.
+/// Returns the resident memory in KB; zero if unavailable.
 pub fn resident_kb() -> f64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
--- a/alderhaven-peer/examples/member-slopes/simulated_group.rs
+++ b/alderhaven-peer/examples/member-slopes/simulated_group.rs
@@ -1,4 +1,4 @@
-//! Members in one process with passed-in time and messages in their real form.
+//! Simulation of a group on a virtual clock, with encoded messages.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -27,35 +27,35 @@
 use crate::group_costs::{EventCosts, GroupCosts, GroupEvents, PhaseCosts};
 use crate::process_usage;
 
-/// The time between two ticks, as the driver's.
+/// Interval between two ticks of a member.
 const TICK_INTERVAL: TimeSpan = TimeSpan::from_millis(50);
-/// The time for which rest is measured.
+/// Duration of the measurement without events.
 const IDLE_DURATION: TimeSpan = TimeSpan::from_secs(30);
-/// The time that an event is given, after which its costs are over.
+/// Time after which the costs of an event are taken as complete.
 const EVENT_DURATION: TimeSpan = TimeSpan::from_secs(15);
-/// How many members start in one step.
+/// Members that start in one tick interval.
 const STARTS_PER_STEP: usize = 4;
-/// The time that a split lasts.
+/// Duration of the network partition.
 const PARTITION_DURATION: TimeSpan = TimeSpan::from_secs(60);
-/// The delay of a message within a region and the further one between the two.
+/// Range of delays within a region, and the additional delay between the two regions.
 const REGION_DELAY_RANGE_US: std::ops::Range<u64> = 200..1_500;
 const CROSS_REGION_DELAY_US: u64 = 15_000;
-/// The bytes of the IP and UDP headers of a datagram.
+/// Size of a datagram's IP and UDP headers.
 const DATAGRAM_HEADER_BYTES: usize = 28;
-/// The bytes beside a frame of the exchange: its length and the TCP and IP headers.
+/// Overhead of an exchange frame: its length prefix and the TCP and IP headers.
 const FRAME_OVERHEAD_BYTES: usize = 56;
-/// The objects of the configuration: a few hundred templates and teams of 2 KB.
+/// Number and size of the configuration objects.
 const OBJECT_COUNT: usize = 300;
 const OBJECT_BYTES: usize = 2_000;
-/// How many members watch the store.
+/// Members that watch the store.
 const WATCHER_COUNT: usize = 3;
-/// The events of a day at the size of two years on.
+/// Assumed events per day.
 const CHANGES_PER_DAY: f64 = 3_100.0;
 const RESTARTS_PER_DAY: f64 = 890.0;
 const DEATHS_PER_DAY: f64 = 6.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// A `PassedTimeGroup` runs the members.
+/// Simulated members and the messages in flight between them.
 pub struct SimulatedGroup {
     processes: Vec<SimulatedProcess>,
     packets: BinaryHeap<Reverse<(TimePoint, u64, Packet)>>,
@@ -72,7 +72,7 @@
     exchange: ObjectExchange,
     registry: ConfigRegistry,
     is_running: bool,
-    /// When the process ticks within a step; processes do not tick together.
+    /// Offset of the process's ticks within an interval, so that processes don't tick together.
     tick_offset: TimeSpan,
     peers: PeerSet,
     revision: u64,
@@ -92,29 +92,33 @@
     Frame(Vec<u8>),
 }
 
-/// A `Traffic` counts what was sent and received.
+/// Traffic sent and received by all members.
 #[derive(Clone, Copy, Default)]
 struct Traffic {
     datagrams: usize,
     bytes: usize,
 }
 
-/// A `UsageMark` is a point from which costs are counted.
+/// Traffic and CPU time at the start of a measurement.
 struct UsageMark {
     traffic: Traffic,
     cpu_s: f64,
 }
 
 fn node_id(index: usize) -> NodeId {
-    format!("relay-{index:04}").parse().expect("a valid id")
+    format!("relay-{index:04}")
+        .parse()
+        .expect("the text is a valid id")
 }
 
 fn index_of(node: &NodeId) -> usize {
-    node.as_str()["relay-".len()..].parse().expect("a number")
+    node.as_str()["relay-".len()..]
+        .parse()
+        .expect("a node id ends with its index")
 }
 
 fn address(index: usize) -> SocketAddr {
-    let port = 10_000 + u16::try_from(index).expect("a small number");
+    let port = 10_000 + u16::try_from(index).expect("the index fits a port number");
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
@@ -123,10 +127,12 @@
         let record = MemberRecord {
             node: node_id(index),
             role: MemberRole::Relay,
-            host: format!("host-{index:04}").parse().expect("a valid id"),
+            host: format!("host-{index:04}")
+                .parse()
+                .expect("the text is a valid id"),
             domain: format!("region-{}-domain-{}", index % 2, index % 7)
                 .parse()
-                .expect("a valid id"),
+                .expect("the text is a valid id"),
             gossip_address: address(index),
             peer_address: Some(address(index)),
             caller_address: None,
@@ -151,7 +157,7 @@
         }
     }
 
-    /// Renews the peers of the exchange, as the driver does.
+    /// Updates the exchange's peers after a change of the members, as the driver does.
     fn refresh_peers(&mut self) {
         if self.revision == self.membership.revision() {
             return;
@@ -162,7 +168,7 @@
 }
 
 impl SimulatedGroup {
-    /// Measures a group of `members` members.
+    /// Starts and measures a group of `members` members.
     pub fn measure(members: usize) -> GroupCosts {
         let memory_before = process_usage::resident_kb();
         let mut group = Self::start(members);
@@ -179,12 +185,10 @@
 
     fn measure_events(&mut self, idle: &PhaseCosts) -> GroupEvents {
         let (change, change_reported_s) = self.measure_change(idle);
-        let crashed = self.processes.len() - 1;
-        self.processes[crashed].is_running = false;
-        let death = self.measure_event(idle, |group| {
-            group.all_see_state(crashed, MemberState::Dead)
-        });
-        self.restart(crashed);
+        let dead = self.processes.len() - 1;
+        self.processes[dead].is_running = false;
+        let death = self.measure_event(idle, |group| group.all_see_state(dead, MemberState::Dead));
+        self.restart(dead);
         self.run(EVENT_DURATION);
         let left = self.processes.len() - 2;
         self.leave(left);
@@ -212,7 +216,7 @@
         }
     }
 
-    /// Starts the members, a few at a time, and runs until all know all and hold everything.
+    /// Starts the members in batches and runs until their views and configurations agree.
     fn start(members: usize) -> Self {
         let mut group = Self {
             processes: Vec::new(),
@@ -240,7 +244,7 @@
         });
         assert!(
             settled.is_some(),
-            "{members} members do not find each other"
+            "the views or configurations of {members} members do not converge"
         );
         group.run(EVENT_DURATION);
         group
@@ -324,7 +328,7 @@
         )
     }
 
-    /// Writes new versions of objects and lets the watchers hear of them.
+    /// Publishes new versions of objects at the members that watch the store.
     fn publish(&mut self, indices: std::ops::Range<usize>) {
         let objects: Vec<StoredObject> = indices.map(|index| self.new_version(index)).collect();
         for watcher in 0..WATCHER_COUNT.min(self.processes.len()) {
@@ -419,7 +423,7 @@
         while self.now.since(start) < span {
             let check_start_s = process_usage::cpu_seconds();
             let is_over = is_done(self);
-            // The check is the measurement's own work.
+            // Excluded from the members' CPU time.
             self.check_cpu_s += process_usage::cpu_seconds() - check_start_s;
             if is_over {
                 return Some(self.now.since(start));
@@ -456,7 +460,8 @@
             PacketContent::Datagram(bytes) => {
                 self.traffic.datagrams += 1;
                 self.traffic.bytes += bytes.len() + DATAGRAM_HEADER_BYTES;
-                let message = gossip_messages::decode(&bytes).expect("it was encoded here");
+                let message =
+                    gossip_messages::decode(&bytes).expect("the simulation encoded the message");
                 let sender = &message.sender;
                 process.exchange.handle_digest(
                     &sender.node,
@@ -474,8 +479,10 @@
             }
             PacketContent::Frame(bytes) => {
                 self.traffic.bytes += bytes.len() + FRAME_OVERHEAD_BYTES;
-                let frame = ExchangeFrame::decode(bytes.as_slice()).expect("it was encoded here");
-                let message = ExchangeMessage::try_from(frame).expect("it was encoded here");
+                let frame = ExchangeFrame::decode(bytes.as_slice())
+                    .expect("the simulation encoded the message");
+                let message =
+                    ExchangeMessage::try_from(frame).expect("the simulation encoded the message");
                 let registry = &process.registry;
                 let output = process.exchange.receive(
                     &node_id(packet.from),
--- a/alderhaven-peer/src/codec.rs
+++ b/alderhaven-peer/src/codec.rs
@@ -1,4 +1,4 @@
-//! The framing of peer messages: a length of four bytes, then the prost message.
+//! Framing of peer messages: a four-byte big-endian length, then the protobuf message.
 
 use std::io;
 
@@ -8,13 +8,12 @@
 
 use crate::frames::{PeerFrame, PeerMessage};
 
-/// The largest frame that is accepted, in bytes: a reply of one shard with room to spare.
+/// Largest frame that is accepted, in bytes; well above the reply of one shard.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// A `FrameCodec` turns bytes into peer messages and back.
+/// Encodes and decodes peer messages on a byte stream.
 ///
-/// A frame that is too long or malformed is an error of the connection, which is then closed; the
-/// process goes on.
+/// An oversized or malformed frame is an error, on which the connection is closed.
 #[derive(Debug)]
 pub struct FrameCodec {
     length_codec: LengthDelimitedCodec,
@@ -55,10 +54,11 @@
         if length > MAX_FRAME_BYTES {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
-                format!("a frame of {length} bytes is above {MAX_FRAME_BYTES}"),
+                format!("a frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"),
             ));
         }
-        // The length prefix and the body are written straight into the connection's buffer.
+        // Writes prefix and body directly into the connection's buffer, without an intermediate
+        // copy.
         let prefix = u32::try_from(length).map_err(io::Error::other)?;
         destination.reserve(4 + length);
         destination.extend_from_slice(&prefix.to_be_bytes());
--- a/alderhaven-peer/src/connection.rs
+++ b/alderhaven-peer/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection between two processes: a reader of frames and a sender that writes in batches.
+//! Connection between two processes: a frame reader, and a sender that writes in batches.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,62 +19,62 @@
 use crate::codec::FrameCodec;
 use crate::frames::{PeerFrame, PeerMessage};
 
-/// The most messages that one write carries; enough for all attempts of a query.
+/// Most messages in one write; enough for all attempts of a query.
 const MAX_BATCH_MESSAGES: usize = 256;
-/// The most bytes that a write buffer keeps between two writes.
+/// Largest capacity of the write buffer that is kept between writes.
 const MAX_RETAINED_BUFFER_BYTES: usize = 64 << 10;
-/// The first capacity of the read buffer, in bytes.
+/// Initial capacity of the read buffer.
 const READ_BUFFER_BYTES: usize = 8 << 10;
-/// The time after which a peer that takes no bytes is given up.
+/// Time after which a connection is closed if its peer accepts no bytes.
 ///
-/// A connection whose path lost track of it accepts no more bytes once the kernel's buffer is full.
-/// Without a bound the queue before it would grow for minutes.
+/// A connection that was lost on the path without a reset accepts no more bytes once the kernel's
+/// buffer is full. Without a bound its queue would grow for minutes.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A `FrameSender` queues messages for one connection; it is cheap to clone.
+/// Cheaply cloneable sender that queues messages for one connection.
 #[derive(Clone, Debug)]
 pub struct FrameSender {
     queue: mpsc::UnboundedSender<PeerMessage>,
 }
 
-/// A `ConnectionClosed` says that a message was not sent because its connection is closed.
+/// Error for a message that was not sent because its connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionClosed;
 
-/// A `ConnectionEvent` is what the log says of a connection.
+/// Log events of a connection.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum ConnectionEvent {
-    /// A frame was too long or malformed; its connection is closed.
+    /// A frame was oversized or malformed; its connection is closed.
     MalformedFrame {
         peer: Option<SocketAddr>,
         reason: String,
     },
 }
 
-/// A `FrameReader` yields the frames that come in on one connection.
+/// Stream of the frames received on one connection.
 pub type FrameReader = FramedRead<OwnedReadHalf, FrameCodec>;
 
 impl FrameSender {
-    /// Queues a message.
+    /// Queues a message for sending.
     ///
     /// # Errors
-    /// `ConnectionClosed` where the connection is closed: no byte of the message was sent.
+    /// Returns `ConnectionClosed` if the connection is closed; no byte of the message was sent.
     pub fn send(&self, message: PeerMessage) -> Result<(), ConnectionClosed> {
         self.queue.send(message).map_err(|_| ConnectionClosed)
     }
 
-    /// Returns true where the connection is closed.
+    /// Returns true if the connection accepts no more messages.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.queue.is_closed()
     }
 }
 
-/// Splits a connection into its sender and its reader, and starts the task that writes.
+/// Splits a connection into its sender and its reader, and spawns the task that writes.
 ///
 /// # Errors
-/// An error of the operating system where the socket's options can't be set.
+/// Returns the operating system's error if the socket's options can't be set.
 pub fn split(stream: TcpStream) -> io::Result<(FrameSender, FrameReader)> {
     stream.set_nodelay(true)?;
     let (read_half, write_half) = stream.into_split();
@@ -84,14 +84,14 @@
     Ok((FrameSender { queue: sender }, reader))
 }
 
-/// Reads the next message; none where the connection ended or the peer sent a malformed frame.
+/// Reads the next message; `None` if the connection ended or the peer sent a malformed frame.
 pub async fn next_message(reader: &mut FrameReader) -> Option<PeerMessage> {
     loop {
         match reader.next().await {
             Some(Ok(PeerFrame {
                 message: Some(message),
             })) => return Some(message),
-            // A newer peer may send messages that are not known here; they are passed over.
+            // Skips a message type that only newer versions know.
             Some(Ok(PeerFrame { message: None })) => {}
             Some(Err(error)) => {
                 log_malformed(reader, &error);
@@ -102,7 +102,7 @@
     }
 }
 
-/// Logs a frame that can't be read; a connection that merely broke is an everyday event.
+/// Logs a frame that can't be decoded; other connection errors are ordinary and not logged.
 fn log_malformed(reader: &FrameReader, error: &io::Error) {
     if error.kind() == io::ErrorKind::InvalidData {
         let event = ConnectionEvent::MalformedFrame {
@@ -113,8 +113,8 @@
     }
 }
 
-/// Empties a buffer, and gives back one that a large message has stretched: a node has dozens of
-/// connections, and a large configuration crosses each of them once.
+/// Clears the buffer, and frees one that a large message has grown, so that idle connections hold
+/// little memory.
 fn clear_buffer(buffer: &mut BytesMut) {
     if buffer.capacity() > MAX_RETAINED_BUFFER_BYTES {
         *buffer = BytesMut::new();
@@ -130,7 +130,7 @@
     let mut messages = Vec::with_capacity(MAX_BATCH_MESSAGES);
     let mut buffer = BytesMut::new();
     let mut codec = FrameCodec::default();
-    // All messages that wait go out in one write: under load a system call carries many frames.
+    // Writes all queued messages at once, which saves system calls under load.
     while queue.recv_many(&mut messages, MAX_BATCH_MESSAGES).await > 0 {
         for message in messages.drain(..) {
             if codec.encode(message, &mut buffer).is_err() {
--- a/alderhaven-peer/src/exchange_links.rs
+++ b/alderhaven-peer/src/exchange_links.rs
@@ -1,4 +1,4 @@
-//! Connections of the exchange: opened on demand, closed when idle.
+//! TCP connections of the exchange, opened on demand and closed when idle.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,46 +13,46 @@
 use crate::connection::{self, FrameReader, FrameSender};
 use crate::frames::{Hello, PROTOCOL_VERSION, PeerMessage};
 
-/// The time within which a connection must be open: a path that is cut drops packets in silence.
+/// Time limit for opening a connection and for the first message on an accepted one; a broken path
+/// may drop packets silently.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time without messages after which a connection is closed. A link that went silent for good
-/// is given up with it; what was asked for on it is asked for elsewhere before.
+/// Time without messages after which a connection is closed, which also covers silently broken
+/// ones. The exchange requests missing objects from other peers before that.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The most messages that wait for a connection to open.
+/// Capacity of a connection's queue of outgoing messages.
 const MAX_QUEUED_MESSAGES: usize = 64;
 
-/// The most connections that are open at a time: some dozen are in use at any moment, and each holds
-/// buffers here and at the peer.
+/// Limit on open connections, each of which holds buffers at both ends.
 const MAX_LINKS: usize = 64;
 
-/// A `LinkEvent` is what a connection tells the task that drives the exchange.
+/// Events that connections send to the task that drives the exchange.
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
-    /// A peer connected; messages to it go over its connection.
+    /// A peer connected; messages to it go through this queue.
     Accepted {
         peer: NodeId,
         queue: mpsc::Sender<PeerMessage>,
     },
-    /// A message came.
+    /// An exchange message was received.
     Received {
         peer: NodeId,
         message: ExchangeMessage,
     },
 }
 
-/// An `ExchangeLinks` holds the connections by peer.
+/// Open connections by peer.
 #[derive(Debug)]
 pub(crate) struct ExchangeLinks {
     hello: Hello,
     links: BTreeMap<NodeId, OpenLink>,
-    /// Counts the messages, so that the link that was used longest ago is known.
+    /// Counter of uses, by which the least recently used connection is found.
     use_count: u64,
     events: mpsc::Sender<LinkEvent>,
 }
 
-/// An `OpenLink` is a connection as the exchange sees it; dropping it closes it once it is empty.
+/// Outgoing queue of a connection. Dropping it closes the connection once queued messages are sent.
 #[derive(Debug)]
 struct OpenLink {
     queue: mpsc::Sender<PeerMessage>,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Sends a message over the peer's connection, or opens one where the address is known. A
-    /// message that finds no room is dropped: the exchange asks again.
+    /// Sends a message over the peer's connection, or opens one if the address is known. A message
+    /// that can't be queued is dropped; the exchange retries.
     pub(crate) fn send(&mut self, peer: NodeId, address: Option<SocketAddr>, message: PeerMessage) {
         self.links.retain(|_, link| !link.queue.is_closed());
         self.touch(&peer);
@@ -92,12 +92,12 @@
         tokio::spawn(open_link(address, self.hello.clone(), link));
     }
 
-    /// Takes the connection that a peer opened.
+    /// Adds a connection that was opened by the peer.
     pub(crate) fn add_accepted(&mut self, peer: NodeId, queue: mpsc::Sender<PeerMessage>) {
         self.insert_link(peer, queue);
     }
 
-    /// Notes that a peer's connection is in use.
+    /// Marks the peer's connection as used.
     pub(crate) fn touch(&mut self, peer: &NodeId) {
         self.use_count += 1;
         if let Some(link) = self.links.get_mut(peer) {
@@ -105,11 +105,8 @@
         }
     }
 
-    /// Keeps a connection; where there are too many, the one that was used longest ago is closed.
-    ///
-    /// Guards against a group larger than the number of links: a message that found no room was lost, an
-    /// answer to whoever had connected included, and each had to be asked for elsewhere a second
-    /// later.
+    /// Adds a connection; at the limit, closes the least recently used one. Refusing the new one
+    /// instead would lose its messages, including replies to a peer that has just connected.
     fn insert_link(&mut self, peer: NodeId, queue: mpsc::Sender<PeerMessage>) {
         if self.links.len() >= MAX_LINKS && !self.links.contains_key(&peer) {
             let oldest = self.links.iter().min_by_key(|(_, link)| link.last_use);
@@ -122,13 +119,13 @@
         self.links.insert(peer, OpenLink { queue, last_use });
     }
 
-    /// Serves a connection that came in.
+    /// Spawns the task that serves an accepted connection.
     pub(crate) fn accept(&self, stream: TcpStream) {
         tokio::spawn(accept_link(stream, self.events.clone()));
     }
 }
 
-/// A `PeerLink` is one connection's end towards the exchange.
+/// Task that forwards messages between one connection and the exchange.
 struct LinkTask {
     peer: NodeId,
     outgoing: mpsc::Receiver<PeerMessage>,
@@ -193,7 +190,7 @@
         }
     }
 
-    /// Passes a message on; returns false where the connection is to be closed.
+    /// Forwards a received message to the exchange; returns false if the connection must be closed.
     async fn forward_message(&self, message: Option<PeerMessage>) -> bool {
         let Some(PeerMessage::Exchange(frame)) = message else {
             return message.is_some();
--- a/alderhaven-peer/src/exchange_messages.rs
+++ b/alderhaven-peer/src/exchange_messages.rs
@@ -1,4 +1,4 @@
-//! The frames of the exchange, as prost messages written by hand.
+//! Protobuf messages of the configuration exchange, defined by hand for prost.
 
 use alderhaven_core::config_object::{ObjectKey, StoredObject};
 use alderhaven_core::ids::StoreVersion;
@@ -6,7 +6,7 @@
 
 use crate::malformed_message::MalformedMessage;
 
-/// An `ExchangeFrame` is one message of the exchange.
+/// Wire form of an [`ExchangeMessage`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ExchangeFrame {
     #[prost(oneof = "ExchangeWire", tags = "1, 2, 3, 4, 5")]
@@ -89,7 +89,7 @@
     version: u64,
     #[prost(string, tag = "3")]
     write_id: String,
-    /// None for a tombstone.
+    /// `None` for a tombstone.
     #[prost(string, optional, tag = "4")]
     body: Option<String>,
 }
--- a/alderhaven-peer/src/frames.rs
+++ b/alderhaven-peer/src/frames.rs
@@ -1,6 +1,6 @@
-//! The messages between the system's processes, as prost messages written by hand.
+//! Protobuf messages between the system's processes, defined by hand for prost.
 //!
-//! Times that cross are remaining microseconds, since clocks of two processes are not comparable.
+//! Times travel as durations in microseconds, since the clocks of two processes aren't comparable.
 
 use alderhaven_core::outcome::{AttemptOutcome, NotRunReason};
 
@@ -9,13 +9,13 @@
 use crate::group_messages::{GroupClose, GroupReply, GroupRequest};
 use crate::strike_messages::StrikeNotice;
 
-/// The version of the protocol; a frame of another major version is refused.
+/// Protocol version; a peer that announces another one is rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// A `PeerFrame` is one message on a connection between two processes.
+/// One message on a connection between two processes.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerFrame {
-    /// The message; none where the sender is newer and the message is not known here.
+    /// `None` if the sender is newer and used a message type that is unknown here.
     #[prost(
         oneof = "PeerMessage",
         tags = "1, 2, 3, 4, 5, 6, 7, 8, 20, 30, 31, 40, 41, 42"
@@ -23,194 +23,195 @@
     pub message: Option<PeerMessage>,
 }
 
-/// A `PeerMessage` is the closed set of messages.
+/// All message types between processes.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum PeerMessage {
-    /// The first message in each direction.
+    /// Identifies the sender; the first message on a connection of the exchange.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// An entry asks a relay to run attempts.
+    /// Attempts that an entry asks a relay to run.
     #[prost(message, tag = "2")]
     Scatter(ScatterRequest),
-    /// A relay answers one attempt.
+    /// Result of one attempt, from a relay.
     #[prost(message, tag = "3")]
     Reply(AttemptReply),
-    /// An entry no longer wants the answers of attempts.
+    /// Attempts whose results an entry no longer needs.
     #[prost(message, tag = "4")]
     Cancel(CancelAttempts),
-    /// A relay stops: it takes no new attempts on this connection.
+    /// A relay is shutting down and accepts no new attempts on this connection.
     #[prost(message, tag = "5")]
     Leaving(LeavingNotice),
-    /// Requests were in flight at targets that crashed.
+    /// Requests that were in flight at targets that crashed.
     #[prost(message, tag = "6")]
     Strikes(StrikeNotice),
-    /// An entry asks whether the connection still carries anything.
+    /// Check by an entry that the connection still carries messages.
     #[prost(message, tag = "7")]
     Ping(PingProbe),
-    /// The answer to a `Ping`.
+    /// Reply to a `Ping`.
     #[prost(message, tag = "8")]
     Pong(PingProbe),
-    /// Two nodes compare and pass on configuration.
+    /// Comparison and transfer of configuration between two nodes.
     #[prost(message, tag = "20")]
     Exchange(ExchangeFrame),
-    /// An entry asks another for the outcome of a claimed request.
+    /// Query by an entry for the outcome of a claimed request.
     #[prost(message, tag = "30")]
     ClaimQuery(ClaimQuery),
-    /// An entry answers such a query.
+    /// Reply to a `ClaimQuery`.
     #[prost(message, tag = "31")]
     ClaimAnswer(ClaimAnswer),
-    /// A front asks another one for attempts in its failure domain.
+    /// Request by a front for attempts in another front's failure domain.
     #[prost(message, tag = "40")]
     GroupRequest(GroupRequest),
-    /// Ends of such attempts.
+    /// Results of attempts of a `GroupRequest`.
     #[prost(message, tag = "41")]
     GroupReply(GroupReply),
-    /// No more replies are needed.
+    /// No further replies to a `GroupRequest` are needed.
     #[prost(message, tag = "42")]
     GroupClose(GroupClose),
 }
 
-/// A `Hello` says who speaks.
+/// Identity of a connection's sender.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
-    /// The protocol's version.
+    /// Protocol version that the sender uses.
     #[prost(uint32, tag = "1")]
     pub protocol: u32,
-    /// The sender's node id.
+    /// Node id of the sender.
     #[prost(string, tag = "2")]
     pub node: String,
-    /// The sender's incarnation.
+    /// Incarnation number of the sender.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
 }
 
-/// A `ScatterRequest` carries one query's parameters once for all its attempts at one relay.
+/// Attempts of one query at one relay, with the query's parameters carried once for all of them.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ScatterRequest {
-    /// The random half of the attempt ids.
+    /// Random half of the attempt ids.
     #[prost(uint64, tag = "1")]
     pub origin: u64,
-    /// The service.
+    /// Service that the query addresses.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// The template's name.
+    /// Name of the query template.
     #[prost(string, tag = "3")]
     pub template: String,
-    /// The canonical parameters as JSON.
+    /// Canonical parameters as JSON.
     #[prost(bytes = "bytes", tag = "4")]
     pub parameters: prost::bytes::Bytes,
-    /// The pinned snapshot.
+    /// Snapshot to which the query is pinned.
     #[prost(uint64, tag = "5")]
     pub snapshot: u64,
-    /// The rank of the query's class, 0 for urgent.
+    /// Rank of the query's class; 0 is urgent.
     #[prost(uint32, tag = "6")]
     pub class: u32,
-    /// The order within the class, lower first; all relays of a query get the same number.
+    /// Order within the class, lower first; all relays of a query get the same number.
     #[prost(uint64, tag = "7")]
     pub order: u64,
-    /// The remaining time of the query in microseconds.
+    /// Time left for the query, in microseconds.
     #[prost(uint64, tag = "8")]
     pub remaining_us: u64,
-    /// Whether the query may be repeated without harm.
+    /// Whether the query may safely be repeated.
     #[prost(bool, tag = "9")]
     pub idempotent: bool,
-    /// The attempts, one a target.
+    /// Attempts to run, one per target.
     #[prost(message, repeated, tag = "10")]
     pub attempts: Vec<ScatterAttempt>,
-    /// Whether the attempts are hedges, which run only where a slot is free.
+    /// Whether the attempts are hedges, which run only if a slot is free.
     #[prost(bool, tag = "11")]
     pub is_hedge: bool,
 }
 
-/// A `ScatterAttempt` is one attempt of a query at one target.
+/// One attempt of a query at one target.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ScatterAttempt {
-    /// The counting half of the attempt id.
+    /// Sequential half of the attempt id.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// The shard.
+    /// Shard that the attempt reads.
     #[prost(uint32, tag = "2")]
     pub shard: u32,
-    /// The index version that the snapshot fixes for the shard.
+    /// Index version that the snapshot fixes for the shard.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// The target's id.
+    /// Id of the target.
     #[prost(string, tag = "4")]
     pub target: String,
-    /// The target's address.
+    /// Address of the target.
     #[prost(string, tag = "5")]
     pub address: String,
-    /// The target's declared slots.
+    /// Number of slots that the target declares.
     #[prost(uint32, tag = "6")]
     pub slots: u32,
-    /// The target's declared connections.
+    /// Number of connections that the target declares.
     #[prost(uint32, tag = "7")]
     pub connections: u32,
-    /// The target's failure domain.
+    /// Failure domain of the target.
     #[prost(string, tag = "8")]
     pub domain: String,
 }
 
-/// An `AttemptReply` is what became of one attempt.
+/// Result of one attempt.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AttemptReply {
-    /// The counting half of the attempt id.
+    /// Sequential half of the attempt id.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// The outcome.
+    /// How the attempt ended.
     #[prost(enumeration = "ReplyStatus", tag = "2")]
     pub status: i32,
-    /// The rows as the text of a JSON array, where the target answered.
+    /// Rows as JSON array text, if the target answered.
     #[prost(bytes = "bytes", tag = "3")]
     pub rows: prost::bytes::Bytes,
-    /// The snapshot that the target echoed.
+    /// Snapshot that the target echoed.
     #[prost(uint64, tag = "4")]
     pub snapshot: u64,
-    /// The index version that the target echoed.
+    /// Index version that the target echoed.
     #[prost(uint64, tag = "5")]
     pub version: u64,
-    /// The time in the relay's queue, in microseconds.
+    /// Time spent in the relay's queue, in microseconds.
     #[prost(uint64, tag = "6")]
     pub queued_us: u64,
-    /// The time at the target, in microseconds.
+    /// Time spent at the target, in microseconds.
     #[prost(uint64, tag = "7")]
     pub service_us: u64,
-    /// The wait that a new attempt of this class would have at the target now, in microseconds.
+    /// Expected queue wait of a new attempt of this class at the target, in microseconds.
     #[prost(uint64, tag = "8")]
     pub wait_us: u64,
-    /// Whether the attempt reached the target, so that it counts as load.
+    /// Whether the attempt reached the target and counts as load.
     #[prost(bool, tag = "9")]
     pub ran: bool,
-    /// Whether the reply was lost with a silent connection, which says nothing of the target.
+    /// Whether the reply was lost with an unresponsive connection, which says nothing about the
+    /// target.
     #[prost(bool, tag = "10")]
     pub path_lost: bool,
 }
 
-/// A `ReplyStatus` is the wire form of an attempt's outcome.
+/// Wire form of an attempt's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ReplyStatus {
-    /// The attempt may or may not have run; also what an unknown number is read as.
+    /// The attempt may or may not have run; also the default for unknown values.
     Unknown = 0,
-    /// The target answered.
+    /// The target ran the attempt and answered.
     Answered = 1,
-    /// The target failed the attempt after running it.
+    /// The target ran the attempt and failed.
     Failed = 2,
-    /// The target no longer holds the version.
+    /// The target no longer holds the index version.
     VersionGone = 3,
-    /// Not run: no byte was sent.
+    /// Not run: no byte was sent to the target.
     NotSent = 4,
-    /// Not run: the target shed it.
+    /// Not run: the target shed the attempt.
     Shed = 5,
-    /// Not run: the target drains.
+    /// Not run: the target is draining.
     Draining = 6,
-    /// Not run: its time was up in the queue.
+    /// Not run: its time expired in the queue.
     Expired = 7,
-    /// Not run: the queue was full.
+    /// Not run: the relay's queue was full.
     QueueFull = 8,
-    /// Not run: it was cancelled in the queue.
+    /// Not run: it was cancelled while queued.
     Cancelled = 9,
-    /// Not run: the relay does not serve the target.
+    /// Not run: the relay doesn't serve the target.
     NoRoute = 10,
     /// Not run: the request is quarantined.
     Quarantined = 11,
@@ -256,36 +257,36 @@
     }
 }
 
-/// A `CancelAttempts` names attempts whose answers are no longer wanted.
+/// Attempts of one origin whose results are no longer needed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CancelAttempts {
-    /// The random half of the attempt ids.
+    /// Random half of the attempt ids.
     #[prost(uint64, tag = "1")]
     pub origin: u64,
-    /// The attempts.
+    /// Attempts to cancel.
     #[prost(message, repeated, tag = "2")]
     pub attempts: Vec<CancelledAttempt>,
 }
 
-/// A `CancelledAttempt` is one attempt whose answer is no longer wanted.
+/// One attempt whose result is no longer needed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CancelledAttempt {
-    /// The counting half of the attempt's id.
+    /// Sequential half of the attempt id.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// The target's id, by which the relay finds the attempt.
+    /// Id of the target, by which the relay finds the attempt.
     #[prost(string, tag = "2")]
     pub target: String,
 }
 
-/// A `LeavingNotice` says that the sender stops.
+/// Notice that the sender is shutting down.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LeavingNotice {}
 
-/// A `PingProbe` is a question, or its answer, on a connection that carries nothing else just now.
+/// Check of a connection without other traffic, or the reply to one.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct PingProbe {
-    /// The number of the question, which the answer repeats.
+    /// Number of the check, repeated in the reply.
     #[prost(uint64, tag = "1")]
     pub number: u64,
 }
--- a/alderhaven-peer/src/gossip_messages.rs
+++ b/alderhaven-peer/src/gossip_messages.rs
@@ -1,7 +1,7 @@
-//! The datagrams of membership, as prost messages written by hand.
+//! Protobuf datagrams of the membership protocol, defined by hand for prost.
 //!
-//! An address is its IP number and its port in network byte order: 6 or 18 bytes. A record leaves
-//! out the member's id, which its update has.
+//! An address is encoded as its IP address and port in network byte order, in 6 or 18 bytes. A
+//! record omits the member's id, which its update carries.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -19,7 +19,7 @@
 use crate::frames::PROTOCOL_VERSION;
 use crate::malformed_message::MalformedMessage;
 
-/// A `GossipDatagram` is one datagram.
+/// Wire form of a [`GossipMessage`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct GossipDatagram {
     #[prost(uint32, tag = "1")]
@@ -183,7 +183,7 @@
     Relay = 2,
 }
 
-/// Encodes a message as a datagram.
+/// Encodes a message as one datagram.
 #[must_use]
 pub fn encode(message: GossipMessage) -> Vec<u8> {
     let datagram = GossipDatagram {
@@ -196,10 +196,11 @@
     datagram.encode_to_vec()
 }
 
-/// Decodes a datagram.
+/// Decodes and validates one datagram.
 ///
 /// # Errors
-/// `MalformedMessage` where it is no datagram of this protocol or a field is out of bounds.
+/// Returns `MalformedMessage` if the bytes are no datagram of this protocol version, or a field is
+/// missing or out of range.
 pub fn decode(bytes: &[u8]) -> Result<GossipMessage, MalformedMessage> {
     let datagram = GossipDatagram::decode(bytes)
         .map_err(|error| MalformedMessage::Undecodable(error.to_string()))?;
--- a/alderhaven-peer/src/group_messages.rs
+++ b/alderhaven-peer/src/group_messages.rs
@@ -1,116 +1,117 @@
-//! What a front asks of one in another failure domain: attempts at targets there, with the replies
-//! merged before they cross between the domains.
+//! Messages between fronts: attempts that one front requests at targets in another failure domain,
+//! with the replies merged before they cross between the domains.
 
-/// A `GroupAsk` asks for one attempt at each of some targets.
+/// Request for one attempt at each of some targets.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct GroupRequest {
-    /// The number of the ask on its connection.
+    /// Number of the request, unique on its connection.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The sender's steady clock in microseconds, by which a late delivery is noticed.
+    /// Sender's monotonic clock in microseconds, by which a late delivery is detected.
     #[prost(uint64, tag = "2")]
     pub sent_us: u64,
-    /// The method of the caller's request.
+    /// HTTP method of the caller's request.
     #[prost(string, tag = "3")]
     pub method: String,
-    /// The path and query.
+    /// Path and query of the caller's request.
     #[prost(string, tag = "4")]
     pub path: String,
-    /// The headers.
+    /// Headers of the caller's request.
     #[prost(message, repeated, tag = "5")]
     pub headers: Vec<HeaderField>,
-    /// The body.
+    /// Body of the caller's request.
     #[prost(bytes = "bytes", tag = "6")]
     pub body: prost::bytes::Bytes,
-    /// The caller's id of its attempt.
+    /// Id that the caller gave its attempt.
     #[prost(string, tag = "7")]
     pub request_id: String,
-    /// The targets' ids, one for each shard.
+    /// Ids of the targets, one for each shard.
     #[prost(string, repeated, tag = "8")]
     pub targets: Vec<String>,
-    /// The most records that are wanted.
+    /// Maximum number of records in the merged result.
     #[prost(uint32, tag = "9")]
     pub max_records: u32,
-    /// The time in microseconds after which the replies that are in are sent.
+    /// Time in microseconds after which the replies received so far are sent.
     #[prost(uint64, tag = "10")]
     pub flush_after_us: u64,
-    /// The time in microseconds that is left for the request.
+    /// Time left for the request, in microseconds.
     #[prost(uint64, tag = "11")]
     pub remaining_us: u64,
-    /// The usual time of an attempt in microseconds.
+    /// Typical latency of an attempt, in microseconds.
     #[prost(uint64, tag = "12")]
     pub typical_latency_us: u64,
-    /// Whether each reply is sent by itself and at once: those to hedges race with the first attempts,
-    /// and a merged block could only be taken or dropped as a whole.
+    /// Whether each reply is sent individually and at once. Replies to hedges race with the first
+    /// attempts, and a merged block could only be accepted or dropped as a whole.
     #[prost(bool, tag = "13")]
     pub has_separate_replies: bool,
 }
 
-/// A `HeaderField` is one header of a request.
+/// One header of a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HeaderField {
-    /// The name.
+    /// Header name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The value.
+    /// Header value.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: prost::bytes::Bytes,
 }
 
-/// A `GroupReply` carries ends of attempts; the first one of an ask comes at its flush or before.
+/// Results of attempts; the first reply to a request is sent at its flush time or before.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct GroupReply {
-    /// The number of the ask.
+    /// Number of the request.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The attempts that have ended.
+    /// Attempts that ended since the previous reply.
     #[prost(message, repeated, tag = "2")]
     pub results: Vec<GroupAttemptResult>,
-    /// The greatest records of those that succeeded.
+    /// Greatest records of the attempts that succeeded.
     #[prost(bytes = "bytes", tag = "3")]
     pub records: prost::bytes::Bytes,
 }
 
-/// A `GroupEnd` is the end of one attempt.
+/// Result of one attempt.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct GroupAttemptResult {
-    /// The place of the target in the ask.
+    /// Index of the target in the request.
     #[prost(uint32, tag = "1")]
     pub target_index: u32,
-    /// How it ended.
+    /// How the attempt ended.
     #[prost(enumeration = "GroupOutcome", tag = "2")]
     pub outcome: i32,
-    /// The proof of the target's reply.
+    /// Proof that the target's reply carried.
     #[prost(bytes = "bytes", tag = "3")]
     pub proof: prost::bytes::Bytes,
-    /// The time that it took in microseconds.
+    /// Duration of the attempt, in microseconds.
     #[prost(uint64, tag = "4")]
     pub elapsed_us: u64,
 }
 
-/// A `GroupOutcome` says how an attempt ended.
+/// How an attempt of a group request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum GroupOutcome {
-    /// It may have run, and there is no reply.
+    /// It may have run, but no reply arrived.
     Lost = 0,
-    /// The target answered.
+    /// The target ran it and answered.
     Answered = 1,
     /// The target ran it and failed.
     Failed = 2,
     /// The target refused it without running it.
     NotRun = 3,
-    /// It was not sent.
+    /// It was not sent to the target.
     NotSent = 4,
 }
 
-/// A `GroupClose` says that the asking front needs no more replies to an ask.
+/// Notice that the requesting front needs no more replies to a request.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct GroupClose {
-    /// The number of the ask.
+    /// Number of the request.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Whether the caller has left, so that the attempts are to be broken off.
+    /// Whether the query ended without an answer, so that running attempts are cancelled; otherwise
+    /// they may finish.
     #[prost(bool, tag = "2")]
     pub is_abandoned: bool,
 }
--- a/alderhaven-peer/src/lib.rs
+++ b/alderhaven-peer/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the system's own processes say to each other: frames, connections, membership and exchange.
+//! Messages, framing and connections between processes, and the tasks that run group membership and
+//! configuration exchange over them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-peer/src/malformed_message.rs
+++ b/alderhaven-peer/src/malformed_message.rs
@@ -1,26 +1,30 @@
-//! The error of a message that can't be read.
+//! Error of a message that can't be decoded.
 
 use std::fmt;
 
-/// A `MalformedMessage` says why a message from another process was dropped.
+/// Reason for which a message from another process was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MalformedMessage {
-    /// The bytes are no such message.
+    /// The bytes can't be decoded; holds the decoder's error.
     Undecodable(String),
-    /// The message is of a protocol version that is not spoken here.
+    /// The message has this unsupported protocol version.
     UnsupportedProtocol(u32),
-    /// A field is missing or out of bounds.
+    /// The field of this name is missing or out of range.
     InvalidField(&'static str),
 }
 
 impl fmt::Display for MalformedMessage {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Undecodable(reason) => write!(formatter, "undecodable: {reason}"),
+            Self::Undecodable(reason) => {
+                write!(formatter, "the message can't be decoded: {reason}")
+            }
             Self::UnsupportedProtocol(version) => {
-                write!(formatter, "of protocol version {version}")
+                write!(formatter, "protocol version {version} is not supported")
+            }
+            Self::InvalidField(field) => {
+                write!(formatter, "field `{field}` is missing or invalid")
             }
-            Self::InvalidField(field) => write!(formatter, "`{field}` is missing or out of bounds"),
         }
     }
 }
--- a/alderhaven-peer/src/peer_driver.rs
+++ b/alderhaven-peer/src/peer_driver.rs
@@ -1,4 +1,4 @@
-//! The task that carries membership and exchange over the network.
+//! Event loop that runs membership and exchange over the network.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -28,25 +28,25 @@
 use crate::peer_options::ConfigAccess;
 use crate::peer_traffic::{MessageKind, PeerTraffic};
 
-/// The time between two ticks while something is under way.
+/// Interval between ticks while membership or exchange has pending work.
 const ACTIVE_TICK_INTERVAL: TimeSpan = TimeSpan::from_millis(50);
 
-/// The longest time between two ticks at rest; below the time after which membership takes a late tick
-/// for a pause of the process.
+/// Longest interval between ticks while idle. It stays below the gap that membership takes for a
+/// pause of the process.
 const MAX_IDLE_TICK_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
 
-/// The largest datagram that is read, in bytes; those of this protocol are smaller.
+/// Size of the receive buffer; every datagram of this protocol is smaller.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// The shortest time between two snapshots: in a burst of news each takes a copy of the view, and
-/// what is left out is published with the next tick.
+/// Shortest interval between snapshots after a change of the members. A snapshot copies the whole
+/// view, so that changes of a burst are published together.
 const MIN_PUBLISH_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 
-/// The shortest time between two snapshots that differ only in reports, loads and counts.
+/// Shortest interval between snapshots that differ only in reports, loads and counters.
 const MIN_REPORT_PUBLISH_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 
-/// A `PeerDriver` owns the state of one process's membership and exchange, so that no lock is held
-/// over them; others read its snapshots.
+/// Owns the membership and exchange state of one process. Other tasks read published snapshots, so
+/// the state needs no lock.
 #[derive(bon::Builder)]
 pub(crate) struct PeerDriver {
     membership: GroupMembership,
@@ -60,12 +60,12 @@
     rng: StdRng,
     #[builder(default)]
     traffic: PeerTraffic,
-    /// The peers of the exchange with their addresses; renewed with the membership's revision.
+    /// Gossip addresses of the other live members; updated when the membership revision changes.
     #[builder(default)]
     peer_addresses: BTreeMap<NodeId, SocketAddr>,
     #[builder(default)]
     peers: PeerSet,
-    /// The addresses of the members in the process's own failure domain.
+    /// Gossip addresses of the other live members in this process's failure domain.
     #[builder(default)]
     own_domain_addresses: BTreeSet<SocketAddr>,
     #[builder(default)]
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Gets when the next tick is due: soon while anything is under way, and with the next probe at rest.
+    /// Returns when the next tick is due: after the active interval while work is pending;
+    /// otherwise with the next probe, but no later than the idle interval.
     fn next_tick(&self) -> Instant {
         let is_idle = self.membership.is_idle() && self.exchange.is_idle();
         let due_at = if is_idle {
@@ -131,8 +132,8 @@
     }
 
     async fn receive(&mut self, received: io::Result<(usize, SocketAddr)>, datagram: &[u8]) {
-        // An error here is the refusal of an earlier datagram by a host where nothing listens; the
-        // probe's own timeout deals with that.
+        // The socket reports here that an earlier datagram was rejected by its destination; the
+        // probe's timeout handles that.
         let Ok((length, from)) = received else {
             return;
         };
@@ -165,7 +166,7 @@
                 self.handle_exchange_message(&peer, message);
             }
         }
-        // Many events at a time must not keep the datagrams waiting.
+        // Yields so that a burst of link events doesn't delay datagrams.
         tokio::task::yield_now().await;
     }
 
@@ -181,9 +182,9 @@
         self.apply_output(output);
     }
 
-    /// Tells the exchange what the process holds.
+    /// Announces the objects that this process holds to the exchange.
     async fn read_config(&mut self) {
-        // Asked before the versions are read: a list that comes in between is not among them.
+        // Read before the stamps, which may lack the objects of a list that arrives in between.
         let is_fully_listed = (self.config.is_fully_listed)();
         let stamps = (self.config.stamps)();
         let output = self
@@ -218,12 +219,12 @@
             let bytes = gossip_messages::encode(message);
             self.traffic
                 .record_sent(kind, bytes.len(), self.own_domain_addresses.contains(&to));
-            // A datagram that can't be sent is as good as lost, which the protocol allows for.
+            // A datagram that can't be sent counts as lost, which the protocol tolerates.
             let _is_sent = self.socket.send_to(&bytes, to).await.is_ok();
         }
     }
 
-    /// Does what another part of the process asks; returns true where the task is to end.
+    /// Executes a command; returns true if the task must end.
     async fn handle_command(&mut self, command: PeerCommand) -> bool {
         let now = self.clock.now();
         match command {
@@ -237,7 +238,7 @@
             PeerCommand::ShutDown(sent) => {
                 let outgoing = self.membership.announce_gone(now, &mut self.rng);
                 self.send_all(outgoing).await;
-                // No later publication makes up for one that is put off here.
+                // Ignores the publish interval: the task ends, so no later snapshot would follow.
                 self.publish_now(now);
                 let _receiver_is_gone = sent.send(()).is_err();
                 return true;
@@ -290,7 +291,7 @@
     }
 }
 
-/// Waits for a change; for ever where the configuration's owner has ended.
+/// Waits for a configuration change; never returns once the sender has been dropped.
 async fn next_change(changes: &mut watch::Receiver<u64>) {
     if changes.changed().await.is_err() {
         std::future::pending::<()>().await;
--- a/alderhaven-peer/src/peer_handle.rs
+++ b/alderhaven-peer/src/peer_handle.rs
@@ -1,4 +1,5 @@
-//! What the other parts of a process see of its peers, and ask of them.
+//! Handle by which the other parts of a process read the state of the group and send commands to
+//! the driver.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 
 use crate::peer_traffic::PeerTraffic;
 
-/// A `PeerHandle` reads what a process knows of its peers; its clones share it.
+/// Access to the driver's snapshots and commands; clones share the same driver.
 #[derive(Clone, Debug)]
 pub struct PeerHandle {
     pub(crate) shared: Arc<SharedPeers>,
@@ -27,45 +28,47 @@
     pub(crate) commands: mpsc::UnboundedSender<PeerCommand>,
     pub(crate) gossip_address: SocketAddr,
     pub(crate) clock: ProcessClock,
-    /// When the store last answered another member, in microseconds of the clock; 0 for never.
+    /// Time at which the store last answered another member, in microseconds of the process clock;
+    /// 0 if never.
     pub(crate) other_store_answer_us: AtomicU64,
 }
 
-/// A `PeerSnapshot` is what is known of the peers at one time, also as part of a dump.
+/// State of the group as known at one time; also serialized into the node's dump.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PeerSnapshot {
-    /// All members, this process first.
+    /// All known members, this process first.
     pub members: Vec<MemberView>,
-    /// Whether the state of the group was taken over from another member.
+    /// Whether the state of the group was received from another member.
     pub is_joined: bool,
-    /// Whether a newer process with this one's id has replaced it.
+    /// Whether a newer process with the same node id has replaced this one.
     pub is_superseded: bool,
-    /// Whether the configuration is complete, so that the process may serve.
+    /// Whether the configuration is complete; the process must not serve requests before.
     pub is_complete: bool,
-    /// The configuration in force.
+    /// Digest of the configuration in force on this process.
     pub config: ConfigDigest,
-    /// The objects that are known of and not held yet.
+    /// Number of objects that peers announced and this process doesn't hold yet.
     pub missing_objects: usize,
-    /// The traffic of gossip and exchange.
+    /// Gossip and exchange traffic since the process started.
     pub traffic: PeerTraffic,
 }
 
-/// A `PeerCommand` is what other parts of the process ask.
+/// Commands from other parts of the process to the driver.
 #[derive(Debug)]
 pub(crate) enum PeerCommand {
-    /// Announce that the process leaves, and say when that is sent.
+    /// Announces that the process is leaving; signals the channel once the announcement is sent.
     Leave(oneshot::Sender<()>),
-    /// Announce that the process is gone, stop, and say when that is sent.
+    /// Announces that the process is gone and ends the driver; signals the channel once the
+    /// announcement is sent.
     ShutDown(oneshot::Sender<()>),
-    /// Tell how busy the process is.
+    /// Sets the load level that this process reports.
     SetLoad(LoadLevel),
-    /// Tell that the store answered this process.
+    /// Records that the store answered this process.
     NoteStoreAnswer,
 }
 
 impl PeerSnapshot {
-    /// Gets the members whose configuration in force differs from this process's own, the dead
-    /// left out, and the number of members that are asked.
+    /// Returns the live members whose configuration differs from this process's, and the number of
+    /// live members compared.
     #[must_use]
     pub fn lagging_members(&self) -> (Vec<&MemberView>, usize) {
         let live = || {
@@ -79,41 +82,42 @@
 }
 
 impl PeerHandle {
-    /// Gets what is known of the peers; cheap enough for the path of a request.
+    /// Returns the latest snapshot without locking, so that it may be called for every request.
     #[must_use]
     pub fn snapshot(&self) -> Arc<PeerSnapshot> {
         self.shared.snapshot.load_full()
     }
 
-    /// Gets the time by which the snapshot's points are meant.
+    /// Returns the current time of the clock that the snapshot's time points refer to.
     #[must_use]
     pub fn now(&self) -> TimePoint {
         self.shared.clock.now()
     }
 
-    /// Gets a channel that changes with each new snapshot.
+    /// Returns a channel that is notified of each new snapshot.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.shared.snapshot_changes.subscribe()
     }
 
-    /// Gets the address for gossip, with the port that was taken.
+    /// Returns the gossip address with the port that was bound.
     #[must_use]
     pub fn gossip_address(&self) -> SocketAddr {
         self.shared.gossip_address
     }
 
-    /// Sets how busy this process is.
+    /// Sets the load level that this process reports to the group.
     pub fn set_load(&self, load: LoadLevel) {
         self.send_command(PeerCommand::SetLoad(load));
     }
 
-    /// Tells the others that the store answered this process.
+    /// Reports to the group that the store has just answered this process.
     pub fn note_store_answer(&self) {
         self.send_command(PeerCommand::NoteStoreAnswer);
     }
 
-    /// Gets the time since the store last answered another member; none where nobody said so.
+    /// Returns the time since the store last answered another member, or `None` if no member
+    /// reported an answer.
     #[must_use]
     pub fn since_store_answer(&self) -> Option<TimeSpan> {
         let micros = self.shared.other_store_answer_us.load(Ordering::Relaxed);
@@ -121,16 +125,16 @@
         (micros > 0).then(|| now.since(TimePoint::from_micros(micros)))
     }
 
-    /// Announces that this process leaves; returns once that was sent.
+    /// Announces that this process is leaving; returns once the announcement is sent.
     pub async fn announce_leaving(&self) {
         let (sent, is_sent) = oneshot::channel();
         self.send_command(PeerCommand::Leave(sent));
-        // The task has ended where nobody answers; there is then nobody to tell.
+        // An error means that the driver has ended, which leaves nothing to announce.
         let _ended = is_sent.await;
     }
 
-    /// Announces that this process is gone and ends gossip and exchange; returns once that was
-    /// sent.
+    /// Announces that this process is gone and ends gossip and exchange; returns once the
+    /// announcement is sent.
     pub async fn shut_down(&self) {
         let (sent, is_sent) = oneshot::channel();
         self.send_command(PeerCommand::ShutDown(sent));
@@ -138,7 +142,7 @@
     }
 
     fn send_command(&self, command: PeerCommand) {
-        // Refused only where the task has ended, after which nothing is announced any more.
+        // Fails only if the driver has ended, after which commands have no effect.
         let _ended = self.shared.commands.send(command);
     }
 }
--- a/alderhaven-peer/src/peer_node.rs
+++ b/alderhaven-peer/src/peer_node.rs
@@ -1,4 +1,4 @@
-//! The start of gossip and exchange in a process.
+//! Startup of membership and exchange in one process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,21 +20,22 @@
 use crate::peer_handle::{PeerHandle, PeerSnapshot, SharedPeers};
 use crate::peer_options::{ConfigAccess, PeerOptions};
 
-/// How many ports are tried until one is free for both UDP and TCP.
+/// Attempts to find a port that is free for both UDP and TCP.
 const MAX_PORT_TRIES: usize = 16;
 
-/// The most link events that wait; beyond, connections are read more slowly.
+/// Capacity of the link event queue; when it is full, connections are read more slowly.
 const MAX_QUEUED_EVENTS: usize = 256;
 
-/// A `PeerNode` starts a process's part in membership and exchange.
+/// Entry point for a process that takes part in membership and exchange.
 #[derive(Debug)]
 pub struct PeerNode;
 
 impl PeerNode {
-    /// Binds the addresses and starts the task that drives membership and exchange.
+    /// Binds UDP and TCP on the gossip address and spawns the task that runs membership and
+    /// exchange.
     ///
     /// # Errors
-    /// An error of the operating system where an address can't be bound.
+    /// Returns the operating system's error if the address can't be bound.
     pub async fn start(options: PeerOptions, config: ConfigAccess) -> io::Result<PeerHandle> {
         let (socket, listener) = bind_sockets(options.gossip_address).await?;
         let gossip_address = socket.local_addr()?;
@@ -92,7 +93,8 @@
         tries_left -= 1;
         match TcpListener::bind(socket.local_addr()?).await {
             Ok(listener) => return Ok((socket, listener)),
-            // With port 0 the port that UDP got may be taken for TCP: another one is tried.
+            // With port 0, the port that UDP got may be taken for TCP: the next iteration gets
+            // another one.
             Err(error) if address.port() != 0 || tries_left == 0 => return Err(error),
             Err(_) => {}
         }
--- a/alderhaven-peer/src/peer_options.rs
+++ b/alderhaven-peer/src/peer_options.rs
@@ -1,4 +1,4 @@
-//! What a process says of itself and where it listens.
+//! Identity, addresses and settings with which a process joins the group.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,57 +11,57 @@
 use alderhaven_policy::membership::membership_options::MembershipOptions;
 use tokio::sync::watch;
 
-/// A `PeerOptions` describes a process to the others.
+/// What a process announces to its peers, and its settings of membership and exchange.
 #[derive(Clone, Debug, bon::Builder)]
 pub struct PeerOptions {
-    /// The process's id.
+    /// Node id, unique in the group.
     pub node: NodeId,
-    /// What it does.
+    /// Role that the process announces.
     pub role: MemberRole,
-    /// The host that it runs on.
+    /// Host on which the process runs.
     pub host: HostId,
-    /// The failure domain of the host.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// The address for gossip (UDP) and exchange (TCP); port 0 takes any port that is free for
-    /// both. Others reach it at this IP number.
+    /// Address for gossip (UDP) and exchange (TCP), reachable by peers at this IP address; port 0
+    /// takes any port that is free for both.
     pub gossip_address: SocketAddr,
-    /// The address for attempts (TCP); none for an entry.
+    /// Address at which attempts are accepted (TCP); `None` for an entry.
     pub peer_address: Option<SocketAddr>,
-    /// The address for callers; none for a relay.
+    /// Address at which callers connect; `None` for a relay.
     pub caller_address: Option<SocketAddr>,
-    /// The processor time that the process may use.
+    /// Processor time that the process may use.
     #[builder(default)]
     pub capacity: CpuCapacity,
-    /// A number above that of all earlier runs of this process, such as the milliseconds since the
-    /// Unix epoch at its start.
+    /// Must be greater than in every earlier run of this process; the milliseconds since the Unix
+    /// epoch at startup will do.
     pub incarnation: IncarnationNumber,
-    /// The settings of membership, with the seeds.
+    /// Settings of membership, including the seed addresses.
     #[builder(default)]
     pub membership: MembershipOptions,
-    /// The settings of the exchange.
+    /// Settings of the configuration exchange.
     #[builder(default)]
     pub exchange: ExchangeOptions,
 }
 
-/// An `ObjectLookup` gets one object that the process holds.
+/// Returns an object if the process holds it.
 pub type ObjectLookup = Box<dyn Fn(&ObjectKey) -> Option<StoredObject> + Send>;
 
-/// A `ConfigAccess` is how the exchange reaches the configuration of its process.
+/// Callbacks by which the exchange reads and updates the configuration of its process.
 #[derive(bon::Builder)]
 pub struct ConfigAccess {
-    /// Gets the versions of all objects that the process knows, tombstones included.
+    /// Returns the versions of all known objects, including tombstones.
     #[builder(with = |stamps: impl Fn() -> Vec<ObjectStamp> + Send + 'static| Box::new(stamps))]
     pub(crate) stamps: Box<dyn Fn() -> Vec<ObjectStamp> + Send>,
-    /// Gets one object for a peer that wants it.
+    /// Returns one object that a peer requested.
     #[builder(with = |look_up: impl Fn(&ObjectKey) -> Option<StoredObject> + Send + 'static| Box::new(look_up))]
     pub(crate) look_up: ObjectLookup,
-    /// Puts objects that a peer sent in force.
+    /// Applies objects that a peer sent.
     #[builder(with = |accept: impl Fn(Vec<StoredObject>) + Send + 'static| Box::new(accept))]
     pub(crate) accept: Box<dyn Fn(Vec<StoredObject>) + Send>,
-    /// Returns true once the store has been listed.
+    /// Returns true once the store's complete list has been read.
     #[builder(with = |is_fully_listed: impl Fn() -> bool + Send + 'static| Box::new(is_fully_listed))]
     pub(crate) is_fully_listed: Box<dyn Fn() -> bool + Send>,
-    /// Changes with each change of the objects.
+    /// Notified of every change of the objects.
     pub(crate) changes: watch::Receiver<u64>,
 }
 
--- a/alderhaven-peer/src/peer_traffic.rs
+++ b/alderhaven-peer/src/peer_traffic.rs
@@ -1,4 +1,5 @@
-//! What a process sends to its peers, by kind of message and by whether it leaves the failure domain.
+//! Counters of the messages exchanged with peers, by message kind and by whether they leave the
+//! failure domain.
 
 use std::fmt;
 
@@ -6,29 +7,29 @@
 use alderhaven_policy::membership::gossip_message::GossipBody;
 use serde::Serialize;
 
-/// A `MessageKind` is what a message to a peer is for.
+/// Purpose of a message to a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MessageKind {
-    /// A probe of a member, a request for one, or the answer.
+    /// Ping, ping request or acknowledgement.
     Probe,
-    /// News of members.
+    /// Member updates without a probe or a sync.
     #[serde(rename = "news")]
     Updates,
-    /// A comparison of views of the members.
+    /// Comparison of membership views.
     Sync,
-    /// An announcement of new versions of objects.
+    /// Announcement of new object versions.
     Announcement,
-    /// A comparison of versions of objects.
+    /// Comparison of object versions.
     Comparison,
-    /// A request for objects.
+    /// Request for objects.
     Fetch,
-    /// Objects themselves.
+    /// Transfer of objects.
     Objects,
 }
 
 impl MessageKind {
-    /// All kinds.
+    /// All kinds in the order of their discriminants.
     pub const ALL: [Self; 7] = [
         Self::Probe,
         Self::Updates,
@@ -39,7 +40,7 @@
         Self::Objects,
     ];
 
-    /// Gets the kind of a datagram.
+    /// Returns the kind of a gossip datagram.
     #[must_use]
     pub const fn of_gossip(body: &GossipBody) -> Self {
         match body {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Gets the kind of a message of the exchange.
+    /// Returns the kind of an exchange message.
     #[must_use]
     pub const fn of_exchange(message: &ExchangeMessage) -> Self {
         match message {
@@ -77,38 +78,38 @@
     }
 }
 
-/// A `KindCount` counts the messages of one kind that were sent.
+/// Messages of one kind that were sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SentTraffic {
-    /// The messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes, without what the network adds, to peers in the process's own failure domain.
+    /// Bytes sent to peers in this process's failure domain, without transport headers.
     #[serde(rename = "near_bytes")]
     pub own_domain_bytes: u64,
-    /// The same to peers elsewhere.
+    /// Bytes sent to peers in other failure domains, without transport headers.
     #[serde(rename = "far_bytes")]
     pub cross_domain_bytes: u64,
 }
 
-/// A `PeerTraffic` counts since the start of the process.
+/// Traffic counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct PeerTraffic {
-    /// The datagrams received.
+    /// Number of datagrams received, including malformed ones.
     pub datagrams_received: u64,
-    /// The bytes of the datagrams received.
+    /// Bytes of the received datagrams, without transport headers.
     pub bytes_received: u64,
-    /// The datagrams that could not be read.
+    /// Number of received datagrams that could not be decoded.
     #[serde(rename = "malformed")]
     pub malformed_datagrams: u64,
-    /// The exchange's messages received.
+    /// Number of exchange messages received.
     #[serde(rename = "exchange_received")]
     pub exchange_messages_received: u64,
-    /// What was sent, in the order of [`MessageKind::ALL`].
+    /// Traffic sent by kind, in the order of [`MessageKind::ALL`].
     pub sent: [SentTraffic; MessageKind::ALL.len()],
 }
 
 impl PeerTraffic {
-    /// Counts a message that was sent.
+    /// Counts a message of `bytes` bytes that was sent.
     pub const fn record_sent(&mut self, kind: MessageKind, bytes: usize, is_own_domain: bool) {
         let count = &mut self.sent[kind as usize];
         count.messages += 1;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Gets what was sent of a kind.
+    /// Returns the traffic sent of one kind.
     #[must_use]
     pub const fn sent_traffic(&self, kind: MessageKind) -> SentTraffic {
         self.sent[kind as usize]
--- a/alderhaven-peer/src/strike_messages.rs
+++ b/alderhaven-peer/src/strike_messages.rs
@@ -1,48 +1,48 @@
-//! The wire form of strikes: which requests were in flight at targets that crashed.
+//! Wire form of crash strikes: requests that were in flight at targets that crashed.
 
 use alderhaven_core::ids::ShardId;
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use alderhaven_policy::crash_strike::{CrashStrike, StrikeUpdate};
 
-/// A `StrikeNotice` carries strikes to another process.
+/// Strikes sent to another process.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StrikeNotice {
-    /// The strikes.
+    /// Strikes, one per crash and request.
     #[prost(message, repeated, tag = "1")]
     pub strikes: Vec<StrikeRecord>,
 }
 
-/// A `StrikeRecord` is one crash with one request in flight.
+/// One crash with one request in flight.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StrikeRecord {
-    /// The request's fingerprint, 32 hexadecimal digits.
+    /// Fingerprint of the request, 32 hexadecimal digits.
     #[prost(string, tag = "1")]
     pub fingerprint: String,
-    /// The random number that names the crash.
+    /// Random number that identifies the crash.
     #[prost(uint64, tag = "2")]
     pub crash_id: u64,
-    /// The target's id.
+    /// Id of the target that crashed.
     #[prost(string, tag = "3")]
     pub target: String,
-    /// The target's failure domain.
+    /// Failure domain of the target.
     #[prost(string, tag = "4")]
     pub domain: String,
-    /// The shard.
+    /// Shard of the target.
     #[prost(uint32, tag = "5")]
     pub shard: u32,
-    /// The number of different requests in flight at the target.
+    /// Number of distinct requests in flight at the target.
     #[prost(uint32, tag = "6")]
     pub in_flight: u32,
-    /// The time since the crash in microseconds.
+    /// Time since the crash, in microseconds.
     #[prost(uint64, tag = "7")]
     pub age_us: u64,
-    /// Whether a replica of the shard answered the request afterwards.
+    /// Whether a replica of the shard answered the request after the crash.
     #[prost(bool, tag = "8")]
     pub cleared: bool,
 }
 
 impl StrikeNotice {
-    /// Gets the strikes; one that can't be read is left out.
+    /// Returns the strikes; records that can't be parsed are skipped.
     #[must_use]
     pub fn updates(&self) -> Vec<StrikeUpdate> {
         self.strikes
--- a/alderhaven-peer/src/strike_tracker.rs
+++ b/alderhaven-peer/src/strike_tracker.rs
@@ -1,9 +1,9 @@
-//! The quarantine of one process, and the passing on of strikes to those it is connected to.
+//! Quarantine of one process, and the broadcast of crash strikes to its peers.
 //!
-//! A relay that loses a target tells all its entries before it answers the attempt, and an entry
-//! that hears of it tells all its relays before it takes the answer. So a retry, or a resend after
-//! the caller has its answer, follows the strike on each connection. What is new is passed on once;
-//! what was known is not, so that strikes come to rest.
+//! A relay that loses a target broadcasts the strikes to its entries before it answers the attempt,
+//! and an entry forwards them to its relays before it handles the answer. On each connection a
+//! retry or a caller's resend therefore arrives after the strike. Only new strikes are forwarded,
+//! so that forwarding ends.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,12 +21,12 @@
 use crate::frames::PeerMessage;
 use crate::strike_messages::StrikeNotice;
 
-/// A `StrikeBoard` is shared by all parts of a process.
+/// Quarantine and peer connections, shared by all parts of a process.
 #[derive(Debug)]
 pub struct StrikeTracker {
     clock: ProcessClock,
     quarantine: Mutex<CrashQuarantine>,
-    /// Whether any request has a strike, readable without the lock on each attempt's way.
+    /// Whether any strike was ever recorded; lets attempts skip the quarantine's lock.
     has_strikes: AtomicBool,
     peers: Mutex<PeerSenders>,
 }
@@ -37,7 +37,7 @@
     senders: HashMap<u64, FrameSender>,
 }
 
-/// A `BoardMembership` keeps a connection among those that hear of strikes; dropping it ends that.
+/// Registration of a connection for strikes; dropping it unregisters the connection.
 #[derive(Debug)]
 pub struct StrikeSubscription {
     tracker: Arc<StrikeTracker>,
@@ -45,7 +45,7 @@
 }
 
 impl StrikeTracker {
-    /// Returns a board without strikes.
+    /// Creates a tracker without strikes.
     #[must_use]
     pub fn new(policy: PolicyKind, options: QuarantineOptions, clock: ProcessClock) -> Self {
         Self {
@@ -56,11 +56,12 @@
         }
     }
 
-    /// Adds a connection, which is told all strikes that are known and then each new one.
+    /// Registers a connection, which is sent all known strikes and then each new one.
     #[must_use]
     pub fn subscribe(self: &Arc<Self>, sender: FrameSender) -> StrikeSubscription {
         let mut peers = self.lock_peers();
-        // With the list locked no strike is passed on in between.
+        // Holding the lock on the senders prevents a broadcast between this read and the
+        // registration.
         let known = self.lock_quarantine().strikes(self.clock.now());
         if !known.is_empty() {
             let _closed = sender.send(PeerMessage::Strikes(StrikeNotice::from(&known[..])));
@@ -74,13 +75,13 @@
         }
     }
 
-    /// Notes a crash that this process saw; returns true where it was not known before.
+    /// Records a crash that this process saw; returns true if it gave new strikes.
     pub fn record_crash(&self, crash: &TargetCrash) -> bool {
         let updates = self.lock_quarantine().record_crash(crash, self.clock.now());
         self.broadcast(&updates)
     }
 
-    /// Takes over the strikes of another process.
+    /// Merges the strikes of another process and forwards those that are new.
     pub fn merge(&self, notice: &StrikeNotice) {
         let updates = self
             .lock_quarantine()
@@ -88,7 +89,8 @@
         self.broadcast(&updates);
     }
 
-    /// Notes that a replica of a shard answered a request.
+    /// Records that a replica of a shard answered a request, which clears the request's strikes of
+    /// that shard.
     pub fn record_answer(&self, fingerprint: &RequestFingerprint, shard: ShardId) {
         if self.has_strikes() {
             let now = self.clock.now();
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Gets how long a request stays refused, or none where it is not.
+    /// Returns how long a request stays refused, or `None` if it isn't refused.
     #[must_use]
     pub fn refused_for(&self, fingerprint: &RequestFingerprint) -> Option<TimeSpan> {
         if !self.has_strikes() {
@@ -109,7 +111,7 @@
             .refused_for(fingerprint, self.clock.now())
     }
 
-    /// Returns true where a request has a strike that counts still.
+    /// Returns true if a request has a strike that still counts.
     #[must_use]
     pub fn is_suspect(&self, fingerprint: &RequestFingerprint) -> bool {
         self.has_strikes()
@@ -118,7 +120,7 @@
                 .is_suspect(fingerprint, self.clock.now())
     }
 
-    /// Gets the requests with strikes, for the dump.
+    /// Returns the requests with strikes, for the dump.
     #[must_use]
     pub fn entries(&self) -> Vec<QuarantineEntry> {
         self.lock_quarantine().entries(self.clock.now())
@@ -128,7 +130,7 @@
         self.has_strikes.load(Ordering::Acquire)
     }
 
-    /// Passes strikes on; returns true where there were any.
+    /// Sends strikes to all peers; returns true if there are any.
     fn broadcast(&self, updates: &[StrikeUpdate]) -> bool {
         if updates.is_empty() {
             return false;
--- a/alderhaven-peer/tests/gossip_messages.rs
+++ b/alderhaven-peer/tests/gossip_messages.rs
@@ -1,4 +1,4 @@
-//! Tests of the datagrams' form and size.
+//! Tests of the encoding and the size bounds of datagrams.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,8 @@
 use proptest::test_runner::RngSeed;
 
 fn node() -> impl Strategy<Value = NodeId> {
-    prop_oneof!["[a-z0-9]{1,63}", "[a-z]{63}"].prop_map(|name| name.parse().expect("a valid id"))
+    prop_oneof!["[a-z0-9]{1,63}", "[a-z]{63}"]
+        .prop_map(|name| name.parse().expect("the text is a valid id"))
 }
 
 fn address() -> impl Strategy<Value = SocketAddr> {
@@ -84,11 +85,9 @@
                 buckets: buckets.into(),
             }
         }),
-        (any::<u32>(), option::of(node())).prop_map(|(sequence, continue_after)| {
-            GossipBody::SyncReply {
-                sequence,
-                continue_after,
-            }
+        (any::<u32>(), option::of(node())).prop_map(|(sequence, after)| GossipBody::SyncReply {
+            sequence,
+            continue_after: after,
         }),
     ]
 }
@@ -110,8 +109,8 @@
             |(role, host, domain, gossip_address, others)| MemberRecord {
                 node: node.clone(),
                 role,
-                host: host.as_str().parse().expect("a valid id"),
-                domain: domain.as_str().parse().expect("a valid id"),
+                host: host.as_str().parse().expect("the text is a valid id"),
+                domain: domain.as_str().parse().expect("the text is a valid id"),
                 gossip_address,
                 peer_address: others.0,
                 caller_address: others.1,
@@ -158,7 +157,7 @@
         prop_assert_eq!(gossip_messages::decode(&bytes), Ok(message));
     }
 
-    /// A message that were larger than its parts are reckoned would not fit one packet.
+    /// Datagrams are filled by these bounds; a larger part would exceed one packet.
     #[test]
     fn encode_stays_within_size_bounds(
         envelope in envelope(),
@@ -166,7 +165,7 @@
         report in report(),
     ) {
         let envelope_size = encoded_size(&envelope);
-        prop_assert!(envelope_size <= ENVELOPE_BYTES, "{envelope_size} bytes");
+        prop_assert!(envelope_size <= ENVELOPE_BYTES, "an envelope has {envelope_size} bytes, more than {ENVELOPE_BYTES}");
         let update_bound = update.size_bound();
         let report_bound = ReportGroup::size_bound(report.members.len());
         let with_update = GossipMessage { updates: vec![update], ..envelope.clone() };
@@ -186,7 +185,7 @@
     #[test]
     fn decode_rejects_other_protocol_versions(envelope in envelope()) {
         let mut bytes = gossip_messages::encode(envelope);
-        // The first field is the protocol's version, a number of one byte.
+        // The first field is the protocol version: a tag byte, then a one-byte varint.
         prop_assert_eq!(bytes[0], 8);
         bytes[1] = 99;
         let rejected = gossip_messages::decode(&bytes);
--- a/alderhaven-peer/tests/peer_node.rs
+++ b/alderhaven-peer/tests/peer_node.rs
@@ -1,4 +1,4 @@
-//! Tests of processes that find each other over loopback.
+//! Tests of processes that join a group over loopback.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -18,10 +18,10 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// The bound of any wait, against a test that hangs.
+/// Time limit of each wait, so that a failing test doesn't hang.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-/// A `FakeConfig` is a configuration in memory.
+/// Configuration held in memory.
 #[derive(Clone)]
 struct FakeConfig {
     objects: Arc<Mutex<BTreeMap<ObjectKey, StoredObject>>>,
@@ -39,7 +39,10 @@
     }
 
     fn accept(&self, objects: Vec<StoredObject>) {
-        let mut held = self.objects.lock().expect("no test panics with it");
+        let mut held = self
+            .objects
+            .lock()
+            .expect("no thread panicked with the lock held");
         held.extend(
             objects
                 .into_iter()
@@ -73,7 +76,10 @@
     }
 
     fn held_objects(&self) -> Vec<StoredObject> {
-        let held = self.objects.lock().expect("no test panics with it");
+        let held = self
+            .objects
+            .lock()
+            .expect("no thread panicked with the lock held");
         held.values().cloned().collect()
     }
 }
@@ -92,11 +98,19 @@
 
 async fn start_node(index: usize, seed: Option<&PeerHandle>, config: &FakeConfig) -> PeerHandle {
     let options = PeerOptions::builder()
-        .node(format!("node-{index}").parse().expect("a valid id"))
+        .node(
+            format!("node-{index}")
+                .parse()
+                .expect("the text is a valid id"),
+        )
         .role(MemberRole::Relay)
-        .host(format!("host-{index}").parse().expect("a valid id"))
-        .domain("domain-0".parse().expect("a valid id"))
-        .gossip_address("127.0.0.1:0".parse().expect("a valid address"))
+        .host(
+            format!("host-{index}")
+                .parse()
+                .expect("the text is a valid id"),
+        )
+        .domain("domain-0".parse().expect("the text is a valid id"))
+        .gossip_address("127.0.0.1:0".parse().expect("the text is a valid address"))
         .incarnation(IncarnationNumber(1))
         .membership(MembershipOptions {
             seeds: seed.map(PeerHandle::gossip_address).into_iter().collect(),
@@ -105,19 +119,19 @@
         .build();
     PeerNode::start(options, config.access())
         .await
-        .expect("loopback can be bound")
+        .expect("the loopback address can be bound")
 }
 
 async fn wait_for(handle: &PeerHandle, is_met: impl Fn(&PeerSnapshot) -> bool) {
     let mut changes = handle.subscribe();
     let waiting = async {
         while !is_met(&handle.snapshot()) {
-            changes.changed().await.expect("the task runs");
+            changes.changed().await.expect("the peer driver is running");
         }
     };
     time::timeout(WAIT_LIMIT, waiting)
         .await
-        .expect("it comes about");
+        .expect("the expected snapshot appears in time");
 }
 
 fn count_members(snapshot: &PeerSnapshot, state: MemberState) -> usize {
@@ -159,14 +173,15 @@
     }
     assert!(
         serde_json::to_string(&*handles[0].snapshot()).is_ok(),
-        "it can be dumped"
+        "the snapshot can't be serialized as JSON"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn start_fetches_the_configuration_from_peers() {
-    // The store is down when a process starts. It must get all that its peers hold, here more than
-    // fits one message, must not count as complete before, and later changes must reach it too.
+    // A process that starts while the store is down must fetch all objects of its peers, here more
+    // than fit one message, must not report a complete configuration before, and must receive later
+    // changes.
     let (listed, unlisted) = (FakeConfig::new(true), FakeConfig::new(false));
     listed.accept((0..100).map(|index| drain_object(index, 1)).collect());
     let first = start_node(0, None, &listed).await;
@@ -186,9 +201,8 @@
     assert_eq!(unlisted.held_objects(), listed.held_objects());
 }
 
-/// In a group of hundreds more nodes connect to one than it keeps connections. Each that comes asks for
-/// an object and gets it: for those beyond the limit the answer was dropped, and they asked elsewhere a
-/// second later, so that a configuration took five seconds to all.
+/// Guards against replies being dropped for peers that connect beyond the limit of open
+/// connections.
 #[tokio::test]
 async fn exchange_answers_more_peers_than_it_keeps() {
     const PEERS: usize = 80;
@@ -200,19 +214,25 @@
     for index in 1..=PEERS {
         let stream = TcpStream::connect(node.gossip_address()).await;
         let (sender, mut reader) =
-            connection::split(stream.expect("a connection")).expect("its halves");
+            connection::split(stream.expect("the node accepts the connection"))
+                .expect("the socket's options can be set");
         let hello = Hello {
             protocol: PROTOCOL_VERSION,
             node: format!("node-{index}"),
             incarnation: 1,
         };
-        sender.send(PeerMessage::Hello(hello)).expect("it is open");
+        sender
+            .send(PeerMessage::Hello(hello))
+            .expect("the connection is open");
         let keys = vec![held.key.clone()];
         let fetch = PeerMessage::Exchange(ExchangeMessage::Fetch { keys }.into());
-        sender.send(fetch).expect("it is open");
+        sender.send(fetch).expect("the connection is open");
         let answer = time::timeout(WAIT_LIMIT, connection::next_message(&mut reader)).await;
-        let answer = answer.expect("an answer in time");
-        assert!(matches!(answer, Some(PeerMessage::Exchange(_))), "{index}");
+        let answer = answer.expect("a reply arrives in time");
+        assert!(
+            matches!(answer, Some(PeerMessage::Exchange(_))),
+            "peer {index} got no exchange message"
+        );
         connections.push((sender, reader));
     }
 }
