--- a/alderhaven-peer/examples/member-slopes/simulated_group.rs
+++ b/alderhaven-peer/examples/member-slopes/simulated_group.rs
@@ -34,7 +34,7 @@
 /// Time after which the costs of an event are taken as complete.
 const EVENT_DURATION: TimeSpan = TimeSpan::from_secs(15);
 /// Members that start in one tick interval.
-const STARTS_PER_STEP: usize = 4;
+const STARTS_PER_TICK: usize = 4;
 /// Duration of the network partition.
 const PARTITION_DURATION: TimeSpan = TimeSpan::from_secs(60);
 /// Range of delays within a region, and the additional delay between the two regions.
@@ -229,7 +229,7 @@
             check_cpu_s: 0.0,
         };
         while group.processes.len() < members {
-            for _ in 0..STARTS_PER_STEP.min(members - group.processes.len()) {
+            for _ in 0..STARTS_PER_TICK.min(members - group.processes.len()) {
                 let index = group.processes.len();
                 let process = SimulatedProcess::start(index, 1, &mut group.rng);
                 group.processes.push(process);
--- a/alderhaven-peer/src/exchange_links.rs
+++ b/alderhaven-peer/src/exchange_links.rs
@@ -160,11 +160,11 @@
         return;
     }
     let (queue, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
-    let opened = LinkEvent::Accepted {
+    let accepted = LinkEvent::Accepted {
         peer: peer.clone(),
         queue,
     };
-    if events.send(opened).await.is_ok() {
+    if events.send(accepted).await.is_ok() {
         let link = LinkTask {
             peer,
             outgoing,
--- a/alderhaven-peer/src/frames.rs
+++ b/alderhaven-peer/src/frames.rs
@@ -9,7 +9,7 @@
 use crate::group_messages::{GroupClose, GroupReply, GroupRequest};
 use crate::strike_messages::StrikeNotice;
 
-/// Protocol version; a peer that announces another one is rejected.
+/// Version carried by datagrams and by `Hello`; any other version is rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
 
 /// One message on a connection between two processes.
--- a/alderhaven-peer/src/malformed_message.rs
+++ b/alderhaven-peer/src/malformed_message.rs
@@ -16,15 +16,11 @@
 impl fmt::Display for MalformedMessage {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Undecodable(reason) => {
-                write!(formatter, "the message can't be decoded: {reason}")
-            }
+            Self::Undecodable(reason) => write!(formatter, "the message is undecodable: {reason}"),
             Self::UnsupportedProtocol(version) => {
                 write!(formatter, "protocol version {version} is not supported")
             }
-            Self::InvalidField(field) => {
-                write!(formatter, "field `{field}` is missing or invalid")
-            }
+            Self::InvalidField(field) => write!(formatter, "field `{field}` is missing or invalid"),
         }
     }
 }
