--- a/alderhaven-peer/tests/gossip_messages.rs
+++ b/alderhaven-peer/tests/gossip_messages.rs
@@ -165,7 +165,7 @@
         report in report(),
     ) {
         let envelope_size = encoded_size(&envelope);
-        prop_assert!(envelope_size <= ENVELOPE_BYTES, "an envelope has {envelope_size} bytes, more than {ENVELOPE_BYTES}");
+        prop_assert!(envelope_size <= ENVELOPE_BYTES, "envelope of {envelope_size} bytes");
         let update_bound = update.size_bound();
         let report_bound = ReportGroup::size_bound(report.members.len());
         let with_update = GossipMessage { updates: vec![update], ..envelope.clone() };
