--- a/alderhaven-ctl/src/change_plan.rs
+++ b/alderhaven-ctl/src/change_plan.rs
@@ -31,6 +31,7 @@
     /// The object.
     pub key: ObjectKey,
     /// What the store held; none where it held nothing.
+    #[serde(rename = "seen")]
     pub observed: Option<StoredObject>,
     /// The JSON text to publish; none to delete the object.
     pub body: Option<String>,
--- a/alderhaven-ctl/src/command_report.rs
+++ b/alderhaven-ctl/src/command_report.rs
@@ -65,6 +65,7 @@
     pub publications: Vec<PublicationReport>,
     /// Changes that replace another operator's publication and were not looked at; if there are
     /// any, nothing was published.
+    #[serde(rename = "unseen")]
     pub unreviewed: Vec<ChangeReport>,
     /// The nodes' progress, where it was waited for.
     pub in_force: Option<InForceReport>,
