--- a/alderhaven-ctl/src/bin/alderctl/main.rs
+++ b/alderhaven-ctl/src/bin/alderctl/main.rs
@@ -40,11 +40,10 @@
 type HttpCommandContext = CommandContext<HttpStore, OperatorClient>;
 
 fn main() -> ExitCode {
-    let mut words: Vec<String> = std::env::args().collect();
-    move_json_switch(&mut words);
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let arguments = match ControlArgs::from_args(&["alderctl"], words.get(1..).unwrap_or_default())
-    {
+    let mut args: Vec<String> = std::env::args().collect();
+    move_json_switch(&mut args);
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    let arguments = match ControlArgs::from_args(&["alderctl"], args.get(1..).unwrap_or_default()) {
         Ok(arguments) => arguments,
         Err(exit) if exit.status.is_ok() => {
             println!("{}", exit.output);
@@ -63,10 +62,10 @@
 }
 
 /// Moves a `--json` after the command to where it is understood.
-fn move_json_switch(words: &mut Vec<String>) {
-    if words.iter().skip(1).any(|word| word == JSON_SWITCH) {
-        words.retain(|word| word != JSON_SWITCH);
-        words.insert(1, JSON_SWITCH.to_owned());
+fn move_json_switch(args: &mut Vec<String>) {
+    if args.iter().skip(1).any(|arg| arg == JSON_SWITCH) {
+        args.retain(|arg| arg != JSON_SWITCH);
+        args.insert(1, JSON_SWITCH.to_owned());
     }
 }
 
@@ -114,20 +113,20 @@
 }
 
 fn read_settings(arguments: &ControlArgs) -> eyre::Result<ControlSettings> {
-    let mut read: ControlSettings = match &arguments.settings {
+    let mut merged: ControlSettings = match &arguments.settings {
         Some(path) => settings::read_file(path)?,
         None => ControlSettings::default(),
     };
     if let Some(operator) = &arguments.operator {
-        read.operator = Some(operator.clone());
+        merged.operator = Some(operator.clone());
     }
     if let Some(platform) = arguments.platform {
-        read.platform = Some(platform);
+        merged.platform = Some(platform);
     }
     if !arguments.node.is_empty() {
-        read.nodes.clone_from(&arguments.node);
+        merged.nodes.clone_from(&arguments.node);
     }
-    Ok(read)
+    Ok(merged)
 }
 
 fn require_nodes(settings: &ControlSettings) -> eyre::Result<HttpNodeContext> {
@@ -225,8 +224,10 @@
                 settings,
                 arguments.wait.then_some(in_force::DEFAULT_WAIT_LIMIT),
             )?;
-            let is_end = arguments.end;
-            Ok(context.drain_target(target, is_end, show_progress).await)
+            let should_end = arguments.end;
+            Ok(context
+                .drain_target(target, should_end, show_progress)
+                .await)
         }
         (None, Some(node)) => {
             ensure!(!arguments.end, "--end goes with --target");
--- a/alderhaven-ctl/src/change_plan.rs
+++ b/alderhaven-ctl/src/change_plan.rs
@@ -60,9 +60,9 @@
         for object in objects {
             let body = Some(object.body.clone());
             let change = match stored.remove(&object.key) {
-                Some(seen) => PlannedChange {
+                Some(observed) => PlannedChange {
                     key: object.key.clone(),
-                    observed: Some(seen),
+                    observed: Some(observed),
                     body,
                 },
                 // A list leaves tombstones out.
@@ -97,10 +97,10 @@
         body: Option<String>,
         options: RetryOptions,
     ) -> StoreResult<Self> {
-        let seen = options.get(store, &key).await?;
+        let observed = options.get(store, &key).await?;
         Ok(Self {
             key,
-            observed: seen,
+            observed,
             body,
         })
     }
@@ -113,7 +113,7 @@
     pub fn observed_version(&self) -> StoreVersion {
         self.observed
             .as_ref()
-            .map(|seen| seen.version)
+            .map(|observed| observed.version)
             .unwrap_or_default()
     }
 
@@ -130,10 +130,10 @@
     #[must_use]
     pub fn conflict_outcome(&self, current: Option<StoredObject>) -> PublishOutcome {
         let body = current.as_ref().and_then(|current| current.body.as_deref());
-        let is_wanted = body.is_some() == self.body.is_some()
+        let matches_plan = body.is_some() == self.body.is_some()
             && FieldChange::between(body, self.body.as_deref()).is_empty();
         match current {
-            Some(current) if is_wanted => PublishOutcome::Unchanged {
+            Some(current) if matches_plan => PublishOutcome::Unchanged {
                 version: current.version,
             },
             current => PublishOutcome::Conflict { current },
@@ -153,11 +153,15 @@
     }
 
     fn replaces_other_operator(&self, operator: &OperatorName) -> bool {
-        let Some(seen) = self.observed.as_ref().filter(|seen| seen.body.is_some()) else {
+        let Some(observed) = self
+            .observed
+            .as_ref()
+            .filter(|observed| observed.body.is_some())
+        else {
             return false;
         };
-        let writer: Option<PublicationId> = seen.write_id.parse().ok();
-        writer.is_none_or(|writer| writer.operator != *operator)
+        let publication: Option<PublicationId> = observed.write_id.parse().ok();
+        publication.is_none_or(|publication| publication.operator != *operator)
     }
 }
 
--- a/alderhaven-ctl/src/commands.rs
+++ b/alderhaven-ctl/src/commands.rs
@@ -51,35 +51,35 @@
         }
     }
 
-    /// Publishes files, unless one would replace another operator's publication unseen.
+    /// Publishes files, unless one would replace another operator's publication unreviewed.
     pub async fn publish(
         &self,
         paths: &[PathBuf],
-        show: impl FnMut(&InForceReport),
+        on_progress: impl FnMut(&InForceReport),
     ) -> CommandReport {
         let plan = match self.build_plan(paths).await {
             Ok(plan) => plan,
             Err(report) => return report,
         };
-        let unseen: Vec<ChangeReport> = plan
+        let unreviewed: Vec<ChangeReport> = plan
             .replacing_other_operators(&self.operator)
             .into_iter()
             .map(ChangeReport::from_change)
             .collect();
-        if !unseen.is_empty() {
+        if !unreviewed.is_empty() {
             return CommandReport::Publish(PublishReport {
-                unreviewed: unseen,
+                unreviewed,
                 ..PublishReport::default()
             });
         }
-        self.publish_plan(&plan, show).await
+        self.publish_plan(&plan, on_progress).await
     }
 
     /// Publishes a plan whose difference was looked at.
     pub async fn publish_plan(
         &self,
         plan: &ChangePlan,
-        show: impl FnMut(&InForceReport),
+        on_progress: impl FnMut(&InForceReport),
     ) -> CommandReport {
         let publisher =
             ObjectPublisher::new(&self.store, self.operator.clone(), self.retry_options);
@@ -96,9 +96,11 @@
             publications.push(PublicationReport::from_outcome(change, outcome));
         }
         let in_force = match self.wait_options {
-            Some(options) if !wanted.is_empty() => {
-                Some(self.nodes.wait_until_in_force(&wanted, options, show).await)
-            }
+            Some(options) if !wanted.is_empty() => Some(
+                self.nodes
+                    .wait_until_in_force(&wanted, options, on_progress)
+                    .await,
+            ),
             _ => None,
         };
         CommandReport::Publish(PublishReport {
@@ -113,7 +115,7 @@
         &self,
         key: &ObjectKey,
         version: StoreVersion,
-        show: impl FnMut(&InForceReport),
+        on_progress: impl FnMut(&InForceReport),
     ) -> CommandReport {
         let history = match self.read_history(key).await {
             Ok(report) => report,
@@ -129,7 +131,8 @@
             body: entry.body.clone(),
         };
         let changes = vec![change];
-        self.publish_plan(&ChangePlan { changes }, show).await
+        self.publish_plan(&ChangePlan { changes }, on_progress)
+            .await
     }
 
     /// Gets an object with its earlier contents.
@@ -140,22 +143,23 @@
         }
     }
 
-    /// Publishes that a target drains, or with `is_end` that it no longer does.
+    /// Publishes that a target drains, or with `should_end` that it no longer does.
     pub async fn drain_target(
         &self,
         target: &TargetId,
-        is_end: bool,
-        show: impl FnMut(&InForceReport),
+        should_end: bool,
+        on_progress: impl FnMut(&InForceReport),
     ) -> CommandReport {
         let key = ObjectKey {
             kind: ObjectKind::Drain,
             name: target.to_string(),
         };
-        let body = (!is_end).then(|| "{}".to_owned());
+        let body = (!should_end).then(|| "{}".to_owned());
         match PlannedChange::build(&self.store, key, body, self.retry_options).await {
             Ok(change) => {
                 let changes = vec![change];
-                self.publish_plan(&ChangePlan { changes }, show).await
+                self.publish_plan(&ChangePlan { changes }, on_progress)
+                    .await
             }
             Err(error) => CommandReport::failure(ExitStatus::Failed, error),
         }
--- a/alderhaven-ctl/src/file_check.rs
+++ b/alderhaven-ctl/src/file_check.rs
@@ -74,10 +74,10 @@
 
     /// Two files with one key would overwrite each other in the order of reading.
     fn check_unique_keys(&mut self) {
-        let mut first_of: BTreeMap<&ObjectKey, &ObjectFile> = BTreeMap::new();
+        let mut first_files: BTreeMap<&ObjectKey, &ObjectFile> = BTreeMap::new();
         let mut problems = Vec::new();
         for object in &self.objects {
-            if let Some(first) = first_of.get(&object.key) {
+            if let Some(first) = first_files.get(&object.key) {
                 let reason = format!(
                     "{} is also in {}: names are unique within a kind",
                     object.key,
@@ -85,7 +85,7 @@
                 );
                 problems.push(object.field_problem("name", reason));
             } else {
-                first_of.insert(&object.key, object);
+                first_files.insert(&object.key, object);
             }
         }
         self.problems.extend(problems);
@@ -95,20 +95,20 @@
     ///
     /// Without any known team nothing can be said, and nothing is.
     pub fn check_teams(&mut self, published: &BTreeSet<String>) {
-        let known: BTreeSet<&str> = self
+        let known_teams: BTreeSet<&str> = self
             .objects
             .iter()
             .filter(|object| object.key.kind == ObjectKind::Team)
             .map(|object| object.key.name.as_str())
             .chain(published.iter().map(String::as_str))
             .collect();
-        if known.is_empty() {
+        if known_teams.is_empty() {
             return;
         }
         let mut problems = Vec::new();
         for object in &self.objects {
             if let ConfigObject::Template(template) = &object.content {
-                problems.extend(team_problems(object, template, &known));
+                problems.extend(team_problems(object, template, &known_teams));
             }
         }
         self.problems.extend(problems);
@@ -124,9 +124,9 @@
 fn team_problems(
     object: &ObjectFile,
     template: &QueryTemplate,
-    known: &BTreeSet<&str>,
+    known_teams: &BTreeSet<&str>,
 ) -> Vec<FileProblem> {
-    let unknown = |team: &TeamId| !known.contains(team.as_str());
+    let unknown = |team: &TeamId| !known_teams.contains(team.as_str());
     let mut problems = Vec::new();
     for team in template.teams.iter().filter(|team| unknown(team)) {
         problems.push(object.field_problem("teams", format!("team `{team}` is not known")));
--- a/alderhaven-ctl/src/in_force.rs
+++ b/alderhaven-ctl/src/in_force.rs
@@ -96,23 +96,23 @@
     /// Judges a node by its status.
     #[must_use]
     pub fn evaluate(status: &NodeStatus, wanted: &[WantedVersion]) -> Self {
-        for want in wanted {
-            let key = want.key.to_string();
-            let refused = status
+        for expected in wanted {
+            let key = expected.key.to_string();
+            let rejected = status
                 .config
                 .rejected
                 .iter()
-                .find(|refused| refused.key == key && refused.version >= want.version);
-            if let Some(refused) = refused {
+                .find(|rejected| rejected.key == key && rejected.version >= expected.version);
+            if let Some(rejected) = rejected {
                 return Self::Rejected {
-                    key: want.key.clone(),
-                    errors: refused.errors.clone(),
+                    key: expected.key.clone(),
+                    errors: rejected.errors.clone(),
                 };
             }
         }
         let revision = status.config.revision;
         // Every change up to the revision is in force, so the newest wanted version decides.
-        let newest = wanted.iter().map(|want| want.version).max();
+        let newest = wanted.iter().map(|expected| expected.version).max();
         if newest.is_none() || revision >= newest {
             Self::InForce
         } else {
@@ -192,13 +192,13 @@
 
 /// Asks the nodes until everything is in force everywhere, waiting is of no use or the time is up.
 ///
-/// A node that has everything in force is not asked again. `show` is called after each round.
+/// A node that has everything in force is not asked again. `on_progress` is called after each round.
 pub async fn wait_until_in_force<P: NodeProbe>(
     probe: &Arc<P>,
     nodes: &[SocketAddr],
     wanted: &[WantedVersion],
     options: WaitOptions,
-    mut show: impl FnMut(&InForceReport),
+    mut on_progress: impl FnMut(&InForceReport),
 ) -> InForceReport {
     let deadline = Instant::now() + options.limit.as_duration();
     let mut report = InForceReport {
@@ -209,7 +209,7 @@
     };
     loop {
         probe_lagging(probe, wanted, &mut report).await;
-        show(&report);
+        on_progress(&report);
         if report.is_final() || Instant::now() >= deadline {
             return report;
         }
--- a/alderhaven-ctl/src/node_commands.rs
+++ b/alderhaven-ctl/src/node_commands.rs
@@ -82,8 +82,9 @@
         &self,
         wanted: &[WantedVersion],
         options: WaitOptions,
-        show: impl FnMut(&InForceReport),
+        on_progress: impl FnMut(&InForceReport),
     ) -> InForceReport {
-        in_force::wait_until_in_force(&self.probe, &self.addresses, wanted, options, show).await
+        in_force::wait_until_in_force(&self.probe, &self.addresses, wanted, options, on_progress)
+            .await
     }
 }
--- a/alderhaven-ctl/src/object_file.rs
+++ b/alderhaven-ctl/src/object_file.rs
@@ -135,14 +135,14 @@
 /// Gets the JSON text that is published for a checked object.
 #[must_use]
 pub fn json_body(content: &ConfigObject) -> String {
-    fn json<T: Serialize>(value: &T) -> String {
+    fn to_json<T: Serialize>(value: &T) -> String {
         serde_json::to_string(value).expect("the types of the vocabulary serialise")
     }
     match content {
-        ConfigObject::Template(template) => json(template),
-        ConfigObject::Team(team) => json(team),
-        ConfigObject::Manifest(manifest) => json(manifest),
-        ConfigObject::Drain => json(&serde_json::Map::new()),
+        ConfigObject::Template(template) => to_json(template),
+        ConfigObject::Team(team) => to_json(team),
+        ConfigObject::Manifest(manifest) => to_json(manifest),
+        ConfigObject::Drain => to_json(&serde_json::Map::new()),
     }
 }
 
--- a/alderhaven-ctl/src/operator_client.rs
+++ b/alderhaven-ctl/src/operator_client.rs
@@ -43,8 +43,8 @@
         method: Method,
         path: &str,
     ) -> ProbeResult<T> {
-        let calling = send_and_receive(node, method, path);
-        let body = tokio::time::timeout(self.timeout.as_duration(), calling)
+        let call = send_and_receive(node, method, path);
+        let body = tokio::time::timeout(self.timeout.as_duration(), call)
             .await
             .map_err(|_| ProbeError::new(format!("no answer within {}", self.timeout)))??;
         serde_json::from_slice(&body)
@@ -78,7 +78,7 @@
         .header(header::HOST, node.to_string())
         .body(Empty::<Bytes>::new())
         .map_err(ProbeError::new)?;
-    let answering = async {
+    let receiving = async {
         let response = sender
             .send_request(request)
             .await
@@ -98,7 +98,7 @@
     // The connection is driven beside the call and ends with it.
     tokio::select! {
         biased;
-        answer = answering => answer,
+        answer = receiving => answer,
         ended = async {
             let _ended = connection.await;
             std::future::pending::<()>().await;
--- a/alderhaven-ctl/src/publication_id.rs
+++ b/alderhaven-ctl/src/publication_id.rs
@@ -41,16 +41,16 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::parse("publication id", text, "operator/uuid/base");
+        let parse_error = || Error::parse("publication id", text, "operator/uuid/base");
         let mut parts = text.split('/');
         let (Some(operator), Some(id), Some(base), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(bad());
+            return Err(parse_error());
         };
         Ok(Self {
             operator: operator.parse()?,
-            id: id.parse().map_err(|_| bad())?,
+            id: id.parse().map_err(|_| parse_error())?,
             base: base.parse()?,
         })
     }
--- a/alderhaven-ctl/src/publisher.rs
+++ b/alderhaven-ctl/src/publisher.rs
@@ -37,14 +37,14 @@
         }
     }
 
-    /// Publishes one change against the version that its plan has seen.
+    /// Publishes one change against the version that its plan has observed.
     pub async fn publish(&self, change: &PlannedChange) -> PublishOutcome {
         if change.is_unchanged() {
             let version = change.observed_version();
             return PublishOutcome::Unchanged { version };
         }
-        if let Some(seen) = &change.observed
-            && let Err(reason) = self.record_in_history(seen).await
+        if let Some(observed) = &change.observed
+            && let Err(reason) = self.record_in_history(observed).await
         {
             let reason = format!("the earlier content could not be kept: {reason}");
             return PublishOutcome::NotPublished { reason };
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Judges a content that is not the one that was seen.
+    /// Judges a content that is not the one that was observed.
     ///
     /// It may be one's own write whose answer was lost, and reporting a conflict with that would be
     /// false. It may also be a later write over one's own: the history names every content that a
@@ -152,11 +152,11 @@
     }
 
     /// Records a content in its object's history, before it is replaced.
-    async fn record_in_history(&self, seen: &StoredObject) -> Result<(), String> {
-        let key = ObjectHistory::history_key(&seen.key);
+    async fn record_in_history(&self, observed: &StoredObject) -> Result<(), String> {
+        let key = ObjectHistory::history_key(&observed.key);
         let mut reason = String::new();
         for round in 0..self.options.attempts {
-            match self.try_record_in_history(&key, seen).await {
+            match self.try_record_in_history(&key, observed).await {
                 Ok(true) => return Ok(()),
                 Ok(false) => "other publishers write the history".clone_into(&mut reason),
                 Err(error) => {
@@ -172,14 +172,14 @@
     async fn try_record_in_history(
         &self,
         key: &ObjectKey,
-        seen: &StoredObject,
+        observed: &StoredObject,
     ) -> Result<bool, StoreError> {
         let stored = self.store.get(key).await?;
         let mut history = ObjectHistory::read(stored.as_ref()).map_err(StoreError::not_done)?;
-        if history.entry_for_version(seen.version).is_some() {
+        if history.entry_for_version(observed.version).is_some() {
             return Ok(true);
         }
-        history.record(seen);
+        history.record(observed);
         let expected = stored.map(|stored| stored.version).unwrap_or_default();
         let write = ConditionalWrite {
             key: key.clone(),
@@ -193,7 +193,7 @@
 }
 
 impl WriteAttempt<'_> {
-    /// Returns true where the store still holds what the plan has seen.
+    /// Returns true where the store still holds what the plan has observed.
     fn is_still_observed(&self, current: Option<&StoredObject>) -> bool {
         match current {
             Some(current) => current.version == self.change.observed_version(),
@@ -202,7 +202,7 @@
     }
 }
 
-/// Returns true where the publications that led to `current` began at the version that was seen.
+/// Returns true where the publications that led to `current` began at the version that was observed.
 ///
 /// Each names the version that it replaced. If the first of them replaced the very version that
 /// ours demanded, ours can't have taken effect before it, and will not after it.
--- a/alderhaven-ctl/src/retry_options.rs
+++ b/alderhaven-ctl/src/retry_options.rs
@@ -78,11 +78,11 @@
         let backoff = self
             .initial_delay
             .mul_f64(f64::from(1_u32 << round.min(16)));
-        let asked = match error {
+        let requested = match error {
             StoreError::NotDone { retry_after, .. } => retry_after.unwrap_or_default(),
             StoreError::Unknown { .. } => TimeSpan::ZERO,
         };
-        let delay: Duration = backoff.max(asked).min(self.max_delay).as_duration();
+        let delay: Duration = backoff.max(requested).min(self.max_delay).as_duration();
         tokio::time::sleep(delay).await;
     }
 }
--- a/alderhaven-ctl/tests/alderctl.rs
+++ b/alderhaven-ctl/tests/alderctl.rs
@@ -16,20 +16,20 @@
 }
 
 /// Runs the binary while the platform goes on in this process.
-async fn run_alderctl(words: &[&str]) -> Output {
+async fn run_alderctl(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_alderctl"));
-    command.args(words);
+    command.args(args);
     tokio::task::spawn_blocking(move || command.output().expect("the binary runs"))
         .await
         .expect("the binary ends")
 }
 
 /// Runs the binary on behalf of an operator; standard output is JSON.
-async fn run_as_operator(platform: &PlatformServer, operator: &str, words: &[&str]) -> Output {
+async fn run_as_operator(platform: &PlatformServer, operator: &str, args: &[&str]) -> Output {
     let address = platform.address().to_string();
     let base = ["--json", "--operator", operator, "--platform", &address];
-    let words: Vec<&str> = base.into_iter().chain(words.iter().copied()).collect();
-    run_alderctl(&words).await
+    let args: Vec<&str> = base.into_iter().chain(args.iter().copied()).collect();
+    run_alderctl(&args).await
 }
 
 async fn start_platform() -> PlatformServer {
@@ -45,7 +45,7 @@
 /// The store's answer to a publication is lost, and so is that of the second try. The operator must
 /// not hear of a conflict with the own write, and the object must have been written once.
 #[tokio::test(flavor = "multi_thread")]
-async fn publish_survives_a_lost_answer() {
+async fn publish_recovers_from_lost_reply() {
     let platform = start_platform().await;
     platform.store().set_faults(PlatformFaults {
         lose_write_replies: 1,
@@ -55,7 +55,7 @@
     let address = platform.address().to_string();
     let file = example_path("volta/templates/record-fetch.yaml");
     let file = file.display().to_string();
-    let words = [
+    let args = [
         "--operator",
         "ama",
         "--platform",
@@ -64,7 +64,7 @@
         &file,
         "--json",
     ];
-    let output = run_alderctl(&words).await;
+    let output = run_alderctl(&args).await;
     let report = stdout_json(&output);
     assert_eq!(output.status.code(), Some(0), "{report}");
     assert_eq!(report["publications"][0]["outcome"], "published");
@@ -86,27 +86,27 @@
     let ended = run_as_operator(&platform, "kofi", &["drain", "--target", "desk-1", "--end"]).await;
     assert_eq!(ended.status.code(), Some(0));
     let key: ObjectKey = "drain/desk-1".parse().expect("it is a key");
-    let body_of = || {
+    let stored_body = || {
         platform
             .store()
             .table()
             .get(&key)
             .and_then(|object| object.body.clone())
     };
-    assert_eq!(body_of(), None);
+    assert_eq!(stored_body(), None);
 
     let history = run_as_operator(&platform, "ama", &["history", "drain/desk-1"]).await;
     let entry = &stdout_json(&history)["entries"][0];
     assert_eq!(entry["body"], "{}");
     let version = entry["version"].to_string();
-    let words = ["rollback", "drain/desk-1", "--to", &version];
-    let rolled_back = run_as_operator(&platform, "ama", &words).await;
+    let args = ["rollback", "drain/desk-1", "--to", &version];
+    let rolled_back = run_as_operator(&platform, "ama", &args).await;
     assert_eq!(rolled_back.status.code(), Some(0));
-    assert_eq!(body_of().as_deref(), Some("{}"));
+    assert_eq!(stored_body().as_deref(), Some("{}"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn publish_twice_finds_nothing_to_do() {
+async fn publish_twice_reports_unchanged() {
     let platform = start_platform().await;
     let teams = example_path("volta/teams").display().to_string();
     let first = run_as_operator(&platform, "ama", &["publish", &teams]).await;
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn alderctl_says_what_is_wrong_with_its_arguments() {
+async fn invalid_arguments_are_reported() {
     let refused = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/refused");
     let refused = refused.display().to_string();
     let cases: [(&[&str], &str); 6] = [
@@ -132,12 +132,12 @@
         (&["history", "team"], "a kind and a name"),
         (&["--settings", "absent.yaml", "status"], "absent.yaml"),
     ];
-    for (words, expected) in cases {
-        let output = run_alderctl(words).await;
+    for (args, expected) in cases {
+        let output = run_alderctl(args).await;
         let text = [output.stdout, output.stderr].concat();
         let text = String::from_utf8_lossy(&text);
-        assert_eq!(output.status.code(), Some(2), "{words:?}: {text}");
-        assert!(text.contains(expected), "{words:?}: {text}");
+        assert_eq!(output.status.code(), Some(2), "{args:?}: {text}");
+        assert!(text.contains(expected), "{args:?}: {text}");
     }
 }
 
--- a/alderhaven-ctl/tests/examples.rs
+++ b/alderhaven-ctl/tests/examples.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn examples_check_without_problems() {
+fn examples_pass_the_check() {
     for deployment in ["volta", "lagerblik"] {
         let report = check_deployment(deployment);
         assert_eq!(report.problems, [], "{deployment}");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn examples_keep_what_must_hold_for_each_template() {
+fn examples_set_required_template_options() {
     let volta = check_deployment("volta");
     let duplicates = find_template(&volta, "duplicate-check");
     assert_eq!(duplicates.preference, AnswerPreference::Coverage);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn examples_token_is_accepted() {
+fn example_tokens_are_accepted() {
     for (deployment, team) in [("volta", "registry-staff"), ("lagerblik", "shortage-desk")] {
         let report = check_deployment(deployment);
         let policy = report
--- a/alderhaven-ctl/tests/file_check.rs
+++ b/alderhaven-ctl/tests/file_check.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn check_report_names_all_problems_with_lines() {
+fn check_report_lists_all_problems_with_lines() {
     let root = format!("{}/", refused_folder().display());
     let report = CheckReport::read_offline(&[refused_folder()]);
     let lines: Vec<String> = report
@@ -43,24 +43,24 @@
 }
 
 #[test]
-fn check_report_refuses_a_missing_path() {
+fn check_report_rejects_missing_path() {
     let report = CheckReport::read_offline(&[refused_folder().join("teams/absent.yaml")]);
     assert_eq!(report.problems.len(), 1);
     assert!(!report.is_clean());
 }
 
 #[test]
-fn check_report_skips_teams_where_none_is_known() {
+fn check_report_skips_team_check_without_known_teams() {
     let report = CheckReport::read_offline(&[refused_folder().join("templates/sweep.yaml")]);
-    let named_team = report
+    let has_team_problem = report
         .problems
         .iter()
         .any(|problem| problem.reason.contains("is not known"));
-    assert!(!named_team && !report.is_clean());
+    assert!(!has_team_problem && !report.is_clean());
 }
 
 #[test]
-fn line_of_follows_the_indentation() {
+fn field_line_follows_indentation() {
     let text = "a:\n  # b: no\n  deep:\n    b: 1\n  b: 2\nb: 3\n";
     assert_eq!(line_index::field_line(text, "a.b"), Some(5));
     assert_eq!(line_index::field_line(text, "b"), Some(6));
--- a/alderhaven-ctl/tests/operator_client.rs
+++ b/alderhaven-ctl/tests/operator_client.rs
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn operator_client_asks_a_node() {
+async fn operator_client_calls_each_path() {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
@@ -59,7 +59,7 @@
 /// A node's host is gone without a word, or something else listens at its address. The client must
 /// end in bounded time, or one such node would hold up a publication's report.
 #[tokio::test]
-async fn operator_client_gives_up_on_a_silent_node() {
+async fn operator_client_times_out_on_silent_node() {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
--- a/alderhaven-ctl/tests/publish/commands.rs
+++ b/alderhaven-ctl/tests/publish/commands.rs
@@ -19,8 +19,8 @@
 
 type FakeContext = CommandContext<ScriptedStore, FakeNodes>;
 
-fn fake_context(operator: &str, behaviours: &[NodeBehavior]) -> FakeContext {
-    let probe = Arc::new(FakeNodes::new(behaviours));
+fn fake_context(operator: &str, behaviors: &[NodeBehavior]) -> FakeContext {
+    let probe = Arc::new(FakeNodes::new(behaviors));
     CommandContext {
         store: ScriptedStore::default(),
         nodes: NodeContext {
@@ -55,14 +55,14 @@
 /// An operator publishes and waits. One node takes it up late, one refuses it, one is gone: the
 /// report names the last two, and the exit status says that it is not in force everywhere.
 #[tokio::test(start_paused = true)]
-async fn publish_wait_names_who_lags() {
-    let behaviours = [
+async fn publish_wait_reports_lagging_nodes() {
+    let behaviors = [
         NodeBehavior::InForceAfter(0),
         NodeBehavior::InForceAfter(3),
         NodeBehavior::Refuses,
         NodeBehavior::Silent,
     ];
-    let mut context = fake_context("ama", &behaviours);
+    let mut context = fake_context("ama", &behaviors);
     context.wait_options = Some(WaitOptions::default());
     let mut rounds = 0;
     let report = context
@@ -101,7 +101,7 @@
 /// Kofi has changed a team since Ama last looked. Her files would take his change back, and she
 /// has not seen it: nothing is published until she has looked at the difference.
 #[tokio::test(start_paused = true)]
-async fn publish_refuses_to_replace_what_was_not_looked_at() {
+async fn publish_refuses_unreviewed_replacement() {
     let mut context = fake_context("kofi", &[]);
     let theirs = r#"{"name":"publishers","weight":9}"#;
     let key = team_key("publishers");
@@ -126,7 +126,7 @@
 /// Between Ama's look at the difference and her publication Kofi publishes. His content stays, and
 /// she is shown what he changed.
 #[tokio::test(start_paused = true)]
-async fn publish_plan_shows_what_the_winner_changed() {
+async fn publish_plan_conflict_shows_winning_changes() {
     let context = fake_context("ama", &[]);
     let key = team_key("publishers");
     context
@@ -156,7 +156,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn publish_refuses_files_that_do_not_check() {
+async fn publish_rejects_invalid_files() {
     let context = fake_context("ama", &[]);
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/refused");
     let report = context.publish(&[folder], |_| {}).await;
@@ -165,7 +165,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn publish_knows_the_teams_of_the_store() {
+async fn publish_accepts_teams_in_the_store() {
     let context = fake_context("ama", &[]);
     let template = example_paths("volta/templates/assign-isbn.yaml");
     context
@@ -184,7 +184,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rollback_publishes_an_earlier_content_again() {
+async fn rollback_republishes_earlier_content() {
     let context = fake_context("ama", &[]);
     let key = team_key("publishers");
     let first = r#"{"name":"publishers","weight":1}"#;
@@ -238,7 +238,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn status_tells_of_nodes_and_objects() {
+async fn status_reports_nodes_and_objects() {
     let mut context = fake_context(
         "ama",
         &[NodeBehavior::InForceAfter(0), NodeBehavior::Silent],
@@ -262,6 +262,6 @@
 }
 
 #[test]
-fn wait_options_outlast_the_bound_of_the_users() {
+fn default_wait_limit_exceeds_propagation_bound() {
     assert!(WaitOptions::default().limit > TimeSpan::from_secs(9));
 }
--- a/alderhaven-ctl/tests/publish/nodes.rs
+++ b/alderhaven-ctl/tests/publish/nodes.rs
@@ -20,20 +20,20 @@
     Silent,
 }
 
-/// The `FakeNodes` answer by their behaviour; the version that they report is the newest possible.
+/// The `FakeNodes` answer by their behavior; the version that they report is the newest possible.
 pub struct FakeNodes {
     behaviors: BTreeMap<SocketAddr, NodeBehavior>,
     probe_counts: Mutex<BTreeMap<SocketAddr, u32>>,
 }
 
 impl FakeNodes {
-    /// Returns nodes with these behaviours.
-    pub fn new(behaviours: &[NodeBehavior]) -> Self {
+    /// Returns nodes with these behaviors.
+    pub fn new(behaviors: &[NodeBehavior]) -> Self {
         Self {
-            behaviors: behaviours
+            behaviors: behaviors
                 .iter()
                 .enumerate()
-                .map(|(index, behaviour)| (node_address(index), *behaviour))
+                .map(|(index, behavior)| (node_address(index), *behavior))
                 .collect(),
             probe_counts: Mutex::default(),
         }
@@ -44,13 +44,16 @@
         self.behaviors.keys().copied().collect()
     }
 
-    /// Gets how often a node was asked.
+    /// Gets how often a node was probed.
     pub fn probe_count(&self, index: usize) -> u32 {
-        let asked = self
+        let probe_counts = self
             .probe_counts
             .lock()
             .expect("no test panics with the lock");
-        asked.get(&node_address(index)).copied().unwrap_or_default()
+        probe_counts
+            .get(&node_address(index))
+            .copied()
+            .unwrap_or_default()
     }
 }
 
@@ -61,22 +64,22 @@
 
 impl NodeProbe for FakeNodes {
     async fn status(&self, node: SocketAddr) -> ProbeResult<NodeStatus> {
-        let question = {
-            let mut asked = self
+        let earlier_probes = {
+            let mut probe_counts = self
                 .probe_counts
                 .lock()
                 .expect("no test panics with the lock");
-            let count = asked.entry(node).or_default();
+            let count = probe_counts.entry(node).or_default();
             *count += 1;
             *count - 1
         };
         let revision = match self.behaviors[&node] {
             NodeBehavior::Silent => return Err(ProbeError::new("connection refused")),
-            NodeBehavior::InForceAfter(after) if question < after => None,
+            NodeBehavior::InForceAfter(after) if earlier_probes < after => None,
             NodeBehavior::InForceAfter(_) | NodeBehavior::Refuses => Some(StoreVersion(u64::MAX)),
         };
-        let is_refusing = self.behaviors[&node] == NodeBehavior::Refuses;
-        let refused = RejectedStatus {
+        let is_rejecting = self.behaviors[&node] == NodeBehavior::Refuses;
+        let rejected = RejectedStatus {
             key: "team/publishers".to_owned(),
             version: StoreVersion(u64::MAX),
             errors: vec!["weight: refused".to_owned()],
@@ -91,7 +94,7 @@
             state: None,
             config: ConfigStatus {
                 revision,
-                rejected: is_refusing.then_some(refused).into_iter().collect(),
+                rejected: is_rejecting.then_some(rejected).into_iter().collect(),
             },
         })
     }
--- a/alderhaven-ctl/tests/publish/races.rs
+++ b/alderhaven-ctl/tests/publish/races.rs
@@ -123,14 +123,14 @@
 ) -> Result<(), TestCaseError> {
     let mut by_id: BTreeMap<&str, &AppliedWrite> = BTreeMap::new();
     for applied in log {
-        let twice = by_id.insert(&applied.object.write_id, applied);
+        let previous = by_id.insert(&applied.object.write_id, applied);
         prop_assert!(
-            twice.is_none(),
+            previous.is_none(),
             "{} took effect twice",
             applied.object.write_id
         );
     }
-    let mut told = BTreeSet::new();
+    let mut reported = BTreeSet::new();
     for report in reports {
         match &report.outcome {
             PublishOutcome::Published { version, id }
@@ -146,21 +146,24 @@
                     applied.is_some_and(|applied| applied.replaced == report.change.observed),
                     "{id} replaced a content that its operator had not seen"
                 );
-                told.insert(id);
+                reported.insert(id);
             }
             PublishOutcome::Conflict { current } => {
                 check_conflict(&report.change, current.as_ref(), &by_id)?;
             }
             PublishOutcome::Unknown { id, .. } => {
                 prop_assert!(faults >= options.attempts as usize, "unknown without cause");
-                told.insert(id.to_string());
+                reported.insert(id.to_string());
             }
             PublishOutcome::Unchanged { .. } | PublishOutcome::NotPublished { .. } => {}
         }
     }
     for applied in log.iter().filter(|applied| applied.replaced.is_some()) {
         let id = &applied.object.write_id;
-        prop_assert!(told.contains(id), "{id} took effect and nobody was told");
+        prop_assert!(
+            reported.contains(id),
+            "{id} took effect and nobody was told"
+        );
     }
     Ok(())
 }
@@ -218,7 +221,7 @@
     /// replace what it has not seen. The cause to guard against: a lost answer hides whether a
     /// conflict is with one's own write.
     #[test]
-    fn publish_races_tell_the_truth(
+    fn concurrent_publications_are_reported_truthfully(
         script in script(),
         operators in operators(),
         attempts in 1_u32..8,
--- a/alderhaven-ctl/tests/publish/scenarios.rs
+++ b/alderhaven-ctl/tests/publish/scenarios.rs
@@ -39,7 +39,7 @@
 /// An operator publishes and hears of a conflict, though nobody else was there. The store wrote the
 /// object, its answer was lost, and the second try met the first one's result.
 #[tokio::test(start_paused = true)]
-async fn publish_recognises_its_own_write_after_a_lost_answer() {
+async fn publish_recognizes_own_write_after_lost_reply() {
     // The plan's read, then the write whose answer is lost, then a read that fails too.
     let script = [StoreFault::None, StoreFault::LostAfter, StoreFault::Refused];
     let store = ScriptedStore::new(script.map(|fault| (0, fault)));
@@ -56,7 +56,7 @@
 /// Two operators change the same object. The slower one must lose, see who won, and find the
 /// winner's content untouched.
 #[tokio::test(start_paused = true)]
-async fn publish_loses_a_race_and_names_the_winner() {
+async fn publish_conflict_names_the_winner() {
     let store = ScriptedStore::default();
     store.seed(&desk_key(), "seed", Some(r#"{"weight":1}"#));
     let slow = plan_update(&store, r#"{"weight":2}"#).await;
@@ -71,7 +71,7 @@
 /// An operator's answer is lost, and before the read another one replaces the content. The first
 /// was published all the same, and nodes may have had it in force: "not published" would be false.
 #[tokio::test(start_paused = true)]
-async fn publish_tells_that_it_was_replaced() {
+async fn publish_reports_superseded_write() {
     let store = ScriptedStore::new([
         (0, StoreFault::None),
         (0, StoreFault::None),
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn publish_writes_nothing_where_nothing_changes() {
+async fn publish_skips_unchanged_content() {
     let store = ScriptedStore::default();
     let version = store.seed(&desk_key(), "seed", Some(r#"{"weight":1, "name":"desk"}"#));
     let change = plan_update(&store, r#"{"name":"desk","weight":1}"#).await;
@@ -112,7 +112,7 @@
 /// Two operators make the same change, or one publishes a plan twice. The second is told that
 /// nothing is left to do, since the store holds the very content.
 #[tokio::test(start_paused = true)]
-async fn publish_of_the_same_change_is_no_conflict() {
+async fn publish_of_identical_change_is_unchanged() {
     let store = ScriptedStore::default();
     store.seed(&desk_key(), "seed", Some("{}"));
     let change = plan_update(&store, r#"{"weight":2}"#).await;
@@ -123,7 +123,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn publish_over_a_broken_history_writes_nothing() {
+async fn publish_with_unreadable_history_writes_nothing() {
     let store = ScriptedStore::default();
     store.seed(&desk_key(), "seed", Some("{}"));
     store.seed(
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn replacing_others_names_what_another_operator_wrote() {
+async fn replacing_other_operators_lists_their_objects() {
     let store = ScriptedStore::default();
     publisher(&store, "kofi")
         .publish(&plan_update(&store, "{}").await)
--- a/alderhaven-quickstart/src/answer_oracle.rs
+++ b/alderhaven-quickstart/src/answer_oracle.rs
@@ -81,7 +81,7 @@
     /// Where the query itself is not one of the published templates.
     pub fn check_reply(&mut self, query: &SampleQuery, reply: &QueryReply) -> Result<Vec<String>> {
         let checked = self.resolve_query(query)?;
-        let found = match reply {
+        let violations = match reply {
             QueryReply::Answer(answer) => checked.check_answer(answer),
             QueryReply::Error(body) => check_error(body),
             QueryReply::Unreadable(reason) => vec![format!("no readable reply: {reason}")],
@@ -97,7 +97,7 @@
             outcome: reply.outcome(),
         };
         self.replied_queries.push(replied);
-        Ok(found
+        Ok(violations
             .into_iter()
             .map(|text| format!("query {}: {text}", query.number))
             .collect())
@@ -116,7 +116,7 @@
             .iter()
             .map(|query| &query.key)
             .collect();
-        let strange = self
+        let unrequested = self
             .run_counts
             .keys()
             .filter(|key| !known.contains(key))
@@ -126,7 +126,7 @@
                     key.template, key.parameters
                 )
             });
-        replied.chain(strange).collect()
+        replied.chain(unrequested).collect()
     }
 
     fn resolve_query(&self, query: &SampleQuery) -> Result<CheckedQuery<'_>> {
@@ -167,9 +167,9 @@
 
 impl CheckedQuery<'_> {
     fn check_answer(&self, answer: &AnswerBody) -> Vec<String> {
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         if answer.snapshot != self.manifest.snapshot {
-            found.push(format!("names snapshot {}", answer.snapshot));
+            violations.push(format!("names snapshot {}", answer.snapshot));
         }
         let coverage = &answer.coverage;
         let missing: HashSet<ShardId> = coverage.missing.iter().map(|shard| shard.shard).collect();
@@ -179,21 +179,21 @@
             .copied()
             .filter(|shard| !missing.contains(shard))
             .collect();
-        let is_true = coverage.requested == self.requested.len()
+        let is_consistent = coverage.requested == self.requested.len()
             && coverage.answered == covered.len()
             && coverage.missing.len() == missing.len()
             && missing.iter().all(|shard| self.requested.contains(shard));
-        if !is_true {
-            found.push(format!(
+        if !is_consistent {
+            violations.push(format!(
                 "states a coverage of {} and {} missing of {}",
                 coverage.answered,
                 coverage.missing.len(),
                 self.requested.len()
             ));
         }
-        let says_complete = answer.outcome == QueryOutcome::Complete;
-        if says_complete != missing.is_empty() {
-            found.push(format!("is {} in spite of its coverage", answer.outcome));
+        let is_complete = answer.outcome == QueryOutcome::Complete;
+        if is_complete != missing.is_empty() {
+            violations.push(format!("is {} in spite of its coverage", answer.outcome));
         }
         let expected = expected_rows::expected_rows(
             &self.template.merge,
@@ -202,20 +202,20 @@
             &self.parameters,
         );
         if answer.rows != expected {
-            found.push("holds rows that are not those of its covered shards".to_owned());
+            violations.push("holds rows that are not those of its covered shards".to_owned());
         }
-        found
+        violations
     }
 }
 
 fn check_error(body: &ErrorBody) -> Vec<String> {
     let may_have_run = matches!(body.error.code.as_str(), "failed" | "unknown");
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     if body.error.not_run == may_have_run {
-        found.push(format!(
+        violations.push(format!(
             "code {} with not_run {}",
             body.error.code, body.error.not_run
         ));
     }
-    found
+    violations
 }
--- a/alderhaven-quickstart/src/answer_text.rs
+++ b/alderhaven-quickstart/src/answer_text.rs
@@ -83,15 +83,18 @@
 
 fn error_text(body: &ErrorBody) -> String {
     let error = &body.error;
-    let ran = if error.not_run {
+    let run_text = if error.not_run {
         "nothing ran"
     } else {
         "it may have run"
     };
-    let again = error.retry_after_ms.map_or_else(String::new, |millis| {
+    let retry_text = error.retry_after_ms.map_or_else(String::new, |millis| {
         format!("; ask again after {millis} ms")
     });
-    format!("  {}: {} ({ran}{again})\n", error.code, error.message)
+    format!(
+        "  {}: {} ({run_text}{retry_text})\n",
+        error.code, error.message
+    )
 }
 
 fn micros_to_millis(micros: u64) -> f64 {
--- a/alderhaven-quickstart/src/expected_rows.rs
+++ b/alderhaven-quickstart/src/expected_rows.rs
@@ -27,15 +27,15 @@
             rows::derive_rows(&manifest.service, entry.shard, entry.version, parameters)
         })
         .collect();
-    let all = derived.iter().map(|row| json!(row));
+    let row_values = derived.iter().map(|row| json!(row));
     match rule {
-        MergeRule::Concatenate => all.collect(),
+        MergeRule::Concatenate => row_values.collect(),
         MergeRule::TopN {
             field,
             limit,
             ascending,
         } => {
-            let mut ordered: Vec<Value> = all.collect();
+            let mut ordered: Vec<Value> = row_values.collect();
             ordered.sort_by_key(|row| {
                 let number = numeric_field(row, field);
                 if *ascending { number } else { -number }
@@ -44,12 +44,13 @@
             ordered
         }
         MergeRule::Sum { field } => {
-            let total: i64 = all.map(|row| numeric_field(&row, field)).sum();
+            let total: i64 = row_values.map(|row| numeric_field(&row, field)).sum();
             vec![json!({ field: total })]
         }
         MergeRule::DistinctBy { field } => {
             let mut seen = HashSet::new();
-            all.filter(|row| seen.insert(row[field].to_string()))
+            row_values
+                .filter(|row| seen.insert(row[field].to_string()))
                 .collect()
         }
     }
--- a/alderhaven-quickstart/src/local_system.rs
+++ b/alderhaven-quickstart/src/local_system.rs
@@ -147,9 +147,9 @@
     }
 
     async fn wait_until_ready(&self) -> Result<()> {
-        let limit = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         while !self.entries.iter().all(|entry| self.is_ready(entry)) {
-            if Instant::now() >= limit {
+            if Instant::now() >= deadline {
                 bail!("the system is not ready after {READY_TIMEOUT:?}");
             }
             time::sleep(READY_POLL_INTERVAL).await;
--- a/alderhaven-quickstart/src/main.rs
+++ b/alderhaven-quickstart/src/main.rs
@@ -65,9 +65,9 @@
             ("--nodes", self.nodes, MAX_NODES),
             ("--queries", self.queries, MAX_QUERIES),
         ];
-        for (name, value, most) in bounded {
-            if !(1..=most).contains(&value) {
-                let allowed = format!("{value} is refused: allowed is 1 to {most}");
+        for (name, value, max) in bounded {
+            if !(1..=max).contains(&value) {
+                let allowed = format!("{value} is refused: allowed is 1 to {max}");
                 return Err(Error::invalid(name, allowed));
             }
         }
@@ -101,17 +101,17 @@
     );
     let system = LocalSystem::start(arguments.nodes, arguments.seed).await?;
     eprintln!("ready: {} targets of 2 deployments", system.target_count());
-    let shown = arguments.queries <= MAX_SHOWN_QUERIES;
+    let show_replies = arguments.queries <= MAX_SHOWN_QUERIES;
     let options = RunOptions {
         queries: arguments.queries,
         seed: arguments.seed,
-        callers: if shown { 1 } else { arguments.nodes },
+        callers: if show_replies { 1 } else { arguments.nodes },
     };
     let mut done = 0;
-    let report = query_run::run(&system, options, |step| {
+    let report = query_run::run(&system, options, |checked| {
         done += 1;
-        show_reply(step, shown);
-        if !shown {
+        show_reply(checked, show_replies);
+        if !show_replies {
             show_progress(done, options.queries);
         }
     })
@@ -124,11 +124,14 @@
     Ok(report.totals.violations)
 }
 
-fn show_reply(step: &CheckedReply, shown: bool) {
-    if shown {
-        println!("{}", answer_text::reply_text(&step.query, &step.reply));
+fn show_reply(checked: &CheckedReply, show_replies: bool) {
+    if show_replies {
+        println!(
+            "{}",
+            answer_text::reply_text(&checked.query, &checked.reply)
+        );
     }
-    for violation in step.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
+    for violation in checked.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
         eprintln!("broken promise: {violation}");
     }
 }
--- a/alderhaven-quickstart/src/query_reply.rs
+++ b/alderhaven-quickstart/src/query_reply.rs
@@ -73,18 +73,18 @@
 impl QueryReply {
     /// Reads a reply; a call without one is unreadable.
     #[must_use]
-    pub fn from_result(called: eyre::Result<Response<Bytes>>) -> Self {
-        let response = match called {
+    pub fn from_result(result: eyre::Result<Response<Bytes>>) -> Self {
+        let response = match result {
             Ok(response) => response,
             Err(error) => return Self::Unreadable(error.to_string()),
         };
         let status = response.status();
-        let read = if status.is_success() {
+        let reply = if status.is_success() {
             serde_json::from_slice(response.body()).map(Self::Answer)
         } else {
             serde_json::from_slice(response.body()).map(Self::Error)
         };
-        read.unwrap_or_else(|error| Self::Unreadable(format!("status {status}: {error}")))
+        reply.unwrap_or_else(|error| Self::Unreadable(format!("status {status}: {error}")))
     }
 
     /// Gets the query's outcome, none where the reply is unreadable.
--- a/alderhaven-quickstart/src/query_run.rs
+++ b/alderhaven-quickstart/src/query_run.rs
@@ -61,7 +61,7 @@
 pub async fn run(
     system: &LocalSystem,
     options: RunOptions,
-    mut step: impl FnMut(&CheckedReply),
+    mut on_reply: impl FnMut(&CheckedReply),
 ) -> Result<RunReport> {
     if !(1..=MAX_QUERIES).contains(&options.queries) {
         let queries = options.queries;
@@ -89,14 +89,14 @@
         let violations = oracle.check_reply(&query, &reply)?;
         report.totals.record_outcome(reply.outcome());
         report.totals.violations += violations.len();
-        step(&CheckedReply {
+        on_reply(&CheckedReply {
             query,
             reply,
             violations,
         });
     }
-    while let Some(ended) = callers.join_next().await {
-        ended??;
+    while let Some(result) = callers.join_next().await {
+        result??;
     }
     oracle.record_runs(system.run_log().take_records());
     report.violations = oracle.check_runs();
@@ -110,19 +110,19 @@
     queries: Arc<Mutex<Vec<SampleQuery>>>,
     sender: UnboundedSender<(SampleQuery, QueryReply)>,
 ) -> Result<()> {
-    let mut caller = HttpConnection::connect(address).await?;
+    let mut connection = HttpConnection::connect(address).await?;
     loop {
         let next = queries.lock().unwrap_or_else(PoisonError::into_inner).pop();
         let Some(query) = next else {
             return Ok(());
         };
-        let outcome = time::timeout(REPLY_TIMEOUT, caller.send(query.request()?)).await;
+        let outcome = time::timeout(REPLY_TIMEOUT, connection.send(query.request()?)).await;
         let reply = match outcome {
             Ok(result) => QueryReply::from_result(result),
             Err(_) => QueryReply::Unreadable(format!("none within {REPLY_TIMEOUT:?}")),
         };
         if matches!(reply, QueryReply::Unreadable(_)) {
-            caller = HttpConnection::connect(address).await?;
+            connection = HttpConnection::connect(address).await?;
         }
         if sender.send((query, reply)).is_err() {
             return Ok(());
--- a/alderhaven-quickstart/tests/answer_oracle.rs
+++ b/alderhaven-quickstart/tests/answer_oracle.rs
@@ -85,8 +85,8 @@
 
     fn violation_count(&self, answer: AnswerBody) -> usize {
         let reply = QueryReply::Answer(answer);
-        let found = self.oracle().check_reply(&self.query, &reply).unwrap();
-        found.len()
+        let violations = self.oracle().check_reply(&self.query, &reply).unwrap();
+        violations.len()
     }
 
     fn run_record(&self, sequence: u64) -> RunRecord {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn take_reply_true_answer() {
+fn check_reply_correct_answer() {
     for template in ["duplicate-check", "title-lookup", "find-alternative"] {
         let case = OracleCase::for_template(template);
         assert_eq!(case.violation_count(case.correct_answer()), 0, "{template}");
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn take_reply_rows_of_another_query() {
+fn check_reply_rows_of_another_query() {
     let case = OracleCase::for_template("duplicate-check");
     let mut answer = case.correct_answer();
     answer.rows = expected_rows(
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn take_reply_lost_and_doubled_rows() {
+fn check_reply_missing_and_duplicate_rows() {
     let case = OracleCase::for_template("duplicate-check");
     let mut answer = case.correct_answer();
     answer.rows.pop();
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn take_reply_untrue_coverage() {
+fn check_reply_wrong_coverage() {
     let case = OracleCase::for_template("duplicate-check");
     let mut answer = case.correct_answer();
     answer.coverage.answered = 2;
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn take_reply_other_snapshot() {
+fn check_reply_other_snapshot() {
     let case = OracleCase::for_template("duplicate-check");
     let mut answer = case.correct_answer();
     answer.snapshot = SnapshotId(3);
@@ -204,19 +204,19 @@
 }
 
 #[test]
-fn take_reply_unknown_that_says_not_run() {
+fn check_reply_unknown_with_not_run() {
     let case = OracleCase::for_template("duplicate-check");
     let QueryReply::Error(mut body) = overload_reply() else {
         unreachable!("a refusal is an error");
     };
     body.error.code = "unknown".to_owned();
     let reply = QueryReply::Error(body);
-    let found = case.oracle().check_reply(&case.query, &reply).unwrap();
-    assert_eq!(found.len(), 1);
+    let violations = case.oracle().check_reply(&case.query, &reply).unwrap();
+    assert_eq!(violations.len(), 1);
 }
 
 #[test]
-fn finish_not_run_that_ran() {
+fn check_runs_not_run_that_ran() {
     let case = OracleCase::for_template("assign-isbn");
     let mut oracle = case.oracle();
     assert!(
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn finish_second_run() {
+fn check_runs_second_run() {
     let case = OracleCase::for_template("assign-isbn");
     let mut oracle = case.oracle();
     let reply = QueryReply::Unreadable("cut".to_owned());
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn finish_run_that_nobody_asked() {
+fn check_runs_unrequested_run() {
     let case = OracleCase::for_template("duplicate-check");
     let mut oracle = case.oracle();
     oracle.record_runs(vec![case.run_record(1)]);
--- a/alderhaven-quickstart/tests/interface_examples.rs
+++ b/alderhaven-quickstart/tests/interface_examples.rs
@@ -38,38 +38,38 @@
 async fn send_block(entry: SocketAddr, block: &str) -> Response<Bytes> {
     let (head, body) = block.split_once("\n\n").unwrap();
     let mut lines = head.lines();
-    let mut words = lines.next().unwrap().split(' ');
+    let mut request_line = lines.next().unwrap().split(' ');
     let mut request = Request::builder()
-        .method(words.next().unwrap())
-        .uri(words.next().unwrap());
+        .method(request_line.next().unwrap())
+        .uri(request_line.next().unwrap());
     for line in lines {
         let (name, value) = line.split_once(": ").unwrap();
         request = request.header(name, value);
     }
-    let mut caller = HttpConnection::connect(entry).await.unwrap();
+    let mut connection = HttpConnection::connect(entry).await.unwrap();
     let request = request.body(Full::from(body.to_owned())).unwrap();
-    caller.send(request).await.unwrap()
+    connection.send(request).await.unwrap()
 }
 
 /// Checks that `actual` has the members of the example, with values of the same types, and no
-/// others unless `more` allows them.
-fn assert_shape(path: &str, example: &Value, actual: &Value, more: bool) {
+/// others unless `allow_extra` allows them.
+fn assert_shape(path: &str, example: &Value, actual: &Value, allow_extra: bool) {
     match (example, actual) {
         (Value::Object(example), Value::Object(actual)) => {
             for (name, value) in example {
                 let found = actual.get(name).unwrap_or(&Value::Null);
-                assert_shape(&format!("{path}.{name}"), value, found, more);
+                assert_shape(&format!("{path}.{name}"), value, found, allow_extra);
             }
             for name in actual.keys() {
                 assert!(
-                    more || example.contains_key(name),
+                    allow_extra || example.contains_key(name),
                     "{path}.{name} is not told"
                 );
             }
         }
         (Value::Array(example), Value::Array(actual)) => {
             for value in actual {
-                assert_shape(&format!("{path}[]"), &example[0], value, more);
+                assert_shape(&format!("{path}[]"), &example[0], value, allow_extra);
             }
         }
         _ => {
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn examples_are_answered_as_told() {
+async fn documented_examples_are_answered() {
     let system = LocalSystem::start(1, 7).await.unwrap();
     let entry = system.entry_addresses()[0];
     let [query, refused] = fenced_blocks("http").try_into().unwrap();
@@ -99,30 +99,30 @@
     let reply = send_block(entry, &refused).await;
     assert_eq!(reply.status(), 400);
     assert_eq!(reply.headers()["x-request-id"], "counter-4711");
-    let told = fenced_blocks("json")
+    let documented = fenced_blocks("json")
         .into_iter()
         .find(|block| block.contains("deadline_ms"));
     let body = String::from_utf8(reply.into_body().to_vec()).unwrap();
-    assert_eq!(body, told.unwrap().trim_end());
+    assert_eq!(body, documented.unwrap().trim_end());
 
     let status = Request::get("/debug/status").body(Full::default()).unwrap();
     for operator in system.operator_addresses() {
-        let mut caller = HttpConnection::connect(operator).await.unwrap();
-        let reply = caller.send(status.clone()).await.unwrap();
+        let mut connection = HttpConnection::connect(operator).await.unwrap();
+        let reply = connection.send(status.clone()).await.unwrap();
         let body: Value = serde_json::from_slice(reply.body()).unwrap();
         assert_shape("status", &json_block("node"), &body, true);
     }
     let request = Request::get("/v1/entries?domain=accra-1");
     let request = request.body(Full::default()).unwrap();
-    let mut caller = HttpConnection::connect(entry).await.unwrap();
-    let reply = caller.send(request).await.unwrap();
+    let mut connection = HttpConnection::connect(entry).await.unwrap();
+    let reply = connection.send(request).await.unwrap();
     let body: Value = serde_json::from_slice(reply.body()).unwrap();
     assert_shape("entries", &json_block("entries"), &body, false);
     assert!(!body["entries"].as_array().unwrap().is_empty());
 
     let health = Request::get("/v1/health").body(Full::default()).unwrap();
-    let mut caller = HttpConnection::connect(entry).await.unwrap();
-    let reply = caller.send(health).await.unwrap();
+    let mut connection = HttpConnection::connect(entry).await.unwrap();
+    let reply = connection.send(health).await.unwrap();
     let body = std::str::from_utf8(reply.body()).unwrap();
     assert!(INTERFACE_PAGE.contains(&format!("{} `{body}`", reply.status().as_u16())));
     system.stop().await;
@@ -130,30 +130,30 @@
 
 /// Operators must find every metric explained: what it means, and what to do when it moves.
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_are_explained() {
+async fn metrics_are_documented() {
     let system = LocalSystem::start(1, 7).await.unwrap();
-    let mut named = 0;
+    let mut metric_count = 0;
     for operator in system.operator_addresses() {
         let request = Request::get("/metrics").body(Full::default()).unwrap();
-        let mut caller = HttpConnection::connect(operator).await.unwrap();
-        let reply = caller.send(request).await.unwrap();
+        let mut connection = HttpConnection::connect(operator).await.unwrap();
+        let reply = connection.send(request).await.unwrap();
         let text = String::from_utf8(reply.into_body().to_vec()).unwrap();
         for line in text.lines().filter_map(|line| line.strip_prefix("# TYPE ")) {
             let name = line.split(' ').next().unwrap();
-            let is_told = OPERATIONS_PAGE
+            let is_documented = OPERATIONS_PAGE
                 .lines()
                 .filter_map(|row| row.strip_prefix("| ")?.split(" | ").next())
                 .any(|cell| cell.contains(&format!("`{name}`")));
-            assert!(is_told, "docs/OPERATIONS.md has no row for `{name}`");
-            named += 1;
+            assert!(is_documented, "docs/OPERATIONS.md has no row for `{name}`");
+            metric_count += 1;
         }
     }
-    assert!(named > 10, "{named} metrics");
+    assert!(metric_count > 10, "{metric_count} metrics");
     system.stop().await;
 }
 
 #[test]
-fn codes_are_told_with_status_and_not_run() {
+fn error_codes_are_documented() {
     let codes = [
         ErrorCode::BadRequest,
         ErrorCode::Unauthorized,
--- a/alderhaven-quickstart/tests/query_run.rs
+++ b/alderhaven-quickstart/tests/query_run.rs
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn start_refuses_nodes_out_of_range() {
+async fn start_rejects_node_count_out_of_range() {
     for nodes in [0, 65] {
         let error = LocalSystem::start(nodes, 1).await.unwrap_err();
         assert!(error.to_string().contains("allowed is 1 to 64"), "{error}");
