--- a/alderhaven-ctl/src/bin/alderctl/arguments.rs
+++ b/alderhaven-ctl/src/bin/alderctl/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of `alderctl`.
+//! The command-line options and subcommands of `alderctl`; their comments are its help text.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use alderhaven_ctl::in_force;
 use argh::FromArgs;
 
-/// Checks, publishes and follows the configuration of alderhaven.
+/// Checks and publishes the configuration of alderhaven, and shows the state of its nodes.
 #[derive(FromArgs)]
 pub struct ControlArgs {
     /// the operator's settings file (YAML): operator, platform, nodes
@@ -21,18 +21,18 @@
     /// the address of the platform's object API
     #[argh(option)]
     pub platform: Option<SocketAddr>,
-    /// the operator address of a node; again for each node
+    /// the operator address of a node; repeat for each node
     #[argh(option)]
     pub node: Vec<SocketAddr>,
-    /// print one JSON document; it may also stand after the command
+    /// print one JSON document; may also be given after the command
     #[argh(switch)]
     pub json: bool,
-    /// the command
+    /// the command to run
     #[argh(subcommand)]
     pub command: ControlCommand,
 }
 
-/// A `ControlCommand` is what the operator wants done.
+/// The subcommands.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum ControlCommand {
@@ -48,7 +48,7 @@
     HashToken(HashTokenArgs),
 }
 
-/// Checks files offline: all problems at once, with file and line.
+/// Checks files offline and lists all problems with file and line.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckArgs {
@@ -57,7 +57,7 @@
     pub paths: Vec<PathBuf>,
 }
 
-/// Shows what a publication of files would change.
+/// Shows what publishing files would change.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub struct DiffArgs {
@@ -69,17 +69,17 @@
     pub plan: Option<PathBuf>,
 }
 
-/// Publishes files, or a plan that was looked at.
+/// Publishes files, or a reviewed plan.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "publish")]
 pub struct PublishArgs {
     /// files or folders
     #[argh(positional)]
     pub paths: Vec<PathBuf>,
-    /// publish this plan of `diff --plan` in place of files
+    /// publish this plan from `diff --plan` instead of files
     #[argh(option)]
     pub plan: Option<PathBuf>,
-    /// wait until it is in force on all nodes
+    /// wait until the publication is in force on all nodes
     #[argh(switch)]
     pub wait: bool,
     /// how long to wait (default 30s)
@@ -87,7 +87,7 @@
     pub limit: TimeSpan,
 }
 
-/// Asks all nodes for their state, and whether objects are in force on them.
+/// Shows the status of all nodes, and whether objects are in force on them.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {
@@ -96,27 +96,27 @@
     pub objects: Vec<ObjectKey>,
 }
 
-/// Shows the members that each node knows.
+/// Shows the group members that each node knows.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "members")]
 pub struct MembersArgs {}
 
-/// Shows the whole state of each node.
+/// Shows the internal state of each node.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "dump")]
 pub struct DumpArgs {}
 
-/// Takes a target out of use, or starts the planned stop of a node.
+/// Takes a target out of use, or starts the graceful shutdown of a node.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct DrainArgs {
-    /// the target
+    /// the target to drain
     #[argh(option)]
     pub target: Option<TargetId>,
-    /// take the target back into use
+    /// end the drain and take the target back into use
     #[argh(switch)]
     pub end: bool,
-    /// the operator address of the node to stop
+    /// the operator address of the node to shut down
     #[argh(option)]
     pub node: Option<SocketAddr>,
     /// wait until the target's drain is in force on all nodes
@@ -124,7 +124,7 @@
     pub wait: bool,
 }
 
-/// Shows the content of an object and its earlier ones.
+/// Shows an object with its earlier contents.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 pub struct HistoryArgs {
@@ -133,17 +133,17 @@
     pub object: ObjectKey,
 }
 
-/// Publishes an earlier content of an object again.
+/// Publishes an earlier content of an object again, as a new version.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
 pub struct RollbackArgs {
     /// the object as KIND/NAME
     #[argh(positional)]
     pub object: ObjectKey,
-    /// the version to publish again, from `history`
+    /// the version to publish again, as listed by `history`
     #[argh(option)]
     pub to: StoreVersion,
-    /// wait until it is in force on all nodes
+    /// wait until the publication is in force on all nodes
     #[argh(switch)]
     pub wait: bool,
 }
--- a/alderhaven-ctl/src/bin/alderctl/main.rs
+++ b/alderhaven-ctl/src/bin/alderctl/main.rs
@@ -1,4 +1,4 @@
-//! `alderctl`: the operators' tool.
+//! `alderctl`: the command-line tool that checks, publishes and inspects the configuration.
 #![forbid(unsafe_code)]
 
 mod arguments;
@@ -31,9 +31,9 @@
     ControlArgs, ControlCommand, DiffArgs, DrainArgs, PublishArgs, RollbackArgs,
 };
 
-/// The switch that may stand after the command as well.
+/// The switch that is accepted before and after the subcommand.
 const JSON_SWITCH: &str = "--json";
-/// The operator's name where a command publishes nothing.
+/// The operator name of commands that publish nothing.
 const READ_ONLY_OPERATOR: &str = "reader";
 
 type HttpNodeContext = NodeContext<OperatorClient>;
@@ -61,7 +61,7 @@
     report.exit_status().into()
 }
 
-/// Moves a `--json` after the command to where it is understood.
+/// Moves `--json` before the subcommand, the only place where the parser accepts it.
 fn move_json_switch(args: &mut Vec<String>) {
     if args.iter().skip(1).any(|arg| arg == JSON_SWITCH) {
         args.retain(|arg| arg != JSON_SWITCH);
@@ -132,7 +132,7 @@
 fn require_nodes(settings: &ControlSettings) -> eyre::Result<HttpNodeContext> {
     ensure!(
         !settings.nodes.is_empty(),
-        "no nodes are given: `nodes` in --settings, or --node"
+        "no nodes are given: set `nodes` in --settings, or --node"
     );
     Ok(node_context(settings))
 }
@@ -144,15 +144,15 @@
     }
 }
 
-/// Returns the context of a command that only reads.
+/// Returns the context of a command that publishes nothing and needs no operator name.
 fn read_only_context(settings: &ControlSettings) -> eyre::Result<HttpCommandContext> {
     let operator = READ_ONLY_OPERATOR
         .parse()
-        .wrap_err("the reader's name is a name")?;
+        .wrap_err("the operator name of read-only commands is invalid")?;
     build_context(settings, operator, None)
 }
 
-/// Returns the context of a command that publishes, and waits for `limit` where it is given.
+/// Returns the context of a command that publishes and then waits up to `limit`, if that is set.
 fn publishing_context(
     settings: &ControlSettings,
     limit: Option<TimeSpan>,
@@ -160,7 +160,7 @@
     let operator = settings
         .operator
         .clone()
-        .ok_or_eyre("no operator is given: `operator` in --settings, or --operator")?;
+        .ok_or_eyre("no operator is given: set `operator` in --settings, or --operator")?;
     if limit.is_some() {
         require_nodes(settings)?;
     }
@@ -174,7 +174,7 @@
 ) -> eyre::Result<HttpCommandContext> {
     let platform = settings
         .platform
-        .ok_or_eyre("no platform is given: `platform` in --settings, or --platform")?;
+        .ok_or_eyre("no platform is given: set `platform` in --settings, or --platform")?;
     Ok(CommandContext {
         store: HttpStore::new(platform, HttpStoreOptions::default()),
         nodes: node_context(settings),
@@ -230,7 +230,7 @@
                 .await)
         }
         (None, Some(node)) => {
-            ensure!(!arguments.end, "--end goes with --target");
+            ensure!(!arguments.end, "--end requires --target");
             Ok(node_context(settings).drain(node).await)
         }
         _ => Err(eyre::eyre!("drain needs either --target or --node")),
@@ -253,7 +253,7 @@
     let mut token = String::new();
     io::stdin().read_line(&mut token)?;
     let token = token.trim_end_matches(['\r', '\n']);
-    ensure!(!token.is_empty(), "the token is read from standard input");
+    ensure!(!token.is_empty(), "no token on standard input");
     Ok(CommandReport::Token(TokenReport {
         token_hash: team::hash_token(token),
     }))
@@ -264,7 +264,7 @@
     serde_json::from_str(&text).wrap_err_with(|| path.display().to_string())
 }
 
-/// Shows a round of the wait on standard error, so that standard output has the result alone.
+/// Prints the progress of a wait to standard error, so that standard output holds only the result.
 fn show_progress(report: &InForceReport) {
     eprintln!(
         "in force on {} of {}",
--- a/alderhaven-ctl/src/change_plan.rs
+++ b/alderhaven-ctl/src/change_plan.rs
@@ -1,4 +1,7 @@
-//! What a publication would change, against the versions that the operator has seen.
+//! The difference between configuration files and the store, as a plan for a publication.
+//!
+//! A plan records the stored versions that it was made from, so that publishing it can't overwrite
+//! content that the operator has not reviewed.
 
 use std::collections::BTreeMap;
 
@@ -13,38 +16,38 @@
 use crate::publish_outcome::PublishOutcome;
 use crate::retry_options::RetryOptions;
 
-/// A `ChangePlan` is an ordered set of changes.
+/// Changes in the order of their publication.
 ///
-/// Written to a file by `diff --plan` and read by `publish --plan`, it ties a publication to the
-/// difference that its operator has looked at.
+/// `diff --plan` writes it to a file and `publish --plan` reads it, so that exactly the reviewed
+/// difference is published.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangePlan {
-    /// The changes in the order in which they are published.
+    /// Sorted by kind: manifests, teams, templates, then all other kinds.
     pub changes: Vec<PlannedChange>,
 }
 
-/// A `PlannedChange` is one object with the content that was seen and the one to publish.
+/// The change of one object, from the stored content to the content to publish.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedChange {
-    /// The object.
+    /// The object to write.
     pub key: ObjectKey,
-    /// What the store held; none where it held nothing.
+    /// The object as read from the store, possibly a tombstone; `None` if it was absent.
     #[serde(rename = "seen")]
     pub observed: Option<StoredObject>,
-    /// The JSON text to publish; none to delete the object.
+    /// The JSON text to publish; `None` deletes the object.
     pub body: Option<String>,
 }
 
 impl ChangePlan {
-    /// Compares objects with what the store holds.
+    /// Compares objects with the store.
     ///
-    /// Manifests come first and templates last, so that no template names a team which is not
-    /// published yet.
+    /// Teams are ordered before templates, so that no template names a team that is not published
+    /// yet.
     ///
     /// # Errors
-    /// The store's error; nothing was written.
+    /// The error of the failed read; nothing is written.
     pub async fn build<S: ObjectStore>(
         store: &S,
         objects: &[ObjectFile],
@@ -65,7 +68,7 @@
                     observed: Some(observed),
                     body,
                 },
-                // A list leaves tombstones out.
+                // Lists omit tombstones, whose version the write must name.
                 None => PlannedChange::build(store, object.key.clone(), body, options).await?,
             };
             changes.push(change);
@@ -74,9 +77,9 @@
         Ok(Self { changes })
     }
 
-    /// Gets the changes that would replace another operator's latest publication.
+    /// Gets the changes that would replace content written by someone other than `operator`.
     ///
-    /// Their difference has to be looked at before they are published.
+    /// Such changes must be reviewed before they are published.
     #[must_use]
     pub fn replacing_other_operators(&self, operator: &OperatorName) -> Vec<&PlannedChange> {
         self.changes
@@ -87,10 +90,10 @@
 }
 
 impl PlannedChange {
-    /// Compares one content with what the store holds.
+    /// Reads the stored object and plans to replace its content by `body`.
     ///
     /// # Errors
-    /// The store's error; nothing was written.
+    /// The error of the failed read; nothing is written.
     pub async fn build<S: ObjectStore>(
         store: &S,
         key: ObjectKey,
@@ -105,10 +108,10 @@
         })
     }
 
-    /// Gets the version that was seen, 0 for none; the write demands it.
+    /// Gets the version that the conditional write expects, 0 if the object was absent.
     ///
-    /// A tombstone's own version is demanded too: a late copy of the write could otherwise bring
-    /// back an object that was created and deleted meanwhile.
+    /// For a tombstone it is the tombstone's version. With 0 a delayed duplicate of the write could
+    /// restore an object that has been created and deleted meanwhile.
     #[must_use]
     pub fn observed_version(&self) -> StoreVersion {
         self.observed
@@ -117,16 +120,17 @@
             .unwrap_or_default()
     }
 
-    /// Returns true where the store holds the content already.
+    /// Returns `true` if the store already held the content to publish.
     #[must_use]
     pub fn is_unchanged(&self) -> bool {
         self.field_changes().is_empty() && self.observed_body().is_some() == self.body.is_some()
     }
 
-    /// Gets the outcome of a change that met another content than the one that was seen.
+    /// Gets the outcome of a write that failed because the object is no longer at the observed
+    /// version.
     ///
-    /// Where that is the very content to publish, nothing is left to do: a plan was published
-    /// twice, or two operators made the same change.
+    /// The object counts as unchanged if it already has the content to publish: the plan was
+    /// published twice, or two operators made the same change.
     #[must_use]
     pub fn conflict_outcome(&self, current: Option<StoredObject>) -> PublishOutcome {
         let body = current.as_ref().and_then(|current| current.body.as_deref());
@@ -140,13 +144,13 @@
         }
     }
 
-    /// Gets the fields that differ between what was seen and what is published.
+    /// Gets the fields that differ between the observed content and the content to publish.
     #[must_use]
     pub fn field_changes(&self) -> Vec<FieldChange> {
         FieldChange::between(self.observed_body(), self.body.as_deref())
     }
 
-    /// Gets the JSON text that was seen; none where the store held nothing or a tombstone.
+    /// Gets the observed JSON text; `None` for an absent object or a tombstone.
     #[must_use]
     pub fn observed_body(&self) -> Option<&str> {
         self.observed.as_ref()?.body.as_deref()
--- a/alderhaven-ctl/src/command_report.rs
+++ b/alderhaven-ctl/src/command_report.rs
@@ -1,4 +1,4 @@
-//! What commands tell: one JSON document or a text for people, and the exit status.
+//! The results of commands, printed as one JSON document or as text, and their exit status.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,133 +16,135 @@
 use crate::object_history::ObjectHistory;
 use crate::publish_outcome::{self, PublishOutcome};
 
-/// A `CommandReport` is the result of one command.
+/// The result of one command; its JSON form carries the variant in the field `command`.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 pub enum CommandReport {
-    /// Of `check`, and of `diff` and `publish` where files are refused.
+    /// Result of `check`, and of `diff` and `publish` if files are invalid.
     Check(CheckReport),
-    /// Of `diff`.
+    /// Result of `diff`.
     Diff(DiffReport),
-    /// Of `publish`, `rollback` and the drain of a target.
+    /// Result of `publish`, `rollback` and `drain --target`.
     Publish(PublishReport),
-    /// Of `status`.
+    /// Result of `status`.
     Status(StatusReport),
-    /// Of `members`, `dump` and the drain of a node.
+    /// Result of `members`, `dump` and `drain --node`.
     Nodes(NodesReport),
-    /// Of `history`.
+    /// Result of `history`.
     History(HistoryReport),
-    /// Of `hash-token`.
+    /// Result of `hash-token`.
     Token(TokenReport),
-    /// Of a command that could not begin.
+    /// Result of a command that failed before it took effect.
     Failure(FailureReport),
 }
 
-/// A `DiffReport` lists what a publication would change.
+/// The changes that publishing the files would make.
 #[derive(Clone, Debug, Serialize)]
 pub struct DiffReport {
-    /// The changes.
+    /// One entry for each file, in the order of publication, unchanged objects included.
     pub changes: Vec<ChangeReport>,
 }
 
-/// A `ChangeReport` is one change in words.
+/// The change of one object, for the operator's review.
 #[derive(Clone, Debug, Serialize)]
 pub struct ChangeReport {
-    /// The object.
+    /// The object to change.
     pub key: ObjectKey,
-    /// Who wrote the content that the store holds; none where it holds nothing.
+    /// The writer of the stored object; `None` if the object is not stored.
     pub stored_by: Option<String>,
-    /// The fields that differ.
+    /// The fields that differ from the stored content.
     pub fields: Vec<FieldChange>,
-    /// Whether nothing would change.
+    /// Whether the store already holds the content.
     pub unchanged: bool,
 }
 
-/// A `PublishReport` lists what became of each publication.
+/// The outcomes of a command's publications.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct PublishReport {
-    /// The publications in their order.
+    /// The attempted publications in the order of the plan; empty if `unreviewed` is not.
     pub publications: Vec<PublicationReport>,
-    /// Changes that replace another operator's publication and were not looked at; if there are
-    /// any, nothing was published.
+    /// Changes that would replace another operator's content without review. If there are any,
+    /// nothing is published.
     #[serde(rename = "unseen")]
     pub unreviewed: Vec<ChangeReport>,
-    /// The nodes' progress, where it was waited for.
+    /// The state of the nodes at the end of the wait; `None` without a wait.
     pub in_force: Option<InForceReport>,
 }
 
-/// A `PublicationReport` is what became of one object.
+/// The outcome of publishing one object.
 #[derive(Clone, Debug, Serialize)]
 pub struct PublicationReport {
-    /// The object.
+    /// The published object.
     pub key: ObjectKey,
-    /// What became of it.
+    /// Flattened into the JSON of the report.
     #[serde(flatten)]
     pub outcome: PublishOutcome,
-    /// After a lost race: what the winner changed against the content that was seen.
+    /// After a conflict: the fields that the other publication changed relative to the observed
+    /// content.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub winner_changed: Vec<FieldChange>,
 }
 
-/// A `StatusReport` lists the nodes and, where asked for, objects.
+/// The status of the nodes and, on request, whether objects are in force on them.
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusReport {
-    /// The nodes' answers.
+    /// One entry for each configured node.
     pub nodes: Vec<NodeAnswer<NodeStatus>>,
-    /// The progress of the nodes towards the store's versions of the objects that were asked for.
+    /// Whether the stored versions of the requested objects are in force; `None` if no objects were
+    /// requested.
     pub in_force: Option<InForceReport>,
 }
 
-/// A `NodesReport` lists what nodes answered.
+/// The JSON answers of nodes, such as their members or dumps.
 #[derive(Clone, Debug, Serialize)]
 pub struct NodesReport {
-    /// The nodes' answers.
+    /// One entry for each node that was called.
     pub nodes: Vec<NodeAnswer<Value>>,
 }
 
-/// A `NodeAnswer` is what one node answered, or why it did not.
+/// The answer of one node, or the error of the call.
 #[derive(Clone, Debug, Serialize)]
 pub struct NodeAnswer<T> {
-    /// The operator address.
+    /// The operator address that was called.
     pub address: SocketAddr,
-    /// The answer.
+    /// Set if the call succeeded.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub answer: Option<T>,
-    /// Why there is none.
+    /// The reason of the failure, if the call failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
 }
 
-/// A `HistoryReport` is an object with its earlier contents.
+/// An object with its earlier contents.
 #[derive(Clone, Debug, Serialize)]
 pub struct HistoryReport {
-    /// The object.
+    /// The key of the object itself, not of its history.
     pub key: ObjectKey,
-    /// What the store holds.
+    /// The stored object or tombstone; `None` if it is absent.
     pub current: Option<StoredObject>,
-    /// The earlier contents.
+    /// Flattened into the JSON of the report.
     #[serde(flatten)]
     pub history: ObjectHistory,
 }
 
-/// A `TokenReport` is the hash of a bearer token.
+/// The hash of a bearer token.
 #[derive(Clone, Debug, Serialize)]
 pub struct TokenReport {
-    /// What a team's file holds.
+    /// The value for the field `token_hash` of a team's file.
     pub token_hash: String,
 }
 
-/// A `FailureReport` says why a command could not do its work; nothing took effect.
+/// The failure of a command that had no effect.
 #[derive(Clone, Debug, Serialize)]
 pub struct FailureReport {
-    /// Why.
+    /// The message for the operator.
     pub reason: String,
-    /// The exit status.
+    /// The exit status that the failure maps to.
     pub status: ExitStatus,
 }
 
 impl CommandReport {
-    /// Returns the report of a command that could not begin.
+    /// Returns the report of a command that failed before it took effect.
     pub fn failure(status: ExitStatus, reason: impl fmt::Display) -> Self {
         Self::Failure(FailureReport {
             reason: reason.to_string(),
@@ -150,7 +152,7 @@
         })
     }
 
-    /// Gets the exit status.
+    /// Gets the exit status that `alderctl` ends with.
     #[must_use]
     pub fn exit_status(&self) -> ExitStatus {
         match self {
@@ -209,7 +211,7 @@
 }
 
 impl DiffReport {
-    /// Returns the report of a plan.
+    /// Reports every change of a plan.
     #[must_use]
     pub fn from_plan(plan: &ChangePlan) -> Self {
         Self {
@@ -219,7 +221,7 @@
 }
 
 impl ChangeReport {
-    /// Returns the report of one change.
+    /// Reports one change with the fields that differ.
     #[must_use]
     pub fn from_change(change: &PlannedChange) -> Self {
         Self {
@@ -232,7 +234,7 @@
 }
 
 impl PublicationReport {
-    /// Returns the report of one publication.
+    /// Reports the outcome of one change, after a conflict with the other publication's changes.
     #[must_use]
     pub fn from_outcome(change: &PlannedChange, outcome: PublishOutcome) -> Self {
         let winner_changed = match &outcome {
@@ -250,7 +252,7 @@
 }
 
 impl<T> NodeAnswer<T> {
-    /// Returns the answer of a node.
+    /// Converts the result of a call to `address`.
     pub fn from_result<E: fmt::Display>(address: SocketAddr, answer: Result<T, E>) -> Self {
         match answer {
             Ok(answer) => Self {
--- a/alderhaven-ctl/src/commands.rs
+++ b/alderhaven-ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that talk to the store, over any store and any way to ask nodes.
+//! The commands that access the store, generic over the store and the node probe.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -22,24 +22,25 @@
 use crate::publisher::ObjectPublisher;
 use crate::retry_options::RetryOptions;
 
-/// A `CommandContext` is what the commands that talk to the store share.
+/// The dependencies and options of commands that access the store.
 pub struct CommandContext<S, P> {
     /// The platform's object API.
     pub store: S,
-    /// The nodes.
+    /// The nodes to probe after a publication.
     pub nodes: NodeContext<P>,
-    /// The operator on whose behalf the command runs.
+    /// The operator who is recorded as the writer of publications.
     pub operator: OperatorName,
-    /// How long calls to the store are tried.
+    /// The retries of failed calls to the store.
     pub retry_options: RetryOptions,
-    /// Whether and how long to wait until publications are in force.
+    /// How long to wait until publications are in force; `None` doesn't wait.
     pub wait_options: Option<WaitOptions>,
 }
 
 impl<S: ObjectStore, P: NodeProbe> CommandContext<S, P> {
-    /// Compares files with the store; returns the plan for `publish --plan` beside the report.
+    /// Compares files with the store and returns the report with the plan for `publish --plan`.
     ///
-    /// The plan leaves out what is unchanged: by the time it is published that may be so no more.
+    /// The plan omits unchanged objects, since others may change them before it is published. It is
+    /// `None` if the files are invalid or the store can't be read.
     pub async fn diff(&self, paths: &[PathBuf]) -> (CommandReport, Option<ChangePlan>) {
         match self.build_plan(paths).await {
             Ok(mut plan) => {
@@ -51,7 +52,9 @@
         }
     }
 
-    /// Publishes files, unless one would replace another operator's publication unreviewed.
+    /// Publishes files, or nothing if one of them would replace another operator's content.
+    ///
+    /// `on_progress` is called after each round of the wait.
     pub async fn publish(
         &self,
         paths: &[PathBuf],
@@ -75,7 +78,7 @@
         self.publish_plan(&plan, on_progress).await
     }
 
-    /// Publishes a plan whose difference was looked at.
+    /// Publishes the changes of a reviewed plan one by one; a failed one doesn't stop the others.
     pub async fn publish_plan(
         &self,
         plan: &ChangePlan,
@@ -110,7 +113,7 @@
         })
     }
 
-    /// Publishes an earlier content of an object again.
+    /// Publishes the content that an object had at `version`, as a new version.
     pub async fn rollback(
         &self,
         key: &ObjectKey,
@@ -135,7 +138,7 @@
             .await
     }
 
-    /// Gets an object with its earlier contents.
+    /// Gets an object with the earlier contents that its history keeps.
     pub async fn history(&self, key: &ObjectKey) -> CommandReport {
         match self.read_history(key).await {
             Ok(report) => CommandReport::History(report),
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Publishes that a target drains, or with `should_end` that it no longer does.
+    /// Publishes the drain of a target, or deletes it if `should_end` is set.
     pub async fn drain_target(
         &self,
         target: &TargetId,
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Gets the nodes' status, and whether the store's versions of `keys` are in force on them.
+    /// Gets the nodes' status and whether the stored versions of `keys` are in force on them.
     pub async fn status(&self, keys: &[ObjectKey]) -> CommandReport {
         let wanted = match self.stored_versions(keys).await {
             Ok(wanted) => wanted,
--- a/alderhaven-ctl/src/exit_status.rs
+++ b/alderhaven-ctl/src/exit_status.rs
@@ -1,29 +1,29 @@
-//! The exit codes of `alderctl`, so that a job can tell what became of its command.
+//! The exit codes of `alderctl`, by which scripts tell the outcomes of commands apart.
 
 use std::process::ExitCode;
 
 use serde::Serialize;
 
-/// An `ExitStatus` is the closed set of results of a command, from the best to the worst.
+/// The result of a command, ordered from best to worst.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitStatus {
-    /// 0: everything that was asked for is done.
+    /// 0: the command succeeded.
     Done,
-    /// 1: something failed, and nothing took effect.
+    /// 1: a call to the store or a node failed; the publications concerned were not written.
     Failed,
-    /// 2: arguments, settings or files are refused.
+    /// 2: arguments, settings or files are invalid.
     Invalid,
-    /// 3: published, and not in force on every node within the wait.
+    /// 3: published, but not in force on every node within the wait.
     Lagging,
-    /// 4: another operator's publication came first or has not been looked at.
+    /// 4: another operator's publication came first or has not been reviewed.
     Conflict,
-    /// 5: it is unknown whether a publication took effect.
+    /// 5: a publication may or may not have taken effect.
     Unknown,
 }
 
 impl ExitStatus {
-    /// Gets the exit code.
+    /// Gets the process exit code.
     #[must_use]
     pub const fn code(self) -> u8 {
         match self {
--- a/alderhaven-ctl/src/field_change.rs
+++ b/alderhaven-ctl/src/field_change.rs
@@ -1,4 +1,4 @@
-//! The difference between two contents of an object, field by field.
+//! The field-by-field difference between two JSON contents of an object.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,19 +6,19 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A `FieldChange` is one field that two contents do not share.
+/// One field whose value differs between two contents.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct FieldChange {
-    /// The field's path, for example `parameters.title.default`.
+    /// The dot-separated path, for example `parameters.title.default`.
     pub field: String,
-    /// The value in the old content, none where it lacks the field.
+    /// The value in the old content; `None` if the field is absent.
     pub old: Option<Value>,
-    /// The value in the new content, none where it lacks the field.
+    /// The value in the new content; `None` if the field is absent.
     pub new: Option<Value>,
 }
 
 impl FieldChange {
-    /// Gets all fields that differ between two JSON texts; none stands for no object.
+    /// Gets the fields that differ between two JSON texts, sorted by path; `None` has no fields.
     #[must_use]
     pub fn between(old: Option<&str>, new: Option<&str>) -> Vec<Self> {
         let (old, new) = (flatten_fields(old), flatten_fields(new));
@@ -56,7 +56,7 @@
     }
 }
 
-/// Gets the leaves of a JSON object by path; a text that is no JSON is one leaf.
+/// Gets the leaves of a JSON object by path; a text that isn't JSON is a single leaf.
 fn flatten_fields(text: Option<&str>) -> BTreeMap<String, Value> {
     let mut fields = BTreeMap::new();
     if let Some(text) = text {
--- a/alderhaven-ctl/src/file_check.rs
+++ b/alderhaven-ctl/src/file_check.rs
@@ -1,4 +1,4 @@
-//! The offline check of a set of files: each by itself, then against each other.
+//! Checks configuration files, each on its own and then against each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -12,23 +12,23 @@
 use crate::file_problem::FileProblem;
 use crate::object_file::{self, ObjectFile};
 
-/// How deep folders are followed, which ends a loop of links.
+/// Nesting depth of folders, which bounds the walk through a loop of symbolic links.
 const MAX_FOLDER_DEPTH: usize = 8;
 
-/// A `CheckReport` holds the objects that were read and everything that is wrong with them.
+/// The objects of a set of files and all problems found in them.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct CheckReport {
-    /// The objects that could be read, in the order of their keys.
+    /// The objects that could be read, sorted by key, including those with problems.
     #[serde(skip)]
     pub objects: Vec<ObjectFile>,
     /// The number of files that were read.
     pub files: usize,
-    /// Everything that is wrong.
+    /// Sorted by file and line.
     pub problems: Vec<FileProblem>,
 }
 
 impl CheckReport {
-    /// Reads and checks all YAML files at or below the paths, except for the teams they name.
+    /// Reads and checks all YAML files at or below the paths, but not the teams that they name.
     #[must_use]
     pub fn read(paths: &[PathBuf]) -> Self {
         let mut report = Self::default();
@@ -38,9 +38,10 @@
         }
         if files.is_empty() && report.problems.is_empty() {
             let first = paths.first().map_or(Path::new("."), PathBuf::as_path);
-            report
-                .problems
-                .push(FileProblem::for_file(first, "no YAML file is at this path"));
+            report.problems.push(FileProblem::for_file(
+                first,
+                "no YAML file found at this path",
+            ));
         }
         report.files = files.len();
         for file in &files {
@@ -58,7 +59,7 @@
         report
     }
 
-    /// Checks the files by themselves, and the teams against these files alone.
+    /// Reads and checks all YAML files, and the teams that they name against these files only.
     #[must_use]
     pub fn read_offline(paths: &[PathBuf]) -> Self {
         let mut report = Self::read(paths);
@@ -66,13 +67,13 @@
         report
     }
 
-    /// Returns true where nothing is wrong.
+    /// Returns `true` if there are no problems.
     #[must_use]
     pub const fn is_clean(&self) -> bool {
         self.problems.is_empty()
     }
 
-    /// Two files with one key would overwrite each other in the order of reading.
+    /// Reports files with the same key, which would overwrite each other.
     fn check_unique_keys(&mut self) {
         let mut first_files: BTreeMap<&ObjectKey, &ObjectFile> = BTreeMap::new();
         let mut problems = Vec::new();
@@ -91,9 +92,9 @@
         self.problems.extend(problems);
     }
 
-    /// Checks that the teams which templates name are known here or in `published`.
+    /// Checks that the teams named by templates exist in these files or in `published`.
     ///
-    /// Without any known team nothing can be said, and nothing is.
+    /// If neither has any team, the check is skipped.
     pub fn check_teams(&mut self, published: &BTreeSet<String>) {
         let known_teams: BTreeSet<&str> = self
             .objects
@@ -154,7 +155,7 @@
         return;
     }
     if depth == 0 {
-        problems.push(FileProblem::for_file(path, "folders are nested too deep"));
+        problems.push(FileProblem::for_file(path, "folders are nested too deeply"));
         return;
     }
     let entries = match fs::read_dir(path) {
--- a/alderhaven-ctl/src/file_problem.rs
+++ b/alderhaven-ctl/src/file_problem.rs
@@ -1,22 +1,22 @@
-//! One thing that is wrong with a file, with its line where that is known.
+//! A problem found in a configuration file, with its line where that is known.
 
 use std::fmt;
 use std::path::Path;
 
 use serde::Serialize;
 
-/// A `FileProblem` says which value of a file is refused and what is allowed.
+/// A problem in a file, displayed as `path:line: field: reason`.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct FileProblem {
-    /// The file as it was given.
+    /// The path of the file, from the paths on the command line.
     pub path: String,
     /// The line, counted from 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub line: Option<usize>,
-    /// The field's path within the object.
+    /// The dot-separated path of the field within the object.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// What is wrong and what is allowed.
+    /// What is wrong and, for a value, what is allowed.
     pub reason: String,
 }
 
--- a/alderhaven-ctl/src/in_force.rs
+++ b/alderhaven-ctl/src/in_force.rs
@@ -1,4 +1,7 @@
-//! Whether publications are in force on all nodes, and who lags.
+//! Probes nodes until published versions are in force on all of them.
+//!
+//! A node reports the store revision up to which every change is in force, and the objects that it
+//! rejected. It has a publication in force once that revision reaches the published version.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,19 +17,19 @@
 use crate::node_probe::NodeProbe;
 use crate::node_status::NodeStatus;
 
-/// The most nodes that are asked at a time: the operator's host makes one connection for each.
+/// Bounds the connections that the operator's host opens at a time, one for each probed node.
 const MAX_CONCURRENT_PROBES: usize = 64;
-/// The default pause between rounds.
+/// The default of [`WaitOptions::poll_interval`].
 pub const DEFAULT_POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
-/// The default wait. The users ask for 9 s; a node that restarts meanwhile needs some more.
+/// The default of [`WaitOptions::limit`], which leaves time for a node to restart.
 pub const DEFAULT_WAIT_LIMIT: TimeSpan = TimeSpan::from_secs(30);
 
-/// The `WaitOptions` say how long and how often nodes are asked.
+/// How long and how often nodes are probed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WaitOptions {
-    /// The pause between rounds.
+    /// The pause between rounds of probes.
     pub poll_interval: TimeSpan,
-    /// The time after which the wait ends; zero asks once.
+    /// The time after which the wait ends; zero probes each node once.
     pub limit: TimeSpan,
 }
 
@@ -39,61 +42,61 @@
     }
 }
 
-/// A `WantedVersion` is a version of an object that nodes should have in force, or a later one.
+/// The lowest version of an object that nodes should have in force.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct WantedVersion {
-    /// The object.
+    /// The published object.
     pub key: ObjectKey,
-    /// The version.
+    /// The object's version in the store, 0 if it is absent.
     pub version: StoreVersion,
 }
 
-/// A `NodeProgress` says how far a node is.
+/// The state of one node relative to the wanted versions.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(tag = "progress", rename_all = "snake_case")]
 pub enum NodeProgress {
-    /// All wanted versions, or later ones, are in force.
+    /// The node has all wanted versions, or later ones, in force.
     InForce,
-    /// Changes up to an earlier revision of the store are in force, or none.
+    /// The node has only changes up to an earlier store revision in force.
     Behind {
-        /// The revision.
+        /// That revision; `None` if the node has no configuration yet.
         revision: Option<StoreVersion>,
     },
-    /// The node refuses the content and keeps an earlier one.
+    /// The node rejects a wanted version and keeps earlier content in force.
     Rejected {
-        /// The object.
+        /// The rejected object.
         key: ObjectKey,
-        /// What the node finds wrong with it.
+        /// The node's reasons.
         errors: Vec<String>,
     },
-    /// The node does not answer.
+    /// The probe failed, or the node has not been probed yet.
     Silent {
-        /// Why.
+        /// The error of the probe.
         reason: String,
     },
 }
 
-/// A `NodeReport` is the progress of one node.
+/// The latest known state of one node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct NodeReport {
-    /// The operator address.
+    /// The operator address that is probed.
     pub address: SocketAddr,
-    /// The node's name, where it ever answered.
+    /// The node's name; `None` if it has never answered.
     pub node: Option<NodeId>,
-    /// How far it is.
+    /// Flattened into the JSON of the report.
     #[serde(flatten)]
     pub progress: NodeProgress,
 }
 
-/// An `InForceReport` is the progress of all nodes.
+/// The latest known state of all nodes.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct InForceReport {
-    /// The nodes in the order in which they were given.
+    /// In the order of the configured addresses.
     pub nodes: Vec<NodeReport>,
 }
 
 impl NodeProgress {
-    /// Judges a node by its status.
+    /// Compares a node's status with the wanted versions; a rejection takes precedence.
     #[must_use]
     pub fn evaluate(status: &NodeStatus, wanted: &[WantedVersion]) -> Self {
         for expected in wanted {
@@ -111,7 +114,7 @@
             }
         }
         let revision = status.config.revision;
-        // Every change up to the revision is in force, so the newest wanted version decides.
+        // Every change up to the revision is in force, so comparing the newest version suffices.
         let newest = wanted.iter().map(|expected| expected.version).max();
         if newest.is_none() || revision >= newest {
             Self::InForce
@@ -122,7 +125,7 @@
 }
 
 impl InForceReport {
-    /// Gets the number of nodes with everything in force.
+    /// Counts the nodes that have all wanted versions in force.
     #[must_use]
     pub fn in_force_count(&self) -> usize {
         self.nodes
@@ -131,13 +134,14 @@
             .count()
     }
 
-    /// Returns true where everything is in force on every node.
+    /// Returns `true` if all wanted versions are in force on every node.
     #[must_use]
     pub fn is_in_force_everywhere(&self) -> bool {
         self.in_force_count() == self.nodes.len()
     }
 
-    /// Returns true where more waiting changes nothing: every node that lags refuses the content.
+    /// Returns `true` if waiting longer is pointless: every node either has all wanted versions in
+    /// force or rejects one.
     #[must_use]
     pub fn is_final(&self) -> bool {
         self.nodes.iter().all(|report| {
@@ -190,9 +194,10 @@
     }
 }
 
-/// Asks the nodes until everything is in force everywhere, waiting is of no use or the time is up.
+/// Probes the nodes in rounds until the report is final or the time limit has passed.
 ///
-/// A node that has everything in force is not asked again. `on_progress` is called after each round.
+/// Nodes that have all wanted versions in force are not probed again. `on_progress` is called after
+/// each round.
 pub async fn wait_until_in_force<P: NodeProbe>(
     probe: &Arc<P>,
     nodes: &[SocketAddr],
@@ -223,7 +228,7 @@
             address,
             node: None,
             progress: NodeProgress::Silent {
-                reason: "not asked yet".to_owned(),
+                reason: "not probed yet".to_owned(),
             },
         }
     }
--- a/alderhaven-ctl/src/lib.rs
+++ b/alderhaven-ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! What `alderctl` does: files are checked, compared with the store, published and followed.
+//! The commands of `alderctl`: checking configuration files, comparing them with the store,
+//! publishing them and following them until every node has them in force.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-ctl/src/line_index.rs
+++ b/alderhaven-ctl/src/line_index.rs
@@ -1,9 +1,9 @@
-//! Finds the line of a field in a YAML text, so that a refused value is named with its line.
+//! Finds the line of a field in a YAML text, for error messages about its value.
 
-/// Gets the line, counted from 1, of the deepest part of `field` that the text has.
+/// Gets the line, counted from 1, of the deepest segment of `field` that the text contains.
 ///
-/// A field is a path such as `parameters.title`. The search follows the indentation of block
-/// mappings; a path that goes on within a flow mapping (`{…}`) ends at the line of that mapping.
+/// `field` is a path such as `parameters.title`. The search follows the indentation of block
+/// mappings; for a path into a flow mapping (`{…}`) it yields the line of that mapping.
 #[must_use]
 pub fn field_line(text: &str, field: &str) -> Option<usize> {
     let lines: Vec<&str> = text.lines().collect();
@@ -21,7 +21,8 @@
     found
 }
 
-/// Finds `key` among the children of the mapping that begins at `start`.
+/// Finds `key` among the children of the mapping that begins at line `start`, and returns its line,
+/// counted from 0, and its indentation.
 fn find_key(
     lines: &[&str],
     start: usize,
@@ -38,7 +39,7 @@
         if parent_indent.is_some_and(|parent| indent <= parent) {
             return None;
         }
-        // Only direct children count: a deeper line belongs to a key between.
+        // Lines indented deeper than the first child belong to nested mappings.
         let is_child = indent == *child_indent.get_or_insert(indent);
         if is_child && mapping_key(content) == Some(key) {
             return Some((line, indent));
--- a/alderhaven-ctl/src/node_commands.rs
+++ b/alderhaven-ctl/src/node_commands.rs
@@ -1,4 +1,4 @@
-//! The commands that only ask nodes and need no store.
+//! The commands that call only nodes, not the store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 use crate::node_probe::NodeProbe;
 use crate::node_status::NodeStatus;
 
-/// A `NodeContext` is the nodes and the way to ask them.
+/// The nodes and the client that calls them.
 #[derive(Debug)]
 pub struct NodeContext<P> {
-    /// The way to ask nodes.
+    /// The client, shared with the tasks of concurrent probes.
     pub probe: Arc<P>,
-    /// The operator addresses of the nodes.
+    /// The operator addresses of all nodes.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl<P: NodeProbe> NodeContext<P> {
-    /// Gets the nodes' status.
+    /// Reports the status of all nodes.
     pub async fn status(&self) -> CommandReport {
         CommandReport::Status(StatusReport {
             nodes: self.statuses().await,
@@ -28,7 +28,7 @@
         })
     }
 
-    /// Gets the whole state of each node.
+    /// Reports the internal state of all nodes.
     pub async fn dump(&self) -> CommandReport {
         let mut nodes = Vec::with_capacity(self.addresses.len());
         for address in self.addresses.iter().copied() {
@@ -40,15 +40,15 @@
         CommandReport::Nodes(NodesReport { nodes })
     }
 
-    /// Gets the members that each node knows, from its dump.
+    /// Reports the group members that each node knows, taken from its dump.
     pub async fn members(&self) -> CommandReport {
         let mut nodes = Vec::with_capacity(self.addresses.len());
         for address in self.addresses.iter().copied() {
             let answer = match self.probe.dump(address).await {
                 Ok(Value::Object(mut dump)) => dump
                     .remove("members")
-                    .ok_or_else(|| "its dump has no members".to_owned()),
-                Ok(_) => Err("its dump is no JSON object".to_owned()),
+                    .ok_or_else(|| "the dump has no field `members`".to_owned()),
+                Ok(_) => Err("the dump is not a JSON object".to_owned()),
                 Err(error) => Err(error.reason),
             };
             nodes.push(NodeAnswer::from_result(address, answer));
@@ -56,7 +56,7 @@
         CommandReport::Nodes(NodesReport { nodes })
     }
 
-    /// Starts the planned stop of a node.
+    /// Starts the graceful shutdown of the node at `address`.
     pub async fn drain(&self, address: SocketAddr) -> CommandReport {
         let answer = self.probe.drain(address).await;
         let answer = answer.map(|()| serde_json::json!({ "draining": true }));
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Gets each node's status, or why it told none.
+    /// Gets the status of all nodes, one after the other.
     pub async fn statuses(&self) -> Vec<NodeAnswer<NodeStatus>> {
         let mut nodes = Vec::with_capacity(self.addresses.len());
         for address in self.addresses.iter().copied() {
@@ -77,7 +77,8 @@
         nodes
     }
 
-    /// Waits until the versions are in force on all nodes.
+    /// Waits until the versions are in force on all nodes, as [`in_force::wait_until_in_force`]
+    /// does.
     pub async fn wait_until_in_force(
         &self,
         wanted: &[WantedVersion],
--- a/alderhaven-ctl/src/node_probe.rs
+++ b/alderhaven-ctl/src/node_probe.rs
@@ -1,4 +1,4 @@
-//! The edge towards the nodes' operator addresses.
+//! The interface to the operator endpoints of nodes.
 
 use std::fmt;
 use std::future::Future;
@@ -8,15 +8,15 @@
 
 use crate::node_status::NodeStatus;
 
-/// A `ProbeError` says why a node did not tell what it was asked.
+/// The failure of a call to a node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ProbeError {
-    /// What happened.
+    /// The message for the operator.
     pub reason: String,
 }
 
 impl ProbeError {
-    /// Returns an error with its cause.
+    /// Returns an error with the text of its cause.
     pub fn new(reason: impl fmt::Display) -> Self {
         Self {
             reason: reason.to_string(),
@@ -32,17 +32,17 @@
 
 impl std::error::Error for ProbeError {}
 
-/// A `ProbeResult` is what a node answered.
+/// The result of a call to a node.
 pub type ProbeResult<T> = Result<T, ProbeError>;
 
-/// A `NodeProbe` asks nodes at their operator addresses.
+/// Calls nodes at their operator addresses.
 pub trait NodeProbe: Send + Sync + 'static {
-    /// Gets a node's status.
+    /// Gets the identity and the configuration status of a node.
     fn status(&self, node: SocketAddr) -> impl Future<Output = ProbeResult<NodeStatus>> + Send;
 
-    /// Gets the whole state of a node.
+    /// Gets the internal state of a node.
     fn dump(&self, node: SocketAddr) -> impl Future<Output = ProbeResult<Value>> + Send;
 
-    /// Starts the planned stop of a node.
+    /// Starts the graceful shutdown of a node.
     fn drain(&self, node: SocketAddr) -> impl Future<Output = ProbeResult<()>> + Send;
 }
--- a/alderhaven-ctl/src/node_status.rs
+++ b/alderhaven-ctl/src/node_status.rs
@@ -1,48 +1,48 @@
-//! What a node tells operators of itself at its operator address, as far as `alderctl` reads it.
+//! The part of a node's status document that `alderctl` reads.
 
 use std::fmt;
 
 use alderhaven_core::ids::{FailureDomain, IncarnationNumber, NodeId, StoreVersion};
 use serde::{Deserialize, Serialize};
 
-/// A `NodeStatus` is the state of one node; members that a node does not tell are none.
+/// The identity and state of one node; optional fields are `None` if the node omits them.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The node.
+    /// The node's name.
     pub node: NodeId,
-    /// What the node does, `entry` or `relay`.
+    /// `entry` or `relay`.
     pub role: String,
     /// The failure domain that the node runs in.
     #[serde(default)]
     pub domain: Option<FailureDomain>,
-    /// The number of the node's start.
+    /// Distinguishes the node's process from earlier ones of the same name.
     #[serde(default)]
     pub incarnation: Option<IncarnationNumber>,
-    /// Whether the node stays.
+    /// The node's lifecycle state, such as whether it drains.
     #[serde(default)]
     pub state: Option<String>,
-    /// How far the node's configuration is.
+    /// The configuration that the node has in force.
     pub config: ConfigStatus,
 }
 
-/// A `ConfigStatus` says which configuration a node has in force.
+/// The configuration that a node has in force and the objects that it rejected.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ConfigStatus {
-    /// The store's revision up to which every change is in force, none before the first list.
+    /// The store revision up to which every change is in force; `None` before the first list.
     pub revision: Option<StoreVersion>,
-    /// The objects that do not check; earlier contents of them stay in force.
+    /// Invalid objects, whose earlier contents stay in force.
     #[serde(default)]
     pub rejected: Vec<RejectedStatus>,
 }
 
-/// A `RejectedStatus` is an object that a node refuses.
+/// An object that a node rejected.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RejectedStatus {
-    /// The object's key as text.
+    /// The object's key in its text form.
     pub key: String,
-    /// The version that is refused.
+    /// The rejected version.
     pub version: StoreVersion,
-    /// Everything that is wrong with it.
+    /// All reasons of the rejection.
     pub errors: Vec<String>,
 }
 
--- a/alderhaven-ctl/src/object_file.rs
+++ b/alderhaven-ctl/src/object_file.rs
@@ -1,4 +1,5 @@
-//! The files that operators keep in version control: one object a file, in a folder of its kind.
+//! Reads configuration objects from YAML files. Each file holds one object, and its folder is named
+//! after the object's kind.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -12,32 +13,32 @@
 use crate::file_problem::FileProblem;
 use crate::line_index;
 
-/// The largest object that is published, in bytes of JSON.
+/// The largest object that may be published, in bytes of JSON.
 ///
-/// A quarter of the platform's largest value, so that an object's history holds several of them.
+/// It is a quarter of the platform's value limit, so that a history can hold several contents.
 pub const MAX_OBJECT_BYTES: usize = 256 << 10;
 
-/// The folders of the kinds that have files.
+/// The folder names and the kinds of the objects in them.
 const KIND_FOLDERS: [(&str, ObjectKind); 3] = [
     ("templates", ObjectKind::Template),
     ("teams", ObjectKind::Team),
     ("manifests", ObjectKind::Manifest),
 ];
 
-/// An `ObjectFile` is one configuration object read from its file and checked by itself.
+/// One configuration object, read from its file and checked without reference to others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectFile {
-    /// The file.
+    /// The path that the object was read from.
     pub path: PathBuf,
-    /// The text as it was read.
+    /// The YAML text, kept to locate the lines of problems.
     pub text: String,
     /// The key under which the object is published.
     pub key: ObjectKey,
-    /// The checked content.
+    /// The parsed content; `problems` tells whether it is valid.
     pub content: ConfigObject,
     /// The JSON text that is published.
     pub body: String,
-    /// What is wrong with the content; an object with problems is not published.
+    /// Problems found in the content; an object with problems is not published.
     pub problems: Vec<FileProblem>,
 }
 
@@ -45,7 +46,7 @@
     /// Reads and checks one file.
     ///
     /// # Errors
-    /// The problem that keeps the file from being read as an object, with its line.
+    /// If the folder names no kind, or the file can't be read, is too large or can't be parsed.
     pub fn read(path: &Path) -> Result<Self, FileProblem> {
         let kind = folder_kind(path).ok_or_else(|| unknown_folder_problem(path))?;
         let size = fs::metadata(path).map_err(|error| FileProblem::for_file(path, error))?;
@@ -60,7 +61,7 @@
     /// Reads and checks a text as the content of `path`.
     ///
     /// # Errors
-    /// The problem that keeps the text from being read as an object, with its line.
+    /// If objects of the kind have no files or the text can't be parsed.
     pub fn read_text(path: &Path, kind: ObjectKind, text: String) -> Result<Self, FileProblem> {
         let (content, name, errors) = match kind {
             ObjectKind::Template => {
@@ -109,14 +110,14 @@
         })
     }
 
-    /// Returns a problem with a field of this file.
+    /// Returns a problem with a field of this file, with its line if the field is found.
     #[must_use]
     pub fn field_problem(&self, field: &str, reason: impl Into<String>) -> FileProblem {
         located_problem(&self.path, &self.text, Error::invalid(field, reason))
     }
 }
 
-/// Gets the kind that a file's folder names.
+/// Gets the kind of the objects in a file's folder.
 #[must_use]
 pub fn folder_kind(path: &Path) -> Option<ObjectKind> {
     let folder = path.parent()?.file_name()?.to_str()?;
@@ -125,18 +126,18 @@
         .find_map(|(name, kind)| (name == folder).then_some(kind))
 }
 
-/// Returns true where the file name ends as YAML files do.
+/// Returns `true` if the file name has the extension `yaml` or `yml`.
 #[must_use]
 pub fn is_yaml(path: &Path) -> bool {
     path.extension()
         .is_some_and(|extension| extension == "yaml" || extension == "yml")
 }
 
-/// Gets the JSON text that is published for a checked object.
+/// Gets the JSON text that is published for an object.
 #[must_use]
 pub fn json_body(content: &ConfigObject) -> String {
     fn to_json<T: Serialize>(value: &T) -> String {
-        serde_json::to_string(value).expect("the types of the vocabulary serialise")
+        serde_json::to_string(value).expect("configuration objects serialize to JSON")
     }
     match content {
         ConfigObject::Template(template) => to_json(template),
--- a/alderhaven-ctl/src/object_history.rs
+++ b/alderhaven-ctl/src/object_history.rs
@@ -1,41 +1,41 @@
-//! The earlier contents of one object, kept in an object of their own.
+//! The earlier contents of an object, stored in a separate history object.
 //!
-//! The platform's API keeps the newest content only. A publisher therefore records what it is about
-//! to replace before it replaces it: a history can name a version that is still the newest, but it
-//! never lacks one that a publisher replaced.
+//! The platform's API keeps only the newest content. A publisher therefore records the current
+//! content in the history before it replaces it. A history may contain a version that is still
+//! current, but is never missing a version that a publisher has just replaced.
 
 use alderhaven_core::config_object::{ObjectKey, ObjectKind, StoredObject};
 use alderhaven_core::errors::{Error, Result};
 use alderhaven_core::ids::StoreVersion;
 use serde::{Deserialize, Serialize};
 
-/// The most earlier contents that are kept of an object.
+/// Contents kept for one object.
 pub const MAX_HISTORY_ENTRIES: usize = 16;
-/// The most bytes of JSON of a history, below the platform's largest value of 1 MB.
+/// Bound of a history's JSON text, below the platform's value limit of 1 MB.
 pub const MAX_HISTORY_BYTES: usize = 900 << 10;
 
-/// An `ObjectHistory` holds the latest earlier contents of one object, oldest first.
+/// The most recent earlier contents of one object.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ObjectHistory {
-    /// The contents in the order of their versions.
+    /// Sorted by version, oldest first.
     pub entries: Vec<HistoryEntry>,
 }
 
-/// A `HistoryEntry` is one content that an object had.
+/// One earlier content of an object.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HistoryEntry {
     /// The store version that the content had.
     pub version: StoreVersion,
-    /// The write id under which it was written.
+    /// The id of the write that stored it, the text of a publication id if a publisher wrote it.
     pub write_id: String,
-    /// The JSON text; none where the object was deleted.
+    /// The JSON text; `None` if the version was a deletion.
     pub body: Option<String>,
 }
 
 impl ObjectHistory {
-    /// Gets the key of the history of an object.
+    /// Gets the key under which the history of the object `key` is stored.
     #[must_use]
     pub fn history_key(key: &ObjectKey) -> ObjectKey {
         ObjectKey {
@@ -44,10 +44,10 @@
         }
     }
 
-    /// Reads a history as it is stored; an object without one has an empty history.
+    /// Parses a stored history; an absent or deleted one is empty.
     ///
     /// # Errors
-    /// `Error::Invalid` where the stored text is not a history.
+    /// `Error::Invalid` if the stored text is not a history.
     pub fn read(stored: Option<&StoredObject>) -> Result<Self> {
         let Some((object, body)) = stored.and_then(|stored| Some((stored, stored.body.as_ref()?)))
         else {
@@ -57,19 +57,19 @@
             .map_err(|error| Error::invalid(object.key.to_string(), error.to_string()))
     }
 
-    /// Gets the entry of a version.
+    /// Gets the content that the object had at `version`, if it is still kept.
     #[must_use]
     pub fn entry_for_version(&self, version: StoreVersion) -> Option<&HistoryEntry> {
         self.entries.iter().find(|entry| entry.version == version)
     }
 
-    /// Gets the entry that was written under a write id.
+    /// Gets the content that the write `write_id` stored, if it is still kept.
     #[must_use]
     pub fn entry_for_write_id(&self, write_id: &str) -> Option<&HistoryEntry> {
         self.entries.iter().find(|entry| entry.write_id == write_id)
     }
 
-    /// Adds a content, and drops the oldest ones that no longer fit.
+    /// Adds a content unless its version is present, and drops the oldest ones beyond the limits.
     pub fn record(&mut self, object: &StoredObject) {
         if self.entry_for_version(object.version).is_some() {
             return;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Gets the JSON text that is stored.
+    /// Serializes the history to the JSON text that is stored.
     #[must_use]
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
--- a/alderhaven-ctl/src/operator_client.rs
+++ b/alderhaven-ctl/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client for the nodes' operator addresses.
+//! The HTTP client for the operator endpoints of nodes.
 
 use std::net::SocketAddr;
 
@@ -16,15 +16,15 @@
 use crate::node_probe::{NodeProbe, ProbeError, ProbeResult};
 use crate::node_status::NodeStatus;
 
-/// The time within which a node must have answered.
+/// The default of [`OperatorClient::timeout`].
 pub const DEFAULT_CALL_TIMEOUT: TimeSpan = TimeSpan::from_secs(2);
-/// The largest answer that is read; a dump of a busy relay is a few MB.
+/// The largest response body that is read; dumps of busy relays have several MB.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// An `OperatorClient` makes one connection for each call: a stale one can't deceive it.
+/// Opens a new connection for each call, so that no call fails on a stale one.
 #[derive(Clone, Copy, Debug)]
 pub struct OperatorClient {
-    /// The time within which a node must have answered.
+    /// The time limit of a whole call, including the connection setup.
     pub timeout: TimeSpan,
 }
 
@@ -48,7 +48,7 @@
             .await
             .map_err(|_| ProbeError::new(format!("no answer within {}", self.timeout)))??;
         serde_json::from_slice(&body)
-            .map_err(|error| ProbeError::new(format!("{path} can't be read: {error}")))
+            .map_err(|error| ProbeError::new(format!("invalid response from {path}: {error}")))
     }
 }
 
@@ -92,16 +92,17 @@
         if status.is_success() {
             Ok(body)
         } else {
-            Err(ProbeError::new(format!("{path} answered {status}")))
+            Err(ProbeError::new(format!("{path} returned status {status}")))
         }
     };
-    // The connection is driven beside the call and ends with it.
+    // The connection must be polled while the request is in flight. Its branch stays pending after
+    // its end, so that the request alone determines the result.
     tokio::select! {
         biased;
         answer = receiving => answer,
         ended = async {
             let _ended = connection.await;
             std::future::pending::<()>().await;
-        } => { let () = ended; Err(ProbeError::new("the connection ended")) }
+        } => { let () = ended; Err(ProbeError::new("the connection closed before the response")) }
     }
 }
--- a/alderhaven-ctl/src/publication_id.rs
+++ b/alderhaven-ctl/src/publication_id.rs
@@ -1,4 +1,4 @@
-//! The write id of a publication, by which its writer and everyone else know it again.
+//! The write id of a publication, which identifies its writer and the version that it replaced.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,23 +8,24 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-/// A `PublicationId` says who made a publication, which one it is and what it replaced.
+/// Identifies one publication of an object.
 ///
-/// Its text form, `operator/uuid/base`, is the write id in the store. The base lets a reader follow
-/// the publications of an object backwards through its history.
+/// The text form `operator/uuid/base` is the write id in the store. The base links an object's
+/// publications, so that they can be followed backwards through its history.
 #[derive(Clone, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct PublicationId {
-    /// The operator.
+    /// The operator who published.
     pub operator: OperatorName,
-    /// The unique part, a `UUIDv7` that begins with the time of the publication.
+    /// A `UUIDv7`, which contains the time of the publication.
     pub id: Uuid,
-    /// The version that the publication replaced, 0 for none.
+    /// The version that the publication replaces, 0 for a new object.
     pub base: StoreVersion,
 }
 
 impl PublicationId {
-    /// Gets the time of the publication in seconds since the Unix epoch.
+    /// Gets the time of the publication in seconds since the Unix epoch; `None` if the UUID has no
+    /// timestamp.
     #[must_use]
     pub fn unix_seconds(&self) -> Option<u64> {
         self.id.get_timestamp().map(|time| time.to_unix().0)
--- a/alderhaven-ctl/src/publish_outcome.rs
+++ b/alderhaven-ctl/src/publish_outcome.rs
@@ -1,4 +1,4 @@
-//! What became of one publication.
+//! The outcome of one publication.
 
 use std::fmt;
 
@@ -8,52 +8,53 @@
 
 use crate::publication_id::PublicationId;
 
-/// A `PublishOutcome` says what became of one publication, and no more than is known.
+/// The outcome of one publication as far as it is certain.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum PublishOutcome {
-    /// The publication is the object's newest content.
+    /// The write took effect, and no later write is known.
     Published {
-        /// The version.
+        /// The new version of the object.
         version: StoreVersion,
-        /// The publication.
+        /// The id that the write carries.
         id: PublicationId,
     },
-    /// The publication took effect, and another one has replaced it since.
+    /// The write took effect, and a later one has replaced it.
     Superseded {
-        /// The version that the publication had.
+        /// The version that the publication created.
         version: StoreVersion,
-        /// The publication.
+        /// The id that the write carries.
         id: PublicationId,
-        /// The content that replaced it, or a later one.
+        /// The object that replaced it, or a later one.
         by: StoredObject,
     },
-    /// The store holds the content already; nothing was written.
+    /// The store already holds the content; the object was not written.
     Unchanged {
-        /// The version that holds it.
+        /// The version that has the content.
         version: StoreVersion,
     },
-    /// Another publication came first; nothing was written.
+    /// The object changed after it was observed; this publication did not take effect.
     Conflict {
-        /// The content that the store holds instead of the one that was seen.
+        /// The stored object; `None` if it no longer exists.
         current: Option<StoredObject>,
     },
-    /// Nothing was written.
+    /// The publication failed; the object was not written.
     NotPublished {
-        /// Why.
+        /// The last error.
         reason: String,
     },
-    /// The publication may or may not have taken effect, or may still do so.
+    /// The write may have taken effect, or may still do so.
     Unknown {
-        /// The publication, to look for later.
+        /// The id by which the write can be found later.
         id: PublicationId,
-        /// Why.
+        /// The reason why the outcome could not be determined.
         reason: String,
     },
 }
 
 impl PublishOutcome {
-    /// Gets the version that nodes should have in force; none where nothing was published.
+    /// Gets the version that nodes should have in force; `None` if the content is not known to be
+    /// stored.
     #[must_use]
     pub const fn version(&self) -> Option<StoreVersion> {
         match self {
@@ -83,18 +84,18 @@
                 writer_text(current)
             ),
             Self::Conflict { current: None } => {
-                formatter.write_str("NOT published: the object is gone")
+                formatter.write_str("NOT published: the object no longer exists")
             }
             Self::NotPublished { reason } => write!(formatter, "NOT published: {reason}"),
             Self::Unknown { id, reason } => write!(
                 formatter,
-                "UNKNOWN whether published as {id}: {reason}; look again with `alderctl history`"
+                "UNKNOWN whether published as {id}: {reason}; check with `alderctl history`"
             ),
         }
     }
 }
 
-/// Gets the words that name who wrote an object's content.
+/// Describes the writer of an object: the operator, or the write id if no publisher wrote it.
 #[must_use]
 pub fn writer_text(object: &StoredObject) -> String {
     object.write_id.parse::<PublicationId>().map_or_else(
--- a/alderhaven-ctl/src/publisher.rs
+++ b/alderhaven-ctl/src/publisher.rs
@@ -1,4 +1,5 @@
-//! Publication of changes by conditional update, with lost replies resolved by reading back.
+//! Publishes changes by conditional writes and determines the outcome of writes whose reply was
+//! lost.
 
 use alderhaven_core::config_object::{ObjectKey, StoredObject};
 use alderhaven_core::ids::OperatorName;
@@ -11,24 +12,24 @@
 use crate::publish_outcome::PublishOutcome;
 use crate::retry_options::RetryOptions;
 
-/// An `ObjectPublisher` publishes changes on behalf of one operator.
+/// Publishes changes on behalf of one operator.
 pub struct ObjectPublisher<'a, S> {
     store: &'a S,
     operator: OperatorName,
     options: RetryOptions,
 }
 
-/// A `WriteAttempt` is the write of one publication with what is known of its earlier tries.
+/// The write of one publication over all its tries.
 struct WriteAttempt<'a> {
     change: &'a PlannedChange,
     id: PublicationId,
     write: ConditionalWrite,
-    /// Whether a try's answer was lost, so that the write may have taken effect.
+    /// Set once the reply to a try was lost.
     may_have_taken_effect: bool,
 }
 
 impl<'a, S: ObjectStore> ObjectPublisher<'a, S> {
-    /// Returns a publisher for `operator`.
+    /// Returns a publisher that writes under the name of `operator`.
     pub const fn new(store: &'a S, operator: OperatorName, options: RetryOptions) -> Self {
         Self {
             store,
@@ -37,7 +38,9 @@
         }
     }
 
-    /// Publishes one change against the version that its plan has observed.
+    /// Publishes one change, provided that the object is still at the observed version.
+    ///
+    /// The observed content is recorded in the object's history first.
     pub async fn publish(&self, change: &PlannedChange) -> PublishOutcome {
         if change.is_unchanged() {
             let version = change.observed_version();
@@ -46,7 +49,7 @@
         if let Some(observed) = &change.observed
             && let Err(reason) = self.record_in_history(observed).await
         {
-            let reason = format!("the earlier content could not be kept: {reason}");
+            let reason = format!("recording the earlier content failed: {reason}");
             return PublishOutcome::NotPublished { reason };
         }
         let id = PublicationId {
@@ -69,11 +72,11 @@
         self.write_with_retries(attempt).await
     }
 
-    /// Tries the write until its fate is known or the tries are used up.
+    /// Writes until the outcome is known or the tries are exhausted.
     ///
-    /// A write whose answer was lost may also arrive late, after a read that does not show it. It
-    /// is therefore tried again under the same write id and the same expected version: of all
-    /// copies of it at most one can take effect, whichever arrives first.
+    /// A write whose reply was lost may still reach the store after a read that does not show it.
+    /// All tries therefore use the same write id and expected version, so that at most one of them
+    /// takes effect.
     async fn write_with_retries(&self, mut attempt: WriteAttempt<'_>) -> PublishOutcome {
         let mut reason = String::new();
         for round in 0..self.options.attempts {
@@ -105,11 +108,10 @@
         }
     }
 
-    /// Judges a content that is not the one that was observed.
+    /// Determines the outcome when the stored object is not the observed one.
     ///
-    /// It may be one's own write whose answer was lost, and reporting a conflict with that would be
-    /// false. It may also be a later write over one's own: the history names every content that a
-    /// publisher replaced. Without a lost answer, nothing of ours can have taken effect.
+    /// After a lost reply, the stored object may be this write itself or a later one that replaced
+    /// it, which the history shows. Without a lost reply, this write has not taken effect.
     async fn resolve_conflict(
         &self,
         attempt: WriteAttempt<'_>,
@@ -126,7 +128,7 @@
             return attempt.change.conflict_outcome(current);
         }
         let Some(by) = current else {
-            let reason = "the answer was lost, and the object is gone".to_owned();
+            let reason = "the reply was lost, and the object no longer exists".to_owned();
             return PublishOutcome::Unknown { id, reason };
         };
         let history = match self.read_history(&by).await {
@@ -140,7 +142,8 @@
         if descends_from_observed(&history, &by, attempt.change) {
             return PublishOutcome::Conflict { current: Some(by) };
         }
-        let reason = "the answer was lost, and the history does not reach back".to_owned();
+        let reason =
+            "the reply was lost, and the history does not reach back far enough".to_owned();
         PublishOutcome::Unknown { id, reason }
     }
 
@@ -151,14 +154,14 @@
         ObjectHistory::read(stored.as_ref()).map_err(|error| error.to_string())
     }
 
-    /// Records a content in its object's history, before it is replaced.
+    /// Records a content in the history of its object, with retries.
     async fn record_in_history(&self, observed: &StoredObject) -> Result<(), String> {
         let key = ObjectHistory::history_key(&observed.key);
         let mut reason = String::new();
         for round in 0..self.options.attempts {
             match self.try_record_in_history(&key, observed).await {
                 Ok(true) => return Ok(()),
-                Ok(false) => "other publishers write the history".clone_into(&mut reason),
+                Ok(false) => "other publishers keep changing the history".clone_into(&mut reason),
                 Err(error) => {
                     reason = error.to_string();
                     self.options.back_off(round, &error).await;
@@ -168,7 +171,7 @@
         Err(reason)
     }
 
-    /// Tries once to record a content; false where another publisher came between.
+    /// Tries once to record a content; returns `false` after a conflict with another publisher.
     async fn try_record_in_history(
         &self,
         key: &ObjectKey,
@@ -193,7 +196,7 @@
 }
 
 impl WriteAttempt<'_> {
-    /// Returns true where the store still holds what the plan has observed.
+    /// Returns `true` if the store still holds the observed version.
     fn is_still_observed(&self, current: Option<&StoredObject>) -> bool {
         match current {
             Some(current) => current.version == self.change.observed_version(),
@@ -202,10 +205,11 @@
     }
 }
 
-/// Returns true where the publications that led to `current` began at the version that was observed.
+/// Returns `true` if a chain of publications leads from the observed version to `current`.
 ///
-/// Each names the version that it replaced. If the first of them replaced the very version that
-/// ours demanded, ours can't have taken effect before it, and will not after it.
+/// The chain follows the base of each publication through the history. If another publication
+/// replaced the observed version, a write that expects that version has not taken effect and can't
+/// do so later.
 fn descends_from_observed(
     history: &ObjectHistory,
     current: &StoredObject,
@@ -217,7 +221,7 @@
         if publication.base == change.observed_version() {
             return true;
         }
-        // Bases only fall; anything else was not written by a publisher.
+        // A publisher's base is below the version that it creates; the check ends any other chain.
         if publication.base >= version {
             return false;
         }
--- a/alderhaven-ctl/src/report_text.rs
+++ b/alderhaven-ctl/src/report_text.rs
@@ -1,4 +1,4 @@
-//! The text forms of command reports, for people.
+//! The human-readable text of command reports.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -74,8 +74,8 @@
         if !self.unreviewed.is_empty() {
             writeln!(
                 formatter,
-                "nothing was published: these objects were last written by someone else. Look at \
-                 the difference with `diff --plan FILE`, then `publish --plan FILE`."
+                "nothing was published: these objects were last written by someone else. Review \
+                 the difference with `diff --plan FILE`, then run `publish --plan FILE`."
             )?;
         }
         for change in &self.unreviewed {
--- a/alderhaven-ctl/src/retry_options.rs
+++ b/alderhaven-ctl/src/retry_options.rs
@@ -1,4 +1,4 @@
-//! How often and how patiently calls to the store are tried again.
+//! Retries of failed calls to the store, with exponential backoff.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 use alderhaven_core::time::TimeSpan;
 use alderhaven_store::object_store::{ObjectList, ObjectStore, StoreError, StoreResult};
 
-/// How often a call is tried before it is given up: with the delays below, after 1.5 s.
+/// The default of [`RetryOptions::attempts`].
 pub const DEFAULT_ATTEMPTS: u32 = 6;
-/// The wait after the first failed call; it doubles with each further one.
+/// The default of [`RetryOptions::initial_delay`].
 pub const DEFAULT_INITIAL_DELAY: TimeSpan = TimeSpan::from_millis(50);
-/// The longest wait between calls.
+/// The default of [`RetryOptions::max_delay`].
 pub const DEFAULT_MAX_DELAY: TimeSpan = TimeSpan::from_secs(2);
 
-/// The `RetryOptions` bound how long calls to the store are tried.
+/// The limits of retries of a call to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RetryOptions {
-    /// How often each call is tried, 1 or more.
+    /// The number of calls including the first, 1 or more.
     pub attempts: u32,
-    /// The wait after the first failed call.
+    /// The wait after the first failed call; it doubles after each further one.
     pub initial_delay: TimeSpan,
-    /// The longest wait between calls.
+    /// The longest wait between calls, also if the store asks for a longer one.
     pub max_delay: TimeSpan,
 }
 
@@ -35,10 +35,10 @@
 }
 
 impl RetryOptions {
-    /// Gets an object, with further tries where one fails.
+    /// Gets an object, retrying failed calls.
     ///
     /// # Errors
-    /// The error of the last try.
+    /// The error of the last call.
     pub async fn get<S: ObjectStore>(
         &self,
         store: &S,
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Lists all objects of the kinds, with further tries where one fails.
+    /// Lists all objects of the kinds, retrying failed calls.
     ///
     /// # Errors
-    /// The error of the last try.
+    /// The error of the last call.
     pub async fn list<S: ObjectStore>(
         &self,
         store: &S,
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Waits after a failed call: longer with each round, and as long as the store asks for.
+    /// Waits after the failed call `round`, counted from 0: for the backoff or, if longer, for the
+    /// time that the store asks for, at most `max_delay`.
     pub async fn back_off(&self, round: u32, error: &StoreError) {
         let backoff = self
             .initial_delay
--- a/alderhaven-ctl/tests/alderctl.rs
+++ b/alderhaven-ctl/tests/alderctl.rs
@@ -1,4 +1,4 @@
-//! Tests of the binary against the stand-in of the platform: what an operator sees and exit codes.
+//! Tests of the binary against the platform stand-in: output and exit codes.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -15,16 +15,16 @@
         .join(folder)
 }
 
-/// Runs the binary while the platform goes on in this process.
+/// Runs the binary without blocking the platform stand-in, which runs in this process.
 async fn run_alderctl(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_alderctl"));
     command.args(args);
-    tokio::task::spawn_blocking(move || command.output().expect("the binary runs"))
+    tokio::task::spawn_blocking(move || command.output().expect("the binary starts"))
         .await
-        .expect("the binary ends")
+        .expect("the task does not panic")
 }
 
-/// Runs the binary on behalf of an operator; standard output is JSON.
+/// Runs the binary as an operator, with JSON output.
 async fn run_as_operator(platform: &PlatformServer, operator: &str, args: &[&str]) -> Output {
     let address = platform.address().to_string();
     let base = ["--json", "--operator", operator, "--platform", &address];
@@ -42,8 +42,8 @@
     serde_json::from_slice(&output.stdout).expect("standard output is one JSON document")
 }
 
-/// The store's answer to a publication is lost, and so is that of the second try. The operator must
-/// not hear of a conflict with the own write, and the object must have been written once.
+/// One write is dropped and the reply to another is lost. The publisher must not report a conflict
+/// with its own write, and the object must be written only once.
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_recovers_from_lost_reply() {
     let platform = start_platform().await;
@@ -73,9 +73,9 @@
         name: "record-fetch".to_owned(),
     };
     let table = platform.store().table();
-    let stored = table.get(&key).expect("it is stored");
+    let stored = table.get(&key).expect("the object is stored");
     assert_eq!(report["publications"][0]["id"], stored.write_id.as_str());
-    assert_eq!(table.revision().0, 1, "written once");
+    assert_eq!(table.revision().0, 1, "the object is written once");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -85,7 +85,7 @@
     assert_eq!(begun.status.code(), Some(0));
     let ended = run_as_operator(&platform, "kofi", &["drain", "--target", "desk-1", "--end"]).await;
     assert_eq!(ended.status.code(), Some(0));
-    let key: ObjectKey = "drain/desk-1".parse().expect("it is a key");
+    let key: ObjectKey = "drain/desk-1".parse().expect("the key is valid");
     let stored_body = || {
         platform
             .store()
@@ -148,11 +148,13 @@
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
-        .expect("the binary runs");
-    let mut input = child.stdin.take().expect("it is piped");
-    input.write_all(b"volta-example-token\n").expect("it reads");
+        .expect("the binary starts");
+    let mut input = child.stdin.take().expect("standard input is piped");
+    input
+        .write_all(b"volta-example-token\n")
+        .expect("the binary reads standard input");
     drop(input);
-    let output = child.wait_with_output().expect("it ends");
+    let output = child.wait_with_output().expect("the binary exits");
     let hash = alderhaven_core::team::hash_token("volta-example-token");
     assert_eq!(stdout_json(&output)["token_hash"], hash.as_str());
 }
--- a/alderhaven-ctl/tests/examples.rs
+++ b/alderhaven-ctl/tests/examples.rs
@@ -1,4 +1,4 @@
-//! Tests that the published examples check, so that a newcomer's first files are right.
+//! Tests that the example files pass the check and keep the properties that they demonstrate.
 
 use std::path::Path;
 
--- a/alderhaven-ctl/tests/file_check.rs
+++ b/alderhaven-ctl/tests/file_check.rs
@@ -1,11 +1,11 @@
-//! Tests of the offline check: all errors at once, each with its file and line.
+//! Tests that the offline check lists all problems at once, each with its file and line.
 
 use std::path::{Path, PathBuf};
 
 use alderhaven_ctl::file_check::CheckReport;
 use alderhaven_ctl::line_index;
 
-/// What an operator sees for `tests/data/refused`, in the order of files and lines.
+/// The problems of the files in `tests/data/refused`, in the order of files and lines.
 const EXPECTED_PROBLEMS: [&str; 16] = [
     "extras/x.yaml: the folder names no kind: allowed is templates, teams, manifests",
     "teams/heavy.yaml:2: weight: 1001 is refused: allowed is 1 to 1000",
--- a/alderhaven-ctl/tests/publish/commands.rs
+++ b/alderhaven-ctl/tests/publish/commands.rs
@@ -1,4 +1,4 @@
-//! Tests of the commands over a fake store and fake nodes: reports and exit statuses.
+//! Tests of the commands with a fake store and fake nodes: reports and exit statuses.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -27,7 +27,7 @@
             addresses: probe.addresses(),
             probe,
         },
-        operator: operator.parse().expect("it is a name"),
+        operator: operator.parse().expect("the name is valid"),
         retry_options: RetryOptions::default(),
         wait_options: None,
     }
@@ -52,8 +52,8 @@
     context.store.peek(key)?.body
 }
 
-/// An operator publishes and waits. One node takes it up late, one refuses it, one is gone: the
-/// report names the last two, and the exit status says that it is not in force everywhere.
+/// One node applies the publication late, one rejects it and one does not answer: the report must
+/// name the last two, and the exit status must say that it is not in force everywhere.
 #[tokio::test(start_paused = true)]
 async fn publish_wait_reports_lagging_nodes() {
     let behaviors = [
@@ -83,7 +83,7 @@
         ),
         (1, 4)
     );
-    assert!(rounds > 100, "progress is shown in each of {rounds} rounds");
+    assert!(rounds > 100, "progress was shown in {rounds} rounds only");
 }
 
 #[tokio::test(start_paused = true)]
@@ -93,38 +93,38 @@
     let report = context.publish(&example_paths("lagerblik"), |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Done, "{report}");
     assert!(report.to_string().contains("in force on 8 of 8"));
-    let json = serde_json::to_value(&report).expect("a report serialises");
+    let json = serde_json::to_value(&report).expect("a report serializes");
     assert_eq!(json["command"], "publish");
     assert_eq!(json["in_force"]["nodes"][7]["progress"], "in_force");
 }
 
-/// Kofi has changed a team since Ama last looked. Her files would take his change back, and she
-/// has not seen it: nothing is published until she has looked at the difference.
+/// Files that would revert another operator's unreviewed change must not be published until the
+/// operator has reviewed the difference.
 #[tokio::test(start_paused = true)]
 async fn publish_refuses_unreviewed_replacement() {
     let mut context = fake_context("kofi", &[]);
     let theirs = r#"{"name":"publishers","weight":9}"#;
     let key = team_key("publishers");
     context.store.seed(&key, "someone", Some(theirs));
-    context.operator = "ama".parse().expect("it is a name");
+    context.operator = "ama".parse().expect("the name is valid");
     let report = context.publish(&example_paths("volta"), |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Conflict, "{report}");
     assert_eq!(
         context.store.finish().len(),
         1,
-        "nothing else was published either"
+        "no other object was published either"
     );
 
     let (report, plan) = context.diff(&example_paths("volta")).await;
     assert!(report.to_string().contains("~ weight: 9 -> 4"), "{report}");
-    let plan = plan.expect("the files check");
+    let plan = plan.expect("the files are valid");
     let report = context.publish_plan(&plan, |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Done, "{report}");
     assert_ne!(stored_body(&context, &key).as_deref(), Some(theirs));
 }
 
-/// Between Ama's look at the difference and her publication Kofi publishes. His content stays, and
-/// she is shown what he changed.
+/// A publication between the diff and the publishing of its plan must be kept, and the report must
+/// show what it changed.
 #[tokio::test(start_paused = true)]
 async fn publish_plan_conflict_shows_winning_changes() {
     let context = fake_context("ama", &[]);
@@ -140,7 +140,7 @@
         Some(theirs),
     );
     let report = context
-        .publish_plan(&plan.expect("the files check"), |_| {})
+        .publish_plan(&plan.expect("the files are valid"), |_| {})
         .await;
     let text = report.to_string();
     assert_eq!(report.exit_status(), ExitStatus::Conflict, "{text}");
@@ -151,7 +151,7 @@
     assert_eq!(stored_body(&context, &key).as_deref(), Some(theirs));
     assert!(
         stored_body(&context, &team_key("libraries")).is_some(),
-        "each object by itself"
+        "the other objects are published"
     );
 }
 
@@ -198,14 +198,11 @@
 
     let report = context.rollback(&key, version, |_| {}).await;
     assert_eq!(report.exit_status(), ExitStatus::Done, "{report}");
-    let stored = context.store.peek(&key).expect("it is stored");
+    let stored = context.store.peek(&key).expect("the object is stored");
     assert_eq!(stored.body.as_deref(), Some(first));
-    assert!(
-        stored.version > version,
-        "a rollback is a publication of its own"
-    );
+    assert!(stored.version > version, "a rollback creates a new version");
     let history = context.store.peek(&ObjectHistory::history_key(&key));
-    let history = ObjectHistory::read(history.as_ref()).expect("a history is readable");
+    let history = ObjectHistory::read(history.as_ref()).expect("the history is readable");
     assert_eq!(history.entries.len(), 2);
 
     let report = context.rollback(&key, StoreVersion(99), |_| {}).await;
@@ -215,7 +212,7 @@
 #[tokio::test(start_paused = true)]
 async fn drain_target_begins_and_ends() {
     let context = fake_context("ama", &[]);
-    let target = "desk-3-a".parse().expect("it is a name");
+    let target = "desk-3-a".parse().expect("the name is valid");
     let key = ObjectKey {
         kind: ObjectKind::Drain,
         name: "desk-3-a".to_owned(),
@@ -233,7 +230,7 @@
     assert_eq!(report.exit_status(), ExitStatus::Done, "{report}");
     assert!(
         stored_body(&context, &key).is_some(),
-        "a tombstone is no obstacle"
+        "a tombstone can be replaced"
     );
 }
 
@@ -253,7 +250,7 @@
         "{report}"
     );
     let CommandReport::Nodes(members) = context.nodes.members().await else {
-        panic!("members are answers of nodes");
+        panic!("the members command returns node answers");
     };
     assert_eq!(
         members.nodes[0].answer,
--- a/alderhaven-ctl/tests/publish/main.rs
+++ b/alderhaven-ctl/tests/publish/main.rs
@@ -1,4 +1,4 @@
-//! Tests of publication: scenarios of lost answers, operators that race, and the commands.
+//! Tests of publication: scenarios with lost replies, concurrent operators, and the commands.
 
 mod commands;
 mod nodes;
--- a/alderhaven-ctl/tests/publish/nodes.rs
+++ b/alderhaven-ctl/tests/publish/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes that take up published objects after a number of questions, or refuse them.
+//! Fake nodes that apply published objects after a number of probes, reject them or don't answer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,25 +9,25 @@
 use alderhaven_ctl::node_status::{ConfigStatus, NodeStatus, RejectedStatus};
 use serde_json::Value;
 
-/// A `NodeBehaviour` is how a fake node takes up what is published.
+/// How a fake node reacts to publications.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeBehavior {
-    /// It has every version in force from that question on, counted from 0.
+    /// Has every version in force after this many probes.
     InForceAfter(u32),
-    /// It refuses every version of the team `publishers`.
+    /// Rejects every version of the team `publishers`.
     Refuses,
-    /// It does not answer.
+    /// Does not answer.
     Silent,
 }
 
-/// The `FakeNodes` answer by their behavior; the version that they report is the newest possible.
+/// Nodes that answer by their behavior and report the highest possible revision.
 pub struct FakeNodes {
     behaviors: BTreeMap<SocketAddr, NodeBehavior>,
     probe_counts: Mutex<BTreeMap<SocketAddr, u32>>,
 }
 
 impl FakeNodes {
-    /// Returns nodes with these behaviors.
+    /// Returns one node for each behavior, on consecutive ports.
     pub fn new(behaviors: &[NodeBehavior]) -> Self {
         Self {
             behaviors: behaviors
@@ -39,17 +39,17 @@
         }
     }
 
-    /// Gets the operator addresses.
+    /// Gets the operator addresses in the order of the behaviors.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.behaviors.keys().copied().collect()
     }
 
-    /// Gets how often a node was probed.
+    /// Counts the status probes of the node at `index`.
     pub fn probe_count(&self, index: usize) -> u32 {
         let probe_counts = self
             .probe_counts
             .lock()
-            .expect("no test panics with the lock");
+            .expect("no test panics while it holds the lock");
         probe_counts
             .get(&node_address(index))
             .copied()
@@ -58,7 +58,7 @@
 }
 
 fn node_address(index: usize) -> SocketAddr {
-    let port = 9000 + u16::try_from(index).expect("few nodes");
+    let port = 9000 + u16::try_from(index).expect("the index fits into a port number");
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
@@ -68,7 +68,7 @@
             let mut probe_counts = self
                 .probe_counts
                 .lock()
-                .expect("no test panics with the lock");
+                .expect("no test panics while it holds the lock");
             let count = probe_counts.entry(node).or_default();
             *count += 1;
             *count - 1
@@ -87,7 +87,7 @@
         Ok(NodeStatus {
             node: format!("entry-{}", node.port())
                 .parse()
-                .expect("it is a name"),
+                .expect("the name is valid"),
             role: "entry".to_owned(),
             domain: "accra-a".parse().ok(),
             incarnation: Some(IncarnationNumber(1)),
--- a/alderhaven-ctl/tests/publish/races.rs
+++ b/alderhaven-ctl/tests/publish/races.rs
@@ -1,4 +1,4 @@
-//! Operators that race each other over a store which loses answers, against the log of the store.
+//! Checks the outcomes reported to concurrent operators against the log of a faulty store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use proptest::prelude::{Just, ProptestConfig, Strategy, any, prop_assert, prop_oneof, proptest};
 use proptest::test_runner::{RngSeed, TestCaseError};
 
-/// The seed of the cases that CI runs.
+/// Keeps CI runs reproducible.
 const SEED: u64 = 0x00a1_de12;
-/// The fewest cases of a run; `PROPTEST_CASES` raises it.
+/// The number of cases unless `PROPTEST_CASES` is set.
 const DEFAULT_CASES: u32 = 256;
-/// The names of the objects that operators race for.
+/// The objects that all operators write.
 const OBJECT_NAMES: [&str; 2] = ["desk", "portal"];
 
-/// An `OperatorStep` is one publication that an operator attempts.
+/// One publication that an operator attempts.
 #[derive(Clone, Debug)]
 struct OperatorStep {
     name: usize,
     is_delete: bool,
 }
 
-/// A `PublishReport` is what an operator was told of one publication.
+/// A change and the outcome that was reported for it.
 struct ReportedPublication {
     change: PlannedChange,
     outcome: PublishOutcome,
@@ -73,13 +73,13 @@
 ) -> Vec<ReportedPublication> {
     let name = format!("operator-{operator}")
         .parse()
-        .expect("it is a name");
+        .expect("the name is valid");
     let publisher = ObjectPublisher::new(&*store, name, options);
     let mut reports = Vec::new();
     for (number, step) in steps.into_iter().enumerate() {
         let body = (!step.is_delete).then(|| format!(r#"{{"by":{operator},"step":{number}}}"#));
         let key = team_key(OBJECT_NAMES[step.name]);
-        // Without a plan an operator publishes nothing.
+        // If the read fails, there is no plan to publish.
         if let Ok(change) = PlannedChange::build(&*store, key, body, options).await {
             let outcome = publisher.publish(&change).await;
             reports.push(ReportedPublication { change, outcome });
@@ -97,7 +97,7 @@
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("a runtime starts");
+        .expect("the runtime starts");
     runtime.block_on(async {
         let tasks: Vec<_> = operators
             .into_iter()
@@ -108,13 +108,13 @@
             .collect();
         let mut reports = Vec::new();
         for task in tasks {
-            reports.extend(task.await.expect("an operator ends"));
+            reports.extend(task.await.expect("the operator task does not panic"));
         }
         reports
     })
 }
 
-/// Checks what operators were told against what took effect.
+/// Checks the reported outcomes against the writes that took effect.
 fn check_reports(
     log: &[AppliedWrite],
     reports: &[ReportedPublication],
@@ -140,11 +140,11 @@
                 prop_assert!(
                     applied.is_some_and(|applied| applied.object.version == *version
                         && applied.object.body == report.change.body),
-                    "{id} was reported as published and is not"
+                    "{id} was reported as published but did not take effect"
                 );
                 prop_assert!(
                     applied.is_some_and(|applied| applied.replaced == report.change.observed),
-                    "{id} replaced a content that its operator had not seen"
+                    "{id} replaced content that its operator had not observed"
                 );
                 reported.insert(id);
             }
@@ -152,7 +152,10 @@
                 check_conflict(&report.change, current.as_ref(), &by_id)?;
             }
             PublishOutcome::Unknown { id, .. } => {
-                prop_assert!(faults >= options.attempts as usize, "unknown without cause");
+                prop_assert!(
+                    faults >= options.attempts as usize,
+                    "unknown outcome with {faults} faults only"
+                );
                 reported.insert(id.to_string());
             }
             PublishOutcome::Unchanged { .. } | PublishOutcome::NotPublished { .. } => {}
@@ -162,13 +165,13 @@
         let id = &applied.object.write_id;
         prop_assert!(
             reported.contains(id),
-            "{id} took effect and nobody was told"
+            "{id} took effect but was not reported"
         );
     }
     Ok(())
 }
 
-/// Whoever lost a race is told of the publication that came first, which is not its own.
+/// Checks that a conflict names a later write of another publication.
 fn check_conflict(
     change: &PlannedChange,
     current: Option<&StoredObject>,
@@ -177,24 +180,24 @@
     let winner = current.and_then(|current| by_id.get(current.write_id.as_str()));
     prop_assert!(
         winner.is_some_and(|winner| winner.object.version > change.observed_version()),
-        "the winner of a race took no effect"
+        "the conflicting write did not take effect after the observed version"
     );
     prop_assert!(
         winner.is_some_and(|winner| winner.object.body != change.body || change.body.is_none()),
-        "a conflict with one's own write"
+        "the conflict is with the own write"
     );
     Ok(())
 }
 
-/// Every content that was replaced can be rolled back to.
+/// Checks that the history contains every replaced content.
 fn check_history(store: &ScriptedStore, log: &[AppliedWrite]) -> Result<(), TestCaseError> {
     for replaced in log.iter().filter_map(|applied| applied.replaced.as_ref()) {
         let stored = store.peek(&ObjectHistory::history_key(&replaced.key));
-        let history = ObjectHistory::read(stored.as_ref()).expect("a history is readable");
+        let history = ObjectHistory::read(stored.as_ref()).expect("the history is readable");
         let entry = history.entry_for_version(replaced.version);
         prop_assert!(
             entry.is_some_and(|entry| entry.body == replaced.body),
-            "version {} of {} is lost",
+            "version {} of {} is not in the history",
             replaced.version,
             replaced.key
         );
@@ -216,10 +219,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Operators publish and delete at the same time while answers are lost, late or refused. None
-    /// may be told of a publication that is not, or have one take effect untold, and none may
-    /// replace what it has not seen. The cause to guard against: a lost answer hides whether a
-    /// conflict is with one's own write.
+    /// Operators publish and delete concurrently while calls are refused and replies are lost. No
+    /// outcome may be reported wrongly and no unobserved content replaced, although a lost reply
+    /// hides whether a conflict is with the operator's own write.
     #[test]
     fn concurrent_publications_are_reported_truthfully(
         script in script(),
--- a/alderhaven-ctl/tests/publish/scenarios.rs
+++ b/alderhaven-ctl/tests/publish/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios of publication: who is told what when answers are lost and operators race.
+//! Scenarios of publication with lost replies, concurrent operators and histories.
 
 use crate::support::{ScriptedStore, StoreFault};
 use alderhaven_core::config_object::{ObjectKey, ObjectKind, StoredObject};
@@ -18,7 +18,7 @@
 }
 
 fn operator_name(name: &str) -> OperatorName {
-    name.parse().expect("it is a name")
+    name.parse().expect("the name is valid")
 }
 
 fn publisher<'a>(store: &'a ScriptedStore, name: &str) -> ObjectPublisher<'a, ScriptedStore> {
@@ -36,16 +36,16 @@
     .expect("the store answers")
 }
 
-/// An operator publishes and hears of a conflict, though nobody else was there. The store wrote the
-/// object, its answer was lost, and the second try met the first one's result.
+/// The reply to a successful write is lost, and the retry conflicts with it: the publisher must not
+/// report a conflict with its own write.
 #[tokio::test(start_paused = true)]
 async fn publish_recognizes_own_write_after_lost_reply() {
-    // The plan's read, then the write whose answer is lost, then a read that fails too.
+    // The read of the plan, the write whose reply is lost, and a failed read.
     let script = [StoreFault::None, StoreFault::LostAfter, StoreFault::Refused];
     let store = ScriptedStore::new(script.map(|fault| (0, fault)));
     let change = plan_update(&store, r#"{"weight":2}"#).await;
     let outcome = publisher(&store, "ama").publish(&change).await;
-    let stored = store.peek(&desk_key()).expect("it was written");
+    let stored = store.peek(&desk_key()).expect("the object was written");
     assert!(
         matches!(&outcome, PublishOutcome::Published { version, id }
             if *version == stored.version && id.to_string() == stored.write_id),
@@ -53,8 +53,8 @@
     );
 }
 
-/// Two operators change the same object. The slower one must lose, see who won, and find the
-/// winner's content untouched.
+/// Two operators change the same object: the slower one must get a conflict that names the other,
+/// whose content must stay.
 #[tokio::test(start_paused = true)]
 async fn publish_conflict_names_the_winner() {
     let store = ScriptedStore::default();
@@ -68,8 +68,8 @@
     assert_eq!(stored.as_deref(), Some(r#"{"weight":3}"#));
 }
 
-/// An operator's answer is lost, and before the read another one replaces the content. The first
-/// was published all the same, and nodes may have had it in force: "not published" would be false.
+/// The reply to a write is lost, and another operator replaces the content before it is read back:
+/// the write took effect, so it must be reported as superseded, not as unpublished.
 #[tokio::test(start_paused = true)]
 async fn publish_reports_superseded_write() {
     let store = ScriptedStore::new([
@@ -109,8 +109,8 @@
     assert_eq!(store.finish().len(), 1);
 }
 
-/// Two operators make the same change, or one publishes a plan twice. The second is told that
-/// nothing is left to do, since the store holds the very content.
+/// Two operators make the same change, or one publishes a plan twice: the second publication must
+/// be reported as unchanged, not as a conflict.
 #[tokio::test(start_paused = true)]
 async fn publish_of_identical_change_is_unchanged() {
     let store = ScriptedStore::default();
@@ -118,7 +118,7 @@
     let change = plan_update(&store, r#"{"weight":2}"#).await;
     let first = publisher(&store, "ama").publish(&change).await;
     let second = publisher(&store, "kofi").publish(&change).await;
-    let version = first.version().expect("it is published");
+    let version = first.version().expect("the first change is published");
     assert_eq!(second, PublishOutcome::Unchanged { version });
 }
 
@@ -157,9 +157,9 @@
         plan.replacing_other_operators(&operator_name("kofi")).len(),
         0
     );
-    let text = serde_json::to_string(&plan).expect("a plan serialises");
+    let text = serde_json::to_string(&plan).expect("a plan serializes");
     assert_eq!(
-        serde_json::from_str::<ChangePlan>(&text).expect("and back"),
+        serde_json::from_str::<ChangePlan>(&text).expect("a plan deserializes"),
         plan
     );
 }
--- a/alderhaven-ctl/tests/publish/support.rs
+++ b/alderhaven-ctl/tests/publish/support.rs
@@ -1,4 +1,4 @@
-//! A small fake of the object API whose faults follow a script, with a log of all that took effect.
+//! A fake object store with scripted faults and a log of the writes that took effect.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,27 +10,27 @@
     ConditionalWrite, ObjectList, ObjectStore, StoreError, StoreResult, WatchOutcome, WriteOutcome,
 };
 
-/// A `StoreFault` is what befalls one call.
+/// The fault of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// The call succeeds.
     None,
-    /// The call is refused and did nothing.
+    /// The call is refused and has no effect.
     Refused,
-    /// The call is lost before it takes effect.
+    /// The request is lost and has no effect.
     LostBefore,
-    /// The answer is lost after the call took effect.
+    /// The call takes effect, but its reply is lost.
     LostAfter,
-    /// The answer is lost, and a write takes effect only after that many further calls.
+    /// The reply is lost, and a write takes effect only after this many further calls.
     Late(u8),
 }
 
-/// An `AppliedWrite` is a write that took effect, with what it replaced.
+/// A write that took effect.
 #[derive(Clone, Debug)]
 pub struct AppliedWrite {
-    /// The content as written.
+    /// The object as written.
     pub object: StoredObject,
-    /// The content that it replaced.
+    /// The object or tombstone that it replaced.
     pub replaced: Option<StoredObject>,
 }
 
@@ -44,24 +44,24 @@
     fault_count: usize,
 }
 
-/// A `ScriptedStore` is a fake store: each call takes the next step of the script.
+/// A fake store in which each call takes the next step of a script.
 ///
-/// A step says how often the call lets others run first, and which fault befalls it. After the
-/// script's end there are no faults.
+/// A step is the number of times that the call yields to other tasks first, and its fault. Calls
+/// after the end of the script succeed.
 #[derive(Default)]
 pub struct ScriptedStore {
     state: Mutex<StoreState>,
 }
 
 impl ScriptedStore {
-    /// Returns a store that follows a script.
+    /// Returns an empty store that follows `script`.
     pub fn new(script: impl IntoIterator<Item = (u8, StoreFault)>) -> Self {
         let store = Self::default();
         store.lock().script.extend(script);
         store
     }
 
-    /// Writes an object without fault, as someone else would.
+    /// Writes an object at its current version, without taking a step of the script.
     pub fn seed(&self, key: &ObjectKey, write_id: &str, body: Option<&str>) -> StoreVersion {
         let mut state = self.lock();
         let expected = state.version_of(key);
@@ -73,16 +73,16 @@
         };
         match state.apply(write) {
             WriteOutcome::Written(version) => version,
-            WriteOutcome::Conflict(_) => unreachable!("the lock is held"),
+            WriteOutcome::Conflict(_) => unreachable!("the version was read under the same lock"),
         }
     }
 
-    /// Gets an object without fault.
+    /// Gets an object without taking a step of the script.
     pub fn peek(&self, key: &ObjectKey) -> Option<StoredObject> {
         self.lock().objects.get(key).cloned()
     }
 
-    /// Lets all late writes arrive, and gets everything that took effect but histories.
+    /// Applies all late writes and gets the writes that took effect, except those of histories.
     pub fn finish(&self) -> Vec<AppliedWrite> {
         let mut state = self.lock();
         for (_, write) in std::mem::take(&mut state.late_writes) {
@@ -96,7 +96,7 @@
             .collect()
     }
 
-    /// Gets the number of faults that befell calls.
+    /// Gets the number of calls with a fault so far.
     pub fn fault_count(&self) -> usize {
         self.lock().fault_count
     }
@@ -214,7 +214,7 @@
         _after: StoreVersion,
         _wait: TimeSpan,
     ) -> StoreResult<WatchOutcome> {
-        Err(StoreError::not_done("no publisher watches"))
+        Err(StoreError::not_done("publishers do not watch"))
     }
 }
 
--- a/alderhaven-quickstart/src/answer_oracle.rs
+++ b/alderhaven-quickstart/src/answer_oracle.rs
@@ -1,4 +1,5 @@
-//! The oracle of a run: every promise that a reply makes is checked against what the targets ran.
+//! The test oracle of a run: checks replies against the published objects and against the runs that
+//! the targets recorded.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -13,7 +14,7 @@
 use crate::query_reply::{AnswerBody, ErrorBody, QueryReply};
 use crate::sample_query::SampleQuery;
 
-/// An `AnswerOracle` knows the templates, the manifests, the replies and the runs.
+/// Checks replies as they arrive, and all of them against the recorded runs at the end.
 #[derive(Debug)]
 pub struct AnswerOracle {
     templates: BTreeMap<TemplateName, QueryTemplate>,
@@ -22,7 +23,7 @@
     run_counts: HashMap<RunKey, usize>,
 }
 
-/// A `RunKey` tells which query a run belongs to; no two queries of a run of samples share one.
+/// Assigns a run at a target to its query; it is unique within the sample queries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RunKey {
     template: String,
@@ -38,7 +39,7 @@
     outcome: Option<QueryOutcome>,
 }
 
-/// The query whose answer is checked, with what it is checked against.
+/// A query resolved against the published objects.
 struct CheckedQuery<'a> {
     template: &'a QueryTemplate,
     manifest: &'a SnapshotManifest,
@@ -47,7 +48,7 @@
 }
 
 impl AnswerOracle {
-    /// Returns an oracle of what was published.
+    /// Returns an oracle for the published objects, without replies or runs.
     #[must_use]
     pub fn new(templates: &[QueryTemplate], manifests: &[SnapshotManifest]) -> Self {
         Self {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Takes the records of runs.
+    /// Counts the runs of each query at the targets.
     pub fn record_runs(&mut self, records: Vec<RunRecord>) {
         for record in records {
             let key = RunKey {
@@ -75,10 +76,10 @@
         }
     }
 
-    /// Takes a reply, and gets what it says that is not so.
+    /// Records a reply and gets the violations that it shows on its own.
     ///
     /// # Errors
-    /// Where the query itself is not one of the published templates.
+    /// If the query doesn't match a published template and manifest.
     pub fn check_reply(&mut self, query: &SampleQuery, reply: &QueryReply) -> Result<Vec<String>> {
         let checked = self.resolve_query(query)?;
         let violations = match reply {
@@ -103,7 +104,7 @@
             .collect())
     }
 
-    /// Gets what the runs say against the replies, after the last run.
+    /// Gets the contradictions between runs and replies, once all of them are recorded.
     #[must_use]
     pub fn check_runs(&self) -> Vec<String> {
         let replied = self.replied_queries.iter().filter_map(|query| {
@@ -120,12 +121,7 @@
             .run_counts
             .keys()
             .filter(|key| !known.contains(key))
-            .map(|key| {
-                format!(
-                    "{} {} ran and nobody asked it",
-                    key.template, key.parameters
-                )
-            });
+            .map(|key| format!("{} {} ran without a query", key.template, key.parameters));
         replied.chain(unrequested).collect()
     }
 
@@ -155,13 +151,13 @@
 impl RepliedQuery {
     fn run_violation(&self, runs: usize) -> Option<String> {
         if self.not_run && runs > 0 {
-            return Some(format!("was answered as not run and ran {runs} times"));
+            return Some(format!("the reply states not_run, but it ran {runs} times"));
         }
         if !self.idempotent && runs > 1 {
-            return Some(format!("must run at most once and ran {runs} times"));
+            return Some(format!("may run at most once, but ran {runs} times"));
         }
         let is_answered = self.outcome == Some(QueryOutcome::Complete);
-        (is_answered && runs == 0).then(|| "was answered and never ran".to_owned())
+        (is_answered && runs == 0).then(|| "the answer is complete, but nothing ran".to_owned())
     }
 }
 
@@ -169,7 +165,10 @@
     fn check_answer(&self, answer: &AnswerBody) -> Vec<String> {
         let mut violations = Vec::new();
         if answer.snapshot != self.manifest.snapshot {
-            violations.push(format!("names snapshot {}", answer.snapshot));
+            violations.push(format!(
+                "snapshot {} is not that of the manifest",
+                answer.snapshot
+            ));
         }
         let coverage = &answer.coverage;
         let missing: HashSet<ShardId> = coverage.missing.iter().map(|shard| shard.shard).collect();
@@ -185,7 +184,7 @@
             && missing.iter().all(|shard| self.requested.contains(shard));
         if !is_consistent {
             violations.push(format!(
-                "states a coverage of {} and {} missing of {}",
+                "the coverage states {} answered and {} missing shards of {} requested ones",
                 coverage.answered,
                 coverage.missing.len(),
                 self.requested.len()
@@ -193,7 +192,10 @@
         }
         let is_complete = answer.outcome == QueryOutcome::Complete;
         if is_complete != missing.is_empty() {
-            violations.push(format!("is {} in spite of its coverage", answer.outcome));
+            violations.push(format!(
+                "the outcome {} contradicts the coverage",
+                answer.outcome
+            ));
         }
         let expected = expected_rows::expected_rows(
             &self.template.merge,
@@ -202,7 +204,7 @@
             &self.parameters,
         );
         if answer.rows != expected {
-            violations.push("holds rows that are not those of its covered shards".to_owned());
+            violations.push("the rows are not those of the covered shards".to_owned());
         }
         violations
     }
@@ -213,7 +215,7 @@
     let mut violations = Vec::new();
     if body.error.not_run == may_have_run {
         violations.push(format!(
-            "code {} with not_run {}",
+            "the error code {} contradicts not_run {}",
             body.error.code, body.error.not_run
         ));
     }
--- a/alderhaven-quickstart/src/answer_text.rs
+++ b/alderhaven-quickstart/src/answer_text.rs
@@ -1,4 +1,4 @@
-//! Replies as people read them.
+//! The human-readable text of queries and replies.
 
 use std::fmt::Write;
 
@@ -7,10 +7,10 @@
 use crate::query_reply::{AnswerBody, ErrorBody, QueryReply};
 use crate::sample_query::SampleQuery;
 
-/// The number of rows that are shown of an answer.
+/// Further rows of an answer are only counted.
 const MAX_SHOWN_ROWS: usize = 3;
 
-/// Gets the text of a query and its reply, over several lines.
+/// Gets the text of a query and its reply, in several lines.
 #[must_use]
 pub fn reply_text(query: &SampleQuery, reply: &QueryReply) -> String {
     let mut text = format!(
@@ -20,7 +20,7 @@
         parameters_text(query)
     );
     if let Some(key) = query.idempotency_key {
-        // Writing to a string does not fail.
+        // Writing to a `String` can't fail.
         let _written = writeln!(text, "  Idempotency-Key {key}");
     }
     let rest = match reply {
@@ -88,9 +88,9 @@
     } else {
         "it may have run"
     };
-    let retry_text = error.retry_after_ms.map_or_else(String::new, |millis| {
-        format!("; ask again after {millis} ms")
-    });
+    let retry_text = error
+        .retry_after_ms
+        .map_or_else(String::new, |millis| format!("; retry after {millis} ms"));
     format!(
         "  {}: {} ({run_text}{retry_text})\n",
         error.code, error.message
--- a/alderhaven-quickstart/src/example_objects.rs
+++ b/alderhaven-quickstart/src/example_objects.rs
@@ -1,4 +1,4 @@
-//! The templates and teams of both example deployments, as they stand under `examples/`.
+//! The templates and teams of both example deployments, from the files in `examples/`.
 
 use alderhaven_core::errors::Result;
 use alderhaven_core::settings;
@@ -6,14 +6,15 @@
 use alderhaven_core::template::QueryTemplate;
 use alderhaven_standin::object_set::ObjectSet;
 
-/// A file of the examples, with its content built in so that the binary runs from any directory.
+/// Gets the path and the compiled-in content of an example, so that the binary runs from any
+/// directory.
 macro_rules! example {
     ($path:literal) => {
         ($path, include_str!(concat!("../../examples/", $path)))
     };
 }
 
-/// The templates by file and content.
+/// Path and content of each template.
 const TEMPLATE_FILES: [(&str, &str); 11] = [
     example!("volta/templates/duplicate-check.yaml"),
     example!("volta/templates/title-lookup.yaml"),
@@ -28,7 +29,7 @@
     example!("lagerblik/templates/monthly-sum.yaml"),
 ];
 
-/// The teams by file and content.
+/// Path and content of each team.
 const TEAM_FILES: [(&str, &str); 9] = [
     example!("volta/teams/publishers.yaml"),
     example!("volta/teams/booksellers.yaml"),
@@ -41,10 +42,10 @@
     example!("lagerblik/teams/statistics-office.yaml"),
 ];
 
-/// Reads the examples.
+/// Parses the compiled-in examples; manifests are not among them.
 ///
 /// # Errors
-/// `Error::File` for an example that can't be read.
+/// `Error::File` if an example can't be parsed.
 pub fn load() -> Result<ObjectSet> {
     let templates = TEMPLATE_FILES
         .iter()
--- a/alderhaven-quickstart/src/expected_rows.rs
+++ b/alderhaven-quickstart/src/expected_rows.rs
@@ -1,6 +1,6 @@
-//! What an answer must hold, from the rows that stand-in targets derive.
+//! Computes the rows of a correct answer from the rows that stand-in targets derive.
 //!
-//! It is written apart from the entry's own merge, so that one fault can't hide in both.
+//! The implementation is independent of the entry's merge, so that an error there is detected.
 
 use std::collections::HashSet;
 
@@ -11,7 +11,7 @@
 use alderhaven_standin::rows::DerivedRow;
 use serde_json::{Value, json};
 
-/// Gets the rows of an answer that covers `shards` of the manifest, for canonical parameters.
+/// Gets the merged rows of an answer that covers `shards`, for parameters in canonical JSON.
 #[must_use]
 pub fn expected_rows(
     rule: &MergeRule,
--- a/alderhaven-quickstart/src/lib.rs
+++ b/alderhaven-quickstart/src/lib.rs
@@ -1,7 +1,7 @@
-//! The quickstart: the whole path in one process, on loopback, for newcomers.
+//! Runs entries, relays and stand-ins of the platform and the targets as tasks of one process, and
+//! sends sample queries through them.
 //!
-//! A process starts no other, so the stand-ins, the relays and the entries run here as tasks. They
-//! talk to each other over TCP as the separate binaries do.
+//! The parts communicate over TCP on loopback, as the separate binaries do.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-quickstart/src/local_system.rs
+++ b/alderhaven-quickstart/src/local_system.rs
@@ -1,4 +1,4 @@
-//! The whole system on loopback, in this process.
+//! Starts platform and target stand-ins, relays and entries in this process, on loopback.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,16 +27,16 @@
 
 use crate::example_objects;
 
-/// The most entries and relays of each kind, as many as the hosts of a small trial.
+/// The limit of entries, and of relays.
 pub const MAX_NODES: usize = 64;
-/// The time within which the system must be ready.
+/// The time after which the start fails if the system is not ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// The pause between two looks at whether the system is ready.
+/// The pause between checks whether the system is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The failure domains that the nodes are spread over.
+/// The nodes are assigned to these in turn.
 const FAILURE_DOMAINS: [&str; 4] = ["accra-1", "accra-2", "accra-3", "accra-4"];
 
-/// A `LocalSystem` is the running system.
+/// A running system; [`stop`](Self::stop) ends it in order.
 #[derive(Debug)]
 pub struct LocalSystem {
     platform: PlatformServer,
@@ -49,11 +49,13 @@
 }
 
 impl LocalSystem {
-    /// Starts stand-ins of the platform and of the targets of both deployments, and `nodes` relays
-    /// and entries, and waits until all of them are ready.
+    /// Starts stand-ins of the platform and of the targets of both deployments, `nodes` relays and
+    /// `nodes` entries, and waits until all entries are ready. `seed` determines the run times at
+    /// targets.
     ///
     /// # Errors
-    /// Where a port can't be bound, the examples don't check or the system is not ready in time.
+    /// If `nodes` is out of range, a port can't be bound, an example is invalid or the system does
+    /// not become ready in time.
     pub async fn start(nodes: usize, seed: u64) -> Result<Self> {
         if !(1..=MAX_NODES).contains(&nodes) {
             bail!("nodes: {nodes} is refused: allowed is 1 to {MAX_NODES}");
@@ -65,7 +67,7 @@
             ..PlatformOptions::default()
         })
         .await
-        .wrap_err("the platform's stand-in can't start")?;
+        .wrap_err("the platform stand-in can't start")?;
         let fleet = TargetFleet::start(FleetOptions {
             services: [DeploymentKind::Volta, DeploymentKind::Lagerblik]
                 .into_iter()
@@ -93,13 +95,13 @@
         Ok(system)
     }
 
-    /// Gets the entries' addresses for callers.
+    /// Gets the addresses at which the entries accept queries.
     #[must_use]
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(EntryNode::caller_address).collect()
     }
 
-    /// Gets the operator addresses of all entries and then of all relays.
+    /// Gets the operator addresses, first of all entries, then of all relays.
     #[must_use]
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         let entries = self.entries.iter().map(EntryNode::operator_address);
@@ -107,37 +109,37 @@
         entries.chain(relays).collect()
     }
 
-    /// Gets the address of the platform's stand-in.
+    /// Gets the address of the platform stand-in.
     #[must_use]
     pub const fn platform_address(&self) -> SocketAddr {
         self.platform.address()
     }
 
-    /// Gets the number of running targets.
+    /// Counts the stand-in targets of both deployments.
     #[must_use]
     pub fn target_count(&self) -> usize {
         self.fleet.targets().count()
     }
 
-    /// Gets the published templates.
+    /// Gets the templates that the platform stand-in serves.
     #[must_use]
     pub fn templates(&self) -> &[QueryTemplate] {
         &self.templates
     }
 
-    /// Gets the published manifests.
+    /// Gets the manifests that were published for the stand-in targets.
     #[must_use]
     pub fn manifests(&self) -> &[SnapshotManifest] {
         &self.manifests
     }
 
-    /// Gets the record of what the targets ran.
+    /// Gets the log of runs, which all targets share.
     #[must_use]
     pub const fn run_log(&self) -> &Arc<RunLog> {
         self.fleet.run_log()
     }
 
-    /// Stops everything; the targets finish what is in flight.
+    /// Stops everything; the targets finish their requests in flight.
     pub async fn stop(self) {
         self.shutdown.cancel();
         drop(self.entries);
@@ -157,10 +159,10 @@
         Ok(())
     }
 
-    /// Returns true where the entry plans on the whole configuration and reaches all relays.
+    /// Returns `true` if the entry has applied the whole configuration and can use all relays.
     ///
-    /// What its watch has brought is not enough: until all parts of the entry have taken that over, a
-    /// first query is refused because the configuration is not known yet.
+    /// It checks the applied view, not the watch: until the entry has applied what the watch
+    /// received, it refuses queries for lack of configuration.
     fn is_ready(&self, entry: &EntryNode) -> bool {
         let state = entry.state();
         let view = state.applied.view();
@@ -206,7 +208,7 @@
     ConfigFollower::start(store, FollowerOptions::default(), shutdown.clone())
 }
 
-/// Gets the settings that a node's file would hold; all else takes its default.
+/// Gets the settings of a node as its settings file would hold them; the rest has defaults.
 fn node_settings(role: &str, number: usize, platform: SocketAddr) -> Value {
     json!({
         "node": format!("{role}-{number}"),
@@ -219,5 +221,5 @@
 }
 
 fn parse_settings<T: DeserializeOwned>(values: Value) -> Result<T> {
-    serde_json::from_value(values).wrap_err("the quickstart's settings don't check")
+    serde_json::from_value(values).wrap_err("the generated node settings are invalid")
 }
--- a/alderhaven-quickstart/src/main.rs
+++ b/alderhaven-quickstart/src/main.rs
@@ -1,9 +1,9 @@
-//! `alder-quickstart`: queries over many shards in one process, on loopback.
+//! `alder-quickstart`: runs sample queries over a whole system in one process, on loopback.
 #![forbid(unsafe_code)]
 #![expect(
     clippy::print_stdout,
     clippy::print_stderr,
-    reason = "answers and progress are the command's output"
+    reason = "replies and progress are the command's output"
 )]
 
 use std::process::ExitCode;
@@ -23,14 +23,14 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time;
 
-/// The most queries whose answers are shown one by one.
+/// Replies of longer runs are not shown; progress lines are printed instead.
 const MAX_SHOWN_QUERIES: usize = 24;
-/// The number of progress lines of a longer run.
+/// The approximate number of progress lines of a run.
 const PROGRESS_LINE_COUNT: usize = 10;
-/// The most broken promises that are shown.
+/// Further violations of a reply, or of the whole run, are only counted.
 const MAX_SHOWN_VIOLATIONS: usize = 20;
 
-/// Runs sample queries of two deployments over stand-in targets on loopback and shows the answers.
+/// Runs sample queries of two deployments against stand-in targets on loopback and shows replies.
 #[derive(FromArgs)]
 struct Arguments {
     /// the number of entries and of relays, 1 to 64 (default 8)
@@ -45,21 +45,21 @@
     #[argh(option, default = "1")]
     seed: u64,
 
-    /// end with one JSON line of totals
+    /// print the totals as one JSON line
     #[argh(switch)]
     json: bool,
 
-    /// serve on after the queries, until SIGINT or SIGTERM
+    /// keep running after the queries, until SIGINT or SIGTERM
     #[argh(switch)]
     keep_running: bool,
 
-    /// the seconds after which `--keep-running` ends by itself
+    /// the seconds after which `--keep-running` ends
     #[argh(option, long = "for")]
     seconds: Option<u64>,
 }
 
 impl Arguments {
-    /// Checks the numbers before anything is started.
+    /// Checks the ranges of the numbers before anything is started.
     fn check(&self) -> alderhaven_core::errors::Result<()> {
         let bounded = [
             ("--nodes", self.nodes, MAX_NODES),
@@ -93,10 +93,10 @@
     }
 }
 
-/// Runs everything and gets the number of broken promises.
+/// Starts the system, runs the queries and gets the number of violations.
 async fn run(arguments: &Arguments) -> Result<usize> {
     eprintln!(
-        "starting {} entries and relays, and stand-ins",
+        "starting {} entries, as many relays, and stand-ins",
         arguments.nodes
     );
     let system = LocalSystem::start(arguments.nodes, arguments.seed).await?;
@@ -132,7 +132,7 @@
         );
     }
     for violation in checked.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
-        eprintln!("broken promise: {violation}");
+        eprintln!("violation: {violation}");
     }
 }
 
@@ -145,14 +145,14 @@
 
 fn show_report(report: &RunReport, json: bool) -> Result<()> {
     for violation in report.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
-        eprintln!("broken promise: {violation}");
+        eprintln!("violation: {violation}");
     }
     let totals = report.totals;
     if json {
         println!("{}", serde_json::to_string(&totals)?);
     } else {
         println!(
-            "{} queries: {} complete, {} partial, {} refused, {} unknown, {} failed; {} broken promises",
+            "{} queries: {} complete, {} partial, {} refused, {} unknown, {} failed; {} violations",
             totals.queries,
             totals.complete,
             totals.partial,
--- a/alderhaven-quickstart/src/query_reply.rs
+++ b/alderhaven-quickstart/src/query_reply.rs
@@ -1,4 +1,4 @@
-//! What a caller reads from an entry's reply.
+//! The replies of entries as a caller parses them.
 
 use alderhaven_core::coverage::CoverageReport;
 use alderhaven_core::ids::SnapshotId;
@@ -8,70 +8,70 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A `QueryReply` is the reply to one query.
+/// The parsed reply to one query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryReply {
-    /// Rows with their coverage.
+    /// A reply with a success status.
     Answer(AnswerBody),
-    /// An error in the one form of errors.
+    /// A reply with an error status and an error body.
     Error(ErrorBody),
-    /// No reply, or one that has neither form.
+    /// No reply or an invalid one, with the reason.
     Unreadable(String),
 }
 
-/// An `AnswerBody` is the body of an answered query.
+/// The body of a successful reply.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnswerBody {
-    /// Complete or partial.
+    /// Complete or partial, as the coverage shows.
     pub outcome: QueryOutcome,
-    /// The merged rows.
+    /// The rows after the merge of the template.
     pub rows: Vec<Value>,
-    /// Which shards are covered.
+    /// The shards that were requested, answered and missing.
     pub coverage: CoverageReport,
-    /// The snapshot.
+    /// The snapshot that the query ran on.
     pub snapshot: SnapshotId,
-    /// Where the time went.
+    /// The times that the entry measured.
     pub timing: TimingBody,
 }
 
-/// A `TimingBody` says where the time of a query went.
+/// The times and attempts of a query, as the entry measured them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct TimingBody {
-    /// The whole time at the entry, in microseconds.
+    /// The total time at the entry, in microseconds.
     pub total_us: u64,
-    /// The longest time of an attempt at its target, in microseconds.
+    /// The longest service time of an attempt at its target, in microseconds.
     pub slowest_target_us: u64,
-    /// The number of attempts.
+    /// The attempts that were sent, repeats and hedges included.
     pub attempts: usize,
 }
 
-/// An `ErrorBody` is the body of everything that is not an answer.
+/// The body of a reply with an error status.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// The reason and what the caller can do.
     pub error: ErrorPart,
-    /// The coverage, where the query was scattered.
+    /// The coverage, if the query was sent to shards.
     #[serde(default)]
     pub coverage: Option<CoverageReport>,
 }
 
-/// An `ErrorPart` says what went wrong.
+/// The error of a query.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ErrorPart {
-    /// The code.
+    /// The machine-readable error code.
     pub code: String,
-    /// One sentence for people.
+    /// One sentence for humans.
     pub message: String,
-    /// Whether it is certain that nothing ran.
+    /// Whether it is certain that nothing ran at a target.
     pub not_run: bool,
-    /// The milliseconds after which asking again makes sense.
+    /// The milliseconds to wait before a retry.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
 }
 
 impl QueryReply {
-    /// Reads a reply; a call without one is unreadable.
+    /// Parses the result of a call; a failed call is unreadable.
     #[must_use]
     pub fn from_result(result: eyre::Result<Response<Bytes>>) -> Self {
         let response = match result {
@@ -87,7 +87,7 @@
         reply.unwrap_or_else(|error| Self::Unreadable(format!("status {status}: {error}")))
     }
 
-    /// Gets the query's outcome, none where the reply is unreadable.
+    /// Gets the query's outcome; `None` if the reply is unreadable.
     #[must_use]
     pub fn outcome(&self) -> Option<QueryOutcome> {
         match self {
--- a/alderhaven-quickstart/src/query_run.rs
+++ b/alderhaven-quickstart/src/query_run.rs
@@ -1,4 +1,4 @@
-//! A run of sample queries: several callers at once, each reply checked as it comes.
+//! Sends sample queries from concurrent callers and checks each reply as it arrives.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,46 +18,46 @@
 use crate::sample_query::SampleQuery;
 use crate::sample_source::{MAX_QUERIES, SampleSource};
 
-/// The time after which a caller gives up on a reply; the longest deadline of a template is 60 s.
+/// The time that a caller waits for a reply, longer than the longest deadline of a template.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(65);
-/// The most callers at once; more would queue at targets with 2 slots.
+/// The limit of concurrent callers; more would queue at the targets.
 const MAX_CALLERS: usize = 8;
 
-/// A `RunOptions` says which queries a run sends.
+/// The queries of a run and the concurrency with which they are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunOptions {
-    /// The number of queries.
+    /// The number of queries, at most [`MAX_QUERIES`].
     pub queries: usize,
-    /// The seed of their parameters.
+    /// The seed of the choice of templates and parameters.
     pub seed: u64,
-    /// The number of callers at once.
+    /// The number of concurrent callers; values out of range are clamped.
     pub callers: usize,
 }
 
-/// A `RunStep` is one reply with what the oracle found wrong with it.
+/// A query with its reply and the violations that the oracle found in it.
 #[derive(Clone, Debug)]
 pub struct CheckedReply {
-    /// The query.
+    /// The query as it was sent.
     pub query: SampleQuery,
-    /// Its reply.
+    /// The reply, or why there is none.
     pub reply: QueryReply,
-    /// The broken promises.
+    /// The violations that the reply shows on its own.
     pub violations: Vec<String>,
 }
 
-/// A `RunReport` is what a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunReport {
-    /// The totals.
+    /// Counts over all queries, with the violations of replies and of runs.
     pub totals: RunTotals,
-    /// The broken promises that only the runs at targets showed.
+    /// The violations that only the runs at targets show.
     pub violations: Vec<String>,
 }
 
-/// Sends the queries; `step` hears of each reply in the order in which they come.
+/// Sends the queries and calls `on_reply` for each reply in the order of arrival.
 ///
 /// # Errors
-/// Where no query can be made or no entry can be reached.
+/// If the number of queries is out of range, or an entry can't be reached.
 pub async fn run(
     system: &LocalSystem,
     options: RunOptions,
@@ -104,7 +104,7 @@
     Ok(report)
 }
 
-/// Takes queries until none is left, over one connection that is made again where it breaks.
+/// Sends queries over one connection until none is left, and reconnects after an unreadable reply.
 async fn send_queries(
     address: SocketAddr,
     queries: Arc<Mutex<Vec<SampleQuery>>>,
@@ -119,7 +119,7 @@
         let outcome = time::timeout(REPLY_TIMEOUT, connection.send(query.request()?)).await;
         let reply = match outcome {
             Ok(result) => QueryReply::from_result(result),
-            Err(_) => QueryReply::Unreadable(format!("none within {REPLY_TIMEOUT:?}")),
+            Err(_) => QueryReply::Unreadable(format!("no reply within {REPLY_TIMEOUT:?}")),
         };
         if matches!(reply, QueryReply::Unreadable(_)) {
             connection = HttpConnection::connect(address).await?;
--- a/alderhaven-quickstart/src/run_totals.rs
+++ b/alderhaven-quickstart/src/run_totals.rs
@@ -1,29 +1,29 @@
-//! The totals of a run.
+//! Counts the queries of a run by outcome.
 
 use alderhaven_core::outcome::QueryOutcome;
 use serde::Serialize;
 
-/// A `RunTotals` counts the queries of a run by outcome; it is the run's JSON line.
+/// The counts of a run, printed as one JSON line with `--json`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RunTotals {
-    /// The queries that were sent.
+    /// All queries that were sent.
     pub queries: usize,
-    /// Those that were answered over all asked shards.
+    /// Answered by all requested shards.
     pub complete: usize,
-    /// Those that were answered over some asked shards.
+    /// Answered by some of the requested shards.
     pub partial: usize,
-    /// Those that were refused; nothing ran.
+    /// Refused; nothing ran.
     pub refused: usize,
-    /// Those that may or may not have run, an unreadable reply included.
+    /// May or may not have run; includes unreadable replies.
     pub unknown: usize,
-    /// Those that ran without a usable answer and may be repeated.
+    /// Ran without a usable answer; may be retried.
     pub failed: usize,
-    /// The broken promises that the oracle found.
+    /// Violations that the oracle found.
     pub violations: usize,
 }
 
 impl RunTotals {
-    /// Counts the outcome of a query; none stands for an unreadable reply.
+    /// Counts one query; `None` stands for an unreadable reply.
     pub const fn record_outcome(&mut self, outcome: Option<QueryOutcome>) {
         self.queries += 1;
         match outcome {
--- a/alderhaven-quickstart/src/sample_query.rs
+++ b/alderhaven-quickstart/src/sample_query.rs
@@ -1,4 +1,4 @@
-//! A sample query: what is sent and what an oracle needs to know of it.
+//! A sample query, with its HTTP request and the values that the oracle needs.
 
 use alderhaven_core::ids::{TeamId, TemplateName};
 use alderhaven_core::parameters::ParameterSet;
@@ -8,23 +8,23 @@
 use serde::Serialize;
 use uuid::Uuid;
 
-/// The header with the key of a request that must run at most once.
+/// The request header with the idempotency key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// A `SampleQuery` is one query of a caller.
+/// One query of a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SampleQuery {
-    /// The query's number in the run, from 0.
+    /// The number of the query in the run, starting at 0.
     pub number: usize,
-    /// The template.
+    /// The name of the template that the query runs.
     pub template: TemplateName,
-    /// The team on whose behalf it runs.
+    /// The team that sends the query.
     pub team: TeamId,
-    /// The team's bearer token, where it has one.
+    /// The team's bearer token; `None` if the team needs none.
     pub token: Option<&'static str>,
-    /// The values that the caller gives.
+    /// The values that the caller sets; the template has defaults for others.
     pub parameters: ParameterSet,
-    /// The key of a request that must run at most once.
+    /// The idempotency key, for queries that must run at most once.
     pub idempotency_key: Option<Uuid>,
 }
 
@@ -35,13 +35,13 @@
 }
 
 impl SampleQuery {
-    /// Gets the path of the query.
+    /// Gets the URL path that runs the template.
     #[must_use]
     pub fn path(&self) -> String {
         format!("/v1/query/{}", self.template)
     }
 
-    /// Gets the body as JSON text.
+    /// Gets the JSON text of the request body.
     #[must_use]
     pub fn body(&self) -> String {
         let body = QueryBody {
@@ -51,10 +51,10 @@
         serde_json::to_string(&body).unwrap_or_default()
     }
 
-    /// Gets the request as a caller sends it.
+    /// Builds the HTTP request with all headers that the query needs.
     ///
     /// # Errors
-    /// Where a part can't stand in a head; names and tokens of the examples can.
+    /// If the path or the token has characters that are not allowed there.
     pub fn request(&self) -> http::Result<Request<Full<Bytes>>> {
         let mut request =
             Request::post(self.path()).header(http::header::CONTENT_TYPE, "application/json");
--- a/alderhaven-quickstart/src/sample_source.rs
+++ b/alderhaven-quickstart/src/sample_source.rs
@@ -1,4 +1,4 @@
-//! The source of sample queries: every template of both deployments, in turn or by a seed.
+//! Generates sample queries for every template of both deployments from a seed.
 
 use alderhaven_core::ids::{TeamId, TemplateName};
 use alderhaven_core::parameters::{ParameterSet, ParameterValue};
@@ -9,9 +9,9 @@
 
 use crate::sample_query::SampleQuery;
 
-/// The most queries of a run: the numbers of more would not fit into the shortest parameter.
+/// The limit of queries of a run; higher numbers would not fit into the shortest parameter.
 pub const MAX_QUERIES: usize = 100_000;
-/// The samples in the order in which a newcomer sees them.
+/// All kinds, in the order of the first queries of a run.
 pub const SAMPLE_KINDS: [SampleKind; 11] = [
     SampleKind::DuplicateCheck,
     SampleKind::TitleLookup,
@@ -26,10 +26,10 @@
     SampleKind::MonthlySum,
 ];
 
-/// A `SampleKind` is one template of the examples.
+/// One template of the examples.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SampleKind {
-    /// Volta: records of all ledgers that clash with a title.
+    /// Volta: the records of all ledgers that conflict with a title.
     DuplicateCheck,
     /// Volta: the best matches of a title.
     TitleLookup,
@@ -43,7 +43,7 @@
     BillingReport,
     /// Lagerblik: every wholesaler's stock of a drug.
     StockSweep,
-    /// Lagerblik: where an alternative is held.
+    /// Lagerblik: where an alternative drug is in stock.
     FindAlternative,
     /// Lagerblik: the reservation of packs, at most once.
     ReserveStock,
@@ -53,11 +53,10 @@
     MonthlySum,
 }
 
-/// A `SampleSource` makes the queries of one run; the same seed gives the same queries.
+/// Generates the queries of one run; the same seed gives the same queries.
 ///
-/// Only the keys of requests that must run at most once differ from run to run, since they carry
-/// the time. No two queries of a run have the same parameters, so that a run at a target tells
-/// which query it belongs to.
+/// Only idempotency keys differ between runs, since they contain the time. No two queries of a
+/// template have the same parameters, so that runs at targets can be assigned to queries.
 #[derive(Debug)]
 pub struct SampleSource {
     rng: StdRng,
@@ -65,7 +64,7 @@
 }
 
 impl SampleSource {
-    /// Returns the source of a seed.
+    /// Returns a source that starts with query number 0.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -74,10 +73,10 @@
         }
     }
 
-    /// Makes the next query: each template once, then templates at random.
+    /// Generates the next query: each template once, then random ones.
     ///
     /// # Errors
-    /// Where a name in this file does not follow the rule for names.
+    /// If a template or team name in this file is invalid.
     pub fn next_query(&mut self) -> Result<SampleQuery> {
         let number = self.next_number;
         self.next_number += 1;
@@ -153,7 +152,7 @@
         }
     }
 
-    /// Gets the team and its bearer token, as the examples give them.
+    /// Gets a team that may use the template, and its bearer token if it needs one.
     const fn team_and_token(self) -> (&'static str, Option<&'static str>) {
         match self {
             Self::DuplicateCheck | Self::PrefixRange => {
@@ -175,7 +174,7 @@
     }
 }
 
-/// Gets a month that no other query of the run names.
+/// Gets a month that is unique to the query `number`.
 fn unique_month(number: usize) -> String {
     format!("{:04}-{:02}", 2_000 + number / 12, number % 12 + 1)
 }
--- a/alderhaven-quickstart/tests/answer_oracle.rs
+++ b/alderhaven-quickstart/tests/answer_oracle.rs
@@ -1,4 +1,4 @@
-//! Tests that the oracle finds replies and runs that break a promise.
+//! Tests that the oracle accepts correct replies and detects each kind of violation.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
 
 const SHARD_COUNT: u32 = 3;
 
-/// One query of a template, with all that is needed to answer it.
+/// A query of a template, with the objects that a correct answer depends on.
 struct OracleCase {
     query: SampleQuery,
     template: QueryTemplate,
@@ -181,7 +181,7 @@
     answer.outcome = QueryOutcome::Partial;
     assert!(
         case.violation_count(answer) > 0,
-        "a shard is neither answered nor missing"
+        "one shard is neither answered nor missing"
     );
     let mut answer = case.correct_answer();
     answer.coverage.answered = 2;
@@ -191,7 +191,7 @@
     }];
     assert!(
         case.violation_count(answer) > 0,
-        "complete, and a shard is missing"
+        "the outcome is complete although a shard is missing"
     );
 }
 
--- a/alderhaven-quickstart/tests/interface_examples.rs
+++ b/alderhaven-quickstart/tests/interface_examples.rs
@@ -1,4 +1,5 @@
-//! Runs the examples of docs/INTERFACE.md against a running entry.
+//! Tests that the examples of docs/INTERFACE.md and the metrics of docs/OPERATIONS.md match a
+//! running system.
 
 use std::net::SocketAddr;
 
@@ -10,13 +11,13 @@
 use http_body_util::Full;
 use serde_json::{Value, json};
 
-/// The page.
+/// The documentation of the caller interface.
 const INTERFACE_PAGE: &str = include_str!("../../docs/INTERFACE.md");
 
-/// The page with the metrics.
+/// The documentation of the metrics.
 const OPERATIONS_PAGE: &str = include_str!("../../docs/OPERATIONS.md");
 
-/// Gets the fenced blocks of a kind, in the page's order.
+/// Gets the fenced code blocks of a language from the interface page, in order.
 fn fenced_blocks(kind: &str) -> Vec<String> {
     let fence = format!("```{kind}\n");
     let parts = INTERFACE_PAGE.split(&fence).skip(1);
@@ -25,16 +26,18 @@
         .collect()
 }
 
-/// Gets the JSON block that begins with a member.
+/// Gets the first JSON block of the interface page that has the field `member`.
 fn json_block(member: &str) -> Value {
     let values = fenced_blocks("json")
         .into_iter()
         .map(|block| serde_json::from_str::<Value>(&block).unwrap());
     let mut found = values.filter(|value| value.get(member).is_some());
-    found.next().expect("the page has the example")
+    found
+        .next()
+        .expect("the page has an example with this field")
 }
 
-/// Sends a block as it stands on the page.
+/// Sends the HTTP request of a code block.
 async fn send_block(entry: SocketAddr, block: &str) -> Response<Bytes> {
     let (head, body) = block.split_once("\n\n").unwrap();
     let mut lines = head.lines();
@@ -51,8 +54,8 @@
     connection.send(request).await.unwrap()
 }
 
-/// Checks that `actual` has the members of the example, with values of the same types, and no
-/// others unless `allow_extra` allows them.
+/// Checks that `actual` has the fields of the example with values of the same types, and no other
+/// fields unless `allow_extra` is set.
 fn assert_shape(path: &str, example: &Value, actual: &Value, allow_extra: bool) {
     match (example, actual) {
         (Value::Object(example), Value::Object(actual)) => {
@@ -63,7 +66,7 @@
             for name in actual.keys() {
                 assert!(
                     allow_extra || example.contains_key(name),
-                    "{path}.{name} is not told"
+                    "{path}.{name} is not documented"
                 );
             }
         }
@@ -76,7 +79,7 @@
             let kinds = [example, actual].map(std::mem::discriminant);
             assert_eq!(
                 kinds[0], kinds[1],
-                "{path}: {example} is told, {actual} came"
+                "{path}: the example has {example}, the reply has {actual}"
             );
         }
     }
@@ -128,7 +131,7 @@
     system.stop().await;
 }
 
-/// Operators must find every metric explained: what it means, and what to do when it moves.
+/// Every exported metric must have a row in the documentation for operators.
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics_are_documented() {
     let system = LocalSystem::start(1, 7).await.unwrap();
@@ -148,7 +151,10 @@
             metric_count += 1;
         }
     }
-    assert!(metric_count > 10, "{metric_count} metrics");
+    assert!(
+        metric_count > 10,
+        "only {metric_count} metrics were exported"
+    );
     system.stop().await;
 }
 
--- a/alderhaven-quickstart/tests/query_run.rs
+++ b/alderhaven-quickstart/tests/query_run.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole path in one process.
+//! Runs every sample query over a whole system in one process.
 
 use alderhaven_quickstart::local_system::LocalSystem;
 use alderhaven_quickstart::query_run;
