--- a/alderhaven-ctl/src/change_plan.rs
+++ b/alderhaven-ctl/src/change_plan.rs
@@ -1,7 +1,7 @@
 //! The difference between configuration files and the store, as a plan for a publication.
 //!
-//! A plan records the stored versions that it was made from, so that publishing it can't overwrite
-//! content that the operator has not reviewed.
+//! A plan contains the stored versions that it was made from, so that publishing it can't overwrite
+//! later changes.
 
 use std::collections::BTreeMap;
 
