--- a/alderhaven-core/src/config_object.rs
+++ b/alderhaven-core/src/config_object.rs
@@ -32,8 +32,10 @@
     /// One target, as it registers itself.
     Target,
     /// A node's last word on whether it reaches the store.
+    #[serde(rename = "contact")]
     StoreContact,
     /// What a node has seen of the crashes that one request was part of.
+    #[serde(rename = "strike")]
     CrashStrike,
     /// A failure domain whose targets get no new work until the object is removed; named after it.
     Evacuation,
--- a/alderhaven-core/src/coverage.rs
+++ b/alderhaven-core/src/coverage.rs
@@ -12,6 +12,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CoverageReport {
     /// The number of shards that the query selects in the pinned manifest.
+    #[serde(rename = "asked")]
     pub requested: usize,
     /// The number of those shards whose verified reply is part of the answer.
     pub answered: usize,
--- a/alderhaven-core/src/parameters.rs
+++ b/alderhaven-core/src/parameters.rs
@@ -127,6 +127,7 @@
     /// One of the listed texts.
     Choice {
         /// The texts that are allowed.
+        #[serde(rename = "of")]
         allowed_values: Vec<String>,
     },
 }
--- a/alderhaven-store/src/config_follower.rs
+++ b/alderhaven-store/src/config_follower.rs
@@ -27,8 +27,10 @@
 #[serde(default, deny_unknown_fields)]
 pub struct FollowerOptions {
     /// How long one watch call waits for a change.
+    #[serde(rename = "watch_wait")]
     pub watch_timeout: TimeSpan,
     /// How long a list is good for.
+    #[serde(rename = "relist")]
     pub relist_interval: TimeSpan,
     /// The waits while the store fails.
     pub backoff: BackoffOptions,
--- a/alderhaven-store/src/config_handle.rs
+++ b/alderhaven-store/src/config_handle.rs
@@ -54,6 +54,7 @@
         reason: String,
     },
     /// The store went backwards; the node keeps what it has accepted.
+    #[serde(rename = "backwards")]
     Regressed {
         /// How it went backwards.
         regression: StoreRegression,
@@ -64,14 +65,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FollowerStatus {
     /// How the follower stands with the store.
+    #[serde(rename = "contact")]
     pub sync_state: StoreSyncState,
     /// The revision up to which every change is in force, none before the first list.
     pub revision: Option<StoreVersion>,
     /// The highest version heard of, from the store or from peers.
     pub highest_version: StoreVersion,
     /// The time since the store's last answer.
+    #[serde(rename = "since_contact")]
     pub time_since_answer: Option<TimeSpan>,
     /// The number of objects held, tombstones included.
+    #[serde(rename = "objects")]
     pub object_count: usize,
     /// The objects that did not check.
     pub rejected: Vec<RejectedStatus>,
@@ -94,6 +98,7 @@
 enum ConfigEvent<'a> {
     StoreFollowed { revision: StoreVersion },
     StoreLost { reason: &'a str },
+    #[serde(rename = "store_backwards")]
     StoreRegressed { reason: String },
     ConfigChanged { key: String, version: StoreVersion },
     ConfigRejected(RejectedStatus),
--- a/alderhaven-store/src/http_client.rs
+++ b/alderhaven-store/src/http_client.rs
@@ -36,8 +36,10 @@
     /// The time to open a connection.
     pub connect_timeout: TimeSpan,
     /// The number of idle connections that are kept.
+    #[serde(rename = "max_idle")]
     pub max_idle_connections: usize,
     /// The largest answer.
+    #[serde(rename = "max_answer")]
     pub max_response_size: ByteSize,
 }
 
--- a/alderhaven-store/src/retry_backoff.rs
+++ b/alderhaven-store/src/retry_backoff.rs
@@ -20,8 +20,10 @@
 #[serde(default, deny_unknown_fields)]
 pub struct BackoffOptions {
     /// The first wait.
+    #[serde(rename = "first")]
     pub initial_wait: TimeSpan,
     /// The longest wait.
+    #[serde(rename = "longest")]
     pub max_wait: TimeSpan,
 }
 
