--- a/alderhaven-core/src/fingerprint.rs
+++ b/alderhaven-core/src/fingerprint.rs
@@ -40,9 +40,9 @@
     /// Gets the first eight bytes as a number.
     #[must_use]
     pub fn leading_u64(&self) -> u64 {
-        let mut head = [0; 8];
-        head.copy_from_slice(&self.0[..8]);
-        u64::from_le_bytes(head)
+        let mut bytes = [0; 8];
+        bytes.copy_from_slice(&self.0[..8]);
+        u64::from_le_bytes(bytes)
     }
 }
 
--- a/alderhaven-core/src/ids.rs
+++ b/alderhaven-core/src/ids.rs
@@ -196,11 +196,12 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::parse("attempt id", text, "two hexadecimal numbers joined by `-`");
-        let (origin, sequence) = text.split_once('-').ok_or_else(bad)?;
+        let parse_error =
+            || Error::parse("attempt id", text, "two hexadecimal numbers joined by `-`");
+        let (origin, sequence) = text.split_once('-').ok_or_else(parse_error)?;
         Ok(Self {
-            origin: u64::from_str_radix(origin, 16).map_err(|_| bad())?,
-            sequence: u64::from_str_radix(sequence, 16).map_err(|_| bad())?,
+            origin: u64::from_str_radix(origin, 16).map_err(|_| parse_error())?,
+            sequence: u64::from_str_radix(sequence, 16).map_err(|_| parse_error())?,
         })
     }
 }
--- a/alderhaven-core/src/log_queue.rs
+++ b/alderhaven-core/src/log_queue.rs
@@ -43,17 +43,18 @@
     /// The thread can't be started.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<Self> {
         let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let waiting = Arc::new(AtomicU64::new(0));
-        let (counted, written) = (Arc::clone(&left_out), Arc::clone(&waiting));
-        let writer = move || write_batches(&receiver, output, &counted, &written);
+        let dropped_lines = Arc::new(AtomicU64::new(0));
+        let queued_lines = Arc::new(AtomicU64::new(0));
+        let (writer_dropped, writer_queued) =
+            (Arc::clone(&dropped_lines), Arc::clone(&queued_lines));
+        let writer = move || write_batches(&receiver, output, &writer_dropped, &writer_queued);
         thread::Builder::new()
             .name("log".to_owned())
             .spawn(writer)?;
         Ok(Self {
             lines: sender,
-            dropped_lines: left_out,
-            queued_lines: waiting,
+            dropped_lines,
+            queued_lines,
             partial_line: Vec::new(),
         })
     }
@@ -99,8 +100,8 @@
 fn write_batches(
     lines: &Receiver<Vec<u8>>,
     mut output: impl Write,
-    left_out: &AtomicU64,
-    waiting: &AtomicU64,
+    dropped_lines: &AtomicU64,
+    queued_lines: &AtomicU64,
 ) {
     while let Ok(first) = lines.recv() {
         thread::sleep(BATCH_DELAY);
@@ -113,17 +114,17 @@
             batch.extend_from_slice(&line);
             count += 1;
         }
-        let missing = left_out.swap(0, Ordering::Relaxed);
-        if missing > 0 {
-            let note = format!(
-                "{{\"event\":\"log_lines_left_out\",\"reason\":\"queue_full\",\"lines\":{missing}}}\n"
+        let dropped = dropped_lines.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            let event_line = format!(
+                "{{\"event\":\"log_lines_left_out\",\"reason\":\"queue_full\",\"lines\":{dropped}}}\n"
             );
-            batch.extend_from_slice(note.as_bytes());
+            batch.extend_from_slice(event_line.as_bytes());
         }
-        let written = output.write_all(&batch).and_then(|()| output.flush());
-        waiting.fetch_sub(count, Ordering::Relaxed);
+        let result = output.write_all(&batch).and_then(|()| output.flush());
+        queued_lines.fetch_sub(count, Ordering::Relaxed);
         // Without a reader there is nobody left to tell.
-        if written.is_err() {
+        if result.is_err() {
             return;
         }
     }
--- a/alderhaven-core/src/manifest.rs
+++ b/alderhaven-core/src/manifest.rs
@@ -97,10 +97,10 @@
     #[must_use]
     pub fn shard_of_key(&self, key: &str) -> usize {
         let hash = blake3::hash(key.as_bytes());
-        let mut head = [0_u8; 8];
-        head.copy_from_slice(&hash.as_bytes()[..8]);
+        let mut hash_prefix = [0_u8; 8];
+        hash_prefix.copy_from_slice(&hash.as_bytes()[..8]);
         let count = self.shards.len().max(1) as u64;
-        usize::try_from(u64::from_le_bytes(head) % count).unwrap_or(0)
+        usize::try_from(u64::from_le_bytes(hash_prefix) % count).unwrap_or(0)
     }
 
     /// Gets the positions in `shards` that a query with these parameters asks.
@@ -109,7 +109,7 @@
     /// `Error::Invalid` where a listed shard is not in the manifest or the range is empty, so that
     /// an answer never claims to be complete over shards that nobody asked.
     pub fn select(&self, selection: &ShardSelection, values: &ParameterSet) -> Result<Vec<usize>> {
-        let text_of = |name: &str| {
+        let parameter_text = |name: &str| {
             values
                 .get(name)
                 .map(key_text)
@@ -118,11 +118,13 @@
         match selection {
             ShardSelection::All => Ok((0..self.shards.len()).collect()),
             ShardSelection::ByKeyHash { parameter } => {
-                Ok(vec![self.shard_of_key(&text_of(parameter)?)])
+                Ok(vec![self.shard_of_key(&parameter_text(parameter)?)])
             }
             ShardSelection::ByKeyRange { from, to } => {
-                let first = text_of(from)?;
-                let last = to.as_deref().map_or_else(|| Ok(first.clone()), text_of)?;
+                let first = parameter_text(from)?;
+                let last = to
+                    .as_deref()
+                    .map_or_else(|| Ok(first.clone()), parameter_text)?;
                 self.select_range(&first, &last)
             }
             ShardSelection::Listed { shards } => shards
--- a/alderhaven-core/src/parameters.rs
+++ b/alderhaven-core/src/parameters.rs
@@ -154,8 +154,8 @@
             {
                 return Ok(());
             }
-            (Self::Choice { allowed_values: of }, ParameterValue::Text(text))
-                if of.contains(text) =>
+            (Self::Choice { allowed_values }, ParameterValue::Text(text))
+                if allowed_values.contains(text) =>
             {
                 return Ok(());
             }
@@ -178,7 +178,9 @@
             Self::Text { max_length } => {
                 write!(formatter, "a text of at most {max_length} bytes")
             }
-            Self::Choice { allowed_values: of } => write!(formatter, "one of {}", of.join(", ")),
+            Self::Choice { allowed_values } => {
+                write!(formatter, "one of {}", allowed_values.join(", "))
+            }
         }
     }
 }
--- a/alderhaven-core/src/quantities.rs
+++ b/alderhaven-core/src/quantities.rs
@@ -51,15 +51,15 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::parse("size", text, "a whole number with B, KB or MB");
+        let parse_error = || Error::parse("size", text, "a whole number with B, KB or MB");
         let digits = text.bytes().take_while(u8::is_ascii_digit).count();
         let (number, unit) = text.split_at(digits);
         let size = SIZE_UNITS
             .into_iter()
             .find_map(|(name, size)| (name == unit).then_some(size))
-            .ok_or_else(bad)?;
-        let count: usize = number.parse().map_err(|_| bad())?;
-        count.checked_mul(size).map(Self).ok_or_else(bad)
+            .ok_or_else(parse_error)?;
+        let count: usize = number.parse().map_err(|_| parse_error())?;
+        count.checked_mul(size).map(Self).ok_or_else(parse_error)
     }
 }
 
@@ -116,9 +116,9 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::parse("rate", text, "a number of zero or more, followed by /s");
-        let number = text.strip_suffix("/s").ok_or_else(bad)?;
-        Self::new(number.parse().map_err(|_| bad())?).map_err(|_| bad())
+        let parse_error = || Error::parse("rate", text, "a number of zero or more, followed by /s");
+        let number = text.strip_suffix("/s").ok_or_else(parse_error)?;
+        Self::new(number.parse().map_err(|_| parse_error())?).map_err(|_| parse_error())
     }
 }
 
--- a/alderhaven-core/src/template.rs
+++ b/alderhaven-core/src/template.rs
@@ -255,7 +255,7 @@
         }
         for (team, values) in &self.team_values {
             for (name, value) in &values.0 {
-                let checked = self.parameters.get(name).map_or_else(
+                let result = self.parameters.get(name).map_or_else(
                     || {
                         Err(Error::invalid(
                             format!("team_values.{team}.{name}"),
@@ -264,13 +264,13 @@
                     },
                     |spec| spec.kind.check(name, value),
                 );
-                errors.extend(checked.err());
+                errors.extend(result.err());
             }
         }
     }
 
     fn check_shards(&self, errors: &mut Vec<Error>) {
-        let named: Vec<&String> = match &self.shards {
+        let key_parameters: Vec<&String> = match &self.shards {
             ShardSelection::All => Vec::new(),
             ShardSelection::ByKeyHash { parameter } => vec![parameter],
             ShardSelection::ByKeyRange { from, to } => {
@@ -286,7 +286,7 @@
                 Vec::new()
             }
         };
-        for parameter in named {
+        for parameter in key_parameters {
             if !self.parameters.contains_key(parameter) {
                 errors.push(Error::invalid(
                     "shards",
--- a/alderhaven-core/src/time.rs
+++ b/alderhaven-core/src/time.rs
@@ -119,15 +119,16 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::parse("time span", text, "a whole number with us, ms, s, m or h");
+        let parse_error =
+            || Error::parse("time span", text, "a whole number with us, ms, s, m or h");
         let digits = text.bytes().take_while(u8::is_ascii_digit).count();
         let (number, unit) = text.split_at(digits);
         let size = SPAN_UNITS
             .into_iter()
             .find_map(|(name, size)| (name == unit).then_some(size))
-            .ok_or_else(bad)?;
-        let count: u64 = number.parse().map_err(|_| bad())?;
-        count.checked_mul(size).map(Self).ok_or_else(bad)
+            .ok_or_else(parse_error)?;
+        let count: u64 = number.parse().map_err(|_| parse_error())?;
+        count.checked_mul(size).map(Self).ok_or_else(parse_error)
     }
 }
 
--- a/alderhaven-core/src/value_check.rs
+++ b/alderhaven-core/src/value_check.rs
@@ -20,10 +20,10 @@
         allowed: &RangeInclusive<T>,
     ) {
         if !allowed.contains(value) {
-            let (least, most) = (allowed.start(), allowed.end());
+            let (min, max) = (allowed.start(), allowed.end());
             self.errors.push(Error::invalid(
                 field,
-                format!("{value} is refused: allowed is {least} to {most}"),
+                format!("{value} is refused: allowed is {min} to {max}"),
             ));
         }
     }
--- a/alderhaven-core/tests/log_queue.rs
+++ b/alderhaven-core/tests/log_queue.rs
@@ -30,10 +30,10 @@
 /// what a request must not wait for; what the queue can't hold is left out, and the log says how much.
 #[test]
 fn queue_with_a_stalled_reader_takes_all_lines_at_once() {
-    let (go_on, stalled) = channel();
-    let (written, read) = channel();
+    let (resume, resumed) = channel();
+    let (written, batches) = channel();
     let output = StalledOutput {
-        resume: stalled,
+        resume: resumed,
         written,
     };
     let mut queue = LogQueue::start(output).expect("a queue");
@@ -43,19 +43,19 @@
     assert!(queue.dropped_lines() > 0);
     let mut text = Vec::new();
     while !String::from_utf8_lossy(&text).contains("log_lines_left_out") {
-        go_on.send(()).expect("the writer lives");
-        text.extend(read.recv().expect("the writer writes"));
+        resume.send(()).expect("the writer lives");
+        text.extend(batches.recv().expect("the writer writes"));
     }
 }
 
 /// The reader of the log is gone. Logging goes on without an error.
 #[test]
 fn queue_without_a_reader_is_no_error() {
-    let (go_on, stalled) = channel();
-    let (written, read) = channel();
-    drop((go_on, read));
+    let (resume, resumed) = channel();
+    let (written, batches) = channel();
+    drop((resume, batches));
     let output = StalledOutput {
-        resume: stalled,
+        resume: resumed,
         written,
     };
     let mut queue = LogQueue::start(output).expect("a queue");
--- a/alderhaven-store/src/config_follower.rs
+++ b/alderhaven-store/src/config_follower.rs
@@ -105,32 +105,32 @@
     }
 
     async fn list(&mut self) -> Result<(), FollowFailure> {
-        let floor = self.handle.min_revision();
-        let answer = self.store.list(&ObjectKind::CONFIGURATION).await;
+        let min_revision = self.handle.min_revision();
+        let result = self.store.list(&ObjectKind::CONFIGURATION).await;
         let list = self
             .handle
-            .record_result(answer)
+            .record_result(result)
             .map_err(FollowFailure::Store)?;
         self.handle
-            .apply(|state| state.apply_list(list, floor))
+            .apply(|state| state.apply_list(list, min_revision))
             .map_err(|_regression| FollowFailure::StoreRegressed)?;
         self.list_due = Instant::now() + self.options.relist_interval.as_duration();
         Ok(())
     }
 
     async fn watch(&mut self, after: StoreVersion) -> Result<(), FollowFailure> {
-        let floor = self.handle.min_revision();
+        let min_revision = self.handle.min_revision();
         let wait = self.options.watch_timeout;
         let call = self.store.watch(&ObjectKind::CONFIGURATION, after, wait);
-        let answer = call.await;
+        let result = call.await;
         match self
             .handle
-            .record_result(answer)
+            .record_result(result)
             .map_err(FollowFailure::Store)?
         {
             WatchOutcome::Changes(changes) => self
                 .handle
-                .apply(|state| state.apply_changes(changes, floor))
+                .apply(|state| state.apply_changes(changes, min_revision))
                 .map_err(|_regression| {
                     self.list_due = Instant::now();
                     FollowFailure::StoreRegressed
--- a/alderhaven-store/src/config_handle.rs
+++ b/alderhaven-store/src/config_handle.rs
@@ -96,11 +96,20 @@
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum ConfigEvent<'a> {
-    StoreFollowed { revision: StoreVersion },
-    StoreLost { reason: &'a str },
+    StoreFollowed {
+        revision: StoreVersion,
+    },
+    StoreLost {
+        reason: &'a str,
+    },
     #[serde(rename = "store_backwards")]
-    StoreRegressed { reason: String },
-    ConfigChanged { key: String, version: StoreVersion },
+    StoreRegressed {
+        reason: String,
+    },
+    ConfigChanged {
+        key: String,
+        version: StoreVersion,
+    },
     ConfigRejected(RejectedStatus),
 }
 
@@ -159,16 +168,16 @@
     /// Gets the follower's state.
     #[must_use]
     pub fn status(&self) -> FollowerStatus {
-        let (contact, last_answer) = {
+        let (sync_state, last_answer_at) = {
             let record = self.lock_sync_record();
             (record.state.clone(), record.last_answer_at)
         };
         let state = self.lock_state();
         FollowerStatus {
-            sync_state: contact,
+            sync_state,
             revision: state.complete_revision(),
             highest_version: state.registry().highest_version(),
-            time_since_answer: last_answer.map(|answer| answer.elapsed().into()),
+            time_since_answer: last_answer_at.map(|instant| instant.elapsed().into()),
             object_count: state.registry().objects().count(),
             rejected: rejected_objects(&state),
         }
@@ -181,42 +190,42 @@
     /// Applies an answer of the store to the state and publishes what it changed.
     pub(crate) fn apply(
         &self,
-        take: impl FnOnce(&mut ConfigState) -> Result<Vec<ObjectKey>, StoreRegression>,
+        apply: impl FnOnce(&mut ConfigState) -> Result<Vec<ObjectKey>, StoreRegression>,
     ) -> Result<(), StoreRegression> {
         let mut state = self.lock_state();
-        let taken = take(&mut state);
+        let result = apply(&mut state);
         let revision = state.complete_revision().unwrap_or_default();
-        if let Ok(changed) = &taken {
+        if let Ok(changed) = &result {
             self.publish(&state, changed);
         }
         drop(state);
-        let contact = match &taken {
+        let sync_state = match &result {
             Ok(_) => StoreSyncState::Following,
             Err(regression) => StoreSyncState::Regressed {
                 regression: regression.clone(),
             },
         };
         self.lock_sync_record().last_answer_at = Some(Instant::now());
-        self.set_sync_state(contact, revision);
-        taken.map(drop)
+        self.set_sync_state(sync_state, revision);
+        result.map(drop)
     }
 
     /// Notes that a call failed.
     pub(crate) fn record_failure(&self, reason: &str) {
-        let is_backwards = matches!(
+        let is_regressed = matches!(
             self.lock_sync_record().state,
             StoreSyncState::Regressed { .. }
         );
         // That the store went backwards is the graver news and stays until it has caught up.
-        if !is_backwards {
+        if !is_regressed {
             let reason = reason.to_owned();
             self.set_sync_state(StoreSyncState::Lost { reason }, StoreVersion::default());
         }
     }
 
     /// Passes on the answer to a call, and notes its failure.
-    pub(crate) fn record_result<T>(&self, answer: StoreResult<T>) -> StoreResult<T> {
-        answer.inspect_err(|error| self.record_failure(&error.to_string()))
+    pub(crate) fn record_result<T>(&self, result: StoreResult<T>) -> StoreResult<T> {
+        result.inspect_err(|error| self.record_failure(&error.to_string()))
     }
 
     fn publish(&self, state: &ConfigState, changed: &[ObjectKey]) {
@@ -228,14 +237,15 @@
         log_changes(state, changed);
     }
 
-    fn set_sync_state(&self, contact: StoreSyncState, revision: StoreVersion) {
+    fn set_sync_state(&self, sync_state: StoreSyncState, revision: StoreVersion) {
         let mut record = self.lock_sync_record();
         // One line for each change of state, not for each failed call of a long outage.
-        let is_new = std::mem::discriminant(&record.state) != std::mem::discriminant(&contact);
-        if is_new {
-            log_sync_state(&contact, revision);
+        let has_changed =
+            std::mem::discriminant(&record.state) != std::mem::discriminant(&sync_state);
+        if has_changed {
+            log_sync_state(&sync_state, revision);
         }
-        record.state = contact;
+        record.state = sync_state;
     }
 
     fn lock_state(&self) -> MutexGuard<'_, ConfigState> {
@@ -287,8 +297,8 @@
     }
 }
 
-fn log_sync_state(contact: &StoreSyncState, revision: StoreVersion) {
-    match contact {
+fn log_sync_state(sync_state: &StoreSyncState, revision: StoreVersion) {
+    match sync_state {
         StoreSyncState::Waiting => {}
         StoreSyncState::Following => {
             logging::emit(Level::Info, &ConfigEvent::StoreFollowed { revision });
--- a/alderhaven-store/src/config_state.rs
+++ b/alderhaven-store/src/config_state.rs
@@ -83,9 +83,9 @@
     pub fn apply_list(
         &mut self,
         list: ObjectList,
-        floor: StoreVersion,
+        min_revision: StoreVersion,
     ) -> Result<Vec<ObjectKey>, StoreRegression> {
-        if let Some(regression) = self.find_regression(&list, floor) {
+        if let Some(regression) = self.find_regression(&list, min_revision) {
             self.regression = Some(regression.clone());
             return Err(regression);
         }
@@ -105,19 +105,19 @@
     /// How the store went backwards; nothing is taken then.
     pub fn apply_changes(
         &mut self,
-        news: ObjectList,
-        floor: StoreVersion,
+        changes: ObjectList,
+        min_revision: StoreVersion,
     ) -> Result<Vec<ObjectKey>, StoreRegression> {
-        if news.revision < floor {
+        if changes.revision < min_revision {
             let regression = StoreRegression::Revision {
-                known: floor,
-                found: news.revision,
+                known: min_revision,
+                found: changes.revision,
             };
             self.regression = Some(regression.clone());
             return Err(regression);
         }
-        let changed = self.accept_all(news.objects);
-        self.complete_revision = self.complete_revision.max(Some(news.revision));
+        let changed = self.accept_all(changes.objects);
+        self.complete_revision = self.complete_revision.max(Some(changes.revision));
         Ok(changed)
     }
 
@@ -127,10 +127,10 @@
     /// object of that age is either known or was deleted meanwhile; it is left out.
     pub fn accept_from_peer(&mut self, objects: Vec<StoredObject>) -> Vec<ObjectKey> {
         let complete_at = self.complete_revision;
-        let news = objects
+        let newer = objects
             .into_iter()
             .filter(|object| Some(object.version) > complete_at);
-        self.accept_all(news)
+        self.accept_all(newer)
     }
 
     fn accept_all(&mut self, objects: impl IntoIterator<Item = StoredObject>) -> Vec<ObjectKey> {
@@ -145,10 +145,14 @@
         changed
     }
 
-    fn find_regression(&self, list: &ObjectList, floor: StoreVersion) -> Option<StoreRegression> {
-        if list.revision < floor {
+    fn find_regression(
+        &self,
+        list: &ObjectList,
+        min_revision: StoreVersion,
+    ) -> Option<StoreRegression> {
+        if list.revision < min_revision {
             return Some(StoreRegression::Revision {
-                known: floor,
+                known: min_revision,
                 found: list.revision,
             });
         }
--- a/alderhaven-store/src/http_client.rs
+++ b/alderhaven-store/src/http_client.rs
@@ -114,9 +114,9 @@
         // A call that fails drops its connection, so a late answer has nobody left to reach.
         let timeout = (self.options.call_timeout + wait).as_duration();
         match time::timeout(timeout, self.send_and_receive(&mut connection, request)).await {
-            Ok(Ok(answer)) => {
+            Ok(Ok(response)) => {
                 self.release_connection(connection);
-                reject_overload(answer)
+                reject_overload(response)
             }
             Ok(Err(error)) => Err(error),
             Err(_elapsed) => {
@@ -124,7 +124,7 @@
                 // while new ones work, and every idle one would cost one more timeout. So none of
                 // them is used again.
                 self.lock_idle().clear();
-                Err(StoreError::unknown("no answer in time"))
+                Err(StoreError::unknown("no response in time"))
             }
         }
     }
@@ -136,11 +136,11 @@
     ) -> StoreResult<ClientResponse> {
         let response = match connection.try_send_request(request).await {
             Ok(response) => response,
-            Err(mut refused) => {
+            Err(mut failure) => {
                 // A request that comes back was never written, for example because the platform
                 // had closed the idle connection; it may be sent on a new one.
-                let Some(request) = refused.take_message() else {
-                    return Err(StoreError::unknown(refused.error()));
+                let Some(request) = failure.take_message() else {
+                    return Err(StoreError::unknown(failure.error()));
                 };
                 *connection = self.connect().await?;
                 send_once(connection, request).await?
@@ -210,24 +210,24 @@
     connection
         .try_send_request(request)
         .await
-        .map_err(|mut refused| {
-            if refused.take_message().is_some() {
-                StoreError::not_done(refused.error())
+        .map_err(|mut failure| {
+            if failure.take_message().is_some() {
+                StoreError::not_done(failure.error())
             } else {
-                StoreError::unknown(refused.error())
+                StoreError::unknown(failure.error())
             }
         })
 }
 
-fn reject_overload(answer: ClientResponse) -> StoreResult<ClientResponse> {
-    match answer.status {
+fn reject_overload(response: ClientResponse) -> StoreResult<ClientResponse> {
+    match response.status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             Err(StoreError::NotDone {
-                reason: answer.status.to_string(),
-                retry_after: retry_after(&answer.headers),
+                reason: response.status.to_string(),
+                retry_after: retry_after(&response.headers),
             })
         }
-        _ => Ok(answer),
+        _ => Ok(response),
     }
 }
 
--- a/alderhaven-store/src/http_hosts.rs
+++ b/alderhaven-store/src/http_hosts.rs
@@ -35,10 +35,10 @@
             .header(http::header::HOST, self.client.host_header())
             .body(Full::default())
             .map_err(StoreError::not_done)?;
-        let answer = self.client.call(request, TimeSpan::ZERO).await?;
-        match answer.status {
-            StatusCode::OK => answer.parse_json(),
-            _ => Err(answer.unexpected_status()),
+        let response = self.client.call(request, TimeSpan::ZERO).await?;
+        match response.status {
+            StatusCode::OK => response.parse_json(),
+            _ => Err(response.unexpected_status()),
         }
     }
 }
--- a/alderhaven-store/src/http_store.rs
+++ b/alderhaven-store/src/http_store.rs
@@ -61,12 +61,12 @@
         wait: TimeSpan,
     ) -> StoreResult<ClientResponse> {
         let now = TimePoint::START + TimeSpan::from(self.started_at.elapsed());
-        let taken = self
+        let acquired = self
             .budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .take(call, now);
-        if let Err(retry_after) = taken {
+        if let Err(retry_after) = acquired {
             return Err(StoreError::NotDone {
                 reason: "the budget of calls is used up".to_owned(),
                 retry_after: Some(retry_after),
@@ -107,37 +107,37 @@
 impl ObjectStore for HttpStore {
     async fn list(&self, kinds: &[ObjectKind]) -> StoreResult<ObjectList> {
         let request = self.build_read(&format!("/objects?kinds={}", join_kinds(kinds)))?;
-        let answer = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
-        match answer.status {
-            StatusCode::OK => answer.parse_json(),
-            _ => Err(answer.unexpected_status()),
+        let response = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
+        match response.status {
+            StatusCode::OK => response.parse_json(),
+            _ => Err(response.unexpected_status()),
         }
     }
 
     async fn get(&self, key: &ObjectKey) -> StoreResult<Option<StoredObject>> {
         let request = self.build_read(&object_path(key)?)?;
-        let answer = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
-        match answer.status {
-            StatusCode::OK => answer.parse_json().map(Some),
+        let response = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
+        match response.status {
+            StatusCode::OK => response.parse_json().map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(answer.unexpected_status()),
+            _ => Err(response.unexpected_status()),
         }
     }
 
     async fn write(&self, write: ConditionalWrite) -> StoreResult<WriteOutcome> {
         let request = self.build_write(&write)?;
-        let answer = self.call(StoreCall::Write, request, TimeSpan::ZERO).await?;
-        match answer.status {
+        let response = self.call(StoreCall::Write, request, TimeSpan::ZERO).await?;
+        match response.status {
             StatusCode::OK => {
-                let written: StoredObject = answer.parse_json()?;
+                let written: StoredObject = response.parse_json()?;
                 if written.write_id == write.write_id && written.key == write.key {
                     Ok(WriteOutcome::Written(written.version))
                 } else {
-                    Err(StoreError::unknown("the answer names another write"))
+                    Err(StoreError::unknown("the response names another write"))
                 }
             }
-            StatusCode::CONFLICT => answer.parse_json().map(WriteOutcome::Conflict),
-            _ => Err(answer.unexpected_status()),
+            StatusCode::CONFLICT => response.parse_json().map(WriteOutcome::Conflict),
+            _ => Err(response.unexpected_status()),
         }
     }
 
@@ -152,11 +152,11 @@
             join_kinds(kinds),
             wait.as_millis()
         ))?;
-        let answer = self.call(StoreCall::Read, request, wait).await?;
-        match answer.status {
-            StatusCode::OK => answer.parse_json().map(WatchOutcome::Changes),
+        let response = self.call(StoreCall::Read, request, wait).await?;
+        match response.status {
+            StatusCode::OK => response.parse_json().map(WatchOutcome::Changes),
             StatusCode::GONE => Ok(WatchOutcome::Compacted),
-            _ => Err(answer.unexpected_status()),
+            _ => Err(response.unexpected_status()),
         }
     }
 }
--- a/alderhaven-store/src/operator_server.rs
+++ b/alderhaven-store/src/operator_server.rs
@@ -71,14 +71,14 @@
 }
 
 async fn serve_connection<S: OperatorSource>(stream: TcpStream, source: Arc<S>) {
-    let answering = service::service_fn(move |request: Request<Incoming>| {
+    let handler = service::service_fn(move |request: Request<Incoming>| {
         let response = handle_request(&*source, request.method(), request.uri().path());
         async move { Ok::<_, Infallible>(response) }
     });
     let _ended = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEADER_READ_TIMEOUT)
-        .serve_connection(TokioIo::new(stream), answering)
+        .serve_connection(TokioIo::new(stream), handler)
         .await;
 }
 
@@ -115,13 +115,13 @@
 
 fn response_with_body(
     status: StatusCode,
-    kind: &'static str,
+    content_type: &'static str,
     body: Vec<u8>,
 ) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     response
         .headers_mut()
-        .insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+        .insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
--- a/alderhaven-store/src/target_watch.rs
+++ b/alderhaven-store/src/target_watch.rs
@@ -112,9 +112,9 @@
         self.update(|targets| targets.set_listed(listing.revision, leaving, now));
     }
 
-    fn update(&self, change: impl FnOnce(&mut LeavingTargets)) {
+    fn update(&self, update: impl FnOnce(&mut LeavingTargets)) {
         let mut targets = self.lock();
-        change(&mut targets);
+        update(&mut targets);
         // Stored with the lock held, so that names can't be published out of order.
         self.shared.leaving_names.store(Arc::new(targets.names()));
     }
--- a/alderhaven-store/tests/config_state.rs
+++ b/alderhaven-store/tests/config_state.rs
@@ -33,7 +33,7 @@
 /// Operators end the drain of a target while a node restarts, so the node's list does not show it.
 /// A peer that is cut off from the store still offers the drain; taking it would bring it back.
 #[test]
-fn take_from_peer_deleted_object_stays_deleted() {
+fn accept_from_peer_deleted_object_stays_deleted() {
     let mut state = ConfigState::default();
     state
         .apply_list(object_list(9, vec![]), state.min_revision())
@@ -49,7 +49,7 @@
 /// A node loses its watch for so long that the store has dropped the changes. Meanwhile a drain is
 /// ended. The list that follows does not name the drain any more: the node must end it too.
 #[test]
-fn take_list_absent_object_is_removed() {
+fn apply_list_absent_object_is_removed() {
     let mut state = ConfigState::default();
     state
         .apply_list(
@@ -68,7 +68,7 @@
 /// it then grows past the known one through other writes, still without the change. Taking the
 /// list would undo a change that was in force.
 #[test]
-fn take_list_restored_store_is_refused_until_it_has_caught_up() {
+fn apply_list_restored_store_is_refused_until_it_has_caught_up() {
     let mut state = ConfigState::default();
     state
         .apply_list(
@@ -88,21 +88,17 @@
         Err(StoreRegression::Object { found: None, .. })
     ));
     assert_eq!(state.registry().view().drains.len(), 2);
-    let published_again = object_list(
+    let republished = object_list(
         21,
         vec![drain_object("t1", 3, true), drain_object("t2", 21, true)],
     );
-    assert!(
-        state
-            .apply_list(published_again, state.min_revision())
-            .is_ok()
-    );
+    assert!(state.apply_list(republished, state.min_revision()).is_ok());
     assert!(state.regression().is_none());
 }
 
 /// A restored store gives a version that is known a second time, to other content.
 #[test]
-fn take_list_other_write_of_known_version_is_refused() {
+fn apply_list_other_write_of_known_version_is_refused() {
     let mut state = ConfigState::default();
     state
         .apply_list(
@@ -120,7 +116,7 @@
 }
 
 #[test]
-fn take_changes_lower_revision_is_refused() {
+fn apply_changes_lower_revision_is_refused() {
     let mut state = ConfigState::default();
     state
         .apply_list(object_list(5, vec![]), state.min_revision())
@@ -165,10 +161,10 @@
     /// Lists, watches and stale peers in any order: what the node holds for an object never goes
     /// back, and after a list or a watch it holds exactly what the store does.
     #[test]
-    fn take_any_order_never_reverts(steps in prop::collection::vec(store_step(), 1..60)) {
+    fn updates_in_any_order_never_revert(steps in prop::collection::vec(store_step(), 1..60)) {
         let mut state = ConfigState::default();
         let mut history: Vec<StoredObject> = Vec::new();
-        let mut reached: BTreeMap<ObjectKey, StoreVersion> = BTreeMap::new();
+        let mut versions: BTreeMap<ObjectKey, StoreVersion> = BTreeMap::new();
         for step in steps {
             let revision = history.len() as u64;
             let mut newest: BTreeMap<&ObjectKey, &StoredObject> = BTreeMap::new();
@@ -178,22 +174,22 @@
                 .filter(|object| object.body.is_some())
                 .map(|object| (*object).clone())
                 .collect();
-            let floor = state.min_revision();
+            let min_revision = state.min_revision();
             let is_current = match step {
                 StoreStep::Write(name, is_live) => {
                     history.push(drain_object(&format!("t{name}"), revision + 1, is_live));
                     false
                 }
                 StoreStep::List => {
-                    state.apply_list(object_list(revision, live.clone()), floor).expect("no regression");
+                    state.apply_list(object_list(revision, live.clone()), min_revision).expect("no regression");
                     true
                 }
                 StoreStep::Watch => match state.complete_revision() {
                     None => false,
                     Some(after) => {
-                        let later = history.iter().filter(|object| object.version > after);
-                        let later = object_list(revision, later.cloned().collect());
-                        state.apply_changes(later, floor).expect("no regression");
+                        let changes = history.iter().filter(|object| object.version > after);
+                        let changes = object_list(revision, changes.cloned().collect());
+                        state.apply_changes(changes, min_revision).expect("no regression");
                         true
                     }
                 },
@@ -210,7 +206,7 @@
                 prop_assert!(drains == names.collect(), "not what the store holds");
             }
             for held in state.registry().objects() {
-                let before = reached.insert(held.key.clone(), held.version);
+                let before = versions.insert(held.key.clone(), held.version);
                 prop_assert!(before <= Some(held.version), "{} went back", held.key);
             }
         }
--- a/alderhaven-store/tests/http_store.rs
+++ b/alderhaven-store/tests/http_store.rs
@@ -33,14 +33,14 @@
 async fn start_platform(replies: &'static [ScriptedReply]) -> (HttpStore, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let served = Arc::new(AtomicUsize::new(0));
-    let counter = Arc::clone(&served);
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let counter = Arc::clone(&request_count);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(serve(stream, replies, Arc::clone(&counter)));
         }
     });
-    (store_at(address), served)
+    (store_at(address), request_count)
 }
 
 fn store_at(address: SocketAddr) -> HttpStore {
@@ -55,10 +55,14 @@
     HttpStore::new(address, options)
 }
 
-async fn serve(mut stream: TcpStream, replies: &'static [ScriptedReply], served: Arc<AtomicUsize>) {
+async fn serve(
+    mut stream: TcpStream,
+    replies: &'static [ScriptedReply],
+    request_count: Arc<AtomicUsize>,
+) {
     while read_request(&mut stream).await {
-        let turn = served.fetch_add(1, Ordering::SeqCst);
-        match replies[turn.min(replies.len() - 1)] {
+        let index = request_count.fetch_add(1, Ordering::SeqCst);
+        match replies[index.min(replies.len() - 1)] {
             ScriptedReply::Answer(status, headers, body) => {
                 send_answer(&mut stream, status, headers, body).await;
             }
@@ -181,7 +185,7 @@
 /// brings something that can't be read or belongs to another write. The write may stand.
 #[tokio::test]
 async fn write_lost_answer_is_unknown() {
-    let (store, served) = start_platform(&[
+    let (store, request_count) = start_platform(&[
         ScriptedReply::Close,
         ScriptedReply::Silence,
         ScriptedReply::Answer("200 OK", "", "{"),
@@ -189,10 +193,10 @@
         ScriptedReply::Answer("500 Internal Server Error", "", ""),
     ])
     .await;
-    for turn in 1..=5 {
-        assert!(is_unknown(&store.write(team_write()).await), "turn {turn}");
+    for index in 1..=5 {
+        assert!(is_unknown(&store.write(team_write()).await), "turn {index}");
         // Each write was sent once: a lost answer never leads to a second write by the client.
-        assert_eq!(served.load(Ordering::SeqCst), turn);
+        assert_eq!(request_count.load(Ordering::SeqCst), index);
     }
 }
 
@@ -200,7 +204,7 @@
 /// never sent, and succeeds on a new connection.
 #[tokio::test]
 async fn get_closed_idle_connection_is_replaced() {
-    let (store, served) = start_platform(&[
+    let (store, request_count) = start_platform(&[
         ScriptedReply::AnswerAndClose("404 Not Found", ""),
         ScriptedReply::Answer("200 OK", "", WRITTEN),
     ])
@@ -212,7 +216,7 @@
         found = store.get(&team_key("volta")).await;
     }
     assert_eq!(found.expect("an answer").expect("an object").version.0, 4);
-    assert!(served.load(Ordering::SeqCst) >= 2);
+    assert!(request_count.load(Ordering::SeqCst) >= 2);
 }
 
 #[tokio::test]
@@ -235,16 +239,18 @@
 
 #[tokio::test]
 async fn get_bad_name_is_not_sent() {
-    let (store, served) = start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
+    let (store, request_count) =
+        start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
     for name in ["..", "a/b", "a?kinds=team", "a b", ""] {
         assert!(is_not_done(&store.get(&team_key(name)).await), "{name}");
     }
-    assert_eq!(served.load(Ordering::SeqCst), 0);
+    assert_eq!(request_count.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
 async fn call_budget_used_up_is_not_sent() {
-    let (store, served) = start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
+    let (store, request_count) =
+        start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
     let budget = StoreBudgetOptions {
         reads: "0.001/s".parse().expect("a rate"),
         ..StoreBudgetOptions::default()
@@ -256,5 +262,5 @@
     let store = HttpStore::new(store.address(), options);
     assert_eq!(store.get(&team_key("volta")).await, Ok(None));
     assert!(is_not_done(&store.get(&team_key("volta")).await));
-    assert_eq!(served.load(Ordering::SeqCst), 1);
+    assert_eq!(request_count.load(Ordering::SeqCst), 1);
 }
