--- a/alderhaven-core/src/class.rs
+++ b/alderhaven-core/src/class.rs
@@ -1,21 +1,21 @@
-//! The classes of queries and what a template prefers when it can't have everything.
+//! Priority classes of queries, and whether a template prefers coverage or latency.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A `QueryClass` says how urgent a query is; a lower class is served first.
+/// Priority of a query; the class with the lowest rank is served first.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum QueryClass {
-    /// A caller waits on the answer to act, for example a duplicate check.
+    /// A caller can't continue without the answer, for example a duplicate check.
     Urgent,
-    /// A caller waits, but a later answer does little harm.
+    /// A caller waits for the answer but tolerates a delay.
     #[default]
     Ordinary,
-    /// No caller waits, for example a monthly report.
+    /// No caller waits for the answer, for example a monthly report.
     Bulk,
 }
 
@@ -23,7 +23,7 @@
     /// All classes, most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Ordinary, Self::Bulk];
 
-    /// Gets the class's rank, 0 for the most urgent.
+    /// Returns the rank, 0 for the most urgent class.
     #[must_use]
     pub const fn rank(self) -> u8 {
         match self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Gets the class of a rank; a rank beyond the last one is bulk.
+    /// Returns the class of a rank. Ranks above the last one are `Bulk`.
     #[must_use]
     pub const fn from_rank(rank: u8) -> Self {
         match rank {
@@ -54,13 +54,13 @@
     }
 }
 
-/// An `AnswerPreference` says what a template gives up last.
+/// Whether a template favors a complete answer or an early one.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerPreference {
-    /// Waits for every shard until the deadline (duplicate checks).
+    /// Waits for every shard until the deadline.
     #[default]
     Coverage,
-    /// Answers at `answer_by` once `min_coverage` is reached (a patient waits).
+    /// Answers from `answer_by` on as soon as `min_coverage` is reached.
     Latency,
 }
--- a/alderhaven-core/src/config_object.rs
+++ b/alderhaven-core/src/config_object.rs
@@ -1,4 +1,5 @@
-//! The objects that the platform's API keeps for the system, and which of them hold configuration.
+//! Objects that the system keeps in the platform's object API, and the parsing of those that hold
+//! configuration.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,7 +12,7 @@
 use crate::team::TeamPolicy;
 use crate::template::QueryTemplate;
 
-/// An `ObjectKind` is a kind of object in the platform's API.
+/// Kind of an object in the platform's object API.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectKind {
@@ -21,31 +22,32 @@
     Team,
     /// A snapshot manifest, named after its service.
     Manifest,
-    /// A bucket of the claim ledger.
+    /// One bucket of the claim ledger, which makes non-idempotent queries run at most once.
     Claims,
-    /// A target that operators drain.
+    /// A target that an operator is draining.
     Drain,
-    /// The earlier contents of one configuration object, kept for rollback.
+    /// The previous contents of one configuration object, kept for rollback.
     History,
-    /// The routing of a front: routes, services and limits, in one object.
+    /// The routes, services and limits of the fronts, in one object.
     Routing,
-    /// One target, as it registers itself.
+    /// A target's registration of itself.
     Target,
-    /// A node's last word on whether it reaches the store.
+    /// A node's latest report on whether it reaches the store.
     #[serde(rename = "contact")]
     StoreContact,
-    /// What a node has seen of the crashes that one request was part of.
+    /// A node's record of target crashes with one request in flight.
     #[serde(rename = "strike")]
     CrashStrike,
-    /// A failure domain whose targets get no new work until the object is removed; named after it.
+    /// A failure domain, given by the object's name, whose targets get no new work while the object
+    /// exists.
     Evacuation,
 }
 
 impl ObjectKind {
-    /// The kinds that every node keeps in force; claim buckets and histories are not among them.
+    /// The kinds that entries and relays follow as their configuration.
     pub const CONFIGURATION: [Self; 4] = [Self::Template, Self::Team, Self::Manifest, Self::Drain];
 
-    /// Returns true where nodes pass objects of the kind to each other.
+    /// Returns true if nodes exchange objects of this kind with their peers.
     #[must_use]
     pub const fn is_exchanged(self) -> bool {
         match self {
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Gets the kind's name in paths of the object API.
+    /// Returns the kind's name in paths of the object API.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -112,12 +114,12 @@
     }
 }
 
-/// An `ObjectKey` names one object of the platform's API.
+/// Identity of an object in the platform's object API, written `kind/name`.
 #[derive(Clone, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
-    /// The kind.
+    /// The kind, which is the first part of the key's path.
     pub kind: ObjectKind,
-    /// The name within the kind.
+    /// The name, unique within the kind.
     pub name: String,
 }
 
@@ -142,20 +144,20 @@
     }
 }
 
-/// A `StoredObject` is an object as the platform's API holds it.
+/// Object as the platform's object API holds it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct StoredObject {
     /// The object's key.
     pub key: ObjectKey,
-    /// The store's revision at which the object was last written; it only grows.
+    /// The store's revision at the last write of the object; it never decreases.
     pub version: StoreVersion,
-    /// The unique id that the writer gave to the write.
+    /// The unique id that the writer chose for the write.
     pub write_id: String,
-    /// The JSON text; none where the object was deleted (a tombstone).
+    /// The JSON text, or `None` for a deleted object (a tombstone).
     pub body: Option<String>,
 }
 
-/// A `ConfigObject` is the checked content of a configuration object.
+/// Validated content of a configuration object.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigObject {
     /// A query template.
@@ -164,15 +166,16 @@
     Team(TeamPolicy),
     /// A snapshot manifest.
     Manifest(SnapshotManifest),
-    /// A target that operators drain; the name is the target's.
+    /// A target that an operator is draining. The target's id is the object's name.
     Drain,
 }
 
 impl ConfigObject {
-    /// Reads and checks the content of a configuration object.
+    /// Parses and validates the content of a configuration object.
     ///
     /// # Errors
-    /// Everything that is wrong with the content, or with its name.
+    /// Every invalid value of the content; a parse error; a kind that is not configuration; or a name
+    /// in the content that differs from the key's.
     pub fn read(key: &ObjectKey, body: &str) -> std::result::Result<Self, Vec<Error>> {
         let unreadable =
             |error: serde_json::Error| vec![Error::invalid(key.to_string(), error.to_string())];
@@ -215,7 +218,7 @@
         if name != key.name {
             return Err(vec![Error::invalid(
                 key.to_string(),
-                format!("the content names itself `{name}`"),
+                format!("the content has the name `{name}`, which must be the object's name"),
             )]);
         }
         Ok(object)
--- a/alderhaven-core/src/coverage.rs
+++ b/alderhaven-core/src/coverage.rs
@@ -1,4 +1,4 @@
-//! The report of which shards an answer covers.
+//! Coverage report of an answer: which shards it includes, and why others are missing.
 
 use std::fmt;
 
@@ -6,44 +6,44 @@
 
 use crate::ids::ShardId;
 
-/// A `CoverageReport` states which of the asked shards an answer covers.
+/// Coverage of the shards that a query requested.
 ///
-/// It is counted from verified replies alone: a shard is answered or it is missing with a reason.
+/// Only verified replies count as answered. Every other requested shard is listed as missing.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CoverageReport {
-    /// The number of shards that the query selects in the pinned manifest.
+    /// The number of shards that the query selected in the pinned manifest.
     #[serde(rename = "asked")]
     pub requested: usize,
-    /// The number of those shards whose verified reply is part of the answer.
+    /// The number of requested shards whose verified reply is part of the answer.
     pub answered: usize,
-    /// The shards that are not part of the answer.
+    /// The requested shards that are not part of the answer.
     pub missing: Vec<MissingShard>,
 }
 
-/// A `MissingShard` names a shard that an answer does not cover and why.
+/// Requested shard that an answer does not include.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct MissingShard {
-    /// The shard.
+    /// The number of the shard within its service.
     pub shard: ShardId,
-    /// Why the answer does not cover it.
+    /// Why the answer does not include it.
     pub reason: MissingReason,
 }
 
-/// A `MissingReason` says why a shard is not covered.
+/// Why a requested shard is missing from an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MissingReason {
-    /// No reply came in time.
+    /// No reply arrived in time.
     Late,
     /// Every attempt was shed, queued too long or refused before it ran.
     Overloaded,
     /// No replica of the shard could be reached.
     Unreachable,
-    /// The replicas failed or sent replies that could not be verified.
+    /// The replicas failed, or their replies could not be verified.
     Failed,
-    /// No replica holds the pinned version any more.
+    /// No replica holds the pinned index version any more.
     VersionGone,
-    /// The request is quarantined.
+    /// The request is quarantined because it crashed targets.
     Quarantined,
 }
 
@@ -61,13 +61,13 @@
 }
 
 impl CoverageReport {
-    /// Returns true where every asked shard is covered.
+    /// Returns true if every requested shard answered.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.answered == self.requested && self.missing.is_empty()
     }
 
-    /// Gets the covered share of the asked shards, 1 where none was asked.
+    /// Returns the answered share of the requested shards, from 0 to 1; 1 if none was requested.
     #[must_use]
     pub fn covered_share(&self) -> f64 {
         if self.requested == 0 {
--- a/alderhaven-core/src/errors.rs
+++ b/alderhaven-core/src/errors.rs
@@ -1,40 +1,40 @@
-//! The error type of the crate, with a small constructor for each case.
+//! Error type for invalid text, field values and files.
 
 use std::fmt;
 
-/// A `Result` whose error is [`Error`].
+/// Result with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// An `Error` says which value was refused and what is allowed in its place.
+/// Rejected value, together with what is allowed instead.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// A text could not be read as the named kind of value.
+    /// A text could not be parsed as a value of `kind`.
     Parse {
-        /// The kind of value that was expected.
+        /// The expected kind of value, for example `team`.
         kind: &'static str,
-        /// The text as it was given.
+        /// The rejected text.
         text: String,
-        /// What is allowed.
+        /// A description of the allowed texts.
         allowed: String,
     },
-    /// A field holds a value outside of its bounds.
+    /// A field has an invalid value.
     Invalid {
         /// The field's path, for example `shards.by_key_hash.parameter`.
         field: String,
-        /// What is wrong and what is allowed.
+        /// What is wrong with the value, and what is allowed.
         reason: String,
     },
-    /// A file could not be read.
+    /// A file could not be read or parsed.
     File {
-        /// The file's path as it was given.
+        /// The path that was given.
         path: String,
-        /// The cause given by the operating system or the parser.
+        /// The message of the operating system, the parser or the validation.
         reason: String,
     },
 }
 
 impl Error {
-    /// Returns an error for a text that is not a value of `kind`.
+    /// Creates an error for a text that is not a valid `kind`.
     pub fn parse(kind: &'static str, text: impl Into<String>, allowed: impl Into<String>) -> Self {
         Self::Parse {
             kind,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns an error for a field whose value is out of bounds.
+    /// Creates an error for a field with an invalid value.
     pub fn invalid(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self::Invalid {
             field: field.into(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns an error for a file that can't be read or parsed.
+    /// Creates an error for a file that can't be read, parsed or accepted.
     pub fn file(path: impl Into<String>, reason: impl fmt::Display) -> Self {
         Self::File {
             path: path.into(),
--- a/alderhaven-core/src/fingerprint.rs
+++ b/alderhaven-core/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The fingerprint of a request: what makes two requests the same, whoever sends them.
+//! Fingerprint of a request, equal for all requests with the same template and parameters.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,27 +9,27 @@
 use crate::ids::TemplateName;
 use crate::parameters::ParameterSet;
 
-/// A `RequestFingerprint` is a BLAKE3 hash of a template's name and the canonical parameters.
+/// BLAKE3 hash of a template's name and the canonical parameters, truncated to 128 bits.
 ///
-/// It leaves out the caller, the idempotency key and the deadline, so that a request that is sent
-/// again has the same fingerprint.
+/// The caller, the idempotency key and the deadline are not part of it, so a retried request keeps
+/// its fingerprint. The text form is 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RequestFingerprint([u8; 16]);
 
 impl RequestFingerprint {
-    /// Computes the fingerprint of a request.
+    /// Computes the fingerprint of a template name and parsed parameters.
     #[must_use]
     pub fn of(template: &TemplateName, parameters: &ParameterSet) -> Self {
         Self::of_canonical(template.as_str(), parameters.canonical_json().as_bytes())
     }
 
-    /// Computes the fingerprint of a request from the canonical text of its parameters.
+    /// Computes the fingerprint of a template name and the canonical JSON of the parameters.
     #[must_use]
     pub fn of_canonical(template: &str, parameters: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(template.as_bytes());
-        // A name holds no such byte, so that name and parameters can't run into each other.
+        // Template names contain no zero byte, so it separates the name from the parameters.
         hasher.update(&[0]);
         hasher.update(parameters);
         let mut bytes = [0; 16];
@@ -37,7 +37,7 @@
         Self(bytes)
     }
 
-    /// Gets the first eight bytes as a number.
+    /// Returns the first eight bytes, read as a little-endian number.
     #[must_use]
     pub fn leading_u64(&self) -> u64 {
         let mut bytes = [0; 8];
--- a/alderhaven-core/src/ids.rs
+++ b/alderhaven-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for the names and numbers that identify things.
+//! Newtypes for names and numbers that identify teams, services, targets, nodes and versions.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 use crate::errors::{Error, Result};
 
-/// The longest name, in bytes, that an object of the platform's API may have.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_LENGTH: usize = 63;
 
 const NAME_RULE: &str =
@@ -35,7 +35,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// Gets the name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -104,85 +104,85 @@
 }
 
 name_id!(
-    /// A `TeamId` names the team on whose behalf a query runs.
+    /// Name of the team on whose behalf a query runs.
     TeamId,
     "team"
 );
 name_id!(
-    /// A `TemplateName` names a query template.
+    /// Name of a query template, unique among templates.
     TemplateName,
     "template name"
 );
 name_id!(
-    /// A `ServiceName` names a service whose shards are queried.
+    /// Name of a service whose shards are queried.
     ServiceName,
     "service name"
 );
 name_id!(
-    /// A `TargetId` names one server that answers for a shard.
+    /// Name of a target, a server that holds a replica of a shard.
     TargetId,
     "target"
 );
 name_id!(
-    /// A `NodeId` names one process of the system, an entry or a relay, on its host.
+    /// Name of a process of the system, such as an entry or a relay.
     NodeId,
     "node"
 );
 name_id!(
-    /// A `HostId` names a host that processes or targets run on.
+    /// Name of a host that nodes or targets run on.
     HostId,
     "host"
 );
 name_id!(
-    /// An `OperatorName` names a person or job that publishes configuration.
+    /// Name of a person or job that publishes configuration.
     OperatorName,
     "operator"
 );
 name_id!(
-    /// A `FailureDomain` names a part of the platform that fails as a whole.
+    /// Name of a part of the platform that fails as a whole.
     FailureDomain,
     "failure domain"
 );
 
 number_id!(
-    /// A `ShardId` numbers a shard within its service.
+    /// Number of a shard within its service.
     ShardId,
     u32,
     "shard"
 );
 number_id!(
-    /// A `SnapshotId` numbers a manifest of a service; a newer manifest has a higher number.
+    /// Number of a service's manifest; newer manifests have higher numbers.
     SnapshotId,
     u64,
     "snapshot"
 );
 number_id!(
-    /// An `IndexVersion` numbers the version of a shard's index.
+    /// Version number of a shard's index.
     IndexVersion,
     u64,
     "index version"
 );
 number_id!(
-    /// A `StoreVersion` is the store's revision at which an object was last written.
+    /// Revision of the object store; as an object's version, the revision at its last write.
     StoreVersion,
     u64,
     "store version"
 );
 number_id!(
-    /// An `IncarnationNumber` tells a restarted process from what it was before.
+    /// Number that distinguishes a restarted process from its previous runs.
     IncarnationNumber,
     u64,
     "incarnation"
 );
 
-/// An `AttemptId` identifies one attempt at one target and never recurs, not even over restarts.
+/// Unique id of one attempt at one target, also across restarts of a process.
 ///
-/// The high half is random per process start, the low half is a counter.
+/// The text form is two hexadecimal numbers, `origin-sequence`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash)]
 pub struct AttemptId {
-    /// The random number of the process start that made the attempt.
+    /// A random number that the process draws when it starts.
     pub origin: u64,
-    /// The count of attempts within that start.
+    /// A counter of the attempts since the process started.
     pub sequence: u64,
 }
 
--- a/alderhaven-core/src/lib.rs
+++ b/alderhaven-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The vocabulary of alderhaven: ids, quantities, templates, teams, manifests, coverage and outcomes.
+//! Shared types of alderhaven: ids, quantities, templates, teams, manifests, coverage and outcomes.
 //!
-//! Every other crate builds on this one. It does no I/O except for reading a settings file and
-//! setting up the log.
+//! All other crates depend on this one. Its only I/O is reading settings files, printing the result
+//! of a settings check, and writing the log.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-core/src/log_queue.rs
+++ b/alderhaven-core/src/log_queue.rs
@@ -1,8 +1,7 @@
-//! A queue between those who log and a slow reader: bounded, and never waited for.
+//! Bounded queue that keeps a slow reader of the log from blocking requests.
 //!
-//! A process whose standard output is a pipe stops at the write once the pipe is full. A request must
-//! not: lines go into a queue, a thread writes them in batches, and what finds the queue full is left
-//! out and counted.
+//! A write to a full pipe blocks. Log lines therefore go into a queue, which a thread writes out in
+//! batches. When the queue is full, lines are dropped and counted.
 
 use std::io;
 use std::io::Write;
@@ -12,22 +11,21 @@
 use std::thread;
 use std::time::Duration;
 
-/// The lines that may wait: at 300 bytes each about a megabyte.
+/// Capacity of the queue in lines.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// The bytes after which a batch is written.
+/// Size at which a batch takes no further lines.
 const BATCH_BYTES: usize = 32 << 10;
 
-/// How long the first line of a batch waits for others. Each write costs a system call and a wake-up,
-/// which on a small host are more than the line; an engineer who reads along notices nothing.
+/// How long the first line of a batch waits for further lines, to save system calls.
 const BATCH_DELAY: Duration = Duration::from_millis(250);
 
-/// How often the end of a process looks whether its last lines are written.
+/// How often [`LogQueue::wait_until_written`] checks the queue before it gives up.
 const MAX_DRAIN_POLLS: u32 = 25;
-/// The pause between two of those.
+/// The pause between two of these checks.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A `LogQueue` takes whole lines; its clones share the queue.
+/// Writer that queues whole lines without blocking. Clones share the queue.
 #[derive(Clone, Debug)]
 pub struct LogQueue {
     lines: SyncSender<Vec<u8>>,
@@ -37,10 +35,10 @@
 }
 
 impl LogQueue {
-    /// Starts a queue whose lines a thread writes to `output`.
+    /// Creates a queue and starts the thread that writes its lines to `output`.
     ///
     /// # Errors
-    /// The thread can't be started.
+    /// The thread could not be started.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<Self> {
         let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
         let dropped_lines = Arc::new(AtomicU64::new(0));
@@ -59,8 +57,9 @@
         })
     }
 
-    /// Waits until all lines are written, for half a second at most: the end of a process must not
-    /// hang on the reader of its log.
+    /// Blocks until all queued lines are written, for at most half a second.
+    ///
+    /// The bound lets a process exit while the reader of its log is stalled.
     pub fn wait_until_written(&self) {
         for _ in 0..MAX_DRAIN_POLLS {
             if self.queued_lines.load(Ordering::Relaxed) == 0 {
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Gets the lines that were left out since the last ones that were written.
+    /// Returns the number of lines dropped since the last batch was written.
     #[must_use]
     pub fn dropped_lines(&self) -> u64 {
         self.dropped_lines.load(Ordering::Relaxed)
@@ -96,7 +95,7 @@
     }
 }
 
-/// Writes batches until the last queue is gone or the reader is.
+/// Writes batches until all clones of the queue are dropped or a write fails.
 fn write_batches(
     lines: &Receiver<Vec<u8>>,
     mut output: impl Write,
@@ -123,7 +122,7 @@
         }
         let result = output.write_all(&batch).and_then(|()| output.flush());
         queued_lines.fetch_sub(count, Ordering::Relaxed);
-        // Without a reader there is nobody left to tell.
+        // The reader closed the log, so the error can't be reported there.
         if result.is_err() {
             return;
         }
--- a/alderhaven-core/src/logging.rs
+++ b/alderhaven-core/src/logging.rs
@@ -1,9 +1,7 @@
-//! The log: JSON lines, one typed event a line, on standard error or through a queue on standard
-//! output.
+//! Logging of typed events as JSON lines, to standard error or through a queue to standard output.
 //!
-//! simplelog has no JSON form of its own. Every prefix is therefore switched off and the message is
-//! the whole line: an event serialised by serde. Only our own crates pass the filter, since other
-//! crates' messages are not JSON.
+//! simplelog has no JSON format, so all of its prefixes are disabled and each message is a complete
+//! JSON line. Messages of other crates are filtered out because they are not JSON.
 
 use std::io;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -14,10 +12,10 @@
 
 use crate::log_queue::LogQueue;
 
-/// The prefix of the modules whose messages are logged.
+/// Common prefix of the crates whose messages pass the filter.
 const CRATE_NAME_PREFIX: &str = "alderhaven";
 
-/// A `LogLine` is one event with the time at which it was logged.
+/// Log record around a typed event.
 #[derive(Serialize)]
 struct LogLine<'a, E: Serialize> {
     /// Milliseconds since the Unix epoch.
@@ -27,16 +25,16 @@
     event: &'a E,
 }
 
-/// Starts the log on standard error at `level`; a second call in the same process changes nothing.
+/// Starts logging to standard error at `level`. Has no effect if the process already logs.
 pub fn start(level: LevelFilter) {
-    // A second logger in one process (the quickstart) is refused, and the first goes on.
+    // Fails if the process has a logger already, which then stays in use.
     let _already_started = WriteLogger::init(level, logger_config(), io::stderr());
 }
 
-/// Starts the log on standard output at `level`, through a queue that no one waits for.
+/// Starts logging to standard output at `level`, through a queue that never blocks the caller.
 ///
 /// # Errors
-/// The thread that writes can't be started.
+/// The writer thread could not be started.
 pub fn start_queued(level: LevelFilter) -> io::Result<LogQueue> {
     let queue = LogQueue::start(io::stdout())?;
     let _already_started = WriteLogger::init(level, logger_config(), queue.clone());
@@ -54,7 +52,7 @@
         .build()
 }
 
-/// Logs a typed event as one JSON line.
+/// Logs an event as one JSON line. An event that can't be serialized is dropped.
 pub fn emit<E: Serialize>(level: log::Level, event: &E) {
     if level > log::max_level() {
         return;
--- a/alderhaven-core/src/manifest.rs
+++ b/alderhaven-core/src/manifest.rs
@@ -1,4 +1,4 @@
-//! Snapshot manifests: the shard map of a service with the index version of each shard.
+//! Snapshot manifests: the shards of a service with their index versions and replicas.
 
 use std::net::SocketAddr;
 
@@ -10,58 +10,59 @@
 use crate::parameters::ParameterSet;
 use crate::template::{ShardSelection, key_text};
 
-/// The most shards that one manifest may have.
+/// Maximum number of shards in a manifest.
 pub const MAX_SHARDS: usize = 4096;
-/// The most slots that a target may declare; a relay may open as many connections to it.
+/// Maximum number of slots of a target; a relay may open as many connections to it.
 pub const MAX_SLOTS: u32 = 1024;
 
-/// A `SnapshotManifest` fixes, for one service, its shards, their versions and their replicas.
+/// Consistent view of a service: its shards, their index versions and their replicas.
 ///
-/// A query is pinned to one manifest, and every reply must name its snapshot and version.
+/// A query is pinned to one manifest. Every reply must echo the manifest's snapshot and the shard's
+/// index version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotManifest {
-    /// The service.
+    /// The service, which is also the name of the manifest's object.
     pub service: ServiceName,
-    /// The snapshot's number; a newer manifest has a higher one.
+    /// The snapshot's number, higher in newer manifests.
     pub snapshot: SnapshotId,
-    /// The shards in the order of their numbers.
+    /// The shards in ascending order of their numbers and first keys.
     pub shards: Vec<ShardEntry>,
 }
 
-/// A `ShardEntry` is one shard of a manifest.
+/// Shard of a manifest with its index version and key range.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardEntry {
-    /// The shard.
+    /// The number of the shard within its service.
     pub shard: ShardId,
     /// The index version that belongs to the snapshot.
     pub version: IndexVersion,
-    /// The least key of the shard, included; the shard ends where the next one begins.
+    /// The first key of the shard's range, inclusive. The range ends at the next shard's first key.
     #[serde(default)]
     pub first_key: String,
-    /// The targets that hold the version.
+    /// The targets that hold this index version.
     pub replicas: SmallVec<[ReplicaEntry; 4]>,
 }
 
-/// A `ReplicaEntry` is one target of a shard.
+/// Target that holds a replica of a shard.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaEntry {
-    /// The target.
+    /// The id by which nodes and the host list name the target.
     pub target: TargetId,
-    /// Where the target is reached, by IP number.
+    /// The IP address and port at which the target takes queries.
     pub address: SocketAddr,
     /// The failure domain that the target runs in.
     pub domain: FailureDomain,
-    /// How many attempts the target runs at a time.
+    /// The number of attempts that the target runs concurrently.
     pub slots: u32,
-    /// How many connections the target takes.
+    /// The number of connections that the target accepts.
     pub connections: u32,
 }
 
 impl SnapshotManifest {
-    /// Checks the manifest and collects everything that is wrong with it.
+    /// Validates the manifest and returns all errors.
     #[must_use]
     pub fn check(&self) -> Vec<Error> {
         let mut errors = Vec::new();
@@ -81,7 +82,10 @@
             if pair[0].first_key > pair[1].first_key {
                 errors.push(Error::invalid(
                     "shards.first_key",
-                    format!("shard {} begins before the one ahead of it", pair[1].shard),
+                    format!(
+                        "the first key of shard {} is below that of the shard before it",
+                        pair[1].shard
+                    ),
                 ));
             }
         }
@@ -91,9 +95,9 @@
         errors
     }
 
-    /// Gets the position of the shard that the hash of `key` falls on.
+    /// Returns the index in `shards` of the shard to which the BLAKE3 hash of `key` maps.
     ///
-    /// The hash is BLAKE3, so that every node and target agrees on it.
+    /// Nodes and targets must compute the same mapping.
     #[must_use]
     pub fn shard_of_key(&self, key: &str) -> usize {
         let hash = blake3::hash(key.as_bytes());
@@ -103,11 +107,12 @@
         usize::try_from(u64::from_le_bytes(hash_prefix) % count).unwrap_or(0)
     }
 
-    /// Gets the positions in `shards` that a query with these parameters asks.
+    /// Returns the indices in `shards` that a query with these parameters requests.
     ///
     /// # Errors
-    /// `Error::Invalid` where a listed shard is not in the manifest or the range is empty, so that
-    /// an answer never claims to be complete over shards that nobody asked.
+    /// `Error::Invalid` if a parameter is missing, a listed shard is not in the manifest, or the key
+    /// range is empty. Without this check an answer could be reported as complete although shards
+    /// were skipped.
     pub fn select(&self, selection: &ShardSelection, values: &ParameterSet) -> Result<Vec<usize>> {
         let parameter_text = |name: &str| {
             values
@@ -134,10 +139,10 @@
         }
     }
 
-    /// Gets the position of a shard in `shards`.
+    /// Returns the index of a shard in `shards`.
     ///
     /// # Errors
-    /// `Error::Invalid` where the manifest has no such shard.
+    /// `Error::Invalid` if the manifest has no such shard.
     pub fn position_of(&self, shard: ShardId) -> Result<usize> {
         self.shards
             .binary_search_by_key(&shard, |entry| entry.shard)
--- a/alderhaven-core/src/outcome.rs
+++ b/alderhaven-core/src/outcome.rs
@@ -1,22 +1,22 @@
-//! The closed sets of outcomes: of a query, of one attempt, and the reasons for not running.
+//! Outcomes of queries and of single attempts.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A `QueryOutcome` is what a caller is told of its query as a whole.
+/// Outcome of a whole query, as reported to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QueryOutcome {
-    /// Every asked shard answered for the pinned snapshot.
+    /// Every requested shard answered for the pinned snapshot.
     Complete,
-    /// Some asked shards answered; the coverage names the missing ones.
+    /// Some requested shards answered; the coverage report lists the missing ones.
     Partial,
-    /// The query was refused before anything ran: `not_run` is true.
+    /// The query was refused before any attempt ran.
     Refused,
-    /// The query ran without a usable answer, and repeating it does no harm.
+    /// The query has no usable answer and can safely be repeated.
     Failed,
-    /// A non-idempotent query may or may not have run.
+    /// A non-idempotent query may or may not have run, so a repetition could run it twice.
     Unknown,
 }
 
@@ -32,39 +32,39 @@
     }
 }
 
-/// An `AttemptOutcome` is what became of one attempt at one target.
+/// Outcome of one attempt at one target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptOutcome {
-    /// The target answered and its reply was verified.
+    /// The target answered, and its reply was verified.
     Answered,
-    /// The attempt certainly did not run at the target.
+    /// The attempt provably did not run at the target.
     NotRun(NotRunReason),
-    /// The target answered with an error after it ran the attempt.
+    /// The target answered with an error and may have run the attempt.
     Failed,
-    /// The target no longer holds the index version that was asked for.
+    /// The target no longer holds the requested index version.
     VersionGone,
-    /// The attempt may or may not have run.
+    /// No usable reply arrived, and the attempt may or may not have run.
     Unknown,
 }
 
-/// A `NotRunReason` names the evidence that an attempt did not run.
+/// Evidence that an attempt did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
     /// No byte of the attempt was sent to the target.
     NotSent,
-    /// The target marked the attempt as shed before it ran.
+    /// The target shed the attempt before it ran.
     Shed,
-    /// The target marked the attempt as refused because it drains.
+    /// The target refused the attempt because it is draining.
     Draining,
-    /// The attempt's time was up while it was queued.
+    /// The attempt's deadline passed while it was queued.
     Expired,
-    /// The queue before the target was full.
+    /// The relay's queue for the target was full.
     QueueFull,
     /// The attempt was cancelled while it was queued.
     Cancelled,
-    /// The relay does not serve the target, is leaving, or has heard that the target leaves.
+    /// The relay does not serve the target, is leaving, or knows that the target is leaving.
     NoRoute,
     /// The request is quarantined because it crashed targets.
     Quarantined,
--- a/alderhaven-core/src/parameters.rs
+++ b/alderhaven-core/src/parameters.rs
@@ -1,4 +1,4 @@
-//! The parameters of a query: typed values, their specifications and their canonical form.
+//! Parameters of queries: typed values, their specifications and their canonical JSON.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,13 +9,13 @@
 
 use crate::errors::{Error, Result};
 
-/// The most parameters that a template may have, and so the most values that a query may give.
+/// Maximum number of parameters of a template, and of values in a query.
 pub const MAX_PARAMETERS: usize = 32;
 
-/// The longest text, in bytes, that a parameter may hold when its specification sets no bound.
+/// Maximum length of a text parameter whose specification sets none.
 pub const DEFAULT_MAX_TEXT_BYTES: usize = 1024;
 
-/// A `ParameterValue` is the value of one parameter.
+/// Value of one parameter, written as plain JSON.
 #[derive(Clone, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize)]
 #[serde(
     untagged,
@@ -26,7 +26,7 @@
     Boolean(bool),
     /// A whole number.
     Integer(i64),
-    /// A text.
+    /// A string.
     Text(String),
 }
 
@@ -40,22 +40,21 @@
     }
 }
 
-/// A `ParameterSet` holds the values of a query by name, in name order.
+/// Parameter values of a query by name.
 ///
-/// Two sets with the same values have the same canonical bytes. A name that is given twice is refused
-/// when a set is read: which value was meant can't be told.
+/// Sets with equal values have the same canonical JSON. Deserialization rejects duplicate names.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Hash, Serialize)]
 #[serde(transparent)]
 pub struct ParameterSet(pub BTreeMap<String, ParameterValue>);
 
 impl ParameterSet {
-    /// Gets a value by its name.
+    /// Returns the value of a parameter, if the set has one.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&ParameterValue> {
         self.0.get(name)
     }
 
-    /// Gets the canonical JSON text: names in order and no white space.
+    /// Returns the canonical JSON: names in ascending order, without white space.
     #[must_use]
     pub fn canonical_json(&self) -> String {
         serde_json::to_string(&self.0).unwrap_or_default()
@@ -68,7 +67,7 @@
     }
 }
 
-/// Reads a set value by value, so that one with too many is given up early.
+/// Stops at the first excess value instead of reading the whole map.
 struct ParameterSetVisitor;
 
 impl<'de> Visitor<'de> for ParameterSetVisitor {
@@ -105,28 +104,28 @@
     }
 }
 
-/// A `ParameterKind` is the type of a parameter with its bounds.
+/// Type of a parameter with its bounds.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ParameterKind {
-    /// A boolean.
+    /// True or false.
     Boolean,
-    /// A whole number within bounds, both included.
+    /// A whole number from `min` to `max`, inclusive.
     Integer {
-        /// The least value.
+        /// The lowest allowed value.
         min: i64,
-        /// The greatest value.
+        /// The highest allowed value.
         max: i64,
     },
-    /// A text of bounded length, in bytes.
+    /// A text of bounded length.
     Text {
-        /// The greatest length.
+        /// The maximum length in bytes.
         #[serde(default = "default_max_length")]
         max_length: usize,
     },
     /// One of the listed texts.
     Choice {
-        /// The texts that are allowed.
+        /// The texts that a caller may give.
         #[serde(rename = "of")]
         allowed_values: Vec<String>,
     },
@@ -137,10 +136,10 @@
 }
 
 impl ParameterKind {
-    /// Checks a value against the type and its bounds.
+    /// Checks the value of parameter `name` against the type and its bounds.
     ///
     /// # Errors
-    /// `Error::Invalid` naming the parameter, the value and what is allowed.
+    /// `Error::Invalid` with the parameter's name, the value and what is allowed.
     pub fn check(&self, name: &str, value: &ParameterValue) -> Result<()> {
         let allowed = match (self, value) {
             (Self::Boolean, ParameterValue::Boolean(_)) => return Ok(()),
@@ -185,13 +184,13 @@
     }
 }
 
-/// A `ParameterSpec` describes one parameter of a template.
+/// Specification of one parameter of a template.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ParameterSpec {
     /// The type and its bounds.
     pub kind: ParameterKind,
-    /// The value where the caller gives none; without it the parameter is required.
+    /// The value used if the caller gives none. A parameter without a default is required.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub default: Option<ParameterValue>,
 }
--- a/alderhaven-core/src/process_clock.rs
+++ b/alderhaven-core/src/process_clock.rs
@@ -1,10 +1,10 @@
-//! The monotonic clock of a process, read as the plain numbers that decisions take.
+//! Monotonic clock of a process that converts between [`Instant`] and [`TimePoint`].
 
 use std::time::Instant;
 
 use crate::time::{TimePoint, TimeSpan};
 
-/// A `ProcessClock` counts from the start of a process.
+/// Monotonic clock that counts from its creation. Copies share the same start.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     start: Instant,
@@ -19,20 +19,20 @@
 }
 
 impl ProcessClock {
-    /// Gets the time now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> TimePoint {
         self.time_point(Instant::now())
     }
 
-    /// Gets an instant as a point in time; one before the start is the start.
+    /// Converts an instant to a time point. Instants before the start become the start.
     #[must_use]
     pub fn time_point(&self, instant: Instant) -> TimePoint {
         let elapsed = TimeSpan::from(instant.saturating_duration_since(self.start));
         TimePoint::START + elapsed
     }
 
-    /// Gets a point in time as an instant.
+    /// Converts a time point of this clock to an instant.
     #[must_use]
     pub fn instant(&self, point: TimePoint) -> Instant {
         self.start + point.since(TimePoint::START).as_duration()
--- a/alderhaven-core/src/quantities.rs
+++ b/alderhaven-core/src/quantities.rs
@@ -1,4 +1,4 @@
-//! Newtypes for sizes, rates and shares.
+//! Newtypes for sizes, rates and shares with their text forms.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,30 +7,30 @@
 
 use crate::errors::{Error, Result};
 
-/// A `ByteSize` is a number of bytes; its text form is `512B`, `64KB` or `1MB` (powers of 1024).
+/// Number of bytes. The text form is, for example, `512B`, `64KB` or `1MB`, in powers of 1024.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize,
 )]
 #[serde(try_from = "String", into = "String")]
 pub struct ByteSize(usize);
 
-/// The units of a `ByteSize` in bytes, largest first.
+/// Units of a [`ByteSize`] in bytes, largest first.
 const SIZE_UNITS: [(&str, usize); 3] = [("MB", 1 << 20), ("KB", 1 << 10), ("B", 1)];
 
 impl ByteSize {
-    /// Returns a size of `bytes` bytes.
+    /// Creates a size of `bytes` bytes.
     #[must_use]
     pub const fn from_bytes(bytes: usize) -> Self {
         Self(bytes)
     }
 
-    /// Returns a size of `kib` times 1024 bytes.
+    /// Creates a size of `kib` times 1024 bytes.
     #[must_use]
     pub const fn from_kib(kib: usize) -> Self {
         Self(kib << 10)
     }
 
-    /// Gets the number of bytes.
+    /// Returns the number of bytes.
     #[must_use]
     pub const fn as_bytes(self) -> usize {
         self.0
@@ -77,16 +77,16 @@
     }
 }
 
-/// A `RatePerSecond` is a count of events a second, zero or more; its text form is `140/s`.
+/// Non-negative number of events per second. The text form is, for example, `140/s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RatePerSecond(f64);
 
 impl RatePerSecond {
-    /// Returns a rate, or an error where `per_second` is negative or not finite.
+    /// Creates a rate of `per_second` events per second.
     ///
     /// # Errors
-    /// `Error::Parse` for a negative or not finite number.
+    /// `Error::Parse` if the number is negative, infinite or not a number.
     pub fn new(per_second: f64) -> Result<Self> {
         if per_second.is_finite() && per_second >= 0.0 {
             Ok(Self(per_second))
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Gets the events a second.
+    /// Returns the number of events per second.
     #[must_use]
     pub const fn per_second(self) -> f64 {
         self.0
@@ -136,16 +136,16 @@
     }
 }
 
-/// A `Share` is a part of a whole, from 0 to 1.
+/// Fraction of a whole, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Share(f64);
 
 impl Share {
-    /// The whole.
+    /// The whole, 1.0.
     pub const ONE: Self = Self(1.0);
 
-    /// Gets the share as a number from 0 to 1.
+    /// Returns the share as a number from 0 to 1.
     #[must_use]
     pub const fn as_f64(self) -> f64 {
         self.0
--- a/alderhaven-core/src/settings.rs
+++ b/alderhaven-core/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reading of YAML settings files.
+//! Reading of YAML settings files, and deserialization of addresses in them.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -8,26 +8,26 @@
 
 use crate::errors::{Error, Result};
 
-/// The largest settings file, in bytes, that is read.
+/// Maximum size of a settings file in bytes.
 pub const MAX_SETTINGS_BYTES: u64 = 1 << 20;
 
-/// Reads a settings file.
+/// Reads a settings file of at most [`MAX_SETTINGS_BYTES`].
 ///
 /// # Errors
-/// `Error::File` with the path, and for bad content the key, the line and what is allowed.
+/// `Error::File` with the path, and for invalid content the key, the line and what is allowed.
 pub fn read_file<T: DeserializeOwned>(path: &str) -> Result<T> {
     let size = fs::metadata(path).map_err(|error| Error::file(path, error))?;
     if size.len() > MAX_SETTINGS_BYTES {
         return Err(Error::file(
             path,
-            format!("larger than {MAX_SETTINGS_BYTES} bytes"),
+            format!("the file is larger than {MAX_SETTINGS_BYTES} bytes"),
         ));
     }
     let text = fs::read_to_string(path).map_err(|error| Error::file(path, error))?;
     read_text(path, &text)
 }
 
-/// Reads settings from a text; `path` names it in errors.
+/// Parses settings from a text. Errors name `path` as its origin.
 ///
 /// # Errors
 /// `Error::File` with the key, the line and what is allowed.
@@ -35,10 +35,10 @@
     serde_saphyr::from_str(text).map_err(|error| Error::file(path, error))
 }
 
-/// Reads an address, for a field's `deserialize_with`.
+/// Deserializes an address, for use in `deserialize_with`.
 ///
 /// # Errors
-/// The value and what is allowed; serde's own message names neither.
+/// A message with the value and the allowed form, which the message of serde itself lacks.
 pub fn address<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> std::result::Result<SocketAddr, D::Error> {
@@ -46,7 +46,7 @@
     parse_address(&text).map_err(de::Error::custom)
 }
 
-/// Reads a list of addresses, for a field's `deserialize_with`.
+/// Deserializes a list of addresses, for use in `deserialize_with`.
 ///
 /// # Errors
 /// As for [`address`].
--- a/alderhaven-core/src/startup.rs
+++ b/alderhaven-core/src/startup.rs
@@ -1,4 +1,4 @@
-//! What the long-running binaries share at their start: reading, checking and showing settings.
+//! Startup of the binaries: command line arguments, and loading, checking or printing of settings.
 
 use std::process::ExitCode;
 
@@ -9,28 +9,28 @@
 use crate::errors::Error;
 use crate::settings;
 
-/// The exit code for wrong settings or arguments.
+/// Exit code for invalid settings or arguments.
 pub const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// A `CheckedSettings` is the content of a settings file that can check its own values.
+/// Content of a settings file that validates its own values.
 pub trait CheckedSettings: Serialize + DeserializeOwned {
-    /// Collects everything that is wrong with the values.
+    /// Validates the values and returns all errors.
     fn check(&self) -> Vec<Error>;
 }
 
-/// A `SettingsRequest` says what the command line wants done with the settings.
+/// What the command line asks a binary to do with its settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsRequest {
-    /// Run with them.
+    /// Run the process with them.
     Run,
-    /// Check them and exit.
+    /// Validate them and exit.
     Check,
     /// Print the effective values and exit.
     Print,
 }
 
 impl SettingsRequest {
-    /// Gets the request from the two switches of a command line.
+    /// Converts the two command line switches; `print` takes precedence.
     #[must_use]
     pub const fn from_switches(check: bool, print: bool) -> Self {
         if print {
@@ -43,10 +43,10 @@
     }
 }
 
-/// Reads the command line of the binary `name`.
+/// Parses the command line of the binary `name`.
 ///
 /// # Errors
-/// The exit code, after the help (0) or what is wrong (2) was printed.
+/// The exit code for the process: 0 after the help was printed, 2 after an error was printed.
 pub fn parse_arguments<T: FromArgs>(name: &str) -> Result<T, ExitCode> {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
@@ -60,10 +60,11 @@
     })
 }
 
-/// Reads and checks the settings at `path`; returns them where the process is to run.
+/// Reads and validates the settings at `path`, and returns them if the process is to run.
 ///
 /// # Errors
-/// The exit code, after the result was printed: 0 for a good check, 2 for wrong settings.
+/// The exit code for the process: 0 after the result of a check or the values were printed, 2 after
+/// errors were printed.
 pub fn load_settings<T: CheckedSettings>(
     path: &str,
     request: SettingsRequest,
--- a/alderhaven-core/src/team.rs
+++ b/alderhaven-core/src/team.rs
@@ -1,4 +1,4 @@
-//! Teams: who may ask, how much of the targets each is due, and its bearer token.
+//! Policy of a team: its weight, its limits and its bearer token.
 
 use serde::{Deserialize, Serialize};
 use subtle::ConstantTimeEq;
@@ -7,25 +7,27 @@
 use crate::ids::TeamId;
 use crate::quantities::RatePerSecond;
 
-/// The greatest weight of a team.
+/// Maximum weight of a team.
 pub const MAX_WEIGHT: u32 = 1000;
 
-/// A `TeamPolicy` is what operators publish for one team.
+/// Policy that operators publish for one team.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamPolicy {
-    /// The team's name.
+    /// The team, which is also the name of the policy's object.
     pub name: TeamId,
-    /// The team's weight when teams compete, 1 to 1000.
+    /// The team's weight in fair sharing, from 1 to [`MAX_WEIGHT`].
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// The most queries a second over all entries; without it only fairness limits the team.
+    /// The maximum number of queries per second over all entries. Without it, only fair sharing limits
+    /// the team.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_rate: Option<RatePerSecond>,
-    /// The most queries in flight at one entry; without it only fairness limits the team.
+    /// The maximum number of queries in flight at one entry. Without it, only fair sharing limits the
+    /// team.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_in_flight: Option<u32>,
-    /// The BLAKE3 hash of the bearer token in hexadecimal; without it no token is asked for.
+    /// The BLAKE3 hash of the bearer token in hexadecimal. Without it, no token is required.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token_hash: Option<String>,
 }
@@ -34,14 +36,14 @@
     1
 }
 
-/// Gets the text that `token_hash` holds for a bearer token.
+/// Returns the value of `token_hash` for a bearer token.
 #[must_use]
 pub fn hash_token(token: &str) -> String {
     blake3::hash(token.as_bytes()).to_hex().to_string()
 }
 
 impl TeamPolicy {
-    /// Checks the policy and collects everything that is wrong with it.
+    /// Validates the policy and returns all errors.
     #[must_use]
     pub fn check(&self) -> Vec<Error> {
         let mut errors = Vec::new();
@@ -65,9 +67,9 @@
         errors
     }
 
-    /// Returns true where `token` is the team's token, or the team has none.
+    /// Returns true if `token` is the team's token or the team has none.
     ///
-    /// The hashes are compared in constant time, so that a reply's timing tells nothing of them.
+    /// The hashes are compared in constant time to prevent timing attacks.
     #[must_use]
     pub fn accepts_token(&self, token: Option<&str>) -> bool {
         let Some(expected) = &self.token_hash else {
--- a/alderhaven-core/src/template.rs
+++ b/alderhaven-core/src/template.rs
@@ -1,4 +1,4 @@
-//! Query templates: what operators publish and callers name.
+//! Query templates: named queries that operators publish and callers run.
 
 use std::collections::BTreeMap;
 
@@ -11,51 +11,51 @@
 use crate::quantities::Share;
 use crate::time::TimeSpan;
 
-/// The most shards that a template may list by number.
+/// Maximum number of shards that a template may list.
 pub const MAX_LISTED_SHARDS: usize = 4096;
-/// The most rows that a top-n merge may keep.
+/// Maximum number of rows that a top-n merge may keep.
 pub const MAX_TOP_ROWS: usize = 10_000;
-/// The longest deadline that a template may set.
+/// Maximum deadline of a template.
 pub const MAX_DEADLINE: TimeSpan = TimeSpan::from_secs(60);
-/// The shortest deadline that a template may set.
+/// Minimum deadline of a template.
 pub const MIN_DEADLINE: TimeSpan = TimeSpan::from_millis(1);
 
-/// A `QueryTemplate` is a named query with typed parameters over the shards of one service.
+/// Named query with typed parameters over the shards of one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueryTemplate {
-    /// The name that callers use.
+    /// The name by which callers run the template, which is also its object's name.
     pub name: TemplateName,
-    /// The service whose shards are asked.
+    /// The service whose shards the query runs on.
     pub service: ServiceName,
-    /// The parameters by name.
+    /// The specifications of the parameters by name.
     #[serde(default)]
     pub parameters: BTreeMap<String, ParameterSpec>,
-    /// Values that a team's queries always have, whatever the caller gives.
+    /// Fixed parameter values by team. A query that gives another value is refused.
     #[serde(default)]
     pub team_values: BTreeMap<TeamId, ParameterSet>,
-    /// The teams that may use the template; empty for all.
+    /// The teams that may use the template. If empty, all teams may.
     #[serde(default)]
     pub teams: Vec<TeamId>,
-    /// Which shards a query asks.
+    /// How the requested shards are selected.
     pub shards: ShardSelection,
-    /// How the rows of the shards become one answer.
+    /// How the rows of the shards are merged into one answer.
     pub merge: MergeRule,
-    /// Whether the query may be repeated without harm.
+    /// Whether the query may safely run more than once.
     #[serde(default = "default_idempotent")]
     pub idempotent: bool,
-    /// How urgent the query is.
+    /// The priority class of the queries.
     #[serde(default)]
     pub class: QueryClass,
-    /// The time within which an answer is of use.
+    /// The time after which an answer is of no use.
     pub deadline: TimeSpan,
-    /// The time after which a latency-first query answers with what it has.
+    /// The time after which a query with `preference: latency` may answer with partial coverage.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer_by: Option<TimeSpan>,
-    /// The least covered share with which a latency-first query answers early.
+    /// The minimum covered share for such a partial answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub min_coverage: Option<Share>,
-    /// What the query gives up last.
+    /// Whether the query favors coverage or latency.
     #[serde(default)]
     pub preference: AnswerPreference,
 }
@@ -64,45 +64,45 @@
     true
 }
 
-/// A `ShardSelection` says which shards of the service a query asks.
+/// Rule that selects the shards that a query requests.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "select", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ShardSelection {
     /// Every shard of the manifest.
     All,
-    /// The one shard that the hash of a parameter falls on.
+    /// The shard to which the hash of a parameter maps.
     ByKeyHash {
-        /// The parameter.
+        /// The name of the parameter that holds the key.
         parameter: String,
     },
-    /// The shards whose key range holds a parameter, or overlaps the range of two.
+    /// The shards whose key range contains the key, or overlaps the range from one key to another.
     ByKeyRange {
-        /// The parameter with the key, or the range's lower end.
+        /// The name of the parameter with the key or the range's lower end.
         from: String,
-        /// The parameter with the range's upper end, included.
+        /// The name of the parameter with the range's upper end, inclusive.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         to: Option<String>,
     },
     /// The listed shards.
     Listed {
-        /// The shards by number.
+        /// The numbers of the shards, from 1 to [`MAX_LISTED_SHARDS`] of them.
         shards: Vec<ShardId>,
     },
 }
 
-/// A `MergeRule` says how the rows of the shards become one answer.
+/// Rule that merges the rows of the shards into one answer.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "rule", rename_all = "snake_case", deny_unknown_fields)]
 pub enum MergeRule {
     /// All rows, in shard order.
     Concatenate,
-    /// The `limit` rows with the greatest (or least) numbers in `field`.
+    /// The `limit` rows with the highest (or lowest) numbers in `field`.
     TopN {
         /// The field to order by.
         field: String,
         /// The number of rows to keep.
         limit: usize,
-        /// Whether the least numbers come first.
+        /// Whether to keep the lowest numbers, lowest first.
         #[serde(default)]
         ascending: bool,
     },
@@ -111,15 +111,15 @@
         /// The field to add up.
         field: String,
     },
-    /// One row for each value of `field`, the first in shard order.
+    /// One row for each distinct value of `field`: the first in shard order.
     DistinctBy {
-        /// The field that tells rows apart.
+        /// The field whose values are compared.
         field: String,
     },
 }
 
 impl QueryTemplate {
-    /// Checks the template and collects everything that is wrong with it.
+    /// Validates the template and returns all errors.
     #[must_use]
     pub fn check(&self) -> Vec<Error> {
         let mut errors = Vec::new();
@@ -130,11 +130,11 @@
         errors
     }
 
-    /// Builds the values of a query from what the caller gave, the defaults and the team's values.
+    /// Combines the caller's values, the team's fixed values and the defaults.
     ///
     /// # Errors
-    /// `Error::Invalid` for an unknown, missing or out-of-bounds parameter, and for a parameter
-    /// that the team's values fix.
+    /// `Error::Invalid` for an unknown, missing or out-of-bounds parameter, or if the caller's value
+    /// differs from the team's fixed one.
     pub fn bind(&self, team: &TeamId, given: ParameterSet) -> Result<ParameterSet> {
         let fixed = self.team_values.get(team);
         let mut bound = given;
@@ -174,7 +174,7 @@
         Ok(bound)
     }
 
-    /// Returns true where `team` may use the template.
+    /// Returns true if `team` may use the template.
     #[must_use]
     pub fn allows(&self, team: &TeamId) -> bool {
         self.teams.is_empty() || self.teams.contains(team)
@@ -320,7 +320,7 @@
     }
 }
 
-/// Gets the text by which a parameter value is hashed or compared with key ranges.
+/// Returns the text form of a shard key, which is hashed or compared with key ranges.
 #[must_use]
 pub fn key_text(value: &ParameterValue) -> String {
     value.to_string()
--- a/alderhaven-core/src/time.rs
+++ b/alderhaven-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and spans, as plain numbers that are passed into decisions.
+//! Time points and spans in microseconds, independent of the system clock.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -9,16 +9,16 @@
 
 use crate::errors::{Error, Result};
 
-/// A `TimeSpan` is a length of time in microseconds.
+/// Duration in microseconds.
 ///
-/// Its text form is a number with a unit: `250us`, `370ms`, `9s`, `2m` or `1h`.
+/// The text form is a whole number with a unit, for example `250us`, `370ms`, `9s`, `2m` or `1h`.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize,
 )]
 #[serde(try_from = "String", into = "String")]
 pub struct TimeSpan(u64);
 
-/// The units of a `TimeSpan` in microseconds, largest first.
+/// Units of a [`TimeSpan`] in microseconds, largest first.
 const SPAN_UNITS: [(&str, u64); 5] = [
     ("h", 3_600_000_000),
     ("m", 60_000_000),
@@ -28,63 +28,63 @@
 ];
 
 impl TimeSpan {
-    /// The empty span.
+    /// A span of zero microseconds.
     pub const ZERO: Self = Self(0);
 
-    /// Returns a span of `micros` microseconds.
+    /// Creates a span of `micros` microseconds.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Returns a span of `millis` milliseconds.
+    /// Creates a span of `millis` milliseconds, saturating at the maximum.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1_000))
     }
 
-    /// Returns a span of `secs` seconds.
+    /// Creates a span of `secs` seconds, saturating at the maximum.
     #[must_use]
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs.saturating_mul(1_000_000))
     }
 
-    /// Gets the whole microseconds.
+    /// Returns the number of microseconds.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Gets the whole milliseconds, rounded down.
+    /// Returns the number of milliseconds, rounded down.
     #[must_use]
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Gets the seconds with their fraction.
+    /// Returns the number of seconds with their fraction.
     #[must_use]
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// Gets the span as the standard library's type.
+    /// Converts the span to the standard library's type.
     #[must_use]
     pub const fn as_duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
 
-    /// Subtracts a span; the result is never below zero.
+    /// Subtracts `other`, saturating at zero.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// Multiplies the span by a factor of zero or more.
+    /// Multiplies the span by `factor`, rounding down and saturating at zero and at the maximum.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a float cast saturates, which is what a bound wants"
+        reason = "the cast from a float saturates, as documented"
     )]
     pub fn mul_f64(self, factor: f64) -> Self {
         Self((self.0 as f64 * factor) as u64)
@@ -146,36 +146,36 @@
     }
 }
 
-/// A `TimePoint` is a reading of a monotonic clock, in microseconds since the process started.
+/// Reading of a monotonic clock, in microseconds since the clock's start.
 ///
-/// It has no meaning in another process: remaining time is what crosses between them.
+/// It has no meaning in another process, so messages between processes carry remaining time instead.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize)]
 #[serde(transparent)]
 pub struct TimePoint(u64);
 
 impl TimePoint {
-    /// The start of the process.
+    /// The start of the clock.
     pub const START: Self = Self(0);
 
-    /// Returns the point `micros` microseconds after the start.
+    /// Creates the point `micros` microseconds after the start.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Gets the microseconds since the start.
+    /// Returns the microseconds since the start.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Gets the span from `earlier` to this point, or zero where `earlier` is later.
+    /// Returns the span from `earlier` to this point, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(earlier.0))
     }
 
-    /// Gets the span from this point until `later`, or zero where that has passed.
+    /// Returns the span from this point to `later`, or zero if `later` is earlier.
     #[must_use]
     pub const fn until(self, later: Self) -> TimeSpan {
         later.since(self)
--- a/alderhaven-core/src/value_check.rs
+++ b/alderhaven-core/src/value_check.rs
@@ -1,18 +1,19 @@
-//! The check of settings' values against their bounds.
+//! Validation of settings against their bounds.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
 
 use crate::errors::Error;
 
-/// A `ValueCheck` collects everything that is wrong with the values of a settings file.
+/// Collects the errors in the values of a settings file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ValueCheck {
     errors: Vec<Error>,
 }
 
 impl ValueCheck {
-    /// Checks that a value lies within bounds, both included; not-a-number never does.
+    /// Records an error unless the value is in the allowed range, both ends inclusive. NaN is never in
+    /// range.
     pub fn within<T: PartialOrd + Display>(
         &mut self,
         field: &str,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Gets what was found.
+    /// Returns the recorded errors.
     #[must_use]
     pub fn finish(self) -> Vec<Error> {
         self.errors
--- a/alderhaven-core/tests/log_queue.rs
+++ b/alderhaven-core/tests/log_queue.rs
@@ -1,4 +1,4 @@
-//! The log's queue: bounded, and never waited for.
+//! Tests that the log queue is bounded and never blocks its writers.
 
 use std::io;
 use std::io::Write;
@@ -6,7 +6,7 @@
 
 use alderhaven_core::log_queue::LogQueue;
 
-/// An output whose first write takes until the test lets it go on.
+/// Output that blocks in each write until the test resumes it.
 struct StalledOutput {
     resume: Receiver<()>,
     written: Sender<Vec<u8>>,
@@ -26,10 +26,10 @@
     }
 }
 
-/// The reader of the log stalls while ten thousand lines come. Each of them is taken at once, which is
-/// what a request must not wait for; what the queue can't hold is left out, and the log says how much.
+/// Guards against a stalled log reader that blocks requests: lines above the capacity are dropped, and
+/// the log reports their number.
 #[test]
-fn queue_with_a_stalled_reader_takes_all_lines_at_once() {
+fn queue_with_a_stalled_reader_does_not_block() {
     let (resume, resumed) = channel();
     let (written, batches) = channel();
     let output = StalledOutput {
@@ -38,17 +38,18 @@
     };
     let mut queue = LogQueue::start(output).expect("a queue");
     for number in 0..10_000 {
-        writeln!(queue, "{{\"event\":\"line\",\"number\":{number}}}").expect("it is taken");
+        writeln!(queue, "{{\"event\":\"line\",\"number\":{number}}}")
+            .expect("the line is accepted");
     }
-    assert!(queue.dropped_lines() > 0);
+    assert!(queue.dropped_lines() > 0, "no line was dropped");
     let mut text = Vec::new();
     while !String::from_utf8_lossy(&text).contains("log_lines_left_out") {
-        resume.send(()).expect("the writer lives");
-        text.extend(batches.recv().expect("the writer writes"));
+        resume.send(()).expect("the writer thread runs");
+        text.extend(batches.recv().expect("the writer thread writes a batch"));
     }
 }
 
-/// The reader of the log is gone. Logging goes on without an error.
+/// Guards against errors in the writers of the log after its reader has closed it.
 #[test]
 fn queue_without_a_reader_is_no_error() {
     let (resume, resumed) = channel();
@@ -60,6 +61,6 @@
     };
     let mut queue = LogQueue::start(output).expect("a queue");
     for _ in 0..10_000 {
-        writeln!(queue, "{{}}").expect("it is taken");
+        writeln!(queue, "{{}}").expect("the line is accepted");
     }
 }
--- a/alderhaven-core/tests/quantities.rs
+++ b/alderhaven-core/tests/quantities.rs
@@ -1,4 +1,4 @@
-//! Tests of the text forms of quantities and ids.
+//! Tests that the text forms of quantities and ids round-trip, and that invalid texts are rejected.
 
 use alderhaven_core::ids::{AttemptId, TeamId};
 use alderhaven_core::quantities::{ByteSize, RatePerSecond, Share};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn quantities_refuse_bad_text() {
+fn quantities_reject_invalid_text() {
     assert!("9".parse::<TimeSpan>().is_err());
     assert!("-1ms".parse::<TimeSpan>().is_err());
     assert!("1GB".parse::<ByteSize>().is_err());
--- a/alderhaven-core/tests/time.rs
+++ b/alderhaven-core/tests/time.rs
@@ -1,10 +1,11 @@
-//! Spans of time that come from outside.
+//! Tests of the arithmetic of time spans.
 
 use alderhaven_core::time::TimeSpan;
 
-/// Guards against a caller or a target that names an absurd time and ends the process, or gets none.
+/// Guards against an overflow by a huge span from a caller or a target, which would panic or wrap to a
+/// short span.
 #[test]
-fn span_of_absurd_length_saturates() {
+fn span_of_huge_length_saturates() {
     let longest = TimeSpan::from_micros(u64::MAX);
     assert_eq!(TimeSpan::from_millis(u64::MAX), longest);
     assert_eq!(TimeSpan::from_secs(u64::MAX), longest);
