--- a/alderhaven-store/src/config_follower.rs
+++ b/alderhaven-store/src/config_follower.rs
@@ -62,7 +62,7 @@
     /// The store has compacted the changes. The next list waits for the backoff too, so that a store
     /// that compacts constantly isn't flooded with lists.
     Compacted,
-    /// The store went back behind the known state, so its answer was not applied.
+    /// The store went back behind the known state, so its result was not applied.
     StoreRegressed,
 }
 
--- a/alderhaven-store/src/object_store.rs
+++ b/alderhaven-store/src/object_store.rs
@@ -111,10 +111,10 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotDone { reason, .. } => {
-                write!(formatter, "the store call had no effect: {reason}")
+                write!(formatter, "store call had no effect: {reason}")
             }
             Self::Unknown { reason } => {
-                write!(formatter, "the store call may have taken effect: {reason}")
+                write!(formatter, "store call may have taken effect: {reason}")
             }
         }
     }
--- a/alderhaven-store/tests/config_state.rs
+++ b/alderhaven-store/tests/config_state.rs
@@ -37,7 +37,7 @@
     let mut state = ConfigState::default();
     state
         .apply_list(object_list(9, vec![]), state.min_revision())
-        .expect("a list");
+        .expect("the list is accepted");
     assert!(
         state
             .accept_from_peer(vec![drain_object("t1", 5, true)])
@@ -55,10 +55,10 @@
             object_list(5, vec![drain_object("t1", 5, true)]),
             state.min_revision(),
         )
-        .expect("a list");
+        .expect("the list is accepted");
     let changed = state
         .apply_list(object_list(9, vec![]), state.min_revision())
-        .expect("a list");
+        .expect("the list is accepted");
     assert_eq!(changed.len(), 1);
     assert!(state.registry().view().drains.is_empty());
 }
@@ -76,7 +76,7 @@
             ),
             state.min_revision(),
         )
-        .expect("a list");
+        .expect("the list is accepted");
     let restored = |revision| object_list(revision, vec![drain_object("t1", 3, true)]);
     let refused = state.apply_list(restored(4), state.min_revision());
     assert!(matches!(refused, Err(StoreRegression::Revision { .. })));
@@ -103,7 +103,7 @@
             object_list(5, vec![drain_object("t1", 5, true)]),
             state.min_revision(),
         )
-        .expect("a list");
+        .expect("the list is accepted");
     let mut other = drain_object("t1", 5, true);
     other.write_id = "other".to_owned();
     assert!(
@@ -118,7 +118,7 @@
     let mut state = ConfigState::default();
     state
         .apply_list(object_list(5, vec![]), state.min_revision())
-        .expect("a list");
+        .expect("the list is accepted");
     assert!(
         state
             .apply_changes(object_list(4, vec![]), state.min_revision())
--- a/alderhaven-store/tests/http_store.rs
+++ b/alderhaven-store/tests/http_store.rs
@@ -152,7 +152,7 @@
         store.write(team_write()).await,
         Ok(WriteOutcome::Written(StoreVersion(4)))
     );
-    let conflict = store.write(team_write()).await.expect("an answer");
+    let conflict = store.write(team_write()).await.expect("a response");
     assert!(matches!(conflict, WriteOutcome::Conflict(Some(other)) if other.write_id == "w2"));
     assert_eq!(
         store.write(team_write()).await,
@@ -220,7 +220,7 @@
     while is_unknown(&found) {
         found = store.get(&team_key("volta")).await;
     }
-    assert_eq!(found.expect("an answer").expect("an object").version.0, 4);
+    assert_eq!(found.expect("a response").expect("an object").version.0, 4);
     assert!(request_count.load(Ordering::SeqCst) >= 2);
 }
 
@@ -238,7 +238,7 @@
             .await
     };
     assert_eq!(watch().await, Ok(WatchOutcome::Compacted));
-    let changes = watch().await.expect("an answer");
+    let changes = watch().await.expect("a response");
     assert!(matches!(changes, WatchOutcome::Changes(list) if list.revision.0 == 9));
 }
 
