--- a/alderhaven-store/src/config_handle.rs
+++ b/alderhaven-store/src/config_handle.rs
@@ -57,7 +57,7 @@
     /// accepted.
     #[serde(rename = "backwards")]
     Regressed {
-        /// How it went backwards.
+        /// The evidence of the regression.
         regression: StoreRegression,
     },
 }
