--- a/alderhaven-core/src/quantities.rs
+++ b/alderhaven-core/src/quantities.rs
@@ -1,4 +1,4 @@
-//! Newtypes for sizes, rates and shares.
+//! Newtypes for sizes, rates and shares with their text forms.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,30 +7,30 @@
 
 use crate::errors::{Error, Result};
 
-/// A `ByteSize` is a number of bytes; its text form is `512B`, `64KB` or `1MB` (powers of 1024).
+/// Number of bytes. The text form is, for example, `512B`, `64KB` or `1MB`, in powers of 1024.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize,
 )]
 #[serde(try_from = "String", into = "String")]
 pub struct ByteSize(usize);
 
-/// The units of a `ByteSize` in bytes, largest first.
+/// Units of a [`ByteSize`] in bytes, largest first.
 const SIZE_UNITS: [(&str, usize); 3] = [("MB", 1 << 20), ("KB", 1 << 10), ("B", 1)];
 
 impl ByteSize {
-    /// Returns a size of `bytes` bytes.
+    /// Creates a size of `bytes` bytes.
     #[must_use]
     pub const fn from_bytes(bytes: usize) -> Self {
         Self(bytes)
     }
 
-    /// Returns a size of `kib` times 1024 bytes.
+    /// Creates a size of `kib` times 1024 bytes.
     #[must_use]
     pub const fn from_kib(kib: usize) -> Self {
         Self(kib << 10)
     }
 
-    /// Gets the number of bytes.
+    /// Returns the number of bytes.
     #[must_use]
     pub const fn as_bytes(self) -> usize {
         self.0
@@ -51,15 +51,15 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::parse("size", text, "a whole number with B, KB or MB");
+        let parse_error = || Error::parse("size", text, "a whole number with B, KB or MB");
         let digits = text.bytes().take_while(u8::is_ascii_digit).count();
         let (number, unit) = text.split_at(digits);
         let size = SIZE_UNITS
             .into_iter()
             .find_map(|(name, size)| (name == unit).then_some(size))
-            .ok_or_else(bad)?;
-        let count: usize = number.parse().map_err(|_| bad())?;
-        count.checked_mul(size).map(Self).ok_or_else(bad)
+            .ok_or_else(parse_error)?;
+        let count: usize = number.parse().map_err(|_| parse_error())?;
+        count.checked_mul(size).map(Self).ok_or_else(parse_error)
     }
 }
 
@@ -77,16 +77,16 @@
     }
 }
 
-/// A `RatePerSecond` is a count of events a second, zero or more; its text form is `140/s`.
+/// Non-negative number of events per second. The text form is, for example, `140/s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RatePerSecond(f64);
 
 impl RatePerSecond {
-    /// Returns a rate, or an error where `per_second` is negative or not finite.
+    /// Creates a rate of `per_second` events per second.
     ///
     /// # Errors
-    /// `Error::Parse` for a negative or not finite number.
+    /// `Error::Parse` if the number is negative, infinite or not a number.
     pub fn new(per_second: f64) -> Result<Self> {
         if per_second.is_finite() && per_second >= 0.0 {
             Ok(Self(per_second))
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Gets the events a second.
+    /// Returns the number of events per second.
     #[must_use]
     pub const fn per_second(self) -> f64 {
         self.0
@@ -116,9 +116,9 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::parse("rate", text, "a number of zero or more, followed by /s");
-        let number = text.strip_suffix("/s").ok_or_else(bad)?;
-        Self::new(number.parse().map_err(|_| bad())?).map_err(|_| bad())
+        let parse_error = || Error::parse("rate", text, "a number of zero or more, followed by /s");
+        let number = text.strip_suffix("/s").ok_or_else(parse_error)?;
+        Self::new(number.parse().map_err(|_| parse_error())?).map_err(|_| parse_error())
     }
 }
 
@@ -136,16 +136,16 @@
     }
 }
 
-/// A `Share` is a part of a whole, from 0 to 1.
+/// Fraction of a whole, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Share(f64);
 
 impl Share {
-    /// The whole.
+    /// The whole, 1.0.
     pub const ONE: Self = Self(1.0);
 
-    /// Gets the share as a number from 0 to 1.
+    /// Returns the share as a number from 0 to 1.
     #[must_use]
     pub const fn as_f64(self) -> f64 {
         self.0
--- a/alderhaven-store/src/http_store.rs
+++ b/alderhaven-store/src/http_store.rs
@@ -1,4 +1,4 @@
-//! The platform's object API over HTTP, within the process's budget of calls.
+//! HTTP client for the platform's object API that limits the rate of its calls.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -19,17 +19,17 @@
     StoreResult, WRITE_ID_HEADER, WatchOutcome, WriteOutcome,
 };
 
-/// `HttpStoreOptions` bound the calls to the object API.
+/// Limits of an [`HttpStore`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HttpStoreOptions {
-    /// Timeouts, connections and sizes.
+    /// The limits of connections, timeouts and sizes.
     pub client: ClientOptions,
-    /// The calls a second.
+    /// The limits of calls per second.
     pub budget: StoreBudgetOptions,
 }
 
-/// An `HttpStore` is the object API at one address of the platform.
+/// Object API at one address of the platform.
 #[derive(Debug)]
 pub struct HttpStore {
     client: HttpClient,
@@ -38,7 +38,7 @@
 }
 
 impl HttpStore {
-    /// Returns a client of the API at `address`; connections are opened by the first calls.
+    /// Creates a client for the API at `address`. Connections are opened by calls.
     #[must_use]
     pub fn new(address: SocketAddr, options: HttpStoreOptions) -> Self {
         Self {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Gets the address of the API.
+    /// Returns the address that calls connect to.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.client.address()
@@ -61,14 +61,14 @@
         wait: TimeSpan,
     ) -> StoreResult<ClientResponse> {
         let now = TimePoint::START + TimeSpan::from(self.started_at.elapsed());
-        let taken = self
+        let acquired = self
             .budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .take(call, now);
-        if let Err(retry_after) = taken {
+        if let Err(retry_after) = acquired {
             return Err(StoreError::NotDone {
-                reason: "the budget of calls is used up".to_owned(),
+                reason: "the budget of store calls is exhausted".to_owned(),
                 retry_after: Some(retry_after),
             });
         }
@@ -86,7 +86,7 @@
         let size = write.body.as_ref().map_or(0, String::len);
         if size > MAX_VALUE_BYTES {
             return Err(StoreError::not_done(format!(
-                "{}: {size} bytes are above the {MAX_VALUE_BYTES} that the platform holds",
+                "{}: the body of {size} bytes exceeds the platform's limit of {MAX_VALUE_BYTES} bytes",
                 write.key
             )));
         }
@@ -107,37 +107,37 @@
 impl ObjectStore for HttpStore {
     async fn list(&self, kinds: &[ObjectKind]) -> StoreResult<ObjectList> {
         let request = self.build_read(&format!("/objects?kinds={}", join_kinds(kinds)))?;
-        let answer = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
-        match answer.status {
-            StatusCode::OK => answer.parse_json(),
-            _ => Err(answer.unexpected_status()),
+        let response = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
+        match response.status {
+            StatusCode::OK => response.parse_json(),
+            _ => Err(response.unexpected_status()),
         }
     }
 
     async fn get(&self, key: &ObjectKey) -> StoreResult<Option<StoredObject>> {
         let request = self.build_read(&object_path(key)?)?;
-        let answer = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
-        match answer.status {
-            StatusCode::OK => answer.parse_json().map(Some),
+        let response = self.call(StoreCall::Read, request, TimeSpan::ZERO).await?;
+        match response.status {
+            StatusCode::OK => response.parse_json().map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(answer.unexpected_status()),
+            _ => Err(response.unexpected_status()),
         }
     }
 
     async fn write(&self, write: ConditionalWrite) -> StoreResult<WriteOutcome> {
         let request = self.build_write(&write)?;
-        let answer = self.call(StoreCall::Write, request, TimeSpan::ZERO).await?;
-        match answer.status {
+        let response = self.call(StoreCall::Write, request, TimeSpan::ZERO).await?;
+        match response.status {
             StatusCode::OK => {
-                let written: StoredObject = answer.parse_json()?;
+                let written: StoredObject = response.parse_json()?;
                 if written.write_id == write.write_id && written.key == write.key {
                     Ok(WriteOutcome::Written(written.version))
                 } else {
-                    Err(StoreError::unknown("the answer names another write"))
+                    Err(StoreError::unknown("the response belongs to another write"))
                 }
             }
-            StatusCode::CONFLICT => answer.parse_json().map(WriteOutcome::Conflict),
-            _ => Err(answer.unexpected_status()),
+            StatusCode::CONFLICT => response.parse_json().map(WriteOutcome::Conflict),
+            _ => Err(response.unexpected_status()),
         }
     }
 
@@ -152,11 +152,11 @@
             join_kinds(kinds),
             wait.as_millis()
         ))?;
-        let answer = self.call(StoreCall::Read, request, wait).await?;
-        match answer.status {
-            StatusCode::OK => answer.parse_json().map(WatchOutcome::Changes),
+        let response = self.call(StoreCall::Read, request, wait).await?;
+        match response.status {
+            StatusCode::OK => response.parse_json().map(WatchOutcome::Changes),
             StatusCode::GONE => Ok(WatchOutcome::Compacted),
-            _ => Err(answer.unexpected_status()),
+            _ => Err(response.unexpected_status()),
         }
     }
 }
@@ -166,13 +166,13 @@
     names.join(",")
 }
 
-/// Gets the path of an object; a name that would change the path's meaning is refused.
+/// Returns the path of an object. Rejects names that would change the structure of the path.
 fn object_path(key: &ObjectKey) -> StoreResult<String> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
     let is_dots = key.name.bytes().all(|byte| byte == b'.');
     if is_dots || !key.name.bytes().all(is_plain) {
         return Err(StoreError::not_done(format!(
-            "`{}` is not an object's name",
+            "`{}` is not a valid object name",
             key.name
         )));
     }
--- a/alderhaven-store/tests/config_state.rs
+++ b/alderhaven-store/tests/config_state.rs
@@ -1,4 +1,4 @@
-//! Tests of which news of the configuration a node takes.
+//! Tests of which updates of the configuration a node accepts.
 
 use std::collections::BTreeMap;
 
@@ -30,14 +30,14 @@
     }
 }
 
-/// Operators end the drain of a target while a node restarts, so the node's list does not show it.
-/// A peer that is cut off from the store still offers the drain; taking it would bring it back.
+/// Guards against a deleted object that comes back from a lagging peer, if the node's own list was
+/// taken after the deletion.
 #[test]
-fn take_from_peer_deleted_object_stays_deleted() {
+fn accept_from_peer_deleted_object_stays_deleted() {
     let mut state = ConfigState::default();
     state
         .apply_list(object_list(9, vec![]), state.min_revision())
-        .expect("a list");
+        .expect("the list is accepted");
     assert!(
         state
             .accept_from_peer(vec![drain_object("t1", 5, true)])
@@ -46,29 +46,27 @@
     assert!(state.registry().view().drains.is_empty());
 }
 
-/// A node loses its watch for so long that the store has dropped the changes. Meanwhile a drain is
-/// ended. The list that follows does not name the drain any more: the node must end it too.
+/// Guards against an object that stays in force although it was deleted between two lists.
 #[test]
-fn take_list_absent_object_is_removed() {
+fn apply_list_absent_object_is_removed() {
     let mut state = ConfigState::default();
     state
         .apply_list(
             object_list(5, vec![drain_object("t1", 5, true)]),
             state.min_revision(),
         )
-        .expect("a list");
+        .expect("the list is accepted");
     let changed = state
         .apply_list(object_list(9, vec![]), state.min_revision())
-        .expect("a list");
+        .expect("the list is accepted");
     assert_eq!(changed.len(), 1);
     assert!(state.registry().view().drains.is_empty());
 }
 
-/// The store is restored from a copy taken before the last change. Its revision is lower at first;
-/// it then grows past the known one through other writes, still without the change. Taking the
-/// list would undo a change that was in force.
+/// Guards against a store restored from a backup that undoes a change, also after its revision has
+/// grown past the known one by other writes.
 #[test]
-fn take_list_restored_store_is_refused_until_it_has_caught_up() {
+fn apply_list_restored_store_is_refused_until_it_has_caught_up() {
     let mut state = ConfigState::default();
     state
         .apply_list(
@@ -78,7 +76,7 @@
             ),
             state.min_revision(),
         )
-        .expect("a list");
+        .expect("the list is accepted");
     let restored = |revision| object_list(revision, vec![drain_object("t1", 3, true)]);
     let refused = state.apply_list(restored(4), state.min_revision());
     assert!(matches!(refused, Err(StoreRegression::Revision { .. })));
@@ -88,28 +86,24 @@
         Err(StoreRegression::Object { found: None, .. })
     ));
     assert_eq!(state.registry().view().drains.len(), 2);
-    let published_again = object_list(
+    let republished = object_list(
         21,
         vec![drain_object("t1", 3, true), drain_object("t2", 21, true)],
     );
-    assert!(
-        state
-            .apply_list(published_again, state.min_revision())
-            .is_ok()
-    );
+    assert!(state.apply_list(republished, state.min_revision()).is_ok());
     assert!(state.regression().is_none());
 }
 
-/// A restored store gives a version that is known a second time, to other content.
+/// Guards against a restored store that assigns a known version to other content.
 #[test]
-fn take_list_other_write_of_known_version_is_refused() {
+fn apply_list_other_write_of_known_version_is_refused() {
     let mut state = ConfigState::default();
     state
         .apply_list(
             object_list(5, vec![drain_object("t1", 5, true)]),
             state.min_revision(),
         )
-        .expect("a list");
+        .expect("the list is accepted");
     let mut other = drain_object("t1", 5, true);
     other.write_id = "other".to_owned();
     assert!(
@@ -120,11 +114,11 @@
 }
 
 #[test]
-fn take_changes_lower_revision_is_refused() {
+fn apply_changes_lower_revision_is_refused() {
     let mut state = ConfigState::default();
     state
         .apply_list(object_list(5, vec![]), state.min_revision())
-        .expect("a list");
+        .expect("the list is accepted");
     assert!(
         state
             .apply_changes(object_list(4, vec![]), state.min_revision())
@@ -133,16 +127,16 @@
     assert!(state.regression().is_some());
 }
 
-/// One step of a store, of its operators, or of a node that learns from it.
+/// Step of the random test: an operator's write, or an update that the node receives.
 #[derive(Clone, Debug)]
 enum StoreStep {
-    /// An operator writes or deletes an object.
+    /// An operator writes (true) or deletes the object with this number.
     Write(u8, bool),
     /// The node lists.
     List,
-    /// The node takes all changes since its complete revision.
+    /// The node applies all changes since its complete revision.
     Watch,
-    /// A peer offers any object that ever was.
+    /// A peer offers any current or past version of an object.
     Peer(prop::sample::Index),
 }
 
@@ -162,13 +156,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Lists, watches and stale peers in any order: what the node holds for an object never goes
-    /// back, and after a list or a watch it holds exactly what the store does.
+    /// Guards against updates that revert an object's version in any order of lists, watches and stale
+    /// peers. After a list or watch, the node must hold exactly the store's objects.
     #[test]
-    fn take_any_order_never_reverts(steps in prop::collection::vec(store_step(), 1..60)) {
+    fn updates_in_any_order_never_revert(steps in prop::collection::vec(store_step(), 1..60)) {
         let mut state = ConfigState::default();
         let mut history: Vec<StoredObject> = Vec::new();
-        let mut reached: BTreeMap<ObjectKey, StoreVersion> = BTreeMap::new();
+        let mut versions: BTreeMap<ObjectKey, StoreVersion> = BTreeMap::new();
         for step in steps {
             let revision = history.len() as u64;
             let mut newest: BTreeMap<&ObjectKey, &StoredObject> = BTreeMap::new();
@@ -178,22 +172,22 @@
                 .filter(|object| object.body.is_some())
                 .map(|object| (*object).clone())
                 .collect();
-            let floor = state.min_revision();
+            let min_revision = state.min_revision();
             let is_current = match step {
                 StoreStep::Write(name, is_live) => {
                     history.push(drain_object(&format!("t{name}"), revision + 1, is_live));
                     false
                 }
                 StoreStep::List => {
-                    state.apply_list(object_list(revision, live.clone()), floor).expect("no regression");
+                    state.apply_list(object_list(revision, live.clone()), min_revision).expect("no regression");
                     true
                 }
                 StoreStep::Watch => match state.complete_revision() {
                     None => false,
                     Some(after) => {
-                        let later = history.iter().filter(|object| object.version > after);
-                        let later = object_list(revision, later.cloned().collect());
-                        state.apply_changes(later, floor).expect("no regression");
+                        let changes = history.iter().filter(|object| object.version > after);
+                        let changes = object_list(revision, changes.cloned().collect());
+                        state.apply_changes(changes, min_revision).expect("no regression");
                         true
                     }
                 },
@@ -207,11 +201,11 @@
             let drains = state.registry().view().drains;
             if is_current {
                 let names = live.iter().map(|object| object.key.name.clone());
-                prop_assert!(drains == names.collect(), "not what the store holds");
+                prop_assert!(drains == names.collect(), "the node's drains differ from the store's");
             }
             for held in state.registry().objects() {
-                let before = reached.insert(held.key.clone(), held.version);
-                prop_assert!(before <= Some(held.version), "{} went back", held.key);
+                let before = versions.insert(held.key.clone(), held.version);
+                prop_assert!(before <= Some(held.version), "the version of {} decreased", held.key);
             }
         }
     }
--- a/alderhaven-store/tests/http_store.rs
+++ b/alderhaven-store/tests/http_store.rs
@@ -1,4 +1,5 @@
-//! Tests of the object API's client: what it says of a call whose answer is missing.
+//! Tests of the object API's client, mainly that its errors tell calls that had no effect from calls
+//! that may have taken effect.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,31 +17,32 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the scripted platform does with one request.
+/// Reaction of the scripted platform to one request.
 #[derive(Clone, Copy)]
 enum ScriptedReply {
-    /// Answers with a status line, extra headers and a body.
+    /// Responds with a status, extra headers and a body.
     Answer(&'static str, &'static str, &'static str),
-    /// Answers, then closes the connection although it said nothing of it.
+    /// Responds with a status and a body, then closes the connection without announcing it.
     AnswerAndClose(&'static str, &'static str),
-    /// Reads the request and closes.
+    /// Reads the request and closes the connection.
     Close,
-    /// Reads the request and says nothing.
+    /// Reads the request and sends no response.
     Silence,
 }
 
-/// Serves `replies` one after the other, over any number of connections.
+/// Starts a platform that sends `replies` in order over any number of connections and then repeats the
+/// last one. Returns a client of it and the number of received requests.
 async fn start_platform(replies: &'static [ScriptedReply]) -> (HttpStore, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let served = Arc::new(AtomicUsize::new(0));
-    let counter = Arc::clone(&served);
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let counter = Arc::clone(&request_count);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(serve(stream, replies, Arc::clone(&counter)));
         }
     });
-    (store_at(address), served)
+    (store_at(address), request_count)
 }
 
 fn store_at(address: SocketAddr) -> HttpStore {
@@ -55,10 +57,14 @@
     HttpStore::new(address, options)
 }
 
-async fn serve(mut stream: TcpStream, replies: &'static [ScriptedReply], served: Arc<AtomicUsize>) {
+async fn serve(
+    mut stream: TcpStream,
+    replies: &'static [ScriptedReply],
+    request_count: Arc<AtomicUsize>,
+) {
     while read_request(&mut stream).await {
-        let turn = served.fetch_add(1, Ordering::SeqCst);
-        match replies[turn.min(replies.len() - 1)] {
+        let index = request_count.fetch_add(1, Ordering::SeqCst);
+        match replies[index.min(replies.len() - 1)] {
             ScriptedReply::Answer(status, headers, body) => {
                 send_answer(&mut stream, status, headers, body).await;
             }
@@ -67,7 +73,7 @@
             }
             ScriptedReply::Close => return,
             ScriptedReply::Silence => {
-                // Holds the connection open until the client gives it up.
+                // Keeps the connection open until the client closes it.
                 let _closed = stream.read(&mut [0; 64]).await;
                 return;
             }
@@ -83,7 +89,7 @@
     stream.write_all(text.as_bytes()).await.expect("written");
 }
 
-/// Reads one request with its body; false at the end of the connection.
+/// Reads one request with its body. Returns false at the end of the connection.
 async fn read_request(stream: &mut TcpStream) -> bool {
     let mut text = String::new();
     let mut buffer = [0; 1024];
@@ -135,7 +141,7 @@
     r#"{"key":{"kind":"team","name":"volta"},"version":4,"write_id":"w2","body":"{}"}"#;
 
 #[tokio::test]
-async fn write_reads_its_answers() {
+async fn write_parses_responses() {
     let (store, _) = start_platform(&[
         ScriptedReply::Answer("200 OK", "", WRITTEN),
         ScriptedReply::Answer("409 Conflict", "", WRITTEN_BY_OTHER),
@@ -146,7 +152,7 @@
         store.write(team_write()).await,
         Ok(WriteOutcome::Written(StoreVersion(4)))
     );
-    let conflict = store.write(team_write()).await.expect("an answer");
+    let conflict = store.write(team_write()).await.expect("a response");
     assert!(matches!(conflict, WriteOutcome::Conflict(Some(other)) if other.write_id == "w2"));
     assert_eq!(
         store.write(team_write()).await,
@@ -177,11 +183,11 @@
     assert!(is_not_done(&store.write(team_write()).await));
 }
 
-/// The platform takes a write and its answer is lost: the connection breaks, stays silent, or
-/// brings something that can't be read or belongs to another write. The write may stand.
+/// Guards against reporting a write as not done although it may have taken effect, and against sending
+/// it twice: the connection breaks, stays silent, or delivers an invalid or foreign response.
 #[tokio::test]
-async fn write_lost_answer_is_unknown() {
-    let (store, served) = start_platform(&[
+async fn write_without_valid_response_is_unknown() {
+    let (store, request_count) = start_platform(&[
         ScriptedReply::Close,
         ScriptedReply::Silence,
         ScriptedReply::Answer("200 OK", "", "{"),
@@ -189,34 +195,37 @@
         ScriptedReply::Answer("500 Internal Server Error", "", ""),
     ])
     .await;
-    for turn in 1..=5 {
-        assert!(is_unknown(&store.write(team_write()).await), "turn {turn}");
-        // Each write was sent once: a lost answer never leads to a second write by the client.
-        assert_eq!(served.load(Ordering::SeqCst), turn);
+    for index in 1..=5 {
+        assert!(
+            is_unknown(&store.write(team_write()).await),
+            "write {index}"
+        );
+        // The client sends each write exactly once.
+        assert_eq!(request_count.load(Ordering::SeqCst), index);
     }
 }
 
-/// The platform closes a kept connection after its answer. The next call finds it closed, was
-/// never sent, and succeeds on a new connection.
+/// Guards against a failed call on an idle connection that the platform has closed: it is sent again on
+/// a new connection.
 #[tokio::test]
 async fn get_closed_idle_connection_is_replaced() {
-    let (store, served) = start_platform(&[
+    let (store, request_count) = start_platform(&[
         ScriptedReply::AnswerAndClose("404 Not Found", ""),
         ScriptedReply::Answer("200 OK", "", WRITTEN),
     ])
     .await;
     assert_eq!(store.get(&team_key("volta")).await, Ok(None));
     let mut found = store.get(&team_key("volta")).await;
-    // The close may arrive only after the request was written; then the answer is lost, not wrong.
+    // If the close arrives only after the request was written, the outcome is unknown: call again.
     while is_unknown(&found) {
         found = store.get(&team_key("volta")).await;
     }
-    assert_eq!(found.expect("an answer").expect("an object").version.0, 4);
-    assert!(served.load(Ordering::SeqCst) >= 2);
+    assert_eq!(found.expect("a response").expect("an object").version.0, 4);
+    assert!(request_count.load(Ordering::SeqCst) >= 2);
 }
 
 #[tokio::test]
-async fn watch_reads_its_answers() {
+async fn watch_parses_responses() {
     let (store, _) = start_platform(&[
         ScriptedReply::Answer("410 Gone", "", ""),
         ScriptedReply::Answer("200 OK", "", r#"{"revision":9,"objects":[]}"#),
@@ -229,22 +238,24 @@
             .await
     };
     assert_eq!(watch().await, Ok(WatchOutcome::Compacted));
-    let changes = watch().await.expect("an answer");
+    let changes = watch().await.expect("a response");
     assert!(matches!(changes, WatchOutcome::Changes(list) if list.revision.0 == 9));
 }
 
 #[tokio::test]
-async fn get_bad_name_is_not_sent() {
-    let (store, served) = start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
+async fn get_invalid_name_is_not_sent() {
+    let (store, request_count) =
+        start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
     for name in ["..", "a/b", "a?kinds=team", "a b", ""] {
         assert!(is_not_done(&store.get(&team_key(name)).await), "{name}");
     }
-    assert_eq!(served.load(Ordering::SeqCst), 0);
+    assert_eq!(request_count.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
-async fn call_budget_used_up_is_not_sent() {
-    let (store, served) = start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
+async fn call_above_budget_is_not_sent() {
+    let (store, request_count) =
+        start_platform(&[ScriptedReply::Answer("404 Not Found", "", "")]).await;
     let budget = StoreBudgetOptions {
         reads: "0.001/s".parse().expect("a rate"),
         ..StoreBudgetOptions::default()
@@ -256,5 +267,5 @@
     let store = HttpStore::new(store.address(), options);
     assert_eq!(store.get(&team_key("volta")).await, Ok(None));
     assert!(is_not_done(&store.get(&team_key("volta")).await));
-    assert_eq!(served.load(Ordering::SeqCst), 1);
+    assert_eq!(request_count.load(Ordering::SeqCst), 1);
 }
