--- a/alderhaven-load/src/report_page.rs
+++ b/alderhaven-load/src/report_page.rs
@@ -62,12 +62,7 @@
         table_rows(&lines.runs, run_row),
     );
     let ratios = table_rows(&lines.ratios, ratio_row);
-    add_section(
-        &mut page,
-        "Current over baseline",
-        &RATIO_COLUMNS,
-        ratios,
-    );
+    add_section(&mut page, "Current over baseline", &RATIO_COLUMNS, ratios);
     let figures = lines.runs.iter().flat_map(figure_rows).collect();
     add_section(
         &mut page,
--- a/alderhaven-load/src/workload.rs
+++ b/alderhaven-load/src/workload.rs
@@ -43,10 +43,13 @@
     /// The template.
     pub template: TemplateName,
     /// The part of its service's capacity that the template takes at load 1.
+    #[serde(rename = "share")]
     pub capacity_share: f64,
     /// The mean run time at a target.
+    #[serde(rename = "mean")]
     pub mean_run_time: TimeSpan,
     /// The parameter that is unique to each query, so that runs can be told apart.
+    #[serde(rename = "tag")]
     pub unique_parameter: String,
     /// The teams that ask, by their part of the queries.
     pub teams: BTreeMap<TeamId, f64>,
--- a/alderhaven-standin/src/run_log.rs
+++ b/alderhaven-standin/src/run_log.rs
@@ -31,6 +31,7 @@
     /// When the run ended, 0 while it runs.
     pub ended_us: u64,
     /// How the run ended.
+    #[serde(rename = "end")]
     pub status: RunStatus,
 }
 
--- a/alderhaven-standin/src/service_layout.rs
+++ b/alderhaven-standin/src/service_layout.rs
@@ -28,6 +28,7 @@
     /// The connections that a target takes.
     pub connections: u32,
     /// The attempts that a target lets wait for a slot before it sheds.
+    #[serde(rename = "queue")]
     pub max_queue_length: u32,
     /// What a new connection costs before its first reply.
     pub connect_cost: TimeSpan,
