--- a/alderhaven-load/src/answer_oracle.rs
+++ b/alderhaven-load/src/answer_oracle.rs
@@ -66,25 +66,27 @@
     /// Checks a query's reply and returns the promises that it broke.
     #[must_use]
     pub fn check_reply(&self, query: &LoadQuery, reply: &QueryReply) -> Vec<ViolationKind> {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         let runs = self.runs_of(query);
         if !query.workload_template.template.idempotent && runs.len() > 1 {
-            broken.push(ViolationKind::DoubleRun);
+            violations.push(ViolationKind::DoubleRun);
         }
         if matches!(reply.content, ReplyContent::Aborted) {
-            broken.push(ViolationKind::CutInFlight);
+            violations.push(ViolationKind::CutInFlight);
         }
         match reply.parse() {
-            ParsedReply::Answer(answer) => broken.extend(self.check_answer(query, &answer, runs)),
+            ParsedReply::Answer(answer) => {
+                violations.extend(self.check_answer(query, &answer, runs))
+            }
             // Where queries share their parameters a run may be another query's.
             ParsedReply::Error(body)
                 if body.error.not_run && !runs.is_empty() && !query.group.shares_parameters() =>
             {
-                broken.push(ViolationKind::FalseNotRun);
+                violations.push(ViolationKind::FalseNotRun);
             }
             ParsedReply::Error(_) | ParsedReply::Unreadable => {}
         }
-        broken
+        violations
     }
 
     fn runs_of(&self, query: &LoadQuery) -> &[RunRecord] {
@@ -206,9 +208,9 @@
 
 /// Counts the runs that began at targets more than [`LEAVING_GRACE`] after they began to leave.
 #[must_use]
-pub fn count_runs_after_leaving(records: &[RunRecord], leavings: &[LeavingTarget]) -> usize {
+pub fn count_runs_after_leaving(records: &[RunRecord], leaving_targets: &[LeavingTarget]) -> usize {
     let is_late = |record: &&RunRecord| {
-        leavings.iter().any(|leaving| {
+        leaving_targets.iter().any(|leaving| {
             leaving.target == record.target
                 && record.started_us > leaving.leaving_since_us + LEAVING_GRACE.as_micros()
         })
@@ -218,12 +220,12 @@
 
 /// Counts the steps back of any node's configuration.
 #[must_use]
-pub fn count_config_reversions(sightings: &[ConfigObservation]) -> usize {
+pub fn count_config_reversions(observations: &[ConfigObservation]) -> usize {
     let mut latest: HashMap<&NodeId, StoreVersion> = HashMap::new();
-    let mut steps = 0;
-    for sighting in sightings {
-        let last = latest.insert(&sighting.node, sighting.revision);
-        steps += usize::from(last.is_some_and(|last| last > sighting.revision));
+    let mut reversions = 0;
+    for observation in observations {
+        let last = latest.insert(&observation.node, observation.revision);
+        reversions += usize::from(last.is_some_and(|last| last > observation.revision));
     }
-    steps
+    reversions
 }
--- a/alderhaven-load/src/fairness_tally.rs
+++ b/alderhaven-load/src/fairness_tally.rs
@@ -47,46 +47,49 @@
     pub fn fairness(&self) -> f64 {
         let mut totals: BTreeMap<&TeamId, (f64, f64)> = BTreeMap::new();
         for group in self.groups.values() {
-            let works: Vec<TeamWork> = group.values().copied().collect();
-            for ((team, work), due) in group.iter().zip(fair_shares(&works)) {
+            let team_work: Vec<TeamWork> = group.values().copied().collect();
+            for ((team, work), fair_share) in group.iter().zip(fair_shares(&team_work)) {
                 let total = totals.entry(team).or_default();
-                total.0 += work.served.min(due);
-                total.1 += due;
+                total.0 += work.served.min(fair_share);
+                total.1 += fair_share;
             }
         }
         totals
             .values()
-            .filter(|(_, due)| *due >= MIN_FAIR_SHARE_SECONDS)
-            .map(|(served, due)| served / due)
+            .filter(|(_, fair_share)| *fair_share >= MIN_FAIR_SHARE_SECONDS)
+            .map(|(served, fair_share)| served / fair_share)
             .fold(1.0, f64::min)
     }
 }
 
 /// Shares the served work out by weight, to each at most what it offered.
 #[must_use]
-pub fn fair_shares(works: &[TeamWork]) -> Vec<f64> {
-    let mut left: f64 = works.iter().map(|work| work.served).sum();
-    let mut dues = vec![0.0; works.len()];
-    let mut open: Vec<usize> = (0..works.len()).collect();
+pub fn fair_shares(team_work: &[TeamWork]) -> Vec<f64> {
+    let mut remaining: f64 = team_work.iter().map(|work| work.served).sum();
+    let mut shares = vec![0.0; team_work.len()];
+    let mut unsatisfied: Vec<usize> = (0..team_work.len()).collect();
     // Each round gives the teams that want less than their part all that they want, and the rest is
     // shared anew; a round without such a team is the last.
-    while !open.is_empty() {
-        let weights: f64 = open.iter().map(|team| works[*team].weight).sum();
-        let part = |team: usize| left * works[team].weight / weights;
-        let (modest, others): (Vec<usize>, Vec<usize>) = open
+    while !unsatisfied.is_empty() {
+        let weights: f64 = unsatisfied.iter().map(|team| team_work[*team].weight).sum();
+        let proportional_share = |team: usize| remaining * team_work[team].weight / weights;
+        let (satisfied, others): (Vec<usize>, Vec<usize>) = unsatisfied
             .iter()
-            .partition(|team| works[**team].offered <= part(**team));
-        if modest.is_empty() {
+            .partition(|team| team_work[**team].offered <= proportional_share(**team));
+        if satisfied.is_empty() {
             for team in &others {
-                dues[*team] = part(*team);
+                shares[*team] = proportional_share(*team);
             }
             break;
         }
-        for team in &modest {
-            dues[*team] = works[*team].offered;
+        for team in &satisfied {
+            shares[*team] = team_work[*team].offered;
         }
-        left -= modest.iter().map(|team| works[*team].offered).sum::<f64>();
-        open = others;
+        remaining -= satisfied
+            .iter()
+            .map(|team| team_work[*team].offered)
+            .sum::<f64>();
+        unsatisfied = others;
     }
-    dues
+    shares
 }
--- a/alderhaven-load/src/fault_script.rs
+++ b/alderhaven-load/src/fault_script.rs
@@ -92,12 +92,12 @@
     ///
     /// # Errors
     /// Where the platform does not take a change.
-    pub async fn run_event(&self, began: Instant) -> Result<()> {
-        time::sleep_until(began + self.options.event_at().as_duration()).await;
-        let struck = self.pick_affected_targets(AFFECTED_SHARE);
+    pub async fn run_event(&self, started_at: Instant) -> Result<()> {
+        time::sleep_until(started_at + self.options.event_at().as_duration()).await;
+        let affected = self.pick_affected_targets(AFFECTED_SHARE);
         match self.options.scenario {
             ScenarioKind::SilentConnections => {
-                for target in struck {
+                for target in affected {
                     target.state().lifecycle().silence_connections();
                 }
             }
@@ -108,15 +108,15 @@
                     cold_ms,
                     ..TargetFaults::default()
                 };
-                set_faults(&struck, faults);
-                for target in struck {
-                    let down = Duration::from_millis(RESTART_DOWNTIME_MS);
-                    target.state().lifecycle().crash(down);
+                set_faults(&affected, faults);
+                for target in affected {
+                    let downtime = Duration::from_millis(RESTART_DOWNTIME_MS);
+                    target.state().lifecycle().crash(downtime);
                 }
             }
             ScenarioKind::TargetLeaving => {
                 let call = ControlCall::Leave {
-                    targets: struck.into_iter().map(target_id).collect(),
+                    targets: affected.into_iter().map(target_id).collect(),
                     platform: self.test_bed.platform_address(),
                     stop_after_ms: STOP_DELAY_MS,
                 };
@@ -201,10 +201,10 @@
                 ["one", "two"].map(|operator| self.test_bed.store().write(write(operator))),
             )
             .await;
-            let won = outcomes
+            let accepted = outcomes
                 .iter()
                 .filter(|outcome| matches!(outcome, Ok(WriteOutcome::Written(_))));
-            self.test_bed.add_publications(won.count());
+            self.test_bed.add_publications(accepted.count());
             time::sleep(pause).await;
         }
     }
@@ -217,13 +217,13 @@
         let mut targets: Vec<&TargetServer> = self.test_bed.fleet().targets().collect();
         let wanted = rounded_share(targets.len(), share);
         targets.shuffle(&mut StdRng::seed_from_u64(self.options.seed));
-        let mut places: Vec<(ServiceName, ShardId)> = Vec::new();
+        let mut picked_shards: Vec<(ServiceName, ShardId)> = Vec::new();
         targets.retain(|target| {
             let spec = target.state().spec();
-            let place = (spec.service.clone(), spec.shard);
-            let is_first = places.len() < wanted && !places.contains(&place);
+            let shard_key = (spec.service.clone(), spec.shard);
+            let is_first = picked_shards.len() < wanted && !picked_shards.contains(&shard_key);
             if is_first {
-                places.push(place);
+                picked_shards.push(shard_key);
             }
             is_first
         });
--- a/alderhaven-load/src/load_driver.rs
+++ b/alderhaven-load/src/load_driver.rs
@@ -57,19 +57,19 @@
 async fn send_query(
     pool: Arc<CallerPool>,
     query: LoadQuery,
-    began: Instant,
+    started_at: Instant,
 ) -> (LoadQuery, QueryReply) {
-    let sent = TimeSpan::from(began.elapsed());
+    let sent = TimeSpan::from(started_at.elapsed());
     let path = format!("/v1/query/{}", query.workload_template.template.name);
     let body = json!({ "team": query.team, "parameters": query.parameters }).to_string();
     let limit = query.workload_template.template.deadline.as_duration() + REPLY_GRACE;
-    let posting = pool.post(query.entry_index, &path, Bytes::from(body));
-    let content = time::timeout(limit, posting)
+    let request = pool.post(query.entry_index, &path, Bytes::from(body));
+    let content = time::timeout(limit, request)
         .await
         .unwrap_or(ReplyContent::TimedOut);
     let reply = QueryReply {
         sent_at: sent,
-        ended_at: TimeSpan::from(began.elapsed()),
+        ended_at: TimeSpan::from(started_at.elapsed()),
         content,
     };
     (query, reply)
--- a/alderhaven-load/src/load_plan.rs
+++ b/alderhaven-load/src/load_plan.rs
@@ -140,11 +140,11 @@
     fn draw_hot_team(&mut self) -> Result<()> {
         let team = hot_team(self.options.deployment);
         let mut mix = Vec::new();
-        for mixed in &self.workload.mix {
-            let total: f64 = mixed.mix_entry.teams.values().sum();
-            if let Some(part) = mixed.mix_entry.teams.get(&team) {
-                let mut hot = mixed.clone();
-                hot.mix_entry.capacity_share *= part / total;
+        for workload_template in &self.workload.mix {
+            let total: f64 = workload_template.mix_entry.teams.values().sum();
+            if let Some(team_share) = workload_template.mix_entry.teams.get(&team) {
+                let mut hot = workload_template.clone();
+                hot.mix_entry.capacity_share *= team_share / total;
                 hot.mix_entry.teams = [(team.clone(), 1.0)].into_iter().collect();
                 mix.push(hot);
             }
@@ -155,10 +155,15 @@
     }
 
     fn draw_hot_key(&mut self) -> Result<()> {
-        let mixed = self.single_shard_template()?;
-        let rate = mixed.rate_at_full_load() * HOT_KEY_LOAD_SHARE;
+        let workload_template = self.single_shard_template()?;
+        let rate = workload_template.rate_at_full_load() * HOT_KEY_LOAD_SHARE;
         let begin = self.queries.len();
-        self.draw_queries(&[mixed], rate, &self.whole_run(), QueryGroup::HotKey)?;
+        self.draw_queries(
+            &[workload_template],
+            rate,
+            &self.whole_run(),
+            QueryGroup::HotKey,
+        )?;
         for query in &mut self.queries[begin..] {
             set_tag(query, "hot");
         }
@@ -168,11 +173,11 @@
     fn draw_poison(&mut self) -> Result<()> {
         let mix = [Arc::new(self.single_shard_template()?)];
         let mut rng = StdRng::seed_from_u64(self.options.seed);
-        let (between, again) = POISON_INTERVALS;
+        let (request_interval, resend_interval) = POISON_INTERVALS;
         for request in 0..POISON_REQUEST_COUNT {
-            let first = self.options.event_at() + between.mul_f64(f64::from(request));
+            let first = self.options.event_at() + request_interval.mul_f64(f64::from(request));
             for entry in 0..self.options.nodes {
-                let due = first + again.mul_f64(entry as f64);
+                let due = first + resend_interval.mul_f64(entry as f64);
                 let mut query = self
                     .query_source
                     .draw(&mix, due, QueryGroup::Poison, &mut rng)?;
@@ -186,12 +191,12 @@
 
     /// Gets the first template that asks one shard.
     fn single_shard_template(&self) -> Result<WorkloadTemplate> {
-        let by_key = self
+        let single_shard = self
             .workload
             .mix
             .iter()
-            .find(|mixed| mixed.shard_count() == 1);
-        by_key
+            .find(|workload_template| workload_template.shard_count() == 1);
+        single_shard
             .cloned()
             .ok_or_else(|| Error::invalid("mix", "has no template that asks one shard"))
     }
--- a/alderhaven-load/src/load_query.rs
+++ b/alderhaven-load/src/load_query.rs
@@ -71,11 +71,23 @@
         group: QueryGroup,
         rng: &mut impl Rng,
     ) -> Result<LoadQuery> {
-        let rates = || mix.iter().map(|mixed| mixed.rate_at_full_load());
-        let mixed = Arc::clone(&mix[pick_weighted(rates(), rates().sum(), rng)]);
-        let parts = mixed.mix_entry.teams.values().copied();
-        let position = pick_weighted(parts, mixed.mix_entry.teams.values().sum(), rng);
-        let team = mixed.mix_entry.teams.keys().nth(position).cloned();
+        let rates = || {
+            mix.iter()
+                .map(|workload_template| workload_template.rate_at_full_load())
+        };
+        let workload_template = Arc::clone(&mix[pick_weighted(rates(), rates().sum(), rng)]);
+        let team_shares = workload_template.mix_entry.teams.values().copied();
+        let position = pick_weighted(
+            team_shares,
+            workload_template.mix_entry.teams.values().sum(),
+            rng,
+        );
+        let team = workload_template
+            .mix_entry
+            .teams
+            .keys()
+            .nth(position)
+            .cloned();
         let team = team.ok_or_else(|| Error::invalid("mix.teams", "names no team"))?;
         let number = self.next_number;
         self.next_number += 1;
@@ -83,12 +95,12 @@
         let tag = ParameterValue::Text(format!("q{number:06}"));
         given
             .0
-            .insert(mixed.mix_entry.unique_parameter.clone(), tag);
+            .insert(workload_template.mix_entry.unique_parameter.clone(), tag);
         Ok(LoadQuery {
             number,
             due_at: due,
-            parameters: mixed.template.bind(&team, given)?,
-            workload_template: mixed,
+            parameters: workload_template.template.bind(&team, given)?,
+            workload_template,
             team,
             group,
             entry_index: None,
@@ -98,13 +110,13 @@
 
 /// Picks a position in proportion to the weights, which add up to `total`.
 fn pick_weighted(weights: impl Iterator<Item = f64>, total: f64, rng: &mut impl Rng) -> usize {
-    let mut left = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     let mut last = 0;
     for (position, weight) in weights.enumerate() {
-        if left < weight {
+        if remaining < weight {
             return position;
         }
-        left -= weight;
+        remaining -= weight;
         last = position;
     }
     last
--- a/alderhaven-load/src/run_tally.rs
+++ b/alderhaven-load/src/run_tally.rs
@@ -91,23 +91,23 @@
 
     /// Adds a query with its reply.
     pub fn add(&mut self, query: &LoadQuery, reply: &QueryReply) {
-        let read = reply.parse();
-        if let ParsedReply::Answer(answer) = &read {
+        let parsed = reply.parse();
+        if let ParsedReply::Answer(answer) = &parsed {
             self.needed_attempts += answer.coverage.answered;
         }
-        let verdict = evaluate_reply(query, reply, &read);
-        if verdict.is_useful && self.is_measured(reply.ended_at) {
+        let result = evaluate_reply(query, reply, &parsed);
+        if result.is_useful && self.is_measured(reply.ended_at) {
             self.useful_work += query.workload_template.mean_work();
         }
         if !self.is_measured(query.due_at) {
             return;
         }
-        if let ParsedReply::Error(body) = &read {
+        if let ParsedReply::Error(body) = &parsed {
             *self.errors.entry(body.error.code.clone()).or_default() += 1;
         }
-        self.count_outcome(query, verdict);
-        self.record_latency(query, reply, verdict);
-        self.record_work(query, verdict);
+        self.count_outcome(query, result);
+        self.record_latency(query, reply, result);
+        self.record_work(query, result);
     }
 
     fn is_measured(&self, at: TimeSpan) -> bool {
@@ -115,10 +115,10 @@
         (begin..begin + self.options.measured_time).contains(&at)
     }
 
-    fn count_outcome(&mut self, query: &LoadQuery, verdict: QueryResult) {
+    fn count_outcome(&mut self, query: &LoadQuery, result: QueryResult) {
         let counts = &mut self.counts;
         counts.offered += 1;
-        let count = match verdict.outcome {
+        let count = match result.outcome {
             QueryOutcome::Complete => &mut counts.complete,
             QueryOutcome::Partial => &mut counts.partial,
             QueryOutcome::Refused => &mut counts.refused,
@@ -127,27 +127,27 @@
         };
         *count += 1;
         let answered = matches!(
-            verdict.outcome,
+            result.outcome,
             QueryOutcome::Complete | QueryOutcome::Partial
         );
-        counts.late += u64::from(answered && !verdict.is_in_time);
+        counts.late += u64::from(answered && !result.is_in_time);
         if query.workload_template.template.class == QueryClass::Urgent {
             counts.urgent += 1;
-            counts.urgent_in_time += u64::from(verdict.is_useful);
+            counts.urgent_in_time += u64::from(result.is_useful);
         }
     }
 
-    fn record_latency(&mut self, query: &LoadQuery, reply: &QueryReply, verdict: QueryResult) {
+    fn record_latency(&mut self, query: &LoadQuery, reply: &QueryReply, result: QueryResult) {
         record_span(
             &mut self.send_lags,
             reply.sent_at.saturating_sub(query.due_at),
         );
-        if verdict.outcome == QueryOutcome::Refused {
+        if result.outcome == QueryOutcome::Refused {
             let span = reply.ended_at.saturating_sub(reply.sent_at);
             record_span(&mut self.refusal_latencies, span);
             return;
         }
-        self.coverage_sum += verdict.covered_share;
+        self.coverage_sum += result.covered_share;
         let latency = reply.ended_at.saturating_sub(query.due_at);
         record_span(&mut self.all_latencies, latency);
         if query.workload_template.template.class == QueryClass::Urgent {
@@ -155,14 +155,14 @@
         }
     }
 
-    fn record_work(&mut self, query: &LoadQuery, verdict: QueryResult) {
+    fn record_work(&mut self, query: &LoadQuery, result: QueryResult) {
         let template = &query.workload_template.template;
         let work = self
             .fairness
             .work_mut(&template.service, template.class, &query.team);
         work.weight = self.workload.team_weight(&query.team);
         work.offered += query.workload_template.mean_work();
-        if verdict.is_useful {
+        if result.is_useful {
             work.served += query.workload_template.mean_work();
         }
     }
@@ -210,10 +210,10 @@
     }
 }
 
-fn evaluate_reply(query: &LoadQuery, reply: &QueryReply, read: &ParsedReply) -> QueryResult {
+fn evaluate_reply(query: &LoadQuery, reply: &QueryReply, parsed: &ParsedReply) -> QueryResult {
     let deadline = query.workload_template.template.deadline;
     let in_time = reply.ended_at.saturating_sub(query.due_at) <= deadline;
-    let (outcome, covered) = match read {
+    let (outcome, covered) = match parsed {
         ParsedReply::Answer(answer) => (answer.outcome, answer.coverage.covered_share()),
         ParsedReply::Error(body) => (error_outcome(body), 0.0),
         ParsedReply::Unreadable if matches!(reply.content, ReplyContent::Unsent) => {
@@ -229,7 +229,7 @@
         covered_share: covered,
         is_in_time: in_time,
         is_useful: in_time
-            && matches!(read, ParsedReply::Answer(answer) if meets_coverage(query, answer)),
+            && matches!(parsed, ParsedReply::Answer(answer) if meets_coverage(query, answer)),
     }
 }
 
--- a/alderhaven-load/src/scenario_figures.rs
+++ b/alderhaven-load/src/scenario_figures.rs
@@ -93,7 +93,7 @@
 
     /// Works out the figures of the scenario.
     #[must_use]
-    pub fn figures(&self, records: &[RunRecord], leavings: &[LeavingRecord]) -> FigureMap {
+    pub fn figures(&self, records: &[RunRecord], leaving_targets: &[LeavingRecord]) -> FigureMap {
         let mut figures = FigureMap::new();
         match self.options.scenario {
             ScenarioKind::Steady | ScenarioKind::SlowTarget | ScenarioKind::Overload => {}
@@ -116,7 +116,7 @@
             }
             ScenarioKind::TargetLeaving => {
                 self.add_recovery(&mut figures, self.options.event_at());
-                add_leaving_targets(&mut figures, records, leavings);
+                add_leaving_targets(&mut figures, records, leaving_targets);
             }
             ScenarioKind::SnapshotChange => {
                 self.add_recovery(&mut figures, self.options.event_at());
@@ -157,16 +157,19 @@
                 worst = Some((*begin, *p99));
             }
         }
-        let is_near = |p99: f64| steady.is_some_and(|steady| p99 <= steady * RECOVERED_FACTOR);
+        let is_near_steady =
+            |p99: f64| steady.is_some_and(|steady| p99 <= steady * RECOVERED_FACTOR);
         // A tail that was never away has no way back.
-        let is_back = |(begin, p99): &&(TimeSpan, f64)| {
-            worst.is_some_and(|(at, most)| *begin >= at || is_near(most)) && is_near(*p99)
+        let is_recovered = |(begin, p99): &&(TimeSpan, f64)| {
+            worst.is_some_and(|(at, most)| *begin >= at || is_near_steady(most))
+                && is_near_steady(*p99)
         };
-        let back = windows.iter().find(is_back);
-        let back = back.map(|(begin, _)| rounded(begin.saturating_sub(end).as_secs_f64() * 1e3));
+        let recovered_ms = windows.iter().find(is_recovered);
+        let recovered_ms =
+            recovered_ms.map(|(begin, _)| rounded(begin.saturating_sub(end).as_secs_f64() * 1e3));
         figures.insert("steady_p99_ms".to_owned(), steady);
         figures.insert("worst_window_p99_ms".to_owned(), worst.map(|(_, p99)| p99));
-        figures.insert("back_to_steady_ms".to_owned(), back);
+        figures.insert("back_to_steady_ms".to_owned(), recovered_ms);
     }
 
     /// Gets the tails of the windows from `end` on, with their beginnings.
@@ -207,16 +210,20 @@
     insert_figure(figures, "most_crashes_per_poison", most as f64);
 }
 
-fn add_leaving_targets(figures: &mut FigureMap, records: &[RunRecord], leavings: &[LeavingRecord]) {
+fn add_leaving_targets(
+    figures: &mut FigureMap,
+    records: &[RunRecord],
+    leaving_targets: &[LeavingRecord],
+) {
     let after = |record: &RunRecord| {
-        leavings
+        leaving_targets
             .iter()
             .filter(|leaving| leaving.target == record.target)
             .filter_map(|leaving| record.started_us.checked_sub(leaving.leaving_since_us))
             .max()
     };
     let latest = records.iter().filter_map(after).max();
-    insert_figure(figures, "leaving_targets", leavings.len() as f64);
+    insert_figure(figures, "leaving_targets", leaving_targets.len() as f64);
     let latest = latest.map(|span| rounded(span as f64 / 1e3));
     figures.insert("last_run_after_leaving_ms".to_owned(), latest);
 }
--- a/alderhaven-load/src/test_bed.rs
+++ b/alderhaven-load/src/test_bed.rs
@@ -105,9 +105,9 @@
             let settings: RelaySettings = self.node_settings("relay", number, policy, "")?;
             let config = self.start_follower(&settings.node);
             let relay = if number == 1 && options.scenario == ScenarioKind::RelayCrash {
-                let doomed = CrashableRuntime::new()?;
-                let starting = doomed.spawn(RelayNode::start(settings, config));
-                *lock(&self.crashable_runtime) = Some(doomed);
+                let runtime = CrashableRuntime::new()?;
+                let starting = runtime.spawn(RelayNode::start(settings, config));
+                *lock(&self.crashable_runtime) = Some(runtime);
                 starting.await?
             } else {
                 RelayNode::start(settings, config).await
@@ -115,12 +115,13 @@
             self.relays.push(relay.wrap_err("a relay can't start")?);
         }
         let relays: Vec<SocketAddr> = self.relays.iter().map(RelayNode::peer_address).collect();
-        let more = format!(
+        let extra_settings = format!(
             "listen: 127.0.0.1:0\nrelays: {}\n",
             serde_json::to_string(&relays)?
         );
         for number in 1..=nodes {
-            let settings: EntrySettings = self.node_settings("entry", number, policy, &more)?;
+            let settings: EntrySettings =
+                self.node_settings("entry", number, policy, &extra_settings)?;
             let config = self.start_follower(&settings.node);
             let entry = EntryNode::start(settings, config).await;
             self.entries.push(entry.wrap_err("an entry can't start")?);
@@ -134,13 +135,13 @@
         role: &str,
         number: usize,
         policy: PolicyKind,
-        more: &str,
+        extra_settings: &str,
     ) -> Result<T> {
         let platform = self.platform.address();
         let text = format!(
             "node: {role}-{number}\nhost: host-{number}\ndomain: domain-1\n\
              peer_listen: 127.0.0.1:0\noperator_listen: 127.0.0.1:0\n\
-             platform: {platform}\npolicy: {policy}\n{more}"
+             platform: {platform}\npolicy: {policy}\n{extra_settings}"
         );
         Ok(settings::read_text(role, &text)?)
     }
@@ -288,7 +289,7 @@
 
 async fn observe_configs(
     configs: Vec<(NodeId, ConfigHandle)>,
-    sightings: Arc<Mutex<Vec<ConfigObservation>>>,
+    observations: Arc<Mutex<Vec<ConfigObservation>>>,
 ) {
     let mut last: Vec<Option<StoreVersion>> = vec![None; configs.len()];
     loop {
@@ -298,11 +299,11 @@
                 continue;
             }
             last[position] = revision;
-            let sighting = revision.map(|revision| ConfigObservation {
+            let observation = revision.map(|revision| ConfigObservation {
                 node: node.clone(),
                 revision,
             });
-            lock(&sightings).extend(sighting);
+            lock(&observations).extend(observation);
         }
         time::sleep(CONFIG_POLL_INTERVAL).await;
     }
--- a/alderhaven-load/src/test_run.rs
+++ b/alderhaven-load/src/test_run.rs
@@ -32,17 +32,19 @@
 pub async fn run(options: &RunOptions) -> Result<RunLine> {
     let mut line = run_once(options).await?;
     if options.scenario.has_comparison_run() {
-        let without = RunOptions {
+        let comparison_options = RunOptions {
             without_special_queries: true,
             ..options.clone()
         };
-        let alone = run_once(&without).await?.figures[COMPARED_FIGURE];
-        let ratio = match (line.figures[COMPARED_FIGURE], alone) {
-            (Some(with), Some(alone)) if alone > 0.0 => Some(rounded(with / alone)),
+        let without_special_queries = run_once(&comparison_options).await?.figures[COMPARED_FIGURE];
+        let ratio = match (line.figures[COMPARED_FIGURE], without_special_queries) {
+            (Some(with), Some(without_special_queries)) if without_special_queries > 0.0 => {
+                Some(rounded(with / without_special_queries))
+            }
             _ => None,
         };
         let figures = &mut line.figures;
-        figures.insert("others_p99_alone_ms".to_owned(), alone);
+        figures.insert("others_p99_alone_ms".to_owned(), without_special_queries);
         figures.insert("others_p99_ratio".to_owned(), ratio);
     }
     Ok(line)
@@ -54,38 +56,38 @@
         workload.add_long_jobs()?;
     }
     let queries = load_plan::plan_queries(options, &workload)?;
-    let bed = TestBed::start(&workload, options).await?;
-    let script = FaultScript::new(options, &bed);
+    let test_bed = TestBed::start(&workload, options).await?;
+    let script = FaultScript::new(options, &test_bed);
     script.apply_initial_faults();
-    let driver = LoadDriver::new(CallerPool::new(&bed.entry_addresses()));
+    let driver = LoadDriver::new(CallerPool::new(&test_bed.entry_addresses()));
     let clock = CpuClock::start();
-    let (replies, played) = tokio::join!(
+    let (replies, event_result) = tokio::join!(
         driver.run(queries.into_iter()),
         script.run_event(driver.started_at())
     );
-    played?;
+    event_result?;
     let shares = clock.shares();
-    bed.wait_until_idle(IDLE_TIMEOUT).await?;
+    test_bed.wait_until_idle(IDLE_TIMEOUT).await?;
 
-    let records = bed.fleet().run_log().records();
+    let records = test_bed.fleet().run_log().records();
     let attempts = records.len();
-    let leavings = bed.fleet().services().leaving_targets();
+    let leaving = test_bed.fleet().services().leaving_targets();
     let mut tally = RunTally::new(options, &workload);
     let mut figures = FigureTally::new(options);
-    let began_to_leave: Vec<LeavingTarget> = leavings
+    let leaving_targets: Vec<LeavingTarget> = leaving
         .iter()
         .map(|leaving| LeavingTarget {
             target: leaving.target.clone(),
             leaving_since_us: leaving.leaving_since_us,
         })
         .collect();
-    for _ in 0..answer_oracle::count_runs_after_leaving(&records, &began_to_leave) {
+    for _ in 0..answer_oracle::count_runs_after_leaving(&records, &leaving_targets) {
         tally.add_violation(ViolationKind::WorkAfterLeaving);
     }
-    for _ in 0..answer_oracle::count_config_reversions(&bed.config_observations()) {
+    for _ in 0..answer_oracle::count_config_reversions(&test_bed.config_observations()) {
         tally.add_violation(ViolationKind::Reverted);
     }
-    let oracle = AnswerOracle::new(bed.manifests(), records.clone());
+    let oracle = AnswerOracle::new(test_bed.manifests(), records.clone());
     for (query, reply) in &replies {
         tally.add(query, reply);
         figures.add(query, reply);
@@ -94,17 +96,17 @@
         }
     }
     let mut line = tally.line(attempts, shares);
-    line.figures = figures.figures(&records, &leavings);
-    let ejections = bed.ejection_count() as f64;
+    line.figures = figures.figures(&records, &leaving);
+    let ejections = test_bed.ejection_count() as f64;
     scenario_figures::insert_figure(&mut line.figures, "ejections", ejections);
     if options.scenario == ScenarioKind::RelayCrash {
-        let usable = bed.min_usable_relays() as f64;
+        let usable = test_bed.min_usable_relays() as f64;
         scenario_figures::insert_figure(&mut line.figures, "usable_relays", usable);
     }
     if options.scenario == ScenarioKind::PublishRace {
-        let publications = bed.publication_count() as f64;
+        let publications = test_bed.publication_count() as f64;
         scenario_figures::insert_figure(&mut line.figures, "publications", publications);
     }
-    bed.stop().await;
+    test_bed.stop().await;
     Ok(line)
 }
--- a/alderhaven-load/src/workload.rs
+++ b/alderhaven-load/src/workload.rs
@@ -158,26 +158,28 @@
     /// # Errors
     /// `Error::Parse` where a name becomes too long.
     pub fn add_long_jobs(&mut self) -> Result<()> {
-        let is_urgent = |mixed: &&WorkloadTemplate| mixed.template.class == QueryClass::Urgent;
+        let is_urgent = |workload_template: &&WorkloadTemplate| {
+            workload_template.template.class == QueryClass::Urgent
+        };
         let urgent: Vec<WorkloadTemplate> = self.mix.iter().filter(is_urgent).cloned().collect();
-        for mut mixed in urgent {
-            let name: TemplateName = format!("{}-long", mixed.template.name).parse()?;
-            mixed.template.name = name.clone();
-            mixed.template.class = QueryClass::Bulk;
-            mixed.template.preference = AnswerPreference::Coverage;
-            mixed.template.answer_by = None;
-            mixed.template.min_coverage = None;
-            mixed.template.deadline = LONG_JOB_DEADLINE;
-            mixed.mix_entry.template = name.clone();
-            mixed.mix_entry.mean_run_time = LONG_JOB_MEAN_RUN_TIME;
-            mixed.mix_entry.capacity_share = LONG_JOB_CAPACITY_SHARE;
+        for mut workload_template in urgent {
+            let name: TemplateName = format!("{}-long", workload_template.template.name).parse()?;
+            workload_template.template.name = name.clone();
+            workload_template.template.class = QueryClass::Bulk;
+            workload_template.template.preference = AnswerPreference::Coverage;
+            workload_template.template.answer_by = None;
+            workload_template.template.min_coverage = None;
+            workload_template.template.deadline = LONG_JOB_DEADLINE;
+            workload_template.mix_entry.template = name.clone();
+            workload_template.mix_entry.mean_run_time = LONG_JOB_MEAN_RUN_TIME;
+            workload_template.mix_entry.capacity_share = LONG_JOB_CAPACITY_SHARE;
             for layout in &mut self.layouts {
-                if layout.service == mixed.template.service {
+                if layout.service == workload_template.template.service {
                     let templates = &mut layout.service_time.templates;
                     templates.insert(name.to_string(), LONG_JOB_MEAN_RUN_TIME);
                 }
             }
-            self.long_jobs.push(mixed);
+            self.long_jobs.push(workload_template);
         }
         Ok(())
     }
@@ -190,7 +192,7 @@
                 .mix
                 .iter()
                 .chain(&self.long_jobs)
-                .map(|mixed| mixed.template.clone())
+                .map(|workload_template| workload_template.template.clone())
                 .collect(),
             teams: self.teams.clone(),
             manifests: Vec::new(),
@@ -214,7 +216,7 @@
             .filter(|layout| {
                 self.mix
                     .iter()
-                    .any(|mixed| mixed.layout.service == layout.service)
+                    .any(|workload_template| workload_template.layout.service == layout.service)
             })
             .map(slot_count)
             .sum()
--- a/alderhaven-load/tests/answer_oracle.rs
+++ b/alderhaven-load/tests/answer_oracle.rs
@@ -18,22 +18,22 @@
 };
 use serde_json::{Value, json};
 
-fn judge(query: &LoadQuery, runs: Vec<RunRecord>, body: &Value) -> Vec<ViolationKind> {
+fn check(query: &LoadQuery, runs: Vec<RunRecord>, body: &Value) -> Vec<ViolationKind> {
     let oracle = AnswerOracle::new(vec![manifest(1), manifest(2)], runs);
     oracle.check_reply(query, &reply(query, 10, body))
 }
 
 #[test]
-fn judge_complete_answer() {
+fn check_complete_answer() {
     let query = duplicate_check(7, 0);
     assert_eq!(
-        judge(&query, runs_of(&query, 1), &complete_answer(&query)),
+        check(&query, runs_of(&query, 1), &complete_answer(&query)),
         []
     );
 }
 
 #[test]
-fn judge_true_partial_answer() {
+fn check_true_partial_answer() {
     let query = duplicate_check(7, 0);
     let mut rows = rows_of(&query, 0, 1);
     rows.extend(rows_of(&query, 2, 1));
@@ -43,11 +43,11 @@
         "coverage": {"asked": 3, "answered": 2, "missing": [{"shard": 1, "reason": "late"}]},
         "snapshot": 1,
     });
-    assert_eq!(judge(&query, runs_of(&query, 1), &body), []);
+    assert_eq!(check(&query, runs_of(&query, 1), &body), []);
 }
 
 #[test]
-fn judge_merged_answers() {
+fn check_merged_answers() {
     for template in ["ledger-audit", "ledger-review"] {
         let query = query_of(template, 3, 0);
         let mut body = complete_answer(&query);
@@ -55,21 +55,21 @@
             let sum: u64 = all_rows(&query, 1).iter().map(|row| row.score).sum();
             body["rows"] = json!([{ "score": sum }]);
         }
-        assert_eq!(judge(&query, runs_of(&query, 1), &body), [], "{template}");
+        assert_eq!(check(&query, runs_of(&query, 1), &body), [], "{template}");
     }
 }
 
 #[test]
-fn judge_wrong_sum() {
+fn check_wrong_sum() {
     let query = query_of("ledger-audit", 3, 0);
     let mut body = complete_answer(&query);
     body["rows"] = json!([{ "score": 1 }]);
-    let found = judge(&query, runs_of(&query, 1), &body);
+    let found = check(&query, runs_of(&query, 1), &body);
     assert_eq!(found, [ViolationKind::UntrueCoverage]);
 }
 
 #[test]
-fn judge_rows_of_another_version() {
+fn check_rows_of_another_version() {
     let query = duplicate_check(7, 0);
     let mut body = complete_answer(&query);
     let mut rows = rows_of(&query, 0, 1);
@@ -78,39 +78,39 @@
     body["rows"] = json!(rows);
     let mut runs = runs_of(&query, 1);
     runs.extend(runs_of(&query, 2));
-    let found = judge(&query, runs, &body);
+    let found = check(&query, runs, &body);
     assert_eq!(found, [ViolationKind::MixedSnapshot]);
 }
 
 #[test]
-fn judge_unpublished_snapshot() {
+fn check_unpublished_snapshot() {
     let query = duplicate_check(7, 0);
     let mut body = complete_answer(&query);
     body["snapshot"] = json!(9);
-    let found = judge(&query, runs_of(&query, 1), &body);
+    let found = check(&query, runs_of(&query, 1), &body);
     assert_eq!(found, [ViolationKind::MixedSnapshot]);
 }
 
 #[test]
-fn judge_shard_without_rows() {
+fn check_shard_without_rows() {
     let query = duplicate_check(7, 0);
     let mut body = complete_answer(&query);
     body["rows"] = json!(rows_of(&query, 0, 1));
-    let found = judge(&query, runs_of(&query, 1), &body);
+    let found = check(&query, runs_of(&query, 1), &body);
     assert_eq!(found, [ViolationKind::UntrueCoverage]);
 }
 
 #[test]
-fn judge_shard_that_never_ran() {
+fn check_shard_that_never_ran() {
     let query = duplicate_check(7, 0);
     let mut runs = runs_of(&query, 1);
     runs[1].status = RunStatus::Expired;
-    let found = judge(&query, runs, &complete_answer(&query));
+    let found = check(&query, runs, &complete_answer(&query));
     assert_eq!(found, [ViolationKind::UntrueCoverage]);
 }
 
 #[test]
-fn judge_coverage_that_contradicts_itself() {
+fn check_coverage_that_contradicts_itself() {
     let query = duplicate_check(7, 0);
     let reports = [
         json!({"asked": 2, "answered": 2, "missing": []}),
@@ -120,42 +120,42 @@
     for report in reports {
         let mut body = complete_answer(&query);
         body["coverage"] = report;
-        let found = judge(&query, runs_of(&query, 1), &body);
+        let found = check(&query, runs_of(&query, 1), &body);
         assert_eq!(found, [ViolationKind::UntrueCoverage]);
     }
 }
 
 #[test]
-fn judge_rows_of_another_query() {
+fn check_rows_of_another_query() {
     let (query, other) = (duplicate_check(7, 0), duplicate_check(8, 0));
-    let found = judge(&query, runs_of(&query, 1), &complete_answer(&other));
+    let found = check(&query, runs_of(&query, 1), &complete_answer(&other));
     assert_eq!(found, [ViolationKind::Crossed]);
 }
 
 #[test]
-fn judge_refusal_of_what_ran() {
+fn check_refusal_of_what_ran() {
     let query = duplicate_check(7, 0);
-    assert_eq!(judge(&query, Vec::new(), &refusal()), []);
+    assert_eq!(check(&query, Vec::new(), &refusal()), []);
     let mut run = run_of(&query, 1, 1);
     run.status = RunStatus::Cancelled;
-    let found = judge(&query, vec![run], &refusal());
+    let found = check(&query, vec![run], &refusal());
     assert_eq!(found, [ViolationKind::FalseNotRun]);
 }
 
 #[test]
-fn judge_second_run_of_non_idempotent() {
+fn check_second_run_of_non_idempotent() {
     let mut query = duplicate_check(7, 0);
     let runs = vec![run_of(&query, 1, 1), run_of(&query, 1, 1)];
     let body = json!({"error": {"code": "unknown", "message": "lost", "not_run": false}});
-    assert_eq!(judge(&query, runs.clone(), &body), []);
+    assert_eq!(check(&query, runs.clone(), &body), []);
     Arc::make_mut(&mut query.workload_template)
         .template
         .idempotent = false;
-    assert_eq!(judge(&query, runs, &body), [ViolationKind::DoubleRun]);
+    assert_eq!(check(&query, runs, &body), [ViolationKind::DoubleRun]);
 }
 
 #[test]
-fn judge_cut_connection() {
+fn check_cut_connection() {
     let query = duplicate_check(7, 0);
     let oracle = AnswerOracle::new(vec![manifest(1)], Vec::new());
     let cut = reply_of(&query, 10, ReplyContent::Aborted);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn work_after_leaving_beyond_grace() {
+fn runs_after_leaving_beyond_grace() {
     let query = duplicate_check(7, 0);
     let leaving = LeavingTarget {
         target: target(1),
@@ -191,18 +191,18 @@
 }
 
 #[test]
-fn steps_back_per_node() {
-    let sighting = |node: &str, revision| ConfigObservation {
+fn config_reversions_per_node() {
+    let observation = |node: &str, revision| ConfigObservation {
         node: node.parse().unwrap(),
         revision: StoreVersion(revision),
     };
     let sound = [
-        sighting("entry-1", 3),
-        sighting("entry-2", 2),
-        sighting("entry-1", 4),
-        sighting("entry-2", 4),
+        observation("entry-1", 3),
+        observation("entry-2", 2),
+        observation("entry-1", 4),
+        observation("entry-2", 4),
     ];
     assert_eq!(answer_oracle::count_config_reversions(&sound), 0);
-    let reverted = [sighting("entry-1", 4), sighting("entry-1", 3)];
+    let reverted = [observation("entry-1", 4), observation("entry-1", 3)];
     assert_eq!(answer_oracle::count_config_reversions(&reverted), 1);
 }
--- a/alderhaven-load/tests/common/mod.rs
+++ b/alderhaven-load/tests/common/mod.rs
@@ -24,10 +24,10 @@
 
 pub fn query_of(template: &str, number: u64, due_ms: u64) -> LoadQuery {
     let workload = Workload::for_deployment(DeploymentKind::Volta).unwrap();
-    let mixed = workload
+    let workload_template = workload
         .mix
         .into_iter()
-        .find(|mixed| mixed.template.name.as_str() == template)
+        .find(|workload_template| workload_template.template.name.as_str() == template)
         .unwrap();
     let parameters = serde_json::from_value(json!({ "title": format!("q{number:06}") })).unwrap();
     LoadQuery {
@@ -35,7 +35,7 @@
         due_at: TimeSpan::from_millis(due_ms),
         team: "publishers".parse().unwrap(),
         parameters,
-        workload_template: Arc::new(mixed),
+        workload_template: Arc::new(workload_template),
         group: QueryGroup::Base,
         entry_index: None,
     }
--- a/alderhaven-load/tests/figures.rs
+++ b/alderhaven-load/tests/figures.rs
@@ -60,13 +60,15 @@
 fn workload_fills_each_service_at_load_one() {
     for deployment in [DeploymentKind::Volta, DeploymentKind::Lagerblik] {
         let workload = Workload::for_deployment(deployment).unwrap();
-        let work = |mixed: &WorkloadTemplate| mixed.rate_at_full_load() * mixed.mean_work();
+        let work = |workload_template: &WorkloadTemplate| {
+            workload_template.rate_at_full_load() * workload_template.mean_work()
+        };
         for layout in &workload.layouts {
             let slots = f64::from(layout.shards * layout.replicas * layout.slots);
             let asked: f64 = workload
                 .mix
                 .iter()
-                .filter(|mixed| mixed.layout.service == layout.service)
+                .filter(|workload_template| workload_template.layout.service == layout.service)
                 .map(work)
                 .sum();
             assert!((asked / slots - 1.0).abs() < 1e-9, "{}", layout.service);
@@ -78,42 +80,42 @@
             workload
                 .mix
                 .iter()
-                .all(|mixed| mixed.template.check().is_empty())
+                .all(|workload_template| workload_template.template.check().is_empty())
         );
     }
 }
 
 #[test]
-fn dues_by_weight_up_to_offered() {
+fn fair_shares_by_weight_up_to_offered() {
     let work = |weight, offered, served| TeamWork {
         weight,
         offered,
         served,
     };
-    let works = [
+    let team_work = [
         work(1.0, 5.0, 5.0),
         work(1.0, 90.0, 40.0),
         work(2.0, 90.0, 15.0),
     ];
-    let dues = fairness_tally::fair_shares(&works);
+    let shares = fairness_tally::fair_shares(&team_work);
     // The first team wants less than its part; the other 55 are shared one to two.
-    assert!((dues[0] - 5.0).abs() < 1e-9);
-    assert!((dues[1] - 55.0 / 3.0).abs() < 1e-9);
-    assert!((dues[2] - 110.0 / 3.0).abs() < 1e-9);
+    assert!((shares[0] - 5.0).abs() < 1e-9);
+    assert!((shares[1] - 55.0 / 3.0).abs() < 1e-9);
+    assert!((shares[2] - 110.0 / 3.0).abs() < 1e-9);
 }
 
 #[test]
 fn fairness_lowest_team() {
-    let mut fair = FairnessTally::default();
+    let mut tally = FairnessTally::default();
     for (team, served) in [("publishers", 30.0), ("booksellers", 10.0)] {
         let class = QueryClass::Urgent;
-        *fair.work_mut(&common::service(), class, &team.parse().unwrap()) = TeamWork {
+        *tally.work_mut(&common::service(), class, &team.parse().unwrap()) = TeamWork {
             weight: 1.0,
             offered: 100.0,
             served,
         };
     }
-    assert!((fair.fairness() - 0.5).abs() < 1e-9);
+    assert!((tally.fairness() - 0.5).abs() < 1e-9);
 }
 
 #[test]
--- a/alderhaven-load/tests/scenario_figures.rs
+++ b/alderhaven-load/tests/scenario_figures.rs
@@ -32,18 +32,18 @@
     scenario: ScenarioKind,
     pairs: &[(LoadQuery, QueryReply)],
     records: &[RunRecord],
-    leavings: &[LeavingRecord],
+    leaving_targets: &[LeavingRecord],
 ) -> FigureMap {
     let options = options(scenario);
     let mut tally = FigureTally::new(&options);
     for (query, reply) in pairs {
         tally.add(query, reply);
     }
-    tally.figures(records, leavings)
+    tally.figures(records, leaving_targets)
 }
 
 #[test]
-fn figures_way_back_after_burst() {
+fn figures_recovery_after_burst() {
     // 100 ms before, 500 ms during the burst and for 1.05 s after it, then 100 ms again.
     let pairs: Vec<(LoadQuery, QueryReply)> = (0..160)
         .map(|number| {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn figures_never_away() {
+fn figures_without_degradation() {
     // The slowest second comes late and is near the steady one: there was nothing to come back from.
     let pairs: Vec<(LoadQuery, QueryReply)> = (0..160)
         .map(|number| {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn figures_never_back() {
+fn figures_without_recovery() {
     let pairs: Vec<(LoadQuery, QueryReply)> = (0..160)
         .map(|number| {
             let due = 1_000 + number * 50;
@@ -121,11 +121,11 @@
     let mut records = vec![run_of(&query, 0, 1), run_of(&query, 1, 1)];
     records[0].started_us = 2_500;
     records[1].started_us = 900_000;
-    let leavings = [LeavingRecord {
+    let leaving_targets = [LeavingRecord {
         target: target(0),
         leaving_since_us: 1_000,
     }];
-    let figures = figures(ScenarioKind::TargetLeaving, &[], &records, &leavings);
+    let figures = figures(ScenarioKind::TargetLeaving, &[], &records, &leaving_targets);
     assert_eq!(figures["leaving_targets"], Some(1.0));
     assert_eq!(figures["last_run_after_leaving_ms"], Some(1.5));
 }
--- a/alderhaven-standin/src/fake_store.rs
+++ b/alderhaven-standin/src/fake_store.rs
@@ -84,7 +84,7 @@
     #[must_use]
     pub fn new(table: ObjectTable) -> Self {
         let faults = PlatformFaults::default();
-        let core = StoreState {
+        let state = StoreState {
             table,
             read_limiter: RateLimiter::new(faults.reads_per_second),
             write_limiter: RateLimiter::new(faults.writes_per_second),
@@ -97,7 +97,7 @@
         };
         Self {
             shared: Arc::new(StoreShared {
-                state: Mutex::new(core),
+                state: Mutex::new(state),
                 changed: Notify::new(),
                 started_at: Instant::now(),
             }),
@@ -106,16 +106,16 @@
 
     /// Replaces the whole set of fault switches.
     pub fn set_faults(&self, faults: PlatformFaults) {
-        let mut core = self.lock_state();
-        core.read_limiter = RateLimiter::new(faults.reads_per_second);
-        core.write_limiter = RateLimiter::new(faults.writes_per_second);
-        core.stale_table = match (faults.stale_list, core.stale_table.take()) {
+        let mut state = self.lock_state();
+        state.read_limiter = RateLimiter::new(faults.reads_per_second);
+        state.write_limiter = RateLimiter::new(faults.writes_per_second);
+        state.stale_table = match (faults.stale_list, state.stale_table.take()) {
             (false, _) => None,
             (true, Some(table)) => Some(table),
-            (true, None) => Some(core.table.clone()),
+            (true, None) => Some(state.table.clone()),
         };
-        core.faults = faults;
-        drop(core);
+        state.faults = faults;
+        drop(state);
         self.shared.changed.notify_waiters();
     }
 
@@ -145,8 +145,8 @@
 
     /// Writes an object whatever its version, beside all faults and rates.
     pub fn put(&self, key: ObjectKey, body: Option<String>) {
-        let mut core = self.lock_state();
-        let expected = core
+        let mut state = self.lock_state();
+        let expected = state
             .table
             .get(&key)
             .map_or(StoreVersion(0), |object| object.version);
@@ -156,35 +156,35 @@
             write_id: uuid::Uuid::new_v4().to_string(),
             body,
         };
-        core.table.write(write);
-        drop(core);
+        state.table.write(write);
+        drop(state);
         self.shared.changed.notify_waiters();
     }
 
     /// Lets the held writes take effect in the order in which they came.
     pub fn release_held_writes(&self) {
-        let mut core = self.lock_state();
-        for write in std::mem::take(&mut core.held_writes) {
-            core.table.write(write);
+        let mut state = self.lock_state();
+        for write in std::mem::take(&mut state.held_writes) {
+            state.table.write(write);
         }
-        drop(core);
+        drop(state);
         self.shared.changed.notify_waiters();
     }
 
     /// Adds a host to the list or replaces it.
     pub fn put_host(&self, record: HostRecord) {
         let now = self.now();
-        let mut core = self.lock_state();
-        core.hosts.insert(record.host.clone(), record);
-        core.record_listing(now);
+        let mut state = self.lock_state();
+        state.hosts.insert(record.host.clone(), record);
+        state.record_listing(now);
     }
 
     /// Takes a host from the list.
     pub fn remove_host(&self, host: &HostId) {
         let now = self.now();
-        let mut core = self.lock_state();
-        core.hosts.remove(host);
-        core.record_listing(now);
+        let mut state = self.lock_state();
+        state.hosts.remove(host);
+        state.record_listing(now);
     }
 
     fn now(&self) -> TimePoint {
@@ -209,9 +209,9 @@
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
         let now = self.now();
-        let mut core = self.lock_state();
-        count(&mut core.call_counts);
-        core.admit(now, is_write)
+        let mut state = self.lock_state();
+        count(&mut state.call_counts);
+        state.admit(now, is_write)
     }
 }
 
@@ -220,12 +220,12 @@
         if self.faults.outage {
             return Err(StoreError::not_done("out of service"));
         }
-        let gate = if is_write {
+        let limiter = if is_write {
             &mut self.write_limiter
         } else {
             &mut self.read_limiter
         };
-        let admitted = gate.admit(now);
+        let admitted = limiter.admit(now);
         let wait = match (self.faults.throttle, admitted) {
             (false, Ok(())) => return Ok(()),
             (true, Ok(())) => TimeSpan::from_millis(100),
@@ -285,8 +285,12 @@
 impl ObjectStore for FakeStore {
     async fn list(&self, kinds: &[ObjectKind]) -> StoreResult<ObjectList> {
         self.start_call(|calls| calls.reads += 1, false).await?;
-        let core = self.lock_state();
-        Ok(core.stale_table.as_ref().unwrap_or(&core.table).list(kinds))
+        let state = self.lock_state();
+        Ok(state
+            .stale_table
+            .as_ref()
+            .unwrap_or(&state.table)
+            .list(kinds))
     }
 
     async fn get(&self, key: &ObjectKey) -> StoreResult<Option<StoredObject>> {
@@ -303,20 +307,20 @@
             return Err(StoreError::not_done("the value is too large"));
         }
         self.start_call(|calls| calls.writes += 1, true).await?;
-        let mut core = self.lock_state();
-        let outcome = match core.next_write_fault() {
-            WriteFault::NoFault => Ok(core.table.write(write)),
+        let mut state = self.lock_state();
+        let outcome = match state.next_write_fault() {
+            WriteFault::NoFault => Ok(state.table.write(write)),
             WriteFault::ReplyLost => {
-                core.table.write(write);
+                state.table.write(write);
                 Err(StoreError::unknown("the answer was lost"))
             }
             WriteFault::Dropped => Err(StoreError::unknown("the call was lost")),
             WriteFault::Held => {
-                core.held_writes.push(write);
+                state.held_writes.push(write);
                 Err(StoreError::unknown("the call is late"))
             }
         };
-        drop(core);
+        drop(state);
         self.shared.changed.notify_waiters();
         outcome
     }
@@ -334,11 +338,11 @@
             let mut changed = std::pin::pin!(self.shared.changed.notified());
             changed.as_mut().enable();
             let outcome = {
-                let core = self.lock_state();
-                if core.faults.outage {
+                let state = self.lock_state();
+                if state.faults.outage {
                     return Err(StoreError::unknown("the watch was cut off"));
                 }
-                core.table.changes(kinds, after)
+                state.table.changes(kinds, after)
             };
             let is_empty =
                 matches!(&outcome, WatchOutcome::Changes(list) if list.objects.is_empty());
@@ -352,10 +356,10 @@
 impl HostSource for FakeStore {
     async fn hosts(&self) -> StoreResult<HostListing> {
         let now = self.now();
-        let core = self.lock_state();
-        if core.faults.hosts_outage {
+        let state = self.lock_state();
+        if state.faults.hosts_outage {
             return Err(StoreError::not_done("the host list is out of service"));
         }
-        Ok(core.lagging_listing(now))
+        Ok(state.lagging_listing(now))
     }
 }
--- a/alderhaven-standin/src/fleet_control.rs
+++ b/alderhaven-standin/src/fleet_control.rs
@@ -169,8 +169,8 @@
             platform,
             stop_after_ms,
         } => {
-            let wait = Duration::from_millis(stop_after_ms);
-            start_leaving(services, targets, platform, wait).await?;
+            let delay = Duration::from_millis(stop_after_ms);
+            start_leaving(services, targets, platform, delay).await?;
         }
         ControlCall::Stop { targets } => {
             select_targets(services, &targets)?;
@@ -188,7 +188,7 @@
     services: &Arc<FleetServices>,
     targets: Vec<TargetId>,
     platform: SocketAddr,
-    wait: Duration,
+    delay: Duration,
 ) -> Result<()> {
     for target in select_targets(services, &targets)? {
         services.record_leaving(&target.state().spec().target);
@@ -196,12 +196,12 @@
             registration::put_host(platform, &host).await?;
         }
     }
-    tokio::spawn(stop_after_delay(Arc::clone(services), targets, wait));
+    tokio::spawn(stop_after_delay(Arc::clone(services), targets, delay));
     Ok(())
 }
 
-async fn stop_after_delay(services: Arc<FleetServices>, targets: Vec<TargetId>, wait: Duration) {
-    tokio::time::sleep(wait).await;
+async fn stop_after_delay(services: Arc<FleetServices>, targets: Vec<TargetId>, delay: Duration) {
+    tokio::time::sleep(delay).await;
     let servers = targets.iter().filter_map(|target| services.target(target));
     futures::future::join_all(servers.map(TargetServer::stop)).await;
 }
--- a/alderhaven-standin/src/fleet_services.rs
+++ b/alderhaven-standin/src/fleet_services.rs
@@ -129,9 +129,9 @@
     /// Notes that a target leaves from now on.
     pub fn record_leaving(&self, target: &TargetId) {
         let at_us = self.run_log.elapsed_us();
-        let mut leavings = self.lock_leaving();
-        if !is_leaving(&leavings, target) {
-            leavings.push(LeavingRecord {
+        let mut records = self.lock_leaving();
+        if !is_leaving(&records, target) {
+            records.push(LeavingRecord {
                 target: target.clone(),
                 leaving_since_us: at_us,
             });
@@ -217,7 +217,7 @@
     }
 
     /// Gets the manifest; targets that leave are left out where others hold their shard.
-    fn manifest(&self, snapshot: SnapshotId, leavings: &[LeavingRecord]) -> SnapshotManifest {
+    fn manifest(&self, snapshot: SnapshotId, records: &[LeavingRecord]) -> SnapshotManifest {
         let layout = self.layout();
         let shards = (0..layout.shards).map(ShardId).map(|shard| {
             let holders: Vec<&TargetServer> = self
@@ -226,7 +226,7 @@
                 .filter(|target| target.state().indexes().current().shard == shard)
                 .collect();
             let stays =
-                |target: &&&TargetServer| !is_leaving(leavings, &target.state().spec().target);
+                |target: &&&TargetServer| !is_leaving(records, &target.state().spec().target);
             let staying: Vec<&TargetServer> = holders.iter().filter(stays).copied().collect();
             let listed = if staying.is_empty() { holders } else { staying };
             ShardEntry {
@@ -251,8 +251,8 @@
     }
 }
 
-fn is_leaving(leavings: &[LeavingRecord], target: &TargetId) -> bool {
-    leavings.iter().any(|leaving| leaving.target == *target)
+fn is_leaving(records: &[LeavingRecord], target: &TargetId) -> bool {
+    records.iter().any(|leaving| leaving.target == *target)
 }
 
 fn build_target_spec(
@@ -263,9 +263,9 @@
 ) -> Result<TargetSpec> {
     let target = layout.target_id(shard, replica)?;
     // Each target has a seed of its own, or all replicas would be slow at the same run.
-    let mut head = [0_u8; 8];
+    let mut seed_bytes = [0_u8; 8];
     let hash = blake3::hash(format!("{seed}/{target}").as_bytes());
-    head.copy_from_slice(&hash.as_bytes()[..8]);
+    seed_bytes.copy_from_slice(&hash.as_bytes()[..8]);
     Ok(TargetSpec {
         target,
         domain: layout.domain(shard, replica),
@@ -277,7 +277,7 @@
         max_queue_length: layout.max_queue_length,
         connect_cost: layout.connect_cost,
         service_time: layout.service_time.clone(),
-        seed: u64::from_le_bytes(head),
+        seed: u64::from_le_bytes(seed_bytes),
     })
 }
 
--- a/alderhaven-standin/src/held_indexes.rs
+++ b/alderhaven-standin/src/held_indexes.rs
@@ -59,25 +59,25 @@
 
     /// Makes another index the current one; the former is kept for `grace`.
     pub fn replace(&self, next: HeldIndex, grace: Duration) {
-        let mut held = self.lock_state();
-        let former = std::mem::replace(&mut held.current, next);
-        held.former.push((former, Instant::now() + grace));
+        let mut state = self.lock_state();
+        let former = std::mem::replace(&mut state.current, next);
+        state.former.push((former, Instant::now() + grace));
     }
 
     /// Says whether an index is held now.
     #[must_use]
-    pub fn state_of(&self, asked: HeldIndex) -> IndexState {
-        let held = self.lock_state();
+    pub fn state_of(&self, requested: HeldIndex) -> IndexState {
+        let state = self.lock_state();
         let now = Instant::now();
-        let is_kept = |(former, until): &(HeldIndex, Instant)| *former == asked && now < *until;
-        if held.current == asked || held.former.iter().any(is_kept) {
+        let is_kept = |(former, until): &(HeldIndex, Instant)| *former == requested && now < *until;
+        if state.current == requested || state.former.iter().any(is_kept) {
             return IndexState::Held;
         }
-        let is_known = held.current.shard == asked.shard
-            || held
+        let is_known = state.current.shard == requested.shard
+            || state
                 .former
                 .iter()
-                .any(|(former, _)| former.shard == asked.shard);
+                .any(|(former, _)| former.shard == requested.shard);
         if is_known {
             IndexState::Gone
         } else {
--- a/alderhaven-standin/src/platform_server.rs
+++ b/alderhaven-standin/src/platform_server.rs
@@ -120,14 +120,14 @@
         }
         let shared = store.clone();
         let closing = CancellationToken::new();
-        let closed = closing.clone();
+        let close_token = closing.clone();
         let server = ServerHandle::start(options.listen, move |request| {
             let store = shared.clone();
-            let closed = closed.clone();
+            let close_token = close_token.clone();
             async move {
                 let result = tokio::select! {
                     result = handle_request(&store, request) => result,
-                    () = closed.cancelled() => Err(CallError::Aborted),
+                    () = close_token.cancelled() => Err(CallError::Aborted),
                 };
                 match result {
                     Ok(reply) => Ok(reply),
--- a/alderhaven-standin/src/registration.rs
+++ b/alderhaven-standin/src/registration.rs
@@ -22,13 +22,13 @@
 /// # Errors
 /// Where the platform can't be reached or refuses a write.
 pub async fn register(fleet: &TargetFleet, platform: SocketAddr) -> Result<Vec<SnapshotManifest>> {
-    let mut caller = connect(platform).await?;
+    let mut connection = connect(platform).await?;
     let mut written = Vec::new();
     for manifest in fleet.manifests(SnapshotId(1)) {
-        written.push(put_manifest(&mut caller, manifest).await?);
+        written.push(put_manifest(&mut connection, manifest).await?);
     }
     for host in fleet.host_records() {
-        write_host(&mut caller, &host).await?;
+        write_host(&mut connection, &host).await?;
     }
     Ok(written)
 }
@@ -56,19 +56,19 @@
         .wrap_err_with(|| format!("can't reach the platform at {platform}"))
 }
 
-async fn write_host(caller: &mut HttpConnection, host: &HostRecord) -> Result<()> {
+async fn write_host(connection: &mut HttpConnection, host: &HostRecord) -> Result<()> {
     let path = format!("/hosts/{}", host.host);
     let body = serde_json::to_vec(host)?;
-    send_request(caller, Method::PUT, &path, 0, body).await?;
+    send_request(connection, Method::PUT, &path, 0, body).await?;
     Ok(())
 }
 
 async fn put_manifest(
-    caller: &mut HttpConnection,
+    connection: &mut HttpConnection,
     mut manifest: SnapshotManifest,
 ) -> Result<SnapshotManifest> {
     let path = format!("/objects/{}/{}", ObjectKind::Manifest, manifest.service);
-    let (status, body) = send_request(caller, Method::GET, &path, 0, Vec::new()).await?;
+    let (status, body) = send_request(connection, Method::GET, &path, 0, Vec::new()).await?;
     let mut expected = 0;
     if status == StatusCode::OK {
         let stored: StoredObject = serde_json::from_slice(&body)?;
@@ -79,7 +79,7 @@
         }
     }
     let body = serde_json::to_vec(&manifest)?;
-    let (status, _) = send_request(caller, Method::PUT, &path, expected, body).await?;
+    let (status, _) = send_request(connection, Method::PUT, &path, expected, body).await?;
     if status == StatusCode::CONFLICT {
         bail!("another writer changed {path} at the same time");
     }
@@ -88,7 +88,7 @@
 
 /// Makes a call; a status other than 200, 404 and 409 is an error.
 async fn send_request(
-    caller: &mut HttpConnection,
+    connection: &mut HttpConnection,
     method: Method,
     path: &str,
     expected: u64,
@@ -100,7 +100,7 @@
         .header(IF_VERSION_HEADER, expected)
         .header(WRITE_ID_HEADER, uuid::Uuid::new_v4().to_string())
         .body(Full::new(Bytes::from(body)))?;
-    let response = caller.send(request).await?;
+    let response = connection.send(request).await?;
     match response.status() {
         status @ (StatusCode::OK | StatusCode::NOT_FOUND | StatusCode::CONFLICT) => {
             Ok((status, response.into_body()))
--- a/alderhaven-standin/src/rows.rs
+++ b/alderhaven-standin/src/rows.rs
@@ -41,13 +41,13 @@
     (0..ROWS_PER_SHARD)
         .map(|number| {
             let hash = row_hash(service, shard, version, parameters, number);
-            let mut head = [0_u8; 8];
-            head.copy_from_slice(&hash.as_bytes()[..8]);
+            let mut score_bytes = [0_u8; 8];
+            score_bytes.copy_from_slice(&hash.as_bytes()[..8]);
             DerivedRow {
                 shard,
                 version,
                 key: key.clone(),
-                score: u64::from_le_bytes(head) % SCORE_BOUND,
+                score: u64::from_le_bytes(score_bytes) % SCORE_BOUND,
                 id: hash.to_hex()[..16].to_owned(),
             }
         })
--- a/alderhaven-standin/src/run_log.rs
+++ b/alderhaven-standin/src/run_log.rs
@@ -90,34 +90,34 @@
     /// Takes the records of runs out of the log; those still running keep the end they have now.
     #[must_use]
     pub fn take_records(&self) -> Vec<RunRecord> {
-        let mut kept = self.lock_state();
-        kept.taken_count += kept.records.len();
-        std::mem::take(&mut kept.records)
+        let mut state = self.lock_state();
+        state.taken_count += state.records.len();
+        std::mem::take(&mut state.records)
     }
 
     /// Gets the number of recorded runs that go on.
     #[must_use]
     pub fn running_count(&self) -> usize {
-        let kept = self.lock_state();
+        let state = self.lock_state();
         let running = |record: &&RunRecord| record.status == RunStatus::Running;
-        kept.records.iter().filter(running).count()
+        state.records.iter().filter(running).count()
     }
 
     /// Gets the number of runs since the log began.
     #[must_use]
     pub fn run_count(&self) -> usize {
-        let kept = self.lock_state();
-        kept.taken_count + kept.records.len()
+        let state = self.lock_state();
+        state.taken_count + state.records.len()
     }
 
     /// Begins a run; the guard ends it as dropped unless it is ended otherwise.
     #[must_use]
     pub fn start_run(self: &Arc<Self>, mut record: RunRecord) -> RunGuard {
         record.started_us = self.elapsed_us();
-        let mut kept = self.lock_state();
-        kept.records.push(record);
-        let number = kept.taken_count + kept.records.len() - 1;
-        drop(kept);
+        let mut state = self.lock_state();
+        state.records.push(record);
+        let number = state.taken_count + state.records.len() - 1;
+        drop(state);
         RunGuard {
             log: Arc::clone(self),
             run_number: number,
@@ -131,9 +131,9 @@
 
     fn end_run(&self, number: usize, end: RunStatus) {
         let now = self.elapsed_us();
-        let mut kept = self.lock_state();
-        let position = number.checked_sub(kept.taken_count);
-        if let Some(record) = position.and_then(|position| kept.records.get_mut(position)) {
+        let mut state = self.lock_state();
+        let position = number.checked_sub(state.taken_count);
+        if let Some(record) = position.and_then(|position| state.records.get_mut(position)) {
             record.status = end;
             record.ended_us = now;
         }
--- a/alderhaven-standin/src/service_layout.rs
+++ b/alderhaven-standin/src/service_layout.rs
@@ -160,11 +160,11 @@
             ("slots", self.slots, 1_000),
             ("connections", self.connections, 10_000),
         ];
-        for (field, count, most) in counts {
-            if count == 0 || count as usize > most {
+        for (field, count, max) in counts {
+            if count == 0 || count as usize > max {
                 return Err(Error::invalid(
                     format!("{}.{field}", self.service),
-                    format!("{count} is refused: allowed is 1 to {most}"),
+                    format!("{count} is refused: allowed is 1 to {max}"),
                 ));
             }
         }
--- a/alderhaven-standin/src/target_lifecycle.rs
+++ b/alderhaven-standin/src/target_lifecycle.rs
@@ -49,11 +49,11 @@
     }
 
     /// Ends the life: the listener and all connections go at once, and come back after `down`.
-    pub fn crash(&self, down: Duration) {
+    pub fn crash(&self, downtime: Duration) {
         let mut state = self.lock_state();
         if !state.crash_token.is_cancelled() {
             state.crash_count += 1;
-            state.downtime = down;
+            state.downtime = downtime;
             state.crash_token.cancel();
         }
     }
--- a/alderhaven-standin/src/target_server.rs
+++ b/alderhaven-standin/src/target_server.rs
@@ -106,28 +106,28 @@
 /// Serves until the stop; after a crash the target comes back on the same address.
 async fn serve_until_stopped(mut listener: TcpListener, address: SocketAddr, parts: TargetContext) {
     loop {
-        let life = parts.state.lifecycle().start();
+        let crash_token = parts.state.lifecycle().start();
         tokio::select! {
             biased;
-            () = life.cancelled() => {}
-            () = accept_connections(&listener, &parts, &life) => return,
+            () = crash_token.cancelled() => {}
+            () = accept_connections(&listener, &parts, &crash_token) => return,
         }
         drop(listener);
-        let down = parts.state.lifecycle().downtime();
+        let downtime = parts.state.lifecycle().downtime();
         match parts
             .stop_token
-            .run_until_cancelled(rebind(address, down))
+            .run_until_cancelled(rebind(address, downtime))
             .await
         {
-            Some(returned) => listener = returned,
+            Some(rebound) => listener = rebound,
             None => return,
         }
     }
 }
 
 /// Binds the address anew after the time down, again and again where it is taken for a moment.
-async fn rebind(address: SocketAddr, down: Duration) -> TcpListener {
-    tokio::time::sleep(down).await;
+async fn rebind(address: SocketAddr, downtime: Duration) -> TcpListener {
+    tokio::time::sleep(downtime).await;
     loop {
         if let Ok(listener) = TcpListener::bind(address).await {
             return listener;
@@ -139,17 +139,17 @@
 async fn accept_connections(
     listener: &TcpListener,
     parts: &TargetContext,
-    life: &CancellationToken,
+    crash_token: &CancellationToken,
 ) {
-    let places = Arc::new(Semaphore::new(parts.state.spec().connections as usize));
+    let permits = Arc::new(Semaphore::new(parts.state.spec().connections as usize));
     while let Some(stream) = http_server::accept_connection(listener, &parts.stop_token).await {
         // A connection beyond the limit is closed at once.
-        if let Ok(place) = Arc::clone(&places).try_acquire_owned() {
+        if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
             let connection = serve_connection(stream, parts.clone());
-            let life = life.clone();
+            let crash_token = crash_token.clone();
             parts.tasks.spawn(async move {
-                life.run_until_cancelled(connection).await;
-                drop(place);
+                crash_token.run_until_cancelled(connection).await;
+                drop(permit);
             });
         }
     }
--- a/alderhaven-standin/src/target_state.rs
+++ b/alderhaven-standin/src/target_state.rs
@@ -115,11 +115,11 @@
             let reason = if faults.draining { "draining" } else { "shed" };
             return Some(not_run_reply(StatusCode::SERVICE_UNAVAILABLE, reason));
         }
-        let asked = HeldIndex {
+        let requested = HeldIndex {
             shard: head.shard,
             version: head.version,
         };
-        match self.indexes.state_of(asked) {
+        match self.indexes.state_of(requested) {
             _ if head.service != self.spec.service => {
                 Some(text_reply(StatusCode::NOT_FOUND, "not held here"))
             }
@@ -148,7 +148,7 @@
         if let Ok(slot) = self.slots.try_acquire() {
             return Some(slot);
         }
-        let _place = QueuePermit::try_acquire(&self.waiting_count, self.spec.max_queue_length)?;
+        let _permit = QueuePermit::try_acquire(&self.waiting_count, self.spec.max_queue_length)?;
         self.slots.acquire().await.ok()
     }
 
@@ -161,19 +161,19 @@
     ) -> HttpReply {
         let guard = self.run_log.start_run(self.new_record(head, &parameters));
         let faults = self.faults();
-        if let Some(down) = faults.crash_downtime(&parameters) {
-            self.lifecycle.crash(down);
+        if let Some(downtime) = faults.crash_downtime(&parameters) {
+            self.lifecycle.crash(downtime);
             // The crash ends the connection, and this run with it.
             std::future::pending::<()>().await;
         }
         let (runs, age) = self.lifecycle.record_run();
-        let span = self
+        let run_time = self
             .spec
             .service_time
             .sample(&head.template, &mut *lock(&self.rng))
             .mul_f64(faults.slowdown_factor(runs, age));
         tokio::select! {
-            () = tokio::time::sleep(span.as_duration()) => {
+            () = tokio::time::sleep(run_time.as_duration()) => {
                 guard.finish(RunStatus::Answered);
                 let rows = rows::derive_rows(&head.service, head.shard, head.version, &parameters);
                 json_reply(StatusCode::OK, &rows)
@@ -212,12 +212,12 @@
 }
 
 impl<'a> QueuePermit<'a> {
-    fn try_acquire(waiting: &'a AtomicU32, places: u32) -> Option<Self> {
-        let place = Self {
+    fn try_acquire(waiting: &'a AtomicU32, capacity: u32) -> Option<Self> {
+        let permit = Self {
             waiting_count: waiting,
         };
         // The place is given back by `drop` where it was one too many.
-        (waiting.fetch_add(1, Ordering::Relaxed) < places).then_some(place)
+        (waiting.fetch_add(1, Ordering::Relaxed) < capacity).then_some(permit)
     }
 }
 
--- a/alderhaven-standin/tests/faults.rs
+++ b/alderhaven-standin/tests/faults.rs
@@ -64,24 +64,24 @@
     HttpConnection::connect(target.address()).await.unwrap()
 }
 
-async fn send_attempt(caller: &mut HttpConnection, request: &TargetRequest) -> AttemptOutcome {
-    let response = caller.send(request.to_http("target").unwrap()).await;
+async fn send_attempt(connection: &mut HttpConnection, request: &TargetRequest) -> AttemptOutcome {
+    let response = connection.send(request.to_http("target").unwrap()).await;
     let response = response.unwrap();
     request.classify_reply(response.status(), response.headers())
 }
 
 async fn post_control(fleet: &TargetFleet, call: Value) -> Response<Bytes> {
-    let mut caller = HttpConnection::connect(fleet.control_address())
+    let mut connection = HttpConnection::connect(fleet.control_address())
         .await
         .unwrap();
     let request = Request::post("/control").body(Full::from(call.to_string()));
-    caller.send(request.unwrap()).await.unwrap()
+    connection.send(request.unwrap()).await.unwrap()
 }
 
 async fn get_json<T: serde::de::DeserializeOwned>(server: std::net::SocketAddr, path: &str) -> T {
-    let mut caller = HttpConnection::connect(server).await.unwrap();
+    let mut connection = HttpConnection::connect(server).await.unwrap();
     let request = Request::get(path).body(Full::default()).unwrap();
-    let response = caller.send(request).await.unwrap();
+    let response = connection.send(request).await.unwrap();
     serde_json::from_slice(response.body()).unwrap()
 }
 
@@ -105,7 +105,7 @@
     let address = fleet.target(&TARGET_ID.parse().unwrap()).unwrap().address();
     let mut back = loop {
         match HttpConnection::connect(address).await {
-            Ok(caller) => break caller,
+            Ok(connection) => break connection,
             Err(_) => tokio::task::yield_now().await,
         }
     };
@@ -166,7 +166,7 @@
     registration::register(&fleet, platform.address())
         .await
         .unwrap();
-    let mut caller = connect(&fleet).await;
+    let mut connection = connect(&fleet).await;
     let publish = |grace_ms: u64, shards: Option<u32>| {
         json!({"call": "publish", "service": "sample", "grace_ms": grace_ms,
             "shards": shards, "platform": platform.address()})
@@ -178,7 +178,7 @@
     assert_eq!(manifest.shards[1].version, IndexVersion(2));
     for (number, version) in [(1, 1), (2, 2)] {
         let request = attempt(number, 1, version, "a");
-        let outcome = send_attempt(&mut caller, &request).await;
+        let outcome = send_attempt(&mut connection, &request).await;
         assert_eq!(outcome, AttemptOutcome::Answered);
     }
     // With one shard all four targets hold it, and without grace the former version is gone.
@@ -188,9 +188,9 @@
     assert!(manifest.check().is_empty());
     assert_eq!(manifest.shards.len(), 1);
     assert_eq!(manifest.shards[0].replicas.len(), 4);
-    let gone = send_attempt(&mut caller, &attempt(3, 1, 2, "a")).await;
+    let gone = send_attempt(&mut connection, &attempt(3, 1, 2, "a")).await;
     assert_eq!(gone, AttemptOutcome::VersionGone);
-    let held = send_attempt(&mut caller, &attempt(4, 0, 3, "a")).await;
+    let held = send_attempt(&mut connection, &attempt(4, 0, 3, "a")).await;
     assert_eq!(held, AttemptOutcome::Answered);
     fleet.stop().await;
     platform.stop().await;
@@ -227,7 +227,7 @@
 }
 
 #[tokio::test]
-async fn control_refuses_what_is_not_there() {
+async fn control_rejects_unknown_names() {
     let fleet = sample_fleet().await;
     for call in [
         json!({"call": "silence", "targets": ["sample-9-0"]}),
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn run_factor_cold_by_runs_and_age() {
+fn slowdown_factor_cold_by_runs_and_age() {
     let faults = TargetFaults {
         slow_factor: 2.0,
         cold_factor: 5.0,
--- a/alderhaven-standin/tests/servers.rs
+++ b/alderhaven-standin/tests/servers.rs
@@ -62,9 +62,9 @@
     }
 }
 
-async fn send(caller: &mut HttpConnection, request: &TargetRequest) -> Response<Bytes> {
+async fn send(connection: &mut HttpConnection, request: &TargetRequest) -> Response<Bytes> {
     let request = request.to_http("target").unwrap();
-    caller.send(request).await.unwrap()
+    connection.send(request).await.unwrap()
 }
 
 fn get(path: &str) -> Request<Full<Bytes>> {
@@ -88,22 +88,22 @@
     let platform = PlatformServer::start(PlatformOptions::default())
         .await
         .unwrap();
-    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
-    let absent = caller.send(get("/objects/team/desk")).await.unwrap();
+    let mut connection = HttpConnection::connect(platform.address()).await.unwrap();
+    let absent = connection.send(get("/objects/team/desk")).await.unwrap();
     assert_eq!(absent.status(), StatusCode::NOT_FOUND);
-    let written = caller.send(put("/objects/team/desk", 0, "{}")).await;
+    let written = connection.send(put("/objects/team/desk", 0, "{}")).await;
     let written: StoredObject = parse_body(&written.unwrap());
     assert_eq!(written.version.0, 1);
-    let conflict = caller.send(put("/objects/team/desk", 0, "{}")).await;
+    let conflict = connection.send(put("/objects/team/desk", 0, "{}")).await;
     let conflict = conflict.unwrap();
     assert_eq!(conflict.status(), StatusCode::CONFLICT);
     assert_eq!(parse_body::<StoredObject>(&conflict), written);
-    let none = caller.send(put("/objects/team/other", 3, "{}")).await;
+    let none = connection.send(put("/objects/team/other", 3, "{}")).await;
     assert_eq!(none.unwrap().body().as_ref(), b"null");
-    let watched = caller.send(get("/watch?kinds=team,template&after=0&wait_ms=1000"));
+    let watched = connection.send(get("/watch?kinds=team,template&after=0&wait_ms=1000"));
     let watched: ObjectList = parse_body(&watched.await.unwrap());
     assert_eq!(watched.objects, vec![written]);
-    let gap = caller
+    let gap = connection
         .send(get("/watch?kinds=team&after=9&wait_ms=0"))
         .await;
     assert_eq!(gap.unwrap().status(), StatusCode::GONE);
@@ -115,20 +115,23 @@
     let platform = PlatformServer::start(PlatformOptions::default())
         .await
         .unwrap();
-    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
+    let mut connection = HttpConnection::connect(platform.address()).await.unwrap();
     let faults = Request::post("/faults")
         .body(Full::from(r#"{"lose_write_replies":1}"#))
         .unwrap();
-    assert_eq!(caller.send(faults).await.unwrap().status(), StatusCode::OK);
-    let lost = caller.send(put("/objects/team/desk", 0, "{}")).await;
+    assert_eq!(
+        connection.send(faults).await.unwrap().status(),
+        StatusCode::OK
+    );
+    let lost = connection.send(put("/objects/team/desk", 0, "{}")).await;
     assert!(lost.is_err(), "the connection ends without a reply");
     assert_eq!(platform.store().table().revision().0, 1);
     platform.store().set_faults(PlatformFaults {
         throttle: true,
         ..PlatformFaults::default()
     });
-    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
-    let throttled = caller.send(get("/objects?kinds=team")).await.unwrap();
+    let mut connection = HttpConnection::connect(platform.address()).await.unwrap();
+    let throttled = connection.send(get("/objects?kinds=team")).await.unwrap();
     assert_eq!(throttled.status(), StatusCode::TOO_MANY_REQUESTS);
     assert!(throttled.headers().contains_key("retry-after-ms"));
     platform.stop().await;
@@ -139,10 +142,10 @@
     let platform = PlatformServer::start(PlatformOptions::default())
         .await
         .unwrap();
-    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
+    let mut connection = HttpConnection::connect(platform.address()).await.unwrap();
     let watch = tokio::spawn(async move {
         let path = "/watch?kinds=team&after=0&wait_ms=30000";
-        caller.send(get(path)).await
+        connection.send(get(path)).await
     });
     while platform.store().call_counts().watches == 0 {
         tokio::task::yield_now().await;
@@ -165,19 +168,22 @@
         .unwrap();
     assert_eq!(manifests[0].snapshot, SnapshotId(2));
     assert!(manifests[0].check().is_empty());
-    let mut caller = HttpConnection::connect(platform.address()).await.unwrap();
-    let listed = caller.send(get("/objects?kinds=manifest")).await.unwrap();
+    let mut connection = HttpConnection::connect(platform.address()).await.unwrap();
+    let listed = connection
+        .send(get("/objects?kinds=manifest"))
+        .await
+        .unwrap();
     let listed: ObjectList = parse_body(&listed);
     let body = listed.objects[0].body.as_ref().unwrap();
     let manifest: SnapshotManifest = serde_json::from_str(body).unwrap();
     assert_eq!(manifest, manifests[0]);
-    let hosts: HostListing = parse_body(&caller.send(get("/hosts")).await.unwrap());
+    let hosts: HostListing = parse_body(&connection.send(get("/hosts")).await.unwrap());
     assert_eq!(hosts.hosts.len(), 4);
 
     let address = manifest.shards[1].replicas[0].address;
-    let mut caller = HttpConnection::connect(address).await.unwrap();
+    let mut connection = HttpConnection::connect(address).await.unwrap();
     let request = attempt(1, 1);
-    let response = send(&mut caller, &request).await;
+    let response = send(&mut connection, &request).await;
     let outcome = request.classify_reply(response.status(), response.headers());
     assert_eq!(outcome, AttemptOutcome::Answered);
     assert_eq!(free_slots(response.headers()), Some(1));
@@ -188,7 +194,7 @@
         derive_rows(&service, ShardId(1), IndexVersion(1), PARAMETERS)
     );
     let gone = attempt(2, 7);
-    let response = send(&mut caller, &gone).await;
+    let response = send(&mut connection, &gone).await;
     let outcome = gone.classify_reply(response.status(), response.headers());
     assert_eq!(outcome, AttemptOutcome::VersionGone);
 
@@ -219,9 +225,9 @@
     while fleet.run_log().run_count() == 0 {
         tokio::task::yield_now().await;
     }
-    let mut caller = HttpConnection::connect(target.address()).await.unwrap();
+    let mut connection = HttpConnection::connect(target.address()).await.unwrap();
     let shed = attempt(2, 1);
-    let response = send(&mut caller, &shed).await;
+    let response = send(&mut connection, &shed).await;
     let outcome = shed.classify_reply(response.status(), response.headers());
     assert_eq!(outcome, AttemptOutcome::NotRun(NotRunReason::Shed));
 
@@ -235,7 +241,7 @@
         draining: true,
         ..TargetFaults::default()
     });
-    let response = send(&mut caller, &shed).await;
+    let response = send(&mut connection, &shed).await;
     let outcome = shed.classify_reply(response.status(), response.headers());
     assert_eq!(outcome, AttemptOutcome::NotRun(NotRunReason::Draining));
     assert_eq!(fleet.run_log().run_count(), 1);
