--- a/alderhaven-load/src/answer_oracle.rs
+++ b/alderhaven-load/src/answer_oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle: checks every answer from the manifests, the derived rows and the targets' runs.
+//! Checks replies against the published manifests, the expected rows and the targets' run log.
 
 use std::collections::HashMap;
 
@@ -15,37 +15,37 @@
 use crate::query_reply::{AnswerBody, ParsedReply, QueryReply, ReplyContent};
 use crate::violations::ViolationKind;
 
-/// The time after which a leaving target must receive no new work ("after a few seconds").
+/// Time after which a leaving target must receive no new work.
 pub const LEAVING_GRACE: TimeSpan = TimeSpan::from_secs(3);
 
-/// A `TargetLeaving` is the moment at which a target began to leave, on the run log's clock.
+/// Time at which a target began to leave.
 #[derive(Clone, Debug)]
 pub struct LeavingTarget {
-    /// The target.
+    /// Name of the target.
     pub target: TargetId,
-    /// When it began to leave, in microseconds since the run log began.
+    /// Microseconds since the run log began.
     pub leaving_since_us: u64,
 }
 
-/// A `ConfigSighting` is the configuration that a node had in force, in the order of looking.
+/// Configuration revision in force on a node at one observation.
 #[derive(Clone, Debug)]
 pub struct ConfigObservation {
-    /// The node.
+    /// Name of the observed node.
     pub node: NodeId,
-    /// The revision in force.
+    /// Revision of the complete configuration in force.
     pub revision: StoreVersion,
 }
 
-/// An `AnswerOracle` knows all that was published and all that the targets ran.
+/// All published manifests and all runs of the targets.
 #[derive(Debug)]
 pub struct AnswerOracle {
     manifests: HashMap<(ServiceName, SnapshotId), SnapshotManifest>,
-    /// The runs by template and canonical parameters.
+    /// Runs by template name and canonical parameters.
     run_records: HashMap<(String, String), Vec<RunRecord>>,
 }
 
 impl AnswerOracle {
-    /// Returns an oracle over everything that was published and that ran.
+    /// Indexes the manifests and the run records.
     #[must_use]
     pub fn new(manifests: Vec<SnapshotManifest>, records: Vec<RunRecord>) -> Self {
         let mut runs: HashMap<(String, String), Vec<RunRecord>> = HashMap::new();
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Checks a query's reply and returns the promises that it broke.
+    /// Checks a query's reply; returns the violations found.
     #[must_use]
     pub fn check_reply(&self, query: &LoadQuery, reply: &QueryReply) -> Vec<ViolationKind> {
         let mut violations = Vec::new();
@@ -78,7 +78,7 @@
             ParsedReply::Answer(answer) => {
                 violations.extend(self.check_answer(query, &answer, runs))
             }
-            // Where queries share their parameters a run may be another query's.
+            // With shared parameters the run may belong to another query.
             ParsedReply::Error(body)
                 if body.error.not_run && !runs.is_empty() && !query.group.shares_parameters() =>
             {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Gets the covered shards; none where the report contradicts itself or the manifest.
+/// Returns the covered shards; none if the coverage contradicts itself or the manifest.
 fn covered_shards<'a>(
     query: &LoadQuery,
     answer: &AnswerBody,
@@ -184,7 +184,7 @@
     ))
 }
 
-/// Says why rows are not those that the coverage stands for.
+/// Classifies rows that differ from those of the covered shards.
 fn classify_wrong_rows(
     query: &LoadQuery,
     rows: &Value,
@@ -206,7 +206,7 @@
     ViolationKind::UntrueCoverage
 }
 
-/// Counts the runs that began at targets more than [`LEAVING_GRACE`] after they began to leave.
+/// Counts the runs that started more than [`LEAVING_GRACE`] after their target began to leave.
 #[must_use]
 pub fn count_runs_after_leaving(records: &[RunRecord], leaving_targets: &[LeavingTarget]) -> usize {
     let is_late = |record: &&RunRecord| {
@@ -218,7 +218,7 @@
     records.iter().filter(is_late).count()
 }
 
-/// Counts the steps back of any node's configuration.
+/// Counts how often a node's revision went back, given observations in the order of time.
 #[must_use]
 pub fn count_config_reversions(observations: &[ConfigObservation]) -> usize {
     let mut latest: HashMap<&NodeId, StoreVersion> = HashMap::new();
--- a/alderhaven-load/src/arrivals.rs
+++ b/alderhaven-load/src/arrivals.rs
@@ -1,22 +1,22 @@
-//! The arrivals of an open-loop run: when each query is due, whatever became of those before.
+//! Random arrival times of an open-loop load, independent of the replies.
 
 use alderhaven_core::time::TimeSpan;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// A `RatePhase` is a part of a run with one rate of arrivals.
+/// Part of a run with a constant arrival rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RatePhase {
-    /// The length of the phase.
+    /// Length of the phase.
     pub duration: TimeSpan,
-    /// The arrivals a second, above zero.
+    /// Arrivals per second; must be above zero.
     pub rate: f64,
 }
 
-/// An `ArrivalSchedule` gives the times of a Poisson process; equal seeds give equal times.
+/// Arrival times of a Poisson process with a rate per phase; equal seeds give equal times.
 ///
-/// The gaps are exponential with the mean of the phase. A gap that reaches over the end of its
-/// phase is drawn anew from there, which a process without memory allows.
+/// Gaps are exponential. A gap that crosses the end of its phase is drawn again from there at the
+/// next rate, which is exact because the process is memoryless.
 #[derive(Debug)]
 pub struct ArrivalSchedule {
     rng: StdRng,
@@ -27,7 +27,7 @@
 }
 
 impl ArrivalSchedule {
-    /// Returns the schedule of `phases`, one after the other.
+    /// Starts the schedule of consecutive phases at time zero.
     #[must_use]
     pub fn new(seed: u64, phases: Vec<RatePhase>) -> Self {
         Self {
@@ -47,7 +47,7 @@
         loop {
             let phase = *self.phases.get(self.phase_index)?;
             let end = self.phase_start_s + phase.duration.as_secs_f64();
-            // 1 less the number is above zero, where the logarithm has a value.
+            // The argument of the logarithm is above zero.
             let gap = -(1.0 - self.rng.random::<f64>()).ln() / phase.rate;
             if self.last_arrival_s + gap < end {
                 self.last_arrival_s += gap;
--- a/alderhaven-load/src/caller_pool.rs
+++ b/alderhaven-load/src/caller_pool.rs
@@ -1,4 +1,4 @@
-//! The callers' kept-alive connections to the entries.
+//! Keep-alive connections from callers to the entries.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,7 +17,7 @@
 
 type CallerSender = SendRequest<Full<Bytes>>;
 
-/// A `CallerPool` spreads requests over all entries, each with its own idle connections.
+/// Distributes requests over all entries round-robin, with idle connections per entry.
 #[derive(Debug)]
 pub struct CallerPool {
     entries: Vec<EntryConnections>,
@@ -31,7 +31,7 @@
 }
 
 impl CallerPool {
-    /// Returns a pool without connections.
+    /// Creates a pool without connections.
     #[must_use]
     pub fn new(entries: &[SocketAddr]) -> Self {
         let entries = entries.iter().map(|address| EntryConnections {
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Sends a request to an entry, the next one where none is named, and waits for the whole reply.
+    /// Sends a request to the given entry, or to the next in turn, and waits for the complete
+    /// reply.
     pub async fn post(&self, entry: Option<usize>, path: &str, body: Bytes) -> ReplyContent {
         let turn = entry.unwrap_or_else(|| self.next_entry.fetch_add(1, Ordering::Relaxed));
         self.entries[turn % self.entries.len()]
@@ -74,7 +75,8 @@
                     self.lock_idle().push(sender);
                     return ReplyContent::Body(body.to_bytes());
                 }
-                // The entry closed an idle connection: the request comes back unsent.
+                // The entry closed an idle connection before the request was sent; retry on another
+                // one.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) if !is_new => request = unsent,
                     Some(_) => return ReplyContent::Unsent,
@@ -99,7 +101,7 @@
         let stream = TcpStream::connect(self.address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        // The connection's end shows in the request on it.
+        // An error of the connection is reported by the request on it.
         tokio::spawn(connection);
         Some(sender)
     }
--- a/alderhaven-load/src/cpu_clock.rs
+++ b/alderhaven-load/src/cpu_clock.rs
@@ -1,13 +1,13 @@
-//! The processor time that this process and the whole machine used, so that a run that the machine
-//! limited can be told from one that the system limited.
+//! CPU time of this process and of the whole machine. It tells a run that the machine limited from
+//! one that the system limited.
 
 use std::fs;
 use std::time::Instant;
 
-/// The kernel's unit of processor time in `/proc`, a second's hundredth (`USER_HZ`, proc(5)).
+/// Unit of CPU time in `/proc` (`USER_HZ`, see proc(5)).
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// A `CpuClock` measures from its start.
+/// Measures CPU usage from its start.
 #[derive(Debug)]
 pub struct CpuClock {
     started_at: Instant,
@@ -15,17 +15,17 @@
     machine_seconds_at_start: f64,
 }
 
-/// A `CpuShares` is the used share of all cores.
+/// CPU usage as a share of the time of all cores.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CpuShares {
-    /// What this process used.
+    /// Usage by this process.
     pub process: f64,
-    /// What all processes of the machine used.
+    /// Usage by all processes.
     pub machine: f64,
 }
 
 impl CpuClock {
-    /// Starts to measure.
+    /// Reads the counters from which usage is measured.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Gets the shares since the start; zero where `/proc` can't be read.
+    /// Returns the usage since the start; zero where `/proc` can't be read.
     #[must_use]
     pub fn shares(&self) -> CpuShares {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
@@ -49,17 +49,17 @@
     }
 }
 
-/// Gets the user and system time of this process.
+/// Returns the user and system time of this process.
 fn process_seconds() -> Option<f64> {
     let text = fs::read_to_string("/proc/self/stat").ok()?;
-    // The name in parentheses may have spaces; the third field comes after it.
+    // The process name in parentheses may contain spaces; the third field follows it.
     let (_, fields) = text.rsplit_once(')')?;
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     Some(ticks / TICKS_PER_SECOND)
 }
 
-/// Gets the time that the machine was neither idle nor waiting for disks.
+/// Returns the machine's CPU time, without idle time and waits for disks.
 fn machine_seconds() -> Option<f64> {
     let text = fs::read_to_string("/proc/stat").ok()?;
     let ticks: Vec<f64> = text
@@ -69,7 +69,7 @@
         .skip(1)
         .filter_map(|field| field.parse().ok())
         .collect();
-    // user, nice, system, idle, iowait, irq, softirq
+    // The fields are user, nice, system, idle, iowait, irq and softirq.
     let busy = ticks.iter().take(7).sum::<f64>() - ticks.get(3)? - ticks.get(4)?;
     Some(busy / TICKS_PER_SECOND)
 }
--- a/alderhaven-load/src/crashable_runtime.rs
+++ b/alderhaven-load/src/crashable_runtime.rs
@@ -1,5 +1,5 @@
-//! A runtime of its own for a node that is to die: its end takes all tasks and connections with it,
-//! as the kernel does with those of a killed process.
+//! Runtime for a node that a scenario crashes. Dropping it ends all its tasks and connections, as a
+//! kill of the process does.
 
 use std::future::Future;
 use std::io;
@@ -7,17 +7,17 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::JoinHandle;
 
-/// The threads of a node of its own.
+/// Worker threads of the node's runtime.
 const WORKER_THREADS: usize = 2;
 
-/// A `DoomedRuntime` ends everything on it when it is dropped.
+/// Tokio runtime that is shut down in the background when it is dropped.
 #[derive(Debug)]
 pub struct CrashableRuntime {
     runtime: Option<Runtime>,
 }
 
 impl CrashableRuntime {
-    /// Starts a runtime.
+    /// Starts the worker threads.
     ///
     /// # Errors
     /// The operating system's error where threads can't be started.
@@ -31,10 +31,10 @@
         })
     }
 
-    /// Runs a task on the runtime.
+    /// Spawns a task on this runtime.
     ///
     /// # Panics
-    /// Never: the runtime is there until the drop.
+    /// Never: the runtime exists until the drop.
     pub fn spawn<F>(&self, task: F) -> JoinHandle<F::Output>
     where
         F: Future<Output: Send> + Send + 'static,
@@ -47,7 +47,7 @@
 impl Drop for CrashableRuntime {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
-            // A plain drop would block, which a task must not.
+            // A plain drop blocks, which isn't allowed within an async task.
             runtime.shutdown_background();
         }
     }
--- a/alderhaven-load/src/expected_rows.rs
+++ b/alderhaven-load/src/expected_rows.rs
@@ -1,10 +1,10 @@
-//! The rows that an answer must have, worked out apart from the code of the entries, so that a
-//! fault there does not hide itself.
+//! Computes the rows that an answer must have. It shares no code with the entries, so that their
+//! bugs are found.
 
 use alderhaven_core::template::MergeRule;
 use serde_json::{Value, json};
 
-/// Gets the rows that `rows`, in the order of their shards, merge to.
+/// Merges the shards' rows, given in the order of the shards.
 #[must_use]
 pub fn merge_rows(rule: &MergeRule, mut rows: Vec<Value>) -> Vec<Value> {
     match rule {
@@ -14,7 +14,7 @@
             limit,
             ascending,
         } => {
-            // Both sorts are stable: equal numbers stay in the order of shards.
+            // Both sorts are stable: rows with equal numbers stay in the order of shards.
             if *ascending {
                 rows.sort_by_key(|row| numeric_field(row, field));
             } else {
--- a/alderhaven-load/src/fairness_tally.rs
+++ b/alderhaven-load/src/fairness_tally.rs
@@ -1,37 +1,37 @@
-//! How fairly work was served: each team's served work against what it was due.
+//! Fairness of the served work between teams.
 //!
-//! Teams compete within a service and a class. There each is due a part of the work that was
-//! served, in proportion to its weight and at most what it offered (max-min fairness). So the
-//! figure judges the distribution alone, not how much was served and not that classes differ.
+//! Teams compete within a service and a class. Their fair shares divide the work that was served
+//! there in proportion to the weights, with no share above what the team offered (max-min
+//! fairness). The result doesn't depend on how much was served, nor on differences between classes.
 
 use std::collections::BTreeMap;
 
 use alderhaven_core::class::QueryClass;
 use alderhaven_core::ids::{ServiceName, TeamId};
 
-/// The least due work, in seconds of a slot, that a team is judged by: below it a few queries
-/// decide the figure.
+/// Teams with a smaller fair share, in slot seconds, are ignored: a few queries would decide their
+/// result.
 const MIN_FAIR_SHARE_SECONDS: f64 = 5.0;
 
-/// A `TeamWork` is the work of one team within a service and a class, in seconds of a slot.
+/// Work of one team within a service and a class, in slot seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TeamWork {
-    /// The team's weight.
+    /// Weight of the team among its competitors.
     pub weight: f64,
-    /// What it asked for.
+    /// Work of all the team's queries.
     pub offered: f64,
-    /// What it received in time.
+    /// Work of the team's queries that were answered in time.
     pub served: f64,
 }
 
-/// A `FairShare` gathers the work of all teams.
+/// Work of all teams by service and class.
 #[derive(Clone, Debug, Default)]
 pub struct FairnessTally {
     groups: BTreeMap<(ServiceName, QueryClass), BTreeMap<TeamId, TeamWork>>,
 }
 
 impl FairnessTally {
-    /// Gets the work of a team within a service and a class.
+    /// Returns the work of a team for update, zero at first.
     pub fn work_mut(
         &mut self,
         service: &ServiceName,
@@ -42,7 +42,7 @@
         group.entry(team.clone()).or_default()
     }
 
-    /// Gets the lowest team's share of its due, at most 1.
+    /// Returns the lowest ratio of served work to fair share among the teams, at most 1.
     #[must_use]
     pub fn fairness(&self) -> f64 {
         let mut totals: BTreeMap<&TeamId, (f64, f64)> = BTreeMap::new();
@@ -62,14 +62,14 @@
     }
 }
 
-/// Shares the served work out by weight, to each at most what it offered.
+/// Divides the served work in proportion to the weights, to each team at most what it offered.
 #[must_use]
 pub fn fair_shares(team_work: &[TeamWork]) -> Vec<f64> {
     let mut remaining: f64 = team_work.iter().map(|work| work.served).sum();
     let mut shares = vec![0.0; team_work.len()];
     let mut unsatisfied: Vec<usize> = (0..team_work.len()).collect();
-    // Each round gives the teams that want less than their part all that they want, and the rest is
-    // shared anew; a round without such a team is the last.
+    // Each round satisfies the teams that offered less than their proportional share, and divides
+    // the rest again. It ends when no such team is left.
     while !unsatisfied.is_empty() {
         let weights: f64 = unsatisfied.iter().map(|team| team_work[*team].weight).sum();
         let proportional_share = |team: usize| remaining * team_work[team].weight / weights;
--- a/alderhaven-load/src/fault_script.rs
+++ b/alderhaven-load/src/fault_script.rs
@@ -1,4 +1,4 @@
-//! The faults and changes of a run: those that hold from its start, and those at its event.
+//! Faults and changes of a run: from its start, and at the scenario's event.
 
 use std::time::Duration;
 
@@ -21,31 +21,31 @@
 use crate::scenario::ScenarioKind;
 use crate::test_bed::TestBed;
 
-/// The share of the targets whose connections fall silent, that start anew or that leave.
+/// Share of the targets that are silenced, restarted or removed.
 const AFFECTED_SHARE: f64 = 0.1;
-/// The time down of a target that a request crashed, in milliseconds.
+/// Downtime of a target after a poison request, in milliseconds.
 const CRASH_DOWNTIME_MS: u64 = 500;
-/// The time down of a target that starts anew, in milliseconds.
+/// Downtime of a restarted target, in milliseconds.
 const RESTART_DOWNTIME_MS: u64 = 200;
-/// How many times slower a cold target is, and for how many milliseconds.
+/// Factor on run times after a cold start, and its duration in milliseconds.
 const COLD_START_FACTOR_AND_MS: (f64, u64) = (10.0, 1_500);
-/// The time for which targets keep a former version, in milliseconds: longer than any deadline of
-/// the urgent and ordinary templates.
+/// How long targets serve a former version, in milliseconds: longer than the deadlines of the
+/// urgent and ordinary templates.
 const VERSION_GRACE_MS: u64 = 2_500;
-/// The pause between the publications of two services.
+/// Pause between the publications of two services.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(300);
-/// The lag of the host list, in milliseconds.
+/// Lag of the host list, in milliseconds.
 const HOST_LAG_MS: u64 = 1_000;
-/// The time between a target's place in the list and its stop, in milliseconds.
+/// Delay between a target's leaving and its stop, in milliseconds.
 const STOP_DELAY_MS: u64 = 3_500;
-/// The time for which the platform is out of service.
+/// How long the platform is unavailable.
 const OUTAGE_DURATION: Duration = Duration::from_secs(2);
-/// The time for which a failure domain is lost.
+/// How long a failure domain is down.
 const DOMAIN_DOWNTIME: Duration = Duration::from_secs(2);
-/// The publications of a race, and the pause between two.
+/// Number of concurrent publications, and the pause between two.
 const RACE_ROUNDS_AND_PAUSE: (u64, Duration) = (20, Duration::from_millis(100));
 
-/// A `FaultScript` does to a running system what a scenario says.
+/// Applies the faults and changes of a scenario to a running system.
 #[derive(Debug)]
 pub struct FaultScript<'a> {
     options: &'a RunOptions,
@@ -53,7 +53,7 @@
 }
 
 impl<'a> FaultScript<'a> {
-    /// Returns the script of a run.
+    /// Creates the script for a started system.
     #[must_use]
     pub const fn new(options: &'a RunOptions, bed: &'a TestBed) -> Self {
         Self {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Switches on what holds during the whole run.
+    /// Turns on the faults that last for the whole run.
     pub fn apply_initial_faults(&self) {
         let all = || self.test_bed.fleet().targets().collect::<Vec<_>>();
         match self.options.scenario {
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Waits for the event of a run that began at `began`, and does what the scenario says.
+    /// Waits for the scenario's event time, counted from `started_at`, and executes the event.
     ///
     /// # Errors
-    /// Where the platform does not take a change.
+    /// Where the platform refuses a change.
     pub async fn run_event(&self, started_at: Instant) -> Result<()> {
         time::sleep_until(started_at + self.options.event_at().as_duration()).await;
         let affected = self.pick_affected_targets(AFFECTED_SHARE);
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// Takes the first failure domain's targets down.
+    /// Crashes all targets of the first failure domain.
     fn crash_domain(&self) {
         let domain = |target: &TargetServer| target.state().spec().domain.clone();
         let lost = self.test_bed.fleet().targets().map(domain).min();
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Publishes a next version of each service, and then another number of shards of the first.
+    /// Publishes a new version of each service, then halves the number of shards of the first.
     async fn change_snapshots(&self) -> Result<()> {
         let manifests = self.test_bed.manifests();
         let mut changes: Vec<(ServiceName, Option<u32>)> = Vec::new();
@@ -176,7 +176,7 @@
         Ok(())
     }
 
-    /// Lets two operators write the same template against the same version; one must lose.
+    /// Lets two operators write a template against the same version; one of them must fail.
     async fn race_publications(&self) {
         let (rounds, pause) = RACE_ROUNDS_AND_PAUSE;
         let Some(mut template) = self.test_bed.last_template() else {
@@ -209,10 +209,10 @@
         }
     }
 
-    /// Picks a share of the targets, at most one replica of each shard.
+    /// Picks a random share of the targets, at most one replica per shard; equal seeds pick equal
+    /// targets.
     ///
-    /// Where all replicas of a shard are struck no choice of replica can help. Equal seeds pick
-    /// equal targets.
+    /// If all replicas of a shard were affected, no choice of replica could help.
     fn pick_affected_targets(&self, share: f64) -> Vec<&'a TargetServer> {
         let mut targets: Vec<&TargetServer> = self.test_bed.fleet().targets().collect();
         let wanted = rounded_share(targets.len(), share);
--- a/alderhaven-load/src/lib.rs
+++ b/alderhaven-load/src/lib.rs
@@ -1,5 +1,5 @@
-//! The load and experiment tool: open-loop load on the whole path, with stand-ins of platform and
-//! targets, and an oracle that checks every answer from what the targets ran.
+//! Load test tool: open-loop load on a complete system with stand-ins of platform and targets, and
+//! an oracle that checks every answer against the targets' run log.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-load/src/load_driver.rs
+++ b/alderhaven-load/src/load_driver.rs
@@ -1,4 +1,4 @@
-//! The sending of queries at their due times, whatever became of those before (open loop).
+//! Open-loop sender: each query is sent when due, regardless of outstanding replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use crate::load_query::LoadQuery;
 use crate::query_reply::{QueryReply, ReplyContent};
 
-/// The time after its deadline at which a caller gives up on a reply.
+/// Time after the deadline for which a caller waits for a reply.
 const REPLY_GRACE: Duration = Duration::from_secs(5);
 
-/// A `LoadDriver` sends queries through a pool and gathers the replies.
+/// Sends queries through a connection pool and collects the replies.
 #[derive(Debug)]
 pub struct LoadDriver {
     pool: Arc<CallerPool>,
@@ -24,7 +24,7 @@
 }
 
 impl LoadDriver {
-    /// Returns a driver whose run begins now.
+    /// Creates a driver; times are relative to this call.
     #[must_use]
     pub fn new(pool: CallerPool) -> Self {
         Self {
@@ -33,13 +33,14 @@
         }
     }
 
-    /// Gets when the run began.
+    /// Returns the start of the run.
     #[must_use]
     pub const fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Sends each query when it is due and returns all queries with their replies.
+    /// Sends each query when due; returns all queries with their replies in any order of
+    /// completion.
     pub async fn run(
         &self,
         queries: impl Iterator<Item = LoadQuery>,
--- a/alderhaven-load/src/load_plan.rs
+++ b/alderhaven-load/src/load_plan.rs
@@ -1,6 +1,6 @@
-//! The queries of a run: the even load, and what a scenario adds to it.
+//! Queries of a run: the base load, and the special queries of a scenario.
 //!
-//! The even load is drawn alone, so that it is the same with and without the special queries.
+//! The base load has its own random numbers, so that it is the same without the special queries.
 
 use std::sync::Arc;
 
@@ -19,22 +19,22 @@
 use crate::scenario::ScenarioKind;
 use crate::workload::{Workload, WorkloadTemplate};
 
-/// The factor of a burst and its length.
+/// Factor on the base rate during a burst, and its length.
 const BURST_FACTOR_AND_LENGTH: (f64, TimeSpan) = (5.0, TimeSpan::from_secs(1));
-/// What a hot team offers beyond its share, as a multiple of that.
+/// Extra load of a hot team as a multiple of its share.
 const HOT_TEAM_EXTRA_FACTOR: f64 = 9.0;
-/// The load of a hot key, as a share of what its service can answer.
+/// Load of a hot key as a share of its service's capacity.
 const HOT_KEY_LOAD_SHARE: f64 = 1.0;
-/// The requests that crash targets.
+/// Number of different poison requests.
 const POISON_REQUEST_COUNT: u32 = 3;
-/// The pause between two such requests, and between two sendings of the same.
+/// Interval between two poison requests, and between two copies of the same one.
 const POISON_INTERVALS: (TimeSpan, TimeSpan) =
     (TimeSpan::from_millis(800), TimeSpan::from_millis(50));
 
-/// Draws all queries of a run in the order of their times; equal options give equal queries.
+/// Draws all queries of a run in the order of their due times; equal options give equal queries.
 ///
 /// # Errors
-/// Where the workload's templates don't take the parameters of its mix.
+/// Where a template doesn't accept its parameters.
 pub fn plan_queries(options: &RunOptions, workload: &Workload) -> Result<Vec<LoadQuery>> {
     let mut plan = LoadPlan::new(options, workload);
     let rate = options.load * workload.rate_at_full_load();
@@ -46,11 +46,11 @@
     Ok(plan.queries)
 }
 
-/// Gets the team that is hot in `hot-team`: one that asks both urgent or ordinary queries and a
-/// service of few targets.
+/// Returns the hot team of `hot-team`, which uses both a service with many targets and one with
+/// few.
 ///
 /// # Panics
-/// Never: the names here follow the rule for names.
+/// Never: the names are valid.
 #[must_use]
 pub fn hot_team(deployment: DeploymentKind) -> TeamId {
     let name = match deployment {
@@ -60,13 +60,13 @@
     name.parse().expect("the names here follow the rule")
 }
 
-/// Gets the time at which a burst ends.
+/// Returns the end of a burst, counted from the start of the run.
 #[must_use]
 pub fn burst_end(options: &RunOptions) -> TimeSpan {
     options.event_at() + BURST_FACTOR_AND_LENGTH.1
 }
 
-/// Gets the even load's phases at a rate of 1.
+/// Returns the lengths of the base load's phases, with factors on its rate.
 fn base_phases(options: &RunOptions) -> Vec<(TimeSpan, f64)> {
     let whole = options.warm_up + options.measured_time;
     if options.scenario != ScenarioKind::Burst {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Draws queries of a mix at `rate` by the factors of `phases`.
+    /// Adds queries of a mix at `rate` times the factor of each phase.
     fn draw_queries(
         &mut self,
         mix: &[WorkloadTemplate],
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    /// Gets the first template that asks one shard.
+    /// Returns the first template whose queries read one shard.
     fn single_shard_template(&self) -> Result<WorkloadTemplate> {
         let single_shard = self
             .workload
--- a/alderhaven-load/src/load_query.rs
+++ b/alderhaven-load/src/load_query.rs
@@ -1,4 +1,4 @@
-//! The queries of a run, drawn from the mix.
+//! Queries of a run, drawn at random from the mix.
 
 use std::sync::Arc;
 
@@ -10,60 +10,60 @@
 
 use crate::workload::WorkloadTemplate;
 
-/// A `QueryGroup` says to which part of a run's load a query belongs.
+/// Part of a run's load that a query belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QueryGroup {
-    /// The even load.
+    /// Base load, the same for every scenario without a burst.
     Base,
-    /// What a hot team asks beyond its share.
+    /// Extra load of the hot team.
     HotTeam,
-    /// Queries of the hot key.
+    /// Queries that all have the same key.
     HotKey,
-    /// Long jobs.
+    /// Long-running bulk queries.
     LongJob,
-    /// Requests that crash targets.
+    /// Requests that crash the target that runs them.
     Poison,
 }
 
 impl QueryGroup {
-    /// Returns true where several queries have the same parameters, so that the targets' runs can't
-    /// be told apart by query.
+    /// Returns true if queries of the group have equal parameters, so that a target's run can't be
+    /// attributed to one of them.
     #[must_use]
     pub const fn shares_parameters(self) -> bool {
         matches!(self, Self::HotKey | Self::Poison)
     }
 }
 
-/// A `LoadQuery` is one query of a run.
+/// One planned query.
 #[derive(Clone, Debug)]
 pub struct LoadQuery {
-    /// The number of the query in its run.
+    /// Position in the order of drawing, unique within the run.
     pub number: u64,
-    /// When the query is due, since the run began.
+    /// Time to send it, counted from the start of the run.
     pub due_at: TimeSpan,
-    /// The template.
+    /// Template to query, with its place in the mix.
     pub workload_template: Arc<WorkloadTemplate>,
-    /// The team that asks.
+    /// Team that sends the query.
     pub team: TeamId,
-    /// The parameters as the targets receive them.
+    /// Complete parameters, with defaults filled in.
     pub parameters: ParameterSet,
-    /// The part of the load.
+    /// Part of the load that the query belongs to.
     pub group: QueryGroup,
-    /// The entry to ask; any where there is none.
+    /// Entry to send it to; the next in turn if absent.
     pub entry_index: Option<usize>,
 }
 
-/// A `QuerySource` draws queries and numbers them.
+/// Draws queries and numbers them.
 #[derive(Debug, Default)]
 pub struct QuerySource {
     next_number: u64,
 }
 
 impl QuerySource {
-    /// Draws the query that is due at `due`, each template of `mix` in proportion to its rate.
+    /// Draws the template by its rate and the team by its share.
     ///
     /// # Errors
-    /// `Error::Invalid` where the template does not take the parameters of the mix.
+    /// `Error::Invalid` where the template doesn't accept the parameters of the mix.
     pub fn draw(
         &mut self,
         mix: &[Arc<WorkloadTemplate>],
@@ -108,7 +108,7 @@
     }
 }
 
-/// Picks a position in proportion to the weights, which add up to `total`.
+/// Picks a position with a probability proportional to its weight; `total` is the sum.
 fn pick_weighted(weights: impl Iterator<Item = f64>, total: f64, rng: &mut impl Rng) -> usize {
     let mut remaining = rng.random::<f64>() * total;
     let mut last = 0;
--- a/alderhaven-load/src/main.rs
+++ b/alderhaven-load/src/main.rs
@@ -1,4 +1,4 @@
-//! `alder-load`: runs load scenarios against the whole path and prints one JSON line a policy.
+//! `alder-load`: runs load scenarios against a complete system and prints one JSON line per policy.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
@@ -18,16 +18,16 @@
 use eyre::{Result, bail};
 use serde::Serialize;
 
-/// The exit code for arguments that are refused.
+/// Exit code for invalid arguments.
 const EXIT_BAD_ARGUMENTS: u8 = 2;
-/// The exit code where a promise was broken.
+/// Exit code if the oracle found violations.
 const EXIT_VIOLATIONS: u8 = 1;
-/// The longest measured time, in seconds.
+/// Upper bound of `--seconds` and `--warm-up`.
 const MAX_SECONDS: u64 = 600;
-/// The most entries, and as many relays.
+/// Upper bound of the number of entries, and of relays.
 const MAX_NODES: usize = 64;
 
-/// Load and experiment tool of alderhaven; everything runs on loopback in this process.
+/// Load test tool of alderhaven; everything runs on loopback in this process.
 #[derive(FromArgs)]
 struct LoadArgs {
     #[argh(subcommand)]
@@ -48,12 +48,12 @@
     /// the files with the lines that `run --json` printed
     #[argh(positional)]
     files: Vec<String>,
-    /// the directory of the page and its plots
+    /// the directory for the page and its plots
     #[argh(option)]
     out: String,
 }
 
-/// Runs a scenario and prints a line of results for each policy.
+/// Runs a scenario and prints one result per policy.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 struct RunArgs {
@@ -65,19 +65,19 @@
     /// store-outage or publish-race
     #[argh(option)]
     scenario: ScenarioKind,
-    /// current, baseline or both (default): one after the other, then a line of ratios
+    /// current, baseline or both (default); both run in turn, followed by a line of ratios
     #[argh(option, default = "PolicyChoice::Both")]
     policy: PolicyChoice,
-    /// the load as a share of the targets' capacity (default: the scenario's own)
+    /// the load as a share of the targets' capacity (default: depends on the scenario)
     #[argh(option)]
     load: Option<f64>,
-    /// the load as queries a second, in place of --load
+    /// the load in queries per second, instead of --load
     #[argh(option)]
     rate: Option<f64>,
-    /// the measured seconds (default 10)
+    /// the duration of the measurement in seconds (default 10)
     #[argh(option, default = "10")]
     seconds: u64,
-    /// the seconds of load before them (default 2)
+    /// the seconds of load before the measurement (default 2)
     #[argh(option, default = "2")]
     warm_up: u64,
     /// the seed of arrivals, run times and faults (default 1)
@@ -86,18 +86,18 @@
     /// the number of entries, and of relays (default 8)
     #[argh(option, default = "8")]
     nodes: usize,
-    /// slow-target: how many times slower (default 10)
+    /// slow-target: the factor on run times (default 10)
     #[argh(option, default = "10.0")]
     slow_factor: f64,
-    /// slow-target: the share of slow replicas (default 0.1)
+    /// slow-target: the share of replicas that are slow (default 0.1)
     #[argh(option, default = "0.1")]
     slow_share: f64,
-    /// print JSON lines in place of a text
+    /// print each result as one line of JSON instead of indented JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// A `PolicyChoice` says which policies run.
+/// Policies to run in turn.
 #[derive(Clone, Copy)]
 enum PolicyChoice {
     One(PolicyKind),
@@ -208,7 +208,7 @@
     })
 }
 
-/// Runs the policies one after the other and returns the number of violations.
+/// Runs the chosen policies in turn; returns the total number of violations.
 async fn run_policies(args: &RunArgs, options: &RunOptions) -> Result<u64> {
     let mut lines: Vec<RunLine> = Vec::new();
     for policy in args.policy.policies() {
--- a/alderhaven-load/src/query_reply.rs
+++ b/alderhaven-load/src/query_reply.rs
@@ -1,4 +1,4 @@
-//! What a caller received for a query.
+//! Reply to a query, as its caller received it.
 
 use alderhaven_core::coverage::CoverageReport;
 use alderhaven_core::ids::SnapshotId;
@@ -8,74 +8,74 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A `QueryReply` is what a caller received, with the times since the run began.
+/// Reply with its times, counted from the start of the run.
 #[derive(Clone, Debug)]
 pub struct QueryReply {
-    /// When the request was sent.
+    /// Time at which the request was sent.
     pub sent_at: TimeSpan,
-    /// When the whole reply was there, or was given up.
+    /// Time at which the reply was complete, or the caller gave up.
     pub ended_at: TimeSpan,
-    /// What was received.
+    /// Body, or the reason why there is none.
     pub content: ReplyContent,
 }
 
-/// A `ReplyContent` is the body of a reply, or why there is none.
+/// Body of a reply, or the reason why there is none.
 #[derive(Clone, Debug)]
 pub enum ReplyContent {
-    /// A whole body.
+    /// Complete body, of any status.
     Body(Bytes),
-    /// The connection was cut after the request was sent.
+    /// The connection broke after the request was sent.
     Aborted,
-    /// No entry could be reached: nothing was sent.
+    /// The entry could not be reached, so nothing was sent.
     Unsent,
-    /// Nothing came long after the deadline.
+    /// No reply until some time after the deadline.
     TimedOut,
 }
 
-/// A `ReadReply` is a reply's body as it was understood.
+/// Parsed body of a reply.
 #[derive(Clone, Debug)]
 pub enum ParsedReply {
-    /// An answer with rows.
+    /// The query was answered, completely or in part.
     Answer(AnswerBody),
-    /// Everything else.
+    /// The entry reported an error.
     Error(ErrorBody),
-    /// The body is neither.
+    /// No body, or one of neither form.
     Unreadable,
 }
 
-/// An `AnswerBody` is the body of an answered query.
+/// JSON body of an answered query.
 #[derive(Clone, Debug, Deserialize)]
 pub struct AnswerBody {
-    /// Complete or partial.
+    /// `Complete` or `Partial`.
     pub outcome: QueryOutcome,
-    /// The merged rows.
+    /// Rows of all covered shards, merged by the template's rule.
     pub rows: Value,
-    /// The coverage.
+    /// Which shards the rows cover.
     pub coverage: CoverageReport,
-    /// The snapshot.
+    /// Snapshot that the rows come from.
     pub snapshot: SnapshotId,
 }
 
-/// An `ErrorBody` is the body of an error.
+/// JSON body of a failed query.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// Details of the failure.
     pub error: ErrorContent,
 }
 
-/// An `ErrorContent` says what went wrong.
+/// Code and message of an error.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ErrorContent {
-    /// The code.
+    /// Machine-readable code.
     pub code: String,
-    /// A sentence for people.
+    /// Explanation for people.
     pub message: String,
-    /// Whether the entry states that nothing ran.
+    /// Whether the entry asserts that no target ran the query.
     pub not_run: bool,
 }
 
 impl QueryReply {
-    /// Reads the body.
+    /// Parses the body as an answer, or else as an error.
     #[must_use]
     pub fn parse(&self) -> ParsedReply {
         let ReplyContent::Body(body) = &self.content else {
--- a/alderhaven-load/src/report.rs
+++ b/alderhaven-load/src/report.rs
@@ -1,4 +1,4 @@
-//! The report: a Markdown page with tables and plots from saved result lines.
+//! Report of saved results: a Markdown page with tables and plots.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,13 +9,13 @@
 use crate::report_page;
 use crate::report_plot::PlotKind;
 
-/// The name of the page.
+/// File name of the Markdown page.
 const PAGE_FILE_NAME: &str = "report.md";
 
-/// Reads the files and writes the report into `directory`; returns the page's path.
+/// Reads result files and writes the report into `directory`; returns the path of the page.
 ///
 /// # Errors
-/// Where a file can't be read or written, or holds what is not a result line.
+/// Where a file can't be read or written, or a line is no result.
 pub fn write_report(files: &[String], directory: &str) -> Result<PathBuf> {
     let mut lines = ReportLines::default();
     for file in files {
--- a/alderhaven-load/src/report_lines.rs
+++ b/alderhaven-load/src/report_lines.rs
@@ -1,20 +1,20 @@
-//! The reading of saved result lines.
+//! Parser of saved result lines.
 
 use eyre::{Result, WrapErr};
 use serde::Deserialize;
 
 use crate::run_line::{RatioLine, RunLine};
 
-/// A `ReportLines` is the content of saved files, in their order.
+/// Content of saved files, in their order.
 #[derive(Clone, Debug, Default)]
 pub struct ReportLines {
-    /// The results.
+    /// Results of single runs.
     pub runs: Vec<RunLine>,
-    /// The ratios.
+    /// Ratios between the policies' results.
     pub ratios: Vec<RatioLine>,
 }
 
-/// A `SavedLine` is one line of a file: a ratio has fields that a result has not.
+/// One line of a file; a ratio is recognized by its own fields.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum SavedLine {
@@ -23,10 +23,10 @@
 }
 
 impl ReportLines {
-    /// Adds the lines of a file's text; empty lines are passed over.
+    /// Parses the lines of a file's text and adds them; blank lines are skipped.
     ///
     /// # Errors
-    /// Where a line is neither a result nor a ratio, with its number.
+    /// Where a line is neither a result nor a ratio; the error names path and line number.
     pub fn add(&mut self, path: &str, text: &str) -> Result<()> {
         for (position, line) in text.lines().enumerate() {
             if line.trim().is_empty() {
--- a/alderhaven-load/src/report_page.rs
+++ b/alderhaven-load/src/report_page.rs
@@ -1,10 +1,10 @@
-//! The Markdown page of a report.
+//! Markdown page of a report.
 
 use crate::report_lines::ReportLines;
 use crate::report_plot::PlotKind;
 use crate::run_line::{RatioLine, RunLine};
 
-/// The columns of the table of results.
+/// Header of the table of results.
 const RUN_COLUMNS: [&str; 20] = [
     "scenario",
     "deployment",
@@ -27,7 +27,7 @@
     "extra load",
     "violations",
 ];
-/// The columns of the table of ratios.
+/// Header of the table of ratios.
 const RATIO_COLUMNS: [&str; 9] = [
     "scenario",
     "seed",
@@ -39,7 +39,7 @@
     "coverage",
     "extra load",
 ];
-/// The columns of the tables of single scenarios' figures and of the machine.
+/// Headers of the tables of scenario figures and of machine usage.
 const FIGURE_COLUMNS: [&str; 5] = ["scenario", "policy", "seed", "figure", "value"];
 const MACHINE_COLUMNS: [&str; 6] = [
     "scenario",
@@ -50,7 +50,7 @@
     "send lag p99 ms",
 ];
 
-/// Writes the page with its tables, and with the named plots.
+/// Renders the tables, and links to the given plot files.
 #[must_use]
 pub fn render_page(lines: &ReportLines, plots: &[(PlotKind, String)]) -> String {
     let mut page = String::from("# Results of load runs\n");
@@ -85,7 +85,7 @@
     lines.iter().map(row).collect()
 }
 
-/// Adds a heading with a table; nothing where the table has no rows.
+/// Appends a heading and a table; nothing if there are no rows.
 fn add_section(page: &mut String, title: &str, columns: &[&str], rows: Vec<Vec<String>>) {
     if rows.is_empty() {
         return;
@@ -163,7 +163,7 @@
     ]
 }
 
-/// Gets a figure as text; a dash where there is none.
+/// Formats a figure; a dash if there is none.
 fn figure_text(figure: Option<f64>) -> String {
     figure.map_or_else(|| "–".to_owned(), |figure| figure.to_string())
 }
--- a/alderhaven-load/src/report_plot.rs
+++ b/alderhaven-load/src/report_plot.rs
@@ -1,4 +1,4 @@
-//! The plots of a report: one figure for each scenario and policy, as bars in an SVG.
+//! Plots of a report: horizontal bars per scenario and policy, as SVG.
 
 use alderhaven_policy::policy_kind::PolicyKind;
 use eyre::{Result, eyre};
@@ -8,46 +8,46 @@
 
 use crate::run_line::{RunLine, rounded};
 
-/// The width of a plot, the height of a bar and what is above and below the bars, in pixels.
+/// Dimensions of a plot: its width, the height of a row, and the height of title and axis.
 const PLOT_WIDTH_PX: u32 = 800;
 const BAR_HEIGHT_PX: usize = 24;
 const FRAME_HEIGHT_PX: usize = 90;
-/// The share of a bar's row that the bar fills.
+/// Height of a bar as a share of its row.
 const BAR_FILL_SHARE: f64 = 0.8;
-/// The size of the labels and of the title, in pixels.
+/// Font sizes of labels and title.
 const LABEL_SIZE_PX: i32 = 13;
 const TITLE_SIZE_PX: i32 = 18;
-/// The colours of the baseline and of the current policy.
+/// Bar colors by policy.
 const BASELINE_COLOR: RGBColor = RGBColor(200, 200, 200);
 const CURRENT_COLOR: RGBColor = RGBColor(120, 170, 220);
 
-/// A `PlotKind` is a figure that is plotted.
+/// Figure to plot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlotKind {
-    /// The latency that 99 in 100 keep.
+    /// 99th percentile of the latency.
     TailLatency,
-    /// The share of urgent queries that were answered in time.
+    /// Share of the urgent queries that were answered in time.
     UrgentInTime,
-    /// The useful work as a share of capacity.
+    /// Useful work as a share of capacity.
     Goodput,
 }
 
-/// A `PlotBar` is the mean of a figure over the seeds of a scenario and a policy.
+/// Mean of a figure over all seeds of a scenario and a policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlotBar {
-    /// Scenario, deployment and policy.
+    /// Scenario, deployment and policy, as printed on the bar.
     pub label: String,
-    /// The policy.
+    /// Policy that selects the color.
     pub policy: PolicyKind,
-    /// The mean.
+    /// Length of the bar.
     pub mean: f64,
 }
 
 impl PlotKind {
-    /// All plots of a report.
+    /// All plots of a report, in their order on the page.
     pub const ALL: [Self; 3] = [Self::TailLatency, Self::UrgentInTime, Self::Goodput];
 
-    /// Gets the title.
+    /// Returns the title, with the unit.
     #[must_use]
     pub const fn title(self) -> &'static str {
         match self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Gets the name of the file.
+    /// Returns the name of the SVG file.
     #[must_use]
     pub const fn file_name(self) -> &'static str {
         match self {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Gets the bars in the order in which scenarios and policies first come.
+    /// Averages the figure by scenario, deployment and policy, in the order of first appearance.
     #[must_use]
     pub fn bars(self, lines: &[RunLine]) -> Vec<PlotBar> {
         let mut sums: Vec<(PlotBar, f64)> = Vec::new();
@@ -101,10 +101,10 @@
         sums.into_iter().map(|(bar, _)| bar).collect()
     }
 
-    /// Draws the bars as the text of an SVG.
+    /// Renders the bars as an SVG document.
     ///
     /// # Errors
-    /// Where the drawing does not fit.
+    /// Where the drawing fails.
     pub fn draw(self, bars: &[PlotBar]) -> Result<String> {
         let mut svg = String::new();
         let height = u32::try_from(FRAME_HEIGHT_PX + BAR_HEIGHT_PX * bars.len())?;
@@ -123,7 +123,7 @@
         mesh.disable_y_mesh().disable_y_axis();
         mesh.draw().map_err(drawing_error)?;
         let rectangles = bars.iter().enumerate().map(|(position, bar)| {
-            // The first bar is drawn on top.
+            // The first bar is at the top.
             let bottom = rows - position as f64 - 1.0;
             let color = match bar.policy {
                 PolicyKind::Baseline => BASELINE_COLOR,
--- a/alderhaven-load/src/run_line.rs
+++ b/alderhaven-load/src/run_line.rs
@@ -1,4 +1,4 @@
-//! The result of a run as one line of JSON, and the ratios of two such lines.
+//! Result of a run as a JSON line, and ratios between two results.
 
 use std::collections::BTreeMap;
 
@@ -10,108 +10,108 @@
 use crate::scenario_figures::FigureMap;
 use crate::violations::ViolationCounts;
 
-/// A `RunLine` is the result of one run of one policy.
+/// Result of one run of one policy.
 ///
-/// Counts and latencies are of the queries that were due in the measured time; latencies count from
-/// the due time to the whole reply, refusals left out. A field whose set is empty is `null`.
+/// Counts and latencies are of the queries due in the measured time. Latencies are measured from
+/// the due time to the complete reply, without refusals. A figure without any samples is `null`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunLine {
-    /// The scenario.
+    /// Load pattern and faults of the run.
     pub scenario: ScenarioKind,
-    /// The policy.
+    /// Policy of entries and relays.
     pub policy: PolicyKind,
-    /// The seed.
+    /// Seed of arrivals, run times and faults.
     pub seed: u64,
-    /// The queries that were due.
+    /// Queries that were due.
     pub offered: u64,
-    /// The complete answers.
+    /// Complete answers.
     pub complete: u64,
-    /// The partial answers.
+    /// Partial answers.
     pub partial: u64,
-    /// The refusals with the promise that nothing ran.
+    /// Refusals that assert that no target ran the query.
     pub refused_not_run: u64,
-    /// The failed queries, those without any reply included.
+    /// Failed queries, including those without a reply.
     pub failed: u64,
-    /// The queries with an unknown outcome.
+    /// Queries whose outcome is unknown.
     pub unknown: u64,
-    /// The answers that came after their template's deadline, counted from the due time.
+    /// Answers after the template's deadline, counted from the due time.
     pub late: u64,
-    /// The median latency, in milliseconds.
+    /// Median latency in milliseconds.
     pub p50_ms: Option<f64>,
-    /// The latency that 99 in 100 keep, in milliseconds.
+    /// 99th percentile of the latency, in milliseconds.
     pub p99_ms: Option<f64>,
-    /// The latency that 999 in 1000 keep, in milliseconds.
+    /// 99.9th percentile of the latency, in milliseconds.
     pub p999_ms: Option<f64>,
-    /// The latency that 99 in 100 urgent queries keep, in milliseconds.
+    /// 99th percentile of the urgent queries' latency, in milliseconds.
     pub urgent_p99_ms: Option<f64>,
-    /// The share of all urgent queries, refused ones included, with a useful answer in time.
+    /// Share of all urgent queries, including refused ones, with a useful answer in time.
     pub urgent_in_time: Option<f64>,
-    /// The work of useful answers in time that came in the measured time, as a share of capacity.
+    /// Work of the useful answers that arrived in the measured time, as a share of capacity.
     pub goodput: f64,
-    /// The lowest team's share of its due.
+    /// Lowest ratio of served work to fair share among the teams.
     pub fairness: f64,
-    /// The mean share of covered shards over the queries that were not refused.
+    /// Mean share of covered shards over the queries that were not refused.
     pub coverage: Option<f64>,
-    /// The attempts that the targets ran over the fewest that the answers needed.
+    /// Attempts that the targets ran, divided by the minimum for the answers.
     pub extra_load: Option<f64>,
-    /// The broken promises, over all queries.
+    /// Violations found in the whole run, including the warm-up.
     pub violations: ViolationCounts,
-    /// The deployment.
+    /// Deployment whose services were queried.
     pub deployment: DeploymentKind,
-    /// The load as a share of the targets' capacity.
+    /// Base load as a share of the targets' capacity.
     pub load: f64,
-    /// The arrivals a second.
+    /// Base load in queries per second.
     pub rate: f64,
-    /// The measured seconds.
+    /// Duration of the measurement in seconds.
     pub seconds: f64,
-    /// The entries, and as many relays.
+    /// Number of entries, and of relays.
     pub nodes: usize,
-    /// The time to a refusal that 99 in 100 refusals keep, in milliseconds from sending.
+    /// 99th percentile of the time from sending to a refusal, in milliseconds.
     pub refusal_p99_ms: Option<f64>,
-    /// The errors by their code.
+    /// Number of errors by code.
     pub errors: BTreeMap<String, u64>,
-    /// The delay of sending that 99 in 100 queries keep, in milliseconds: the tool's own lag.
+    /// 99th percentile of the delay between due time and sending, in milliseconds.
     pub send_lag_p99_ms: Option<f64>,
-    /// The share of the machine's cores that this process used, stand-ins and tool included.
+    /// CPU usage of this process, which includes the stand-ins, as a share of all cores.
     pub cpu_share: f64,
-    /// The share of the machine's cores that were busy: near 1 the machine limits the run.
+    /// CPU usage of the whole machine as a share of all cores; near 1 the machine limits the run.
     pub machine_busy: f64,
-    /// The figures of this scenario alone.
+    /// Figures that only this scenario has.
     #[serde(default)]
     pub figures: FigureMap,
 }
 
-/// A `RatioLine` gives the figures of the current policy over those of the baseline.
+/// Results of the current policy divided by those of the baseline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RatioLine {
-    /// The scenario.
+    /// Scenario of both runs.
     pub scenario: ScenarioKind,
     /// Always `current/baseline`.
     pub ratio: String,
-    /// The seed.
+    /// Seed of both runs.
     pub seed: u64,
-    /// The ratio of the medians.
+    /// Ratio of the median latencies.
     pub p50: Option<f64>,
-    /// The ratio of the 99th percentiles.
+    /// Ratio of the 99th percentiles.
     pub p99: Option<f64>,
-    /// The ratio of the 99.9th percentiles.
+    /// Ratio of the 99.9th percentiles.
     pub p999: Option<f64>,
-    /// The ratio of the urgent queries' 99th percentiles.
+    /// Ratio of the urgent queries' 99th percentiles.
     pub urgent_p99: Option<f64>,
-    /// The ratio of the urgent queries' shares in time.
+    /// Ratio of the urgent queries' shares in time.
     pub urgent_in_time: Option<f64>,
-    /// The ratio of goodput.
+    /// Ratio of useful work.
     pub goodput: Option<f64>,
-    /// The ratio of fairness.
+    /// Ratio of the lowest teams' results.
     pub fairness: Option<f64>,
-    /// The ratio of coverage.
+    /// Ratio of mean coverage.
     pub coverage: Option<f64>,
-    /// The ratio of extra load.
+    /// Ratio of attempts per needed attempt.
     pub extra_load: Option<f64>,
 }
 
 impl RatioLine {
-    /// Returns the ratios of two lines of the same scenario and seed.
+    /// Divides two results of the same scenario and seed.
     #[must_use]
     pub fn from_runs(current: &RunLine, baseline: &RunLine) -> Self {
         Self {
@@ -131,13 +131,13 @@
     }
 }
 
-/// Divides where both are there and the divisor is above zero.
+/// Returns none if a value is missing or the divisor isn't above zero.
 fn ratio(current: Option<f64>, baseline: Option<f64>) -> Option<f64> {
     let baseline = baseline.filter(|figure| *figure > 0.0)?;
     Some(rounded(current? / baseline))
 }
 
-/// Rounds to four decimals, so that lines can be read.
+/// Rounds to four decimals for output.
 #[must_use]
 pub fn rounded(figure: f64) -> f64 {
     (figure * 1e4).round() / 1e4
--- a/alderhaven-load/src/run_options.rs
+++ b/alderhaven-load/src/run_options.rs
@@ -1,4 +1,4 @@
-//! What a run is asked to do.
+//! Options of a run.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_policy::policy_kind::PolicyKind;
@@ -6,35 +6,35 @@
 
 use crate::scenario::ScenarioKind;
 
-/// A `RunOptions` says what one run of one policy does.
+/// Options of one run of one policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunOptions {
-    /// The deployment whose targets and templates are used.
+    /// Deployment whose targets and templates are used.
     pub deployment: DeploymentKind,
-    /// The scenario.
+    /// Load pattern and faults.
     pub scenario: ScenarioKind,
-    /// The policy of entries and relays.
+    /// Policy of entries and relays.
     pub policy: PolicyKind,
-    /// The arrivals a second, as a share of what the targets can serve.
+    /// Base load as a share of the targets' capacity.
     pub load: f64,
-    /// The measured time.
+    /// Duration of the measurement.
     pub measured_time: TimeSpan,
-    /// The time before it, whose queries are checked but not measured.
+    /// Load before the measurement; its queries are checked but not measured.
     pub warm_up: TimeSpan,
-    /// The seed of arrivals, run times and faults.
+    /// Seed of arrivals, run times and faults.
     pub seed: u64,
-    /// The number of entries and of relays.
+    /// Number of entries, and of relays.
     pub nodes: usize,
-    /// The factor by which slow targets are slower.
+    /// Factor on the run times of slow targets.
     pub slow_factor: f64,
-    /// The share of the targets that are slow.
+    /// Share of the targets that are slow.
     pub slow_share: f64,
-    /// Leaves out the special queries of the scenario: the run that it is compared with.
+    /// Omits the scenario's special queries, for a comparison run.
     pub without_special_queries: bool,
 }
 
 impl RunOptions {
-    /// Gets when the faults and changes of the scenario come, since the run began.
+    /// Returns the time of the scenario's event, counted from the start of the run.
     #[must_use]
     pub fn event_at(&self) -> TimeSpan {
         self.warm_up + self.measured_time.mul_f64(0.25)
--- a/alderhaven-load/src/run_tally.rs
+++ b/alderhaven-load/src/run_tally.rs
@@ -1,4 +1,4 @@
-//! The adding up of a run's queries to its figures.
+//! Aggregates the replies of a run into its result.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +17,10 @@
 use crate::violations::{ViolationCounts, ViolationKind};
 use crate::workload::Workload;
 
-/// The longest latency that is told apart, in microseconds.
+/// Longer latencies are recorded as this.
 const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// A `RunTally` adds up queries and replies.
+/// Counters and histograms of one run.
 #[derive(Debug)]
 pub struct RunTally<'a> {
     options: &'a RunOptions,
@@ -33,10 +33,10 @@
     fairness: FairnessTally,
     errors: BTreeMap<String, u64>,
     violations: ViolationCounts,
-    /// The useful work that came in the measured time, in seconds of a slot.
+    /// Useful work that arrived in the measured time, in slot seconds.
     useful_work: f64,
     coverage_sum: f64,
-    /// The shards that answers cover, over the whole run.
+    /// Shards that the answers of the whole run cover.
     needed_attempts: usize,
 }
 
@@ -53,18 +53,18 @@
     urgent_in_time: u64,
 }
 
-/// A `QueryVerdict` is what a reply comes to for its caller.
+/// A reply as its caller judges it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct QueryResult {
     outcome: QueryOutcome,
     covered_share: f64,
     is_in_time: bool,
-    /// The answer is in time and covers what its template asks for.
+    /// The answer is in time and meets the coverage that its template requires.
     is_useful: bool,
 }
 
 impl<'a> RunTally<'a> {
-    /// Returns an empty tally.
+    /// Creates an empty tally.
     #[must_use]
     pub fn new(options: &'a RunOptions, workload: &'a Workload) -> Self {
         Self {
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Adds a violation.
+    /// Counts a violation, whenever it occurred.
     pub const fn add_violation(&mut self, kind: ViolationKind) {
         self.violations.add(kind);
     }
 
-    /// Adds a query with its reply.
+    /// Adds a query with its reply; the warm-up counts for needed attempts only.
     pub fn add(&mut self, query: &LoadQuery, reply: &QueryReply) {
         let parsed = reply.parse();
         if let ParsedReply::Answer(answer) = &parsed {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Returns the line of the run, in which the targets ran `attempts`.
+    /// Returns the result of a run in which the targets ran `attempts` attempts.
     #[must_use]
     pub fn line(&self, attempts: usize, shares: CpuShares) -> RunLine {
         let options = self.options;
@@ -241,8 +241,8 @@
     }
 }
 
-/// Returns true where the answer covers what its template asks for: all shards, or with a
-/// preference for latency the least share that it names.
+/// A complete answer is required; with a preference for latency, the template's minimum coverage is
+/// enough.
 fn meets_coverage(query: &LoadQuery, answer: &AnswerBody) -> bool {
     let template = &query.workload_template.template;
     match (template.preference, template.min_coverage) {
--- a/alderhaven-load/src/scenario.rs
+++ b/alderhaven-load/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios: the load pattern and the faults of a run.
+//! Scenarios: the load pattern and the faults of a run.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,49 +6,49 @@
 use alderhaven_core::errors::Error;
 use serde::{Deserialize, Serialize};
 
-/// A `ScenarioKind` is a load pattern with its faults.
+/// Load pattern with its faults.
 ///
-/// Faults and changes come when a quarter of the measured time is over, so that each run has its
-/// own steady part to compare with.
+/// Faults and changes occur after a quarter of the measured time; the part before serves as
+/// reference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ScenarioKind {
-    /// A steady load on sound targets.
+    /// Steady load on healthy targets.
     Steady,
-    /// Some replicas are slower by a factor during the whole run.
+    /// Some replicas are slow during the whole run.
     SlowTarget,
-    /// A steady load above the targets' capacity.
+    /// Steady load above the targets' capacity.
     Overload,
-    /// Five times the load for a second.
+    /// Five times the load for one second.
     Burst,
     /// One team offers ten times its share.
     HotTeam,
-    /// One key is asked as often as its whole service can answer.
+    /// Queries of a single key take the whole capacity of its service.
     HotKey,
-    /// Long jobs at the services that urgent queries ask.
+    /// Long-running queries at the services of urgent queries.
     LongAmongShort,
-    /// Some targets leave by the host list, which lags, and stop after a while.
+    /// Some targets leave; the host list shows it late, and they stop after a delay.
     TargetLeaving,
-    /// All services change their index versions, and one its number of shards.
+    /// All services get a new index version, and one a new number of shards.
     SnapshotChange,
-    /// Requests that crash the target that runs them, sent again through every entry.
+    /// Requests that crash the target that runs them, repeated through every entry.
     Poison,
     /// The open connections of some targets stop answering; new ones work.
     SilentConnections,
-    /// Some targets start anew and are slow at first.
+    /// Some targets restart and are slow at first.
     ColdStart,
-    /// All targets of a failure domain are down for a while.
+    /// All targets of a failure domain are down for some seconds.
     DomainLoss,
-    /// A relay dies.
+    /// One relay crashes.
     RelayCrash,
-    /// The object API and the host list are out of service for a while.
+    /// Object API and host list are unavailable for some seconds.
     StoreOutage,
-    /// Two operators publish the same template at the same time, again and again.
+    /// Two operators repeatedly publish the same template at the same time.
     PublishRace,
 }
 
 impl ScenarioKind {
-    /// All scenarios.
+    /// All scenarios, in the order of the command's help.
     pub const ALL: [Self; 16] = [
         Self::Steady,
         Self::SlowTarget,
@@ -68,7 +68,7 @@
         Self::PublishRace,
     ];
 
-    /// Gets the load that the scenario has unless another is asked for.
+    /// Returns the load if none is given.
     #[must_use]
     pub const fn default_load(self) -> f64 {
         match self {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns true where the scenario is judged by a second run without its special queries.
+    /// Returns true if the result is compared with that of a second run without special queries.
     #[must_use]
     pub const fn has_comparison_run(self) -> bool {
         matches!(self, Self::HotTeam | Self::HotKey | Self::LongAmongShort)
--- a/alderhaven-load/src/scenario_figures.rs
+++ b/alderhaven-load/src/scenario_figures.rs
@@ -1,5 +1,5 @@
-//! The figures that belong to single scenarios: what the others received, the way back to a steady
-//! tail, crashes, ejections.
+//! Figures of single scenarios: results of the unaffected queries, recovery of the latency, crashes
+//! and leaving targets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,21 +16,21 @@
 use crate::run_options::RunOptions;
 use crate::scenario::ScenarioKind;
 
-/// The length of the windows in which the tail is looked at on its way back, and their step.
+/// Length and step of the sliding window for latency percentiles.
 const WINDOW_LENGTH_AND_STEP: (TimeSpan, TimeSpan) =
     (TimeSpan::from_secs(1), TimeSpan::from_millis(100));
-/// The factor of the steady tail within which a tail is called back.
+/// A 99th percentile within this factor of the steady one counts as recovered.
 const RECOVERED_FACTOR: f64 = 1.25;
 
-/// A `FigureMap` holds figures by their name; one that can't be told is `null`.
+/// Figures by name; one that can't be computed is `null`.
 pub type FigureMap = BTreeMap<String, Option<f64>>;
 
-/// A `FigureTally` gathers what the figures are worked out from.
+/// Collects what the scenario's figures are computed from.
 #[derive(Debug)]
 pub struct FigureTally<'a> {
     options: &'a RunOptions,
     hot_team: TeamId,
-    /// When the even load's answered queries were due, and their latencies.
+    /// Due times and latencies of the base load's answered queries.
     answered_latencies: Vec<(TimeSpan, TimeSpan)>,
     others: GroupTally,
     long_jobs: GroupTally,
@@ -46,7 +46,7 @@
 }
 
 impl<'a> FigureTally<'a> {
-    /// Returns an empty tally.
+    /// Creates an empty tally.
     #[must_use]
     pub fn new(options: &'a RunOptions) -> Self {
         Self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds a query with its reply; only those due in the measured time count.
+    /// Adds a query with its reply, if it was due in the measured time.
     pub fn add(&mut self, query: &LoadQuery, reply: &QueryReply) {
         let begin = self.options.warm_up;
         if !(begin..begin + self.options.measured_time).contains(&query.due_at) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Works out the figures of the scenario.
+    /// Computes the figures of the scenario.
     #[must_use]
     pub fn figures(&self, records: &[RunRecord], leaving_targets: &[LeavingRecord]) -> FigureMap {
         let mut figures = FigureMap::new();
@@ -145,12 +145,12 @@
         insert_figure(figures, "others_coverage", coverage);
     }
 
-    /// Adds the tail before the event, the worst tail of any second after `end`, and the time from
-    /// `end` until after that one the tail of a second is near the steady one again.
+    /// Adds the 99th percentile before the event, the worst one of any window after `end`, and the
+    /// time from `end` to the first recovered window after the worst.
     fn add_recovery(&self, figures: &mut FigureMap, end: TimeSpan) {
         let steady = self.p99_between(self.options.warm_up, self.options.event_at());
         let windows = self.windows_after(end);
-        // The first of the worst windows: a tail that stays bad never comes back.
+        // Takes the first of equally bad windows.
         let mut worst: Option<(TimeSpan, f64)> = None;
         for (begin, p99) in &windows {
             if worst.is_none_or(|(_, most)| *p99 > most) {
@@ -159,7 +159,7 @@
         }
         let is_near_steady =
             |p99: f64| steady.is_some_and(|steady| p99 <= steady * RECOVERED_FACTOR);
-        // A tail that was never away has no way back.
+        // If the worst window is near the steady value, the first window counts as recovered.
         let is_recovered = |(begin, p99): &&(TimeSpan, f64)| {
             worst.is_some_and(|(at, most)| *begin >= at || is_near_steady(most))
                 && is_near_steady(*p99)
@@ -172,7 +172,7 @@
         figures.insert("back_to_steady_ms".to_owned(), recovered_ms);
     }
 
-    /// Gets the tails of the windows from `end` on, with their beginnings.
+    /// Returns the 99th percentiles of the windows from `end` on, with their starts.
     fn windows_after(&self, end: TimeSpan) -> Vec<(TimeSpan, f64)> {
         let (length, step) = WINDOW_LENGTH_AND_STEP;
         let last = self.options.warm_up + self.options.measured_time;
@@ -228,12 +228,12 @@
     figures.insert("last_run_after_leaving_ms".to_owned(), latest);
 }
 
-/// Adds a figure under its name.
+/// Adds a figure, rounded.
 pub fn insert_figure(figures: &mut FigureMap, name: &str, figure: f64) {
     figures.insert(name.to_owned(), Some(rounded(figure)));
 }
 
-/// Gets the latency that 99 in 100 keep, in milliseconds.
+/// Returns the 99th percentile in milliseconds; none without latencies.
 fn p99_ms(mut latencies: Vec<TimeSpan>) -> Option<f64> {
     latencies.sort_unstable();
     let rank = (latencies.len() * 99).div_ceil(100);
--- a/alderhaven-load/src/test_bed.rs
+++ b/alderhaven-load/src/test_bed.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process: stand-ins of platform and targets, relays and entries.
+//! Complete system in one process: stand-ins of platform and targets, relays and entries.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -31,14 +31,14 @@
 use crate::scenario::ScenarioKind;
 use crate::workload::Workload;
 
-/// The time within which the whole path must be ready.
+/// Time within which the system must be ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// The pause between two looks at whether it is.
+/// Interval of the checks for readiness and for idle targets.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The pause between two looks at the configuration in force during a run.
+/// Interval of the checks of each node's configuration.
 const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A `TestBed` is a running system with its stand-ins.
+/// Running system with its stand-ins.
 #[derive(Debug)]
 pub struct TestBed {
     platform: PlatformServer,
@@ -46,7 +46,7 @@
     manifests: Mutex<Vec<SnapshotManifest>>,
     templates: Vec<QueryTemplate>,
     publication_count: AtomicUsize,
-    /// The runtime of the first relay where that is to die.
+    /// Runtime of the first relay in scenarios that crash it.
     crashable_runtime: Mutex<Option<CrashableRuntime>>,
     configs: Vec<(NodeId, ConfigHandle)>,
     relays: Vec<RelayNode>,
@@ -56,10 +56,11 @@
 }
 
 impl TestBed {
-    /// Starts everything and waits until the configuration is in force on every node.
+    /// Starts all parts, and waits until every node has the complete configuration and all links
+    /// are up.
     ///
     /// # Errors
-    /// Where an address can't be bound or the system does not become ready.
+    /// Where an address can't be bound, or the system isn't ready in time.
     pub async fn start(workload: &Workload, options: &RunOptions) -> Result<Self> {
         let platform = PlatformServer::start(PlatformOptions {
             objects: vec![workload.objects()],
@@ -129,7 +130,7 @@
         Ok(())
     }
 
-    /// Reads settings as a process does; what is left out takes its default.
+    /// Parses a node's settings as its process does; omitted ones take their defaults.
     fn node_settings<T: serde::de::DeserializeOwned>(
         &self,
         role: &str,
@@ -179,66 +180,66 @@
             && self.entries.iter().all(is_linked)
     }
 
-    /// Gets the addresses for callers.
+    /// Returns the addresses for callers.
     #[must_use]
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(EntryNode::caller_address).collect()
     }
 
-    /// Gets the targets.
+    /// Returns the targets.
     #[must_use]
     pub const fn fleet(&self) -> &TargetFleet {
         &self.fleet
     }
 
-    /// Gets all manifests that were published.
+    /// Returns all published manifests, former ones included.
     #[must_use]
     pub fn manifests(&self) -> Vec<SnapshotManifest> {
         lock(&self.manifests).clone()
     }
 
-    /// Notes manifests that were published.
+    /// Adds manifests that were published.
     pub fn record_manifests(&self, manifests: impl IntoIterator<Item = SnapshotManifest>) {
         lock(&self.manifests).extend(manifests);
     }
 
-    /// Gets the platform's address.
+    /// Returns the platform's address.
     #[must_use]
     pub const fn platform_address(&self) -> SocketAddr {
         self.platform.address()
     }
 
-    /// Gets the platform's store, for faults.
+    /// Returns the platform's store, to inject faults.
     #[must_use]
     pub const fn store(&self) -> &FakeStore {
         self.platform.store()
     }
 
-    /// Gets the last template.
+    /// Returns the last template of the workload.
     #[must_use]
     pub fn last_template(&self) -> Option<QueryTemplate> {
         self.templates.last().cloned()
     }
 
-    /// Counts publications that were taken.
+    /// Adds to the number of accepted publications.
     pub fn add_publications(&self, count: usize) {
         self.publication_count.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// Gets the number of publications that were counted.
+    /// Returns the number of accepted publications.
     #[must_use]
     pub fn publication_count(&self) -> usize {
         self.publication_count.load(Ordering::Relaxed)
     }
 
-    /// Gets the number of ejections of targets, each entry's counted.
+    /// Returns the number of target ejections, summed over all entries.
     #[must_use]
     pub fn ejection_count(&self) -> u64 {
         let count = |entry: &EntryNode| entry.state().metrics.ejections.get();
         self.entries.iter().map(count).sum()
     }
 
-    /// Gets the fewest relays that any entry can use.
+    /// Returns the lowest number of usable relays among the entries.
     #[must_use]
     pub fn min_usable_relays(&self) -> usize {
         let usable = |entry: &EntryNode| {
@@ -248,21 +249,21 @@
         self.entries.iter().map(usable).min().unwrap_or(0)
     }
 
-    /// Ends all tasks and connections of the first relay at once.
+    /// Crashes the first relay, if it runs on its own runtime.
     pub fn crash_relay(&self) {
         lock(&self.crashable_runtime).take();
     }
 
-    /// Gets what was seen of the nodes' configuration.
+    /// Returns the observed configuration revisions, in the order of observation.
     #[must_use]
     pub fn config_observations(&self) -> Vec<ConfigObservation> {
         lock(&self.config_observations).clone()
     }
 
-    /// Waits until the targets run nothing.
+    /// Waits until no attempt runs at any target.
     ///
     /// # Errors
-    /// Where a run goes on beyond `limit`.
+    /// Where an attempt still runs after `limit`.
     pub async fn wait_until_idle(&self, limit: Duration) -> Result<()> {
         let end = Instant::now() + limit;
         while self.fleet.run_log().running_count() > 0 {
@@ -277,7 +278,7 @@
         Ok(())
     }
 
-    /// Stops everything.
+    /// Stops nodes, targets and platform.
     pub async fn stop(self) {
         self.shutdown.cancel();
         drop(self.entries);
--- a/alderhaven-load/src/test_run.rs
+++ b/alderhaven-load/src/test_run.rs
@@ -1,4 +1,4 @@
-//! One run of one policy: start, load, checks, figures.
+//! Executes one run: start, load, checks and result.
 
 use std::time::Duration;
 
@@ -19,16 +19,15 @@
 use crate::violations::ViolationKind;
 use crate::workload::Workload;
 
-/// The time within which targets end their last runs; cancelled ones end at once.
+/// Time within which the targets must finish their last attempts.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The figure by which a compared scenario is judged.
+/// Figure that is compared with that of the run without special queries.
 const COMPARED_FIGURE: &str = "others_p99_ms";
 
-/// Runs one policy and returns its line; a compared scenario runs twice, with its special queries
-/// and without them.
+/// Runs one policy; some scenarios run a second time without their special queries, for comparison.
 ///
 /// # Errors
-/// Where the system can't be started or does not come to rest.
+/// Where the system can't be started, or attempts don't end.
 pub async fn run(options: &RunOptions) -> Result<RunLine> {
     let mut line = run_once(options).await?;
     if options.scenario.has_comparison_run() {
--- a/alderhaven-load/src/violations.rs
+++ b/alderhaven-load/src/violations.rs
@@ -1,52 +1,52 @@
-//! The kinds of broken promises that the oracle tells apart, and their counts.
+//! Kinds of violations that the oracle detects, and their counts.
 
 use serde::{Deserialize, Serialize};
 
-/// A `ViolationKind` is a promise that was broken.
+/// Guarantee of the system that was broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ViolationKind {
-    /// An answer mixes snapshots, or names one that was never published.
+    /// Rows of several snapshots, or a snapshot that was never published.
     MixedSnapshot,
-    /// The coverage is not what the rows and the targets' runs show.
+    /// Coverage that the rows or the targets' runs contradict.
     UntrueCoverage,
-    /// An answer has rows of another query.
+    /// Rows of another query.
     Crossed,
-    /// A request was refused as not run, and a target ran it.
+    /// A query was refused as not run although a target ran it.
     FalseNotRun,
-    /// A non-idempotent request ran twice.
+    /// A non-idempotent query ran more than once.
     DoubleRun,
-    /// A target ran work too long after it began to leave.
+    /// A target ran new work too long after it began to leave.
     WorkAfterLeaving,
-    /// A connection was cut while its request was in flight.
+    /// A connection broke while its request was in flight.
     CutInFlight,
-    /// A node's configuration went back to an earlier one.
+    /// A node's configuration went back to an earlier revision.
     Reverted,
 }
 
-/// A `ViolationCounts` counts the violations of a run.
+/// Number of violations by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViolationCounts {
-    /// Answers with mixed or unknown snapshots.
+    /// Answers with rows of several snapshots, or of an unpublished one.
     pub mixed_snapshot: u64,
-    /// Answers with untrue coverage.
+    /// Answers with wrong coverage.
     pub untrue_coverage: u64,
     /// Answers with rows of another query.
     pub crossed: u64,
-    /// Refusals as not run of what ran.
+    /// Refusals as not run of queries that ran.
     pub false_not_run: u64,
-    /// Non-idempotent requests that ran twice.
+    /// Non-idempotent queries that ran more than once.
     pub double_run: u64,
-    /// Runs at targets that were leaving.
+    /// Runs at targets that had left for too long.
     pub work_after_leaving: u64,
-    /// Requests whose connection was cut.
+    /// Requests whose connection broke.
     pub cut_in_flight: u64,
-    /// Steps back of the configuration.
+    /// Returns of a node to an earlier revision.
     pub reverted: u64,
 }
 
 impl ViolationCounts {
-    /// Counts a violation.
+    /// Counts one violation.
     pub const fn add(&mut self, kind: ViolationKind) {
         let count = match kind {
             ViolationKind::MixedSnapshot => &mut self.mixed_snapshot,
@@ -61,7 +61,7 @@
         *count += 1;
     }
 
-    /// Gets the number of all violations.
+    /// Returns the sum over all kinds.
     #[must_use]
     pub const fn total(&self) -> u64 {
         self.mixed_snapshot
--- a/alderhaven-load/src/workload.rs
+++ b/alderhaven-load/src/workload.rs
@@ -1,5 +1,4 @@
-//! What is asked of a deployment: teams, templates and their mix, from the YAML files under
-//! `workloads/`.
+//! Workload of a deployment: teams, templates and their mix, from the YAML files in `workloads/`.
 
 use std::collections::BTreeMap;
 
@@ -17,70 +16,70 @@
 const VOLTA_YAML: &str = include_str!("../workloads/volta.yaml");
 const LAGERBLIK_YAML: &str = include_str!("../workloads/lagerblik.yaml");
 
-/// The mean run time of a long job, some thirty times that of a short query.
+/// Mean run time of a long job's attempts, many times that of a short query.
 const LONG_JOB_MEAN_RUN_TIME: TimeSpan = TimeSpan::from_secs(1);
-/// The deadline of a long job.
+/// Deadline of long jobs.
 const LONG_JOB_DEADLINE: TimeSpan = TimeSpan::from_secs(20);
-/// The part of a service's capacity that long jobs take.
+/// Share of a service's capacity that long jobs take.
 const LONG_JOB_CAPACITY_SHARE: f64 = 0.2;
 
-/// A `WorkloadFile` is the content of a workload file.
+/// Content of a workload file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkloadFile {
-    /// The teams.
+    /// Teams that send queries.
     pub teams: Vec<TeamPolicy>,
-    /// The templates.
+    /// Templates that are published.
     pub templates: Vec<QueryTemplate>,
-    /// How often each template is asked.
+    /// How often each template is queried.
     pub mix: Vec<MixEntry>,
 }
 
-/// A `MixEntry` says how often a template is asked and by whom.
+/// How often a template is queried and by which teams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MixEntry {
-    /// The template.
+    /// Name of the queried template.
     pub template: TemplateName,
-    /// The part of its service's capacity that the template takes at load 1.
+    /// Share of the service's capacity that the template takes at load 1.
     #[serde(rename = "share")]
     pub capacity_share: f64,
-    /// The mean run time at a target.
+    /// Mean run time of an attempt at a target.
     #[serde(rename = "mean")]
     pub mean_run_time: TimeSpan,
-    /// The parameter that is unique to each query, so that runs can be told apart.
+    /// Parameter that gets a unique value in each query, so that runs can be attributed.
     #[serde(rename = "tag")]
     pub unique_parameter: String,
-    /// The teams that ask, by their part of the queries.
+    /// Querying teams with their shares of the queries.
     pub teams: BTreeMap<TeamId, f64>,
 }
 
-/// A `MixedTemplate` is a template with its place in the mix and its service.
+/// Template with its entry of the mix and its service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadTemplate {
-    /// The place in the mix.
+    /// Rate, run time and teams.
     pub mix_entry: MixEntry,
-    /// The template.
+    /// Definition of the template.
     pub template: QueryTemplate,
-    /// The service that it asks.
+    /// Service that the template reads.
     pub layout: ServiceLayout,
 }
 
-/// A `Workload` is what is asked of a deployment, with the services that are asked.
+/// Teams, templates and services of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workload {
-    /// The teams.
+    /// Teams that send queries.
     pub teams: Vec<TeamPolicy>,
-    /// The templates of the mix.
+    /// Templates of the base load.
     pub mix: Vec<WorkloadTemplate>,
-    /// The services, with the run times of the mix.
+    /// Services, with the run times of the mix.
     pub layouts: Vec<ServiceLayout>,
-    /// Long jobs, which are not part of the mix.
+    /// Long jobs, which aren't part of the mix.
     pub long_jobs: Vec<WorkloadTemplate>,
 }
 
 impl WorkloadTemplate {
-    /// Gets the number of shards that a query asks.
+    /// Returns how many shards a query reads.
     #[must_use]
     pub fn shard_count(&self) -> u32 {
         match &self.template.shards {
@@ -90,13 +89,13 @@
         }
     }
 
-    /// Gets the work of a query, in seconds of a slot: the fewest attempts by their mean time.
+    /// Returns the mean work of a query in slot seconds: one attempt per shard.
     #[must_use]
     pub fn mean_work(&self) -> f64 {
         f64::from(self.shard_count()) * self.mix_entry.mean_run_time.as_secs_f64()
     }
 
-    /// Gets the queries a second that take the entry's share of the service.
+    /// Returns the queries per second at load 1.
     #[must_use]
     pub fn rate_at_full_load(&self) -> f64 {
         self.mix_entry.capacity_share * slot_count(&self.layout) / self.mean_work()
@@ -104,10 +103,10 @@
 }
 
 impl Workload {
-    /// Returns the workload of a deployment.
+    /// Loads the workload of a deployment.
     ///
     /// # Errors
-    /// `Error::Invalid` where the deployment's file does not check.
+    /// `Error::Invalid` where the deployment's file is invalid.
     pub fn for_deployment(deployment: DeploymentKind) -> Result<Self> {
         let text = match deployment {
             DeploymentKind::Volta => VOLTA_YAML,
@@ -117,10 +116,10 @@
         Self::from_file(settings::read_text(&path, text)?, deployment.layouts())
     }
 
-    /// Joins a workload file to the services that it asks.
+    /// Combines a workload file with the services that it queries.
     ///
     /// # Errors
-    /// `Error::Invalid` for a template or service that is not there.
+    /// `Error::Invalid` for an unknown template or service.
     pub fn from_file(file: WorkloadFile, mut layouts: Vec<ServiceLayout>) -> Result<Self> {
         let mut mix = Vec::new();
         for entry in file.mix {
@@ -153,10 +152,10 @@
         })
     }
 
-    /// Adds long jobs at the services that urgent templates ask: bulk queries of the same teams.
+    /// Adds long jobs at the services of urgent templates: bulk queries by the same teams.
     ///
     /// # Errors
-    /// `Error::Parse` where a name becomes too long.
+    /// `Error::Parse` where a template's name is too long.
     pub fn add_long_jobs(&mut self) -> Result<()> {
         let is_urgent = |workload_template: &&WorkloadTemplate| {
             workload_template.template.class == QueryClass::Urgent
@@ -184,7 +183,7 @@
         Ok(())
     }
 
-    /// Gets the objects to publish.
+    /// Returns the objects to publish.
     #[must_use]
     pub fn objects(&self) -> ObjectSet {
         ObjectSet {
@@ -199,7 +198,7 @@
         }
     }
 
-    /// Gets the queries a second at load 1.
+    /// Returns the queries per second at load 1.
     #[must_use]
     pub fn rate_at_full_load(&self) -> f64 {
         self.mix
@@ -208,7 +207,7 @@
             .sum()
     }
 
-    /// Gets the slots of all services that the mix asks: the seconds of a slot in a second.
+    /// Returns the slots of all services of the mix, which is their work per second.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         self.layouts
@@ -222,7 +221,7 @@
             .sum()
     }
 
-    /// Gets the weight of a team, 1 where it is not known.
+    /// Returns the weight of a team; 1 for an unknown one.
     #[must_use]
     pub fn team_weight(&self, team: &TeamId) -> f64 {
         self.teams
--- a/alderhaven-load/tests/answer_oracle.rs
+++ b/alderhaven-load/tests/answer_oracle.rs
@@ -1,4 +1,4 @@
-//! Tests of the oracle: it passes what is right and finds each kind of broken promise.
+//! The oracle accepts correct replies and detects each kind of violation.
 
 mod common;
 
--- a/alderhaven-load/tests/arrivals.rs
+++ b/alderhaven-load/tests/arrivals.rs
@@ -1,4 +1,4 @@
-//! Tests of the arrival schedule.
+//! Arrival times of the open-loop load.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_load::arrivals::{ArrivalSchedule, RatePhase};
@@ -35,8 +35,8 @@
         prop_assert_eq!(times, again);
     }
 
-    /// The count is Poisson: its standard deviation is the root of its mean, and more than six of
-    /// them do not occur in as many cases as can be run.
+    /// The number of arrivals is Poisson distributed: its standard deviation is the square root of
+    /// the mean. More than six of them don't occur.
     #[test]
     fn schedule_count_follows_rate(seed: u64, rate in 100.0..2_000.0) {
         let phases = vec![phase(4, rate), phase(2, 2.0 * rate)];
@@ -48,8 +48,8 @@
     }
 }
 
-/// Gaps of a Poisson process are exponential: their deviation is as large as their mean. Even gaps
-/// (a closed loop, or a fixed pace) would never let two queries come together.
+/// Gaps of a Poisson process are exponential, so their standard deviation equals their mean. A
+/// constant pace would hide the effect of arrivals close together.
 #[test]
 fn schedule_gaps_exponential() {
     let times: Vec<f64> = ArrivalSchedule::new(5, vec![phase(20, 1_000.0)])
--- a/alderhaven-load/tests/common/mod.rs
+++ b/alderhaven-load/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Queries, manifests, runs and replies made by hand.
+//! Hand-made queries, manifests, runs and replies.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 
 pub const SHARD_COUNT: u32 = 3;
 
-/// Gets a duplicate check (urgent, all shards, concatenated) that is due at `due_ms`.
+/// Returns an urgent query of all shards with concatenated rows, due at `due_ms`.
 pub fn duplicate_check(number: u64, due_ms: u64) -> LoadQuery {
     query_of("duplicate-check", number, due_ms)
 }
@@ -45,7 +45,7 @@
     "assignment-desk".parse().unwrap()
 }
 
-/// Gets the manifest of [`SHARD_COUNT`] shards whose index version is the snapshot's number.
+/// Returns a manifest of [`SHARD_COUNT`] shards, whose index version is the snapshot's number.
 pub fn manifest(snapshot: u64) -> SnapshotManifest {
     let shards = (0..SHARD_COUNT).map(|shard| ShardEntry {
         shard: ShardId(shard),
@@ -126,7 +126,7 @@
     json!({"error": {"code": "overloaded", "message": "full", "not_run": true}})
 }
 
-/// Gets the reply with `body` to a query, `latency_ms` after it was due.
+/// Returns a reply with `body` that arrives `latency_ms` after the query was due.
 pub fn reply(query: &LoadQuery, latency_ms: u64, body: &Value) -> QueryReply {
     reply_of(
         query,
--- a/alderhaven-load/tests/figures.rs
+++ b/alderhaven-load/tests/figures.rs
@@ -1,4 +1,4 @@
-//! Tests of the figures: workloads, fairness, tally and the result line.
+//! Workloads, fairness, the tally and the fields of the result.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use common::{complete_answer, duplicate_check, refusal, reply, reply_of};
 use serde_json::{Value, json};
 
-/// The fields that readers of result lines rely on, in their order.
+/// Fields that readers of result lines rely on, in their order.
 const RESULT_FIELDS: [&str; 20] = [
     "scenario",
     "policy",
@@ -98,7 +98,7 @@
         work(2.0, 90.0, 15.0),
     ];
     let shares = fairness_tally::fair_shares(&team_work);
-    // The first team wants less than its part; the other 55 are shared one to two.
+    // The first team offers less than its share; the other 55 are divided one to two.
     assert!((shares[0] - 5.0).abs() < 1e-9);
     assert!((shares[1] - 55.0 / 3.0).abs() < 1e-9);
     assert!((shares[2] - 110.0 / 3.0).abs() < 1e-9);
@@ -129,7 +129,7 @@
         tally.add(&query, &reply(&query, 2, &refusal()));
         let query = duplicate_check(4, 2_000);
         tally.add(&query, &reply_of(&query, 900, ReplyContent::TimedOut));
-        // Due in the warm-up: checked, not counted.
+        // Due in the warm-up, so it isn't counted.
         let query = duplicate_check(5, 500);
         tally.add(&query, &reply(&query, 10, &complete_answer(&query)));
         tally.add_violation(ViolationKind::Crossed);
@@ -146,7 +146,7 @@
     );
     assert_eq!(line.urgent_in_time, Some(0.25));
     assert_eq!(line.coverage, Some(0.6667));
-    // Twelve attempts for three answers over three shards each.
+    // Twelve attempts for three answers of three shards each.
     assert_eq!(line.extra_load, Some(1.3333));
     assert_eq!(line.violations.crossed, 1);
     assert_eq!(line.errors.get("overloaded"), Some(&1));
@@ -156,8 +156,8 @@
 
 #[test]
 fn line_latency_from_due_time() {
-    // A caller that waits for earlier replies before it sends hides the wait in its own queue;
-    // the latency counts from when the query was due.
+    // Latency includes the delay before sending; otherwise a slow sender hides queueing
+    // (coordinated omission).
     let line = line(3, |tally| {
         let query = duplicate_check(1, 1_000);
         let mut late = reply(&query, 700, &complete_answer(&query));
--- a/alderhaven-load/tests/load_plan.rs
+++ b/alderhaven-load/tests/load_plan.rs
@@ -1,4 +1,4 @@
-//! Tests of the queries that scenarios add to the even load.
+//! Special queries of the scenarios, and the unchanged base load.
 
 use std::collections::BTreeSet;
 
@@ -27,7 +27,7 @@
     load_plan::plan_queries(options, &workload).unwrap()
 }
 
-/// What is compared between two draws: when, what, who.
+/// Due time, template and team of each query of the base load.
 fn base_of(queries: &[LoadQuery]) -> Vec<(TimeSpan, String, String)> {
     let base = queries
         .iter()
--- a/alderhaven-load/tests/report.rs
+++ b/alderhaven-load/tests/report.rs
@@ -1,4 +1,4 @@
-//! Tests of the report.
+//! Parsing of saved lines, tables and plots.
 
 mod common;
 
@@ -64,7 +64,7 @@
     assert!(page.contains("| steady | current | 1 | ejections | 2 |"));
     assert!(page.contains("| steady | current | 1 | back_to_steady_ms | – |"));
     assert!(page.contains("(goodput.svg)"));
-    // Each table's rows are as wide as its head.
+    // All rows of a table have as many columns as its header.
     for table in page.split("\n\n").filter(|part| part.starts_with('|')) {
         let widths: Vec<usize> = table.lines().map(|row| row.matches('|').count()).collect();
         assert!(widths.iter().all(|width| *width == widths[0]), "{table}");
--- a/alderhaven-load/tests/scenario_figures.rs
+++ b/alderhaven-load/tests/scenario_figures.rs
@@ -1,4 +1,4 @@
-//! Tests of the figures that belong to single scenarios.
+//! Figures of single scenarios.
 
 mod common;
 
@@ -44,7 +44,7 @@
 
 #[test]
 fn figures_recovery_after_burst() {
-    // 100 ms before, 500 ms during the burst and for 1.05 s after it, then 100 ms again.
+    // Latency is 500 ms during the burst and for 1.05 s after it, and 100 ms otherwise.
     let pairs: Vec<(LoadQuery, QueryReply)> = (0..160)
         .map(|number| {
             let due = 1_000 + number * 50;
@@ -61,7 +61,7 @@
 
 #[test]
 fn figures_without_degradation() {
-    // The slowest second comes late and is near the steady one: there was nothing to come back from.
+    // The slowest window comes late but is near the steady value, so the latency never degraded.
     let pairs: Vec<(LoadQuery, QueryReply)> = (0..160)
         .map(|number| {
             let due = 1_000 + number * 50;
@@ -92,7 +92,7 @@
     pairs.push((refused.clone(), reply(&refused, 1, &refusal())));
     pairs.push(answered(4, 2_000, 900));
     pairs[3].0.group = QueryGroup::LongJob;
-    // Due in the warm-up: not counted.
+    // Due in the warm-up, so it isn't counted.
     pairs.push(answered(5, 500, 900));
     let figures = figures(ScenarioKind::LongAmongShort, &pairs, &[], &[]);
     assert_eq!(figures["others_p99_ms"], Some(120.0));
--- a/alderhaven-load/tests/whole_run.rs
+++ b/alderhaven-load/tests/whole_run.rs
@@ -1,4 +1,4 @@
-//! A short run of the whole path.
+//! Short runs of the complete system.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_load::run_options::RunOptions;
@@ -7,8 +7,7 @@
 use alderhaven_policy::policy_kind::PolicyKind;
 use alderhaven_standin::service_layout::DeploymentKind;
 
-/// Both deployments are asked below their capacity: every query has an outcome and no promise is
-/// broken, whatever the machine's speed.
+/// Below capacity every query has an outcome and there are no violations, on a slow machine too.
 #[tokio::test(flavor = "multi_thread")]
 async fn run_every_query_accounted_for() {
     for deployment in [DeploymentKind::Volta, DeploymentKind::Lagerblik] {
@@ -31,8 +30,7 @@
     }
 }
 
-/// Targets crash, leave, fall silent and change their versions, a relay dies and the platform is
-/// away: whatever becomes of the queries, each has an outcome and no promise is broken.
+/// Under faults and changes every query has an outcome and there are no violations.
 #[tokio::test(flavor = "multi_thread")]
 async fn run_faults_keep_promises() {
     for scenario in [
--- a/alderhaven-standin/src/attempt_head.rs
+++ b/alderhaven-standin/src/attempt_head.rs
@@ -1,4 +1,4 @@
-//! The targets' side of their HTTP dialect.
+//! The target's side of the HTTP protocol between relays and targets.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,30 +10,30 @@
 
 use crate::http_server::{HttpReply, text_reply};
 
-/// An `AttemptHead` is what the headers of an attempt say.
+/// Metadata of an attempt, as carried by its request headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptHead {
-    /// The attempt.
+    /// Identifies the attempt in cancellations and in the run log.
     pub attempt: AttemptId,
-    /// The service.
+    /// Service that the attempt is addressed to.
     pub service: ServiceName,
-    /// The template.
+    /// Name of the query template.
     pub template: String,
-    /// The pinned snapshot.
+    /// Snapshot that the query is pinned to.
     pub snapshot: SnapshotId,
-    /// The shard.
+    /// Shard to read.
     pub shard: ShardId,
-    /// The pinned index version.
+    /// Index version that the query is pinned to.
     pub version: IndexVersion,
-    /// The remaining time.
+    /// Time until the deadline, counted from the receipt of the request.
     pub remaining: TimeSpan,
 }
 
 impl AttemptHead {
-    /// Reads the headers of an attempt.
+    /// Parses the headers of a request.
     ///
     /// # Errors
-    /// The name of the header that is missing or unreadable.
+    /// The name of the first header that is missing or malformed.
     pub fn parse(headers: &HeaderMap) -> Result<Self, &'static str> {
         Ok(Self {
             attempt: parse_attempt_id(headers)?,
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Adds the headers that a reply echoes.
+    /// Copies the identifying headers into a reply, by which the caller checks that it matches.
     pub fn echo_headers(&self, reply: &mut HttpReply) {
         set_header(reply, target_dialect::ATTEMPT_HEADER, self.attempt);
         set_header(reply, target_dialect::SNAPSHOT_HEADER, self.snapshot);
@@ -56,15 +56,15 @@
     }
 }
 
-/// Gets the attempt id of a request.
+/// Parses the attempt id of a request.
 ///
 /// # Errors
-/// The name of the header where it is missing or unreadable.
+/// The name of the header if it is missing or malformed.
 pub fn parse_attempt_id(headers: &HeaderMap) -> Result<AttemptId, &'static str> {
     parse_header(headers, target_dialect::ATTEMPT_HEADER)
 }
 
-/// Returns a reply that says that the attempt did not run.
+/// Builds a reply that states that the attempt did not run, so that it may be retried.
 #[must_use]
 pub fn not_run_reply(status: StatusCode, reason: &str) -> HttpReply {
     let mut reply = text_reply(status, reason);
@@ -72,7 +72,7 @@
     reply
 }
 
-/// Sets a header of a reply.
+/// Replaces a header; a value that isn't valid in a header is skipped.
 pub fn set_header(reply: &mut HttpReply, name: &'static str, value: impl fmt::Display) {
     if let Ok(value) = HeaderValue::from_str(&value.to_string()) {
         reply.headers_mut().insert(name, value);
--- a/alderhaven-standin/src/fake_store.rs
+++ b/alderhaven-standin/src/fake_store.rs
@@ -1,5 +1,5 @@
-//! The platform in memory: object API and host list with fault switches, for tests in process and
-//! behind the HTTP form alike.
+//! In-memory platform: object API and host list with injectable faults. Tests use it in process;
+//! `platform_server` serves it over HTTP.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,12 +21,12 @@
 use crate::platform_faults::PlatformFaults;
 use crate::rate_limiter::RateLimiter;
 
-/// The number of older host listings that are kept for the lag.
+/// Bounds the host listings that are kept to simulate a lagging host list.
 const MAX_HOST_LISTINGS: usize = 1_000;
 
-/// A `FakeStore` is a platform in memory; its clones share the same state.
+/// Platform in memory; clones share the same state.
 ///
-/// Its clock is tokio's, so that a paused clock holds for it as well.
+/// It reads tokio's clock, so a test that pauses the clock controls it.
 #[derive(Clone, Debug)]
 pub struct FakeStore {
     shared: Arc<StoreShared>,
@@ -52,20 +52,20 @@
     call_counts: CallCounts,
 }
 
-/// A `CallCounts` counts the calls of the object API, refused ones included.
+/// Numbers of calls of the object API, including refused ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
     /// Lists and gets.
     pub reads: u64,
     /// Conditional writes.
     pub writes: u64,
-    /// Watches, each waiting call as one.
+    /// Watches; each long poll counts as one.
     pub watches: u64,
-    /// Calls that were above the rate.
+    /// Calls that were refused because of the rate limit.
     pub throttled: u64,
 }
 
-/// A `WriteFate` says what a fault makes of a write.
+/// Fault that applies to one write.
 enum WriteFault {
     NoFault,
     ReplyLost,
@@ -80,7 +80,7 @@
 }
 
 impl FakeStore {
-    /// Returns a platform that holds `table`, without hosts and without faults.
+    /// Creates a platform with the objects of `table`, no hosts and no faults.
     #[must_use]
     pub fn new(table: ObjectTable) -> Self {
         let faults = PlatformFaults::default();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Replaces the whole set of fault switches.
+    /// Replaces all fault switches and refills the rate limiters.
     pub fn set_faults(&self, faults: PlatformFaults) {
         let mut state = self.lock_state();
         state.read_limiter = RateLimiter::new(faults.reads_per_second);
@@ -119,31 +119,31 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Gets the fault switches as they stand, counters counted down.
+    /// Returns the fault switches; the counting ones show what is left.
     #[must_use]
     pub fn faults(&self) -> PlatformFaults {
         self.lock_state().faults.clone()
     }
 
-    /// Gets the counts of calls so far.
+    /// Returns the numbers of calls since the start.
     #[must_use]
     pub fn call_counts(&self) -> CallCounts {
         self.lock_state().call_counts
     }
 
-    /// Gets a copy of the objects.
+    /// Returns a copy of the stored objects.
     #[must_use]
     pub fn table(&self) -> ObjectTable {
         self.lock_state().table.clone()
     }
 
-    /// Puts `table` in place of the objects, as when the platform is restored from an old copy.
+    /// Replaces all objects, as a restore from a backup does.
     pub fn restore(&self, table: ObjectTable) {
         self.lock_state().table = table;
         self.shared.changed.notify_waiters();
     }
 
-    /// Writes an object whatever its version, beside all faults and rates.
+    /// Writes an object regardless of its version, bypassing faults and rate limits.
     pub fn put(&self, key: ObjectKey, body: Option<String>) {
         let mut state = self.lock_state();
         let expected = state
@@ -161,7 +161,7 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Lets the held writes take effect in the order in which they came.
+    /// Applies the held writes in the order of their arrival.
     pub fn release_held_writes(&self) {
         let mut state = self.lock_state();
         for write in std::mem::take(&mut state.held_writes) {
@@ -171,7 +171,7 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Adds a host to the list or replaces it.
+    /// Adds or replaces a host of the host list.
     pub fn put_host(&self, record: HostRecord) {
         let now = self.now();
         let mut state = self.lock_state();
@@ -179,7 +179,7 @@
         state.record_listing(now);
     }
 
-    /// Takes a host from the list.
+    /// Removes a host from the host list.
     pub fn remove_host(&self, host: &HostId) {
         let now = self.now();
         let mut state = self.lock_state();
@@ -198,7 +198,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins a call: it waits as long as the API is slow, then the outage and the rate are asked.
+    /// Applies the delay, then the outage and the rate limit, to a call.
     async fn start_call(
         &self,
         count: impl FnOnce(&mut CallCounts),
@@ -238,7 +238,7 @@
         })
     }
 
-    /// Takes the next write's fate from the counting switches.
+    /// Consumes the next fault of the counting switches.
     const fn next_write_fault(&mut self) -> WriteFault {
         if self.faults.lose_write_replies > 0 {
             self.faults.lose_write_replies -= 1;
@@ -270,7 +270,7 @@
         self.listings.push((now, listing));
     }
 
-    /// Gets the listing that stood `host_lag_ms` ago.
+    /// Returns the newest listing that is at least `host_lag_ms` old.
     fn lagging_listing(&self, now: TimePoint) -> HostListing {
         let lag = TimeSpan::from_millis(self.faults.host_lag_ms);
         self.listings
@@ -334,7 +334,7 @@
         self.start_call(|calls| calls.watches += 1, false).await?;
         let end = Instant::now() + wait.as_duration();
         loop {
-            // The notice is registered before the table is read, so that no change falls between.
+            // Register for the notification before reading the table, so that no change is missed.
             let mut changed = std::pin::pin!(self.shared.changed.notified());
             changed.as_mut().enable();
             let outcome = {
--- a/alderhaven-standin/src/fleet_control.rs
+++ b/alderhaven-standin/src/fleet_control.rs
@@ -1,5 +1,5 @@
-//! The control calls of a fleet: `GET /runs` gives the records of runs, `GET /targets` the targets
-//! with their crashes, and `POST /control` takes a [`ControlCall`].
+//! HTTP control API of a fleet: `GET /runs` returns the run records, `GET /targets` the targets
+//! with their crash counts, and `POST /control` executes a [`ControlCall`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,82 +18,82 @@
 use crate::target_faults::TargetFaults;
 use crate::target_server::TargetServer;
 
-/// A `ControlCall` is what the fleet is told to do.
+/// Command to a fleet of targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "call", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ControlCall {
     /// Replaces the fault switches.
     SetFaults {
-        /// The targets; all where the list is empty.
+        /// Targets to change; empty means all.
         #[serde(default)]
         targets: Vec<TargetId>,
-        /// The switches.
+        /// The complete new set of switches.
         faults: TargetFaults,
     },
-    /// Makes the connections that are open now silent for good.
+    /// Stops answering on the currently open connections, for good; new connections work.
     Silence {
-        /// The targets; all where the list is empty.
+        /// Targets to silence; empty means all.
         #[serde(default)]
         targets: Vec<TargetId>,
     },
-    /// Ends the listener and all connections at once; the targets come back on their addresses.
+    /// Closes the listener and all connections at once; the targets rebind the same addresses.
     Crash {
-        /// The targets; all where the list is empty.
+        /// Targets to crash; empty means all.
         #[serde(default)]
         targets: Vec<TargetId>,
-        /// The milliseconds down.
+        /// Downtime in milliseconds.
         down_ms: u64,
     },
-    /// Gives a service the next index version and publishes its manifest.
+    /// Moves a service to its next index version and publishes the manifest.
     Publish {
-        /// The service.
+        /// Service to update.
         service: ServiceName,
-        /// The number of shards, where it changes.
+        /// New number of shards; unchanged if absent.
         #[serde(default)]
         shards: Option<u32>,
-        /// The milliseconds for which the targets keep the former version.
+        /// Milliseconds for which the targets keep serving the former version.
         grace_ms: u64,
-        /// The platform to publish at; without it the reply's manifest is not published.
+        /// Platform to publish to; if absent, the manifest is only returned.
         #[serde(default)]
         platform: Option<SocketAddr>,
     },
-    /// Calls targets leaving in the host list, and stops them after a while.
+    /// Marks targets as leaving in the host list, and stops them after a delay.
     Leave {
-        /// The targets.
+        /// Targets to remove.
         targets: Vec<TargetId>,
-        /// The platform whose host list says it.
+        /// Platform whose host list is updated.
         platform: SocketAddr,
-        /// The milliseconds until the targets stop; runs in flight end first.
+        /// Milliseconds until the targets stop; runs in flight complete.
         stop_after_ms: u64,
     },
-    /// Stops targets at once; runs in flight end first.
+    /// Stops targets at once; runs in flight complete.
     Stop {
-        /// The targets.
+        /// Targets to stop.
         targets: Vec<TargetId>,
     },
 }
 
-/// A `ControlReply` is the answer to a call.
+/// Result of a [`ControlCall`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControlReply {
-    /// The manifest that was made.
+    /// The new manifest, after `Publish`.
     pub manifest: Option<SnapshotManifest>,
 }
 
-/// A `TargetReport` is a target as `GET /targets` shows it.
+/// State of a target, as `GET /targets` returns it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetReport {
-    /// The target.
+    /// Name of the target.
     pub target: TargetId,
-    /// Its address.
+    /// Address that the target listens on.
     pub address: SocketAddr,
-    /// Its crashes.
+    /// Crashes since the start of the fleet.
     pub crashes: u32,
-    /// Its fault switches.
+    /// Current fault switches.
     pub faults: TargetFaults,
 }
 
-/// Answers a request to the control address.
+/// Routes a request of the control API.
 pub async fn handle_request(services: Arc<FleetServices>, request: Request<Incoming>) -> HttpReply {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/runs") => json_reply(StatusCode::OK, &services.run_log().records()),
@@ -126,10 +126,10 @@
     services.targets().map(report).collect()
 }
 
-/// Does what a call says.
+/// Executes a command.
 ///
 /// # Errors
-/// For a target or service that is not there, and where the platform does not take a change.
+/// Where a named target or service doesn't exist, or the platform refuses a write.
 pub async fn apply_call(services: &Arc<FleetServices>, call: ControlCall) -> Result<ControlReply> {
     let mut reply = ControlReply::default();
     match call {
@@ -206,7 +206,7 @@
     futures::future::join_all(servers.map(TargetServer::stop)).await;
 }
 
-/// Gets the named targets; all where none is named.
+/// Looks up targets by name; no names select all.
 fn select_targets<'s>(
     services: &'s FleetServices,
     names: &[TargetId],
--- a/alderhaven-standin/src/fleet_services.rs
+++ b/alderhaven-standin/src/fleet_services.rs
@@ -1,4 +1,4 @@
-//! The services of a fleet: their targets, what these hold now, and which of them leave.
+//! Services of a fleet: their targets, the index versions these hold, and the targets that leave.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,7 +15,7 @@
 use crate::target_server::TargetServer;
 use crate::target_spec::TargetSpec;
 
-/// A `FleetServices` is the set of a fleet's services.
+/// All services of a fleet, with one run log.
 #[derive(Debug)]
 pub struct FleetServices {
     services: Vec<RunningService>,
@@ -23,20 +23,20 @@
     leaving: Mutex<Vec<LeavingRecord>>,
 }
 
-/// A `LeavingRecord` is the moment from which the host list called a target leaving.
+/// Time from which a target was marked as leaving in the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeavingRecord {
-    /// The target.
+    /// Name of the target.
     pub target: TargetId,
-    /// The moment, in microseconds since the run log began.
+    /// Microseconds since the run log began.
     pub leaving_since_us: u64,
 }
 
-/// A `RunningService` is one service with its targets.
+/// One service with its targets.
 #[derive(Debug)]
 struct RunningService {
     layout: Mutex<ServiceLayout>,
-    /// The targets by their first shard and then by replica.
+    /// Ordered by initial shard, then by replica.
     targets: Vec<TargetServer>,
 }
 
@@ -44,8 +44,8 @@
     /// Starts the targets of all services.
     ///
     /// # Errors
-    /// `InvalidInput` for a layout that does not check, and the operating system's error where no
-    /// port can be bound.
+    /// `InvalidInput` for an invalid layout, and the operating system's error where no port can be
+    /// bound.
     pub async fn start(layouts: Vec<ServiceLayout>, seed: u64) -> io::Result<Self> {
         let runs = Arc::new(RunLog::default());
         let mut services = Vec::new();
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Gets the manifests of all services as snapshot `snapshot`.
+    /// Builds the manifests of all services, numbered `snapshot`.
     #[must_use]
     pub fn manifests(&self, snapshot: SnapshotId) -> Vec<SnapshotManifest> {
         self.services
@@ -69,10 +69,10 @@
             .collect()
     }
 
-    /// Gets the manifest of a service as snapshot `snapshot`.
+    /// Builds the manifest of one service, numbered `snapshot`.
     ///
     /// # Errors
-    /// `Error::Invalid` where the fleet has no such service.
+    /// `Error::Invalid` if the fleet has no such service.
     pub fn manifest(
         &self,
         service: &ServiceName,
@@ -82,13 +82,13 @@
         Ok(service.manifest(snapshot, &self.leaving_targets()))
     }
 
-    /// Gives a service's targets the next index version, with `shards` shards where that is given;
-    /// the former version stays for `grace`.
+    /// Moves a service to its next index version, optionally with a new number of shards; the
+    /// former version is served for `grace`.
     ///
-    /// The targets hold the new version when this returns, so that a manifest may name it.
+    /// All targets hold the new version on return, so a manifest may refer to it.
     ///
     /// # Errors
-    /// `Error::Invalid` for a service that is not there or more shards than targets.
+    /// `Error::Invalid` for an unknown service, or for more shards than targets.
     pub fn install_next_version(
         &self,
         service: &ServiceName,
@@ -99,7 +99,7 @@
             .install_next_version(shards, grace)
     }
 
-    /// Gets the targets' lines of the host list, without those that stopped.
+    /// Returns the host list entries of all targets that haven't been stopped.
     #[must_use]
     pub fn host_records(&self) -> Vec<HostRecord> {
         self.targets()
@@ -108,7 +108,7 @@
             .collect()
     }
 
-    /// Gets a target's line of the host list.
+    /// Returns a target's host list entry; none if its name is no valid host name.
     #[must_use]
     pub fn host_record(&self, target: &TargetServer) -> Option<HostRecord> {
         let replica = target.replica_entry();
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Notes that a target leaves from now on.
+    /// Marks a target as leaving; only the first call sets the time.
     pub fn record_leaving(&self, target: &TargetId) {
         let at_us = self.run_log.elapsed_us();
         let mut records = self.lock_leaving();
@@ -138,25 +138,25 @@
         }
     }
 
-    /// Gets the targets that leave or left.
+    /// Returns the targets that were marked as leaving, stopped ones included.
     #[must_use]
     pub fn leaving_targets(&self) -> Vec<LeavingRecord> {
         self.lock_leaving().clone()
     }
 
-    /// Gets all targets, by service, shard and replica.
+    /// Iterates over all targets by service, initial shard and replica.
     pub fn targets(&self) -> impl Iterator<Item = &TargetServer> {
         self.services.iter().flat_map(|service| &service.targets)
     }
 
-    /// Gets a target by its name.
+    /// Looks up a target by name.
     #[must_use]
     pub fn target(&self, target: &TargetId) -> Option<&TargetServer> {
         self.targets()
             .find(|server| server.state().spec().target == *target)
     }
 
-    /// Gets the record of runs.
+    /// Returns the log that all targets write to.
     #[must_use]
     pub const fn run_log(&self) -> &Arc<RunLog> {
         &self.run_log
@@ -201,7 +201,7 @@
             return Err(Error::invalid("shards", reason));
         }
         for (position, target) in self.targets.iter().enumerate() {
-            // With as many shards as before each target keeps its own.
+            // With an unchanged number of shards each target keeps its shard.
             let shard = match shards {
                 Some(shards) => ShardId(u32::try_from(position).unwrap_or(0) % shards),
                 None => target.state().indexes().current().shard,
@@ -216,7 +216,7 @@
         Ok(())
     }
 
-    /// Gets the manifest; targets that leave are left out where others hold their shard.
+    /// Omits leaving targets from a shard that others hold too.
     fn manifest(&self, snapshot: SnapshotId, records: &[LeavingRecord]) -> SnapshotManifest {
         let layout = self.layout();
         let shards = (0..layout.shards).map(ShardId).map(|shard| {
@@ -262,7 +262,7 @@
     seed: u64,
 ) -> Result<TargetSpec> {
     let target = layout.target_id(shard, replica)?;
-    // Each target has a seed of its own, or all replicas would be slow at the same run.
+    // Each target gets its own seed; otherwise all replicas would be slow at the same time.
     let mut seed_bytes = [0_u8; 8];
     let hash = blake3::hash(format!("{seed}/{target}").as_bytes());
     seed_bytes.copy_from_slice(&hash.as_bytes()[..8]);
--- a/alderhaven-standin/src/held_indexes.rs
+++ b/alderhaven-standin/src/held_indexes.rs
@@ -1,4 +1,4 @@
-//! The indexes that a target holds: the current one, and older ones for a while.
+//! Index versions that a target serves: the current one, and former ones during their grace period.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use alderhaven_core::ids::{IndexVersion, ShardId};
 use tokio::time::Instant;
 
-/// A `HeldIndexes` is the set of indexes of a target.
+/// Current and former indexes of one target.
 #[derive(Debug)]
 pub struct HeldIndexes {
     state: Mutex<HeldState>,
@@ -15,32 +15,32 @@
 #[derive(Debug)]
 struct HeldState {
     current: HeldIndex,
-    /// The former indexes and when each was or will be given up.
+    /// Former indexes with the ends of their grace periods.
     former: Vec<(HeldIndex, Instant)>,
 }
 
-/// A `HeldIndex` is one version of one shard.
+/// One index version of one shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldIndex {
-    /// The shard.
+    /// Shard that the index covers.
     pub shard: ShardId,
-    /// The version.
+    /// Version of the shard's index.
     pub version: IndexVersion,
 }
 
-/// An `IndexState` says what a target knows of an index.
+/// Whether a target can serve an index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IndexState {
-    /// The target can answer from it.
+    /// The target serves it.
     Held,
-    /// The target holds or held the shard, and not this version any more.
+    /// The target has or had the shard, but no longer serves this version.
     Gone,
-    /// The shard is not the target's.
+    /// The target never had the shard.
     OtherShard,
 }
 
 impl HeldIndexes {
-    /// Returns a set with one index.
+    /// Creates a set with one index and no former ones.
     #[must_use]
     pub const fn new(current: HeldIndex) -> Self {
         Self {
@@ -51,20 +51,20 @@
         }
     }
 
-    /// Gets the current index.
+    /// Returns the index that was installed last.
     #[must_use]
     pub fn current(&self) -> HeldIndex {
         self.lock_state().current
     }
 
-    /// Makes another index the current one; the former is kept for `grace`.
+    /// Installs a new current index; the previous one is served for `grace`.
     pub fn replace(&self, next: HeldIndex, grace: Duration) {
         let mut state = self.lock_state();
         let former = std::mem::replace(&mut state.current, next);
         state.former.push((former, Instant::now() + grace));
     }
 
-    /// Says whether an index is held now.
+    /// Looks up an index at the current time.
     #[must_use]
     pub fn state_of(&self, requested: HeldIndex) -> IndexState {
         let state = self.lock_state();
--- a/alderhaven-standin/src/http_connection.rs
+++ b/alderhaven-standin/src/http_connection.rs
@@ -1,4 +1,4 @@
-//! One kept connection to an HTTP server on loopback, for tools and tests.
+//! HTTP/1.1 client over a single keep-alive connection, for tools and tests.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// An `HttpCaller` sends one request at a time over its connection.
+/// Sends one request at a time.
 #[derive(Debug)]
 pub struct HttpConnection {
     host_header: HeaderValue,
@@ -19,7 +19,7 @@
 }
 
 impl HttpConnection {
-    /// Connects.
+    /// Opens the connection.
     ///
     /// # Errors
     /// Where the server can't be reached.
@@ -27,7 +27,7 @@
         let stream = TcpStream::connect(server).await?;
         stream.set_nodelay(true)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
-        // The connection's end shows in the next call.
+        // An error of the connection is reported by the next request.
         tokio::spawn(connection);
         Ok(Self {
             host_header: HeaderValue::from_str(&server.to_string())?,
@@ -35,10 +35,10 @@
         })
     }
 
-    /// Sends a request and reads the whole reply.
+    /// Sends a request and reads the complete response; sets the `Host` header.
     ///
     /// # Errors
-    /// Where the connection ends before the reply does.
+    /// Where the connection ends before the response does.
     pub async fn send(&mut self, mut request: Request<Full<Bytes>>) -> Result<Response<Bytes>> {
         request.headers_mut().insert(HOST, self.host_header.clone());
         self.sender.ready().await?;
--- a/alderhaven-standin/src/http_server.rs
+++ b/alderhaven-standin/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 server under the stand-ins, one task a connection.
+//! HTTP/1.1 server of the stand-ins, with one task per connection.
 
 use std::fmt;
 use std::future::Future;
@@ -17,13 +17,13 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// The largest body of a request, in bytes: the largest object and some room.
+/// Upper bound of a request body: the largest object plus some overhead.
 pub const MAX_BODY_BYTES: usize = (1 << 20) + 4096;
 
-/// A `HttpReply` is a whole reply.
+/// Response with a complete body.
 pub type HttpReply = Response<Full<Bytes>>;
 
-/// A `ConnectionCut` ends a connection without a reply.
+/// Makes the server close the connection without a response.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionAborted;
 
@@ -35,7 +35,7 @@
 
 impl std::error::Error for ConnectionAborted {}
 
-/// A `ServerHandle` is a running server.
+/// Running server; it stops by [`ServerHandle::stop`] only.
 #[derive(Debug)]
 pub struct ServerHandle {
     address: SocketAddr,
@@ -44,7 +44,7 @@
 }
 
 impl ServerHandle {
-    /// Starts a server on `listen`; port 0 takes a free one.
+    /// Binds `listen` and serves requests by `handler`; port 0 selects a free one.
     ///
     /// # Errors
     /// The operating system's error where the address can't be bound.
@@ -69,13 +69,13 @@
         Ok(server)
     }
 
-    /// Gets the bound address.
+    /// Returns the bound address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops taking connections, lets the requests in flight finish and waits for them.
+    /// Stops accepting connections, and waits until the requests in flight are answered.
     pub async fn stop(&self) {
         self.stop_token.cancel();
         self.tasks.close();
@@ -83,7 +83,7 @@
     }
 }
 
-/// Accepts the next connection; none where the server stops.
+/// Accepts the next connection; returns none once the server stops.
 pub async fn accept_connection(
     listener: &TcpListener,
     stopping: &CancellationToken,
@@ -95,17 +95,18 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                // Replies are small and written whole: waiting for more would only delay them.
+                // Replies are small and written in one piece; Nagle's algorithm would only delay
+                // them.
                 let _unsupported = stream.set_nodelay(true);
                 return Some(stream);
             }
-            // Out of file descriptors: later ones may be free again.
+            // File descriptors are exhausted; retry, as some may be closed soon.
             Err(_) => tokio::time::sleep(std::time::Duration::from_millis(10)).await,
         }
     }
 }
 
-/// Serves one connection until its end, or until the requests in flight are done at a stop.
+/// Serves a connection until it is closed; a stop lets the request in flight finish.
 pub async fn serve_connection<H, F>(stream: TcpStream, handler: H, stopping: CancellationToken)
 where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
@@ -115,14 +116,14 @@
         http1::Builder::new().serve_connection(TokioIo::new(stream), service_fn(handler));
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // A cut or broken connection is an everyday event of the stand-ins.
+        // Clients and faults close connections at any time, so errors are ignored.
         _ended = connection.as_mut() => return,
         () = stopping.cancelled() => connection.as_mut().graceful_shutdown(),
     }
     let _ended = connection.await;
 }
 
-/// Returns a reply with a JSON body.
+/// Builds a response with a JSON body; a failure to serialize becomes status 500.
 pub fn json_reply(status: StatusCode, content: &impl Serialize) -> HttpReply {
     match serde_json::to_vec(content) {
         Ok(body) => build_reply(status, "application/json", Bytes::from(body)),
@@ -130,7 +131,7 @@
     }
 }
 
-/// Returns a reply with a plain text.
+/// Builds a plain text response.
 pub fn text_reply(status: StatusCode, text: impl Into<String>) -> HttpReply {
     build_reply(status, "text/plain", Bytes::from(text.into()))
 }
@@ -145,17 +146,17 @@
     reply
 }
 
-/// A `BodyRefusal` says why the body of a request could not be read.
+/// Why a request body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// The body is larger than [`MAX_BODY_BYTES`].
+    /// Exceeds [`MAX_BODY_BYTES`].
     TooLarge,
-    /// The body was broken off.
+    /// The connection ended within the body.
     Truncated,
 }
 
 impl BodyError {
-    /// Gets the reply that tells the caller.
+    /// Builds the error response.
     #[must_use]
     pub fn reply(self) -> HttpReply {
         match self {
@@ -165,10 +166,10 @@
     }
 }
 
-/// Reads the whole body of a request.
+/// Reads a complete request body.
 ///
 /// # Errors
-/// `BodyRefusal` where the body is too large or broken off.
+/// [`BodyError`] where the body is too large or truncated.
 pub async fn read_body(body: Incoming) -> Result<Bytes, BodyError> {
     let limited = Limited::new(body, MAX_BODY_BYTES);
     match limited.collect().await {
@@ -178,7 +179,7 @@
     }
 }
 
-/// Gets a value of a query string by its name.
+/// Returns the first parameter called `name` of a query string, without decoding it.
 #[must_use]
 pub fn query_parameter<'q>(query: Option<&'q str>, name: &str) -> Option<&'q str> {
     query?
--- a/alderhaven-standin/src/lib.rs
+++ b/alderhaven-standin/src/lib.rs
@@ -1,9 +1,8 @@
-//! Small stand-ins for what lies outside of the system: the platform's object API with its host
-//! list, and targets.
+//! Test doubles of the external systems: the platform's object API and host list, and targets.
 //!
-//! Tests, the quickstart and the load tool embed them ([`fake_store::FakeStore`],
-//! [`platform_server::PlatformServer`], [`target_fleet::TargetFleet`]); `alder-standin` runs them as
-//! processes of their own. Faults are switched on by method or over HTTP.
+//! Tests, the quickstart and the load tool embed [`fake_store::FakeStore`],
+//! [`platform_server::PlatformServer`] and [`target_fleet::TargetFleet`]; `alder-standin` runs them
+//! as processes. Faults are injected by method calls or over HTTP.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-standin/src/main.rs
+++ b/alderhaven-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `alder-standin`: the stand-ins of platform and targets as processes.
+//! `alder-standin`: runs the stand-ins of the platform and of targets as processes.
 #![forbid(unsafe_code)]
 
 use std::net::SocketAddr;
@@ -18,10 +18,10 @@
 use serde::Serialize;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The exit code for arguments, files and addresses that can't be used.
+/// Exit code for invalid arguments, unreadable files and addresses that can't be bound.
 const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// Small stand-ins of the platform and of targets, for trials on loopback.
+/// Stand-ins of the platform and of targets, for tests on loopback.
 #[derive(FromArgs)]
 struct StandinArgs {
     #[argh(subcommand)]
@@ -42,7 +42,7 @@
     /// the address to listen on (default 127.0.0.1:0, a free port)
     #[argh(option, default = "loopback()")]
     listen: SocketAddr,
-    /// a YAML or JSON file with `templates`, `teams` and `manifests` to hold from the start
+    /// a YAML or JSON file with the initial `templates`, `teams` and `manifests`
     #[argh(option)]
     load: Vec<String>,
 }
@@ -51,22 +51,22 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "targets")]
 struct TargetArgs {
-    /// the services of a deployment: volta or lagerblik
+    /// the deployment whose services to run: volta or lagerblik
     #[argh(option)]
     deployment: Option<DeploymentKind>,
-    /// a service as NAME=SHARDSxREPLICAS, beside or in place of a deployment
+    /// a service as NAME=SHARDSxREPLICAS, in addition to or instead of a deployment
     #[argh(option, from_str_fn(parse_service))]
     service: Vec<ServiceLayout>,
     /// a YAML file with a list of services
     #[argh(option)]
     layout: Option<String>,
-    /// the platform's address, to register manifests and hosts there
+    /// the platform's address, where manifests and hosts are registered
     #[argh(option)]
     platform: Option<SocketAddr>,
-    /// the address of the control calls (default 127.0.0.1:0, a free port)
+    /// the address of the control API (default 127.0.0.1:0, a free port)
     #[argh(option, default = "loopback()")]
     control: SocketAddr,
-    /// the seed of the run times (default 1)
+    /// the seed of the simulated run times (default 1)
     #[argh(option, default = "1")]
     seed: u64,
 }
--- a/alderhaven-standin/src/object_set.rs
+++ b/alderhaven-standin/src/object_set.rs
@@ -1,4 +1,4 @@
-//! Files with objects that the platform's stand-in holds from its start.
+//! Files with the initial objects of the platform's stand-in.
 
 use alderhaven_core::config_object::{ObjectKey, ObjectKind};
 use alderhaven_core::errors::{Error, Result};
@@ -8,31 +8,31 @@
 use alderhaven_core::template::QueryTemplate;
 use serde::{Deserialize, Serialize};
 
-/// An `ObjectSet` is the content of one file, in YAML or JSON.
+/// Content of one file, in YAML or JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ObjectSet {
-    /// The templates.
+    /// Query templates to store under their names.
     pub templates: Vec<QueryTemplate>,
-    /// The teams.
+    /// Team policies to store under their names.
     pub teams: Vec<TeamPolicy>,
-    /// The manifests.
+    /// Manifests to store under their service names.
     pub manifests: Vec<SnapshotManifest>,
 }
 
 impl ObjectSet {
-    /// Reads a file.
+    /// Reads and parses a file.
     ///
     /// # Errors
-    /// `Error::File` where it can't be read or has unknown content.
+    /// `Error::File` where it can't be read or has unknown fields.
     pub fn read(path: &str) -> Result<Self> {
         settings::read_file(path)
     }
 
-    /// Gets the keys and the JSON texts of all objects.
+    /// Serializes all objects to JSON, with their keys.
     ///
     /// # Errors
-    /// `Error::Invalid` where an object has no JSON form.
+    /// `Error::Invalid` where an object can't be serialized.
     pub fn objects(&self) -> Result<Vec<(ObjectKey, String)>> {
         let templates = self
             .templates
--- a/alderhaven-standin/src/object_table.rs
+++ b/alderhaven-standin/src/object_table.rs
@@ -1,4 +1,4 @@
-//! The state of the platform's object API: revisions, conditional updates, tombstones and history.
+//! State of the platform's object API: revisions, conditional writes, tombstones and history.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_store::object_store::{ConditionalWrite, ObjectList, WatchOutcome, WriteOutcome};
 
-/// The number of revisions that a watch may lag behind before it has to list again.
+/// How many revisions a watch may lag behind before it must list again.
 pub const DEFAULT_HISTORY_REVISIONS: u64 = 10_000;
 
-/// An `ObjectTable` holds the objects, without network, clock or faults.
+/// Versioned objects, without network, clock or faults.
 #[derive(Clone, Debug)]
 pub struct ObjectTable {
     objects: BTreeMap<ObjectKey, StoredObject>,
@@ -24,7 +24,7 @@
 }
 
 impl ObjectTable {
-    /// Returns an empty table that remembers the last `history` revisions for watches.
+    /// Creates an empty table whose watches may lag behind by `history` revisions.
     #[must_use]
     pub const fn new(history: u64) -> Self {
         Self {
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Gets the revision of the last write.
+    /// Returns the revision of the last write; 0 before the first.
     #[must_use]
     pub const fn revision(&self) -> StoreVersion {
         self.revision
     }
 
-    /// Lists the objects of the kinds, without tombstones.
+    /// Returns the objects of the given kinds, without tombstones.
     #[must_use]
     pub fn list(&self, kinds: &[ObjectKind]) -> ObjectList {
         let objects = self
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Gets an object or its tombstone.
+    /// Returns an object or its tombstone; none if the key was never written.
     #[must_use]
     pub fn get(&self, key: &ObjectKey) -> Option<&StoredObject> {
         self.objects.get(key)
     }
 
-    /// Writes or deletes an object if it still has the expected version.
+    /// Writes or deletes an object if its version is the expected one; 0 expects no object.
     pub fn write(&mut self, write: ConditionalWrite) -> WriteOutcome {
         let current = self.objects.get(&write.key);
         let is_expected = match current {
@@ -84,10 +84,10 @@
         WriteOutcome::Written(self.revision)
     }
 
-    /// Gets what changed after a revision, in the order of versions, tombstones included.
+    /// Returns the changes after a revision in the order of versions, tombstones included.
     ///
-    /// A revision that is older than the history, or that this table never reached (it was
-    /// restored from an older copy), is a gap.
+    /// The outcome is `Compacted` for a revision older than the history, and for one newer than the
+    /// table's, as after a restore from a backup.
     #[must_use]
     pub fn changes(&self, kinds: &[ObjectKind], after: StoreVersion) -> WatchOutcome {
         let oldest = self.revision.0.saturating_sub(self.history_revisions);
--- a/alderhaven-standin/src/platform_faults.rs
+++ b/alderhaven-standin/src/platform_faults.rs
@@ -1,13 +1,13 @@
-//! The fault switches of the platform's stand-in.
+//! Fault switches of the platform's stand-in.
 
 use serde::{Deserialize, Serialize};
 
-/// The writes a second that the platform takes ("several hundred").
+/// Default limit of writes per second.
 pub const DEFAULT_WRITES_PER_SECOND: f64 = 300.0;
-/// The reads a second that the platform takes ("about two thousand").
+/// Default limit of reads per second.
 pub const DEFAULT_READS_PER_SECOND: f64 = 2_000.0;
 
-/// A `PlatformFaults` is the whole set of switches; `POST /faults` replaces it.
+/// Complete set of switches; `POST /faults` replaces it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[expect(
@@ -15,27 +15,27 @@
     reason = "the switches go on and off independently of each other"
 )]
 pub struct PlatformFaults {
-    /// The object API is out of service: every call is refused and does nothing.
+    /// Refuses every call of the object API, without effect.
     pub outage: bool,
-    /// The host list is out of service.
+    /// Refuses reads of the host list.
     pub hosts_outage: bool,
-    /// Every call is refused as above the rate and does nothing.
+    /// Refuses every call as rate-limited, without effect.
     pub throttle: bool,
-    /// The milliseconds by which each call of the object API is late.
+    /// Latency in milliseconds that is added to each call of the object API.
     pub delay_ms: u64,
-    /// The number of coming writes that take effect and whose answer is lost.
+    /// Number of next writes that take effect but whose reply is lost.
     pub lose_write_replies: u32,
-    /// The number of coming writes that take no effect and have no answer.
+    /// Number of next writes that neither take effect nor get a reply.
     pub drop_writes: u32,
-    /// The number of coming writes that have no answer and take effect when they are released.
+    /// Number of next writes that get no reply, and take effect when they are released.
     pub hold_writes: u32,
-    /// Lists answer with the state at the time when this switch went on.
+    /// Makes lists return the state at the time when the switch was turned on.
     pub stale_list: bool,
-    /// The reads a second that are taken, a waiting watch counted as one.
+    /// Rate limit of reads; a watch counts as one read.
     pub reads_per_second: f64,
-    /// The writes a second that are taken.
+    /// Rate limit of writes.
     pub writes_per_second: f64,
-    /// The milliseconds by which the host list lags behind the truth.
+    /// Delay in milliseconds after which a change appears in the host list.
     pub host_lag_ms: u64,
 }
 
--- a/alderhaven-standin/src/platform_server.rs
+++ b/alderhaven-standin/src/platform_server.rs
@@ -1,9 +1,8 @@
-//! The platform's stand-in over HTTP, as `alderhaven_store::object_store` and `host_list`
-//! describe it.
+//! HTTP front end of the fake platform, with the protocol of `alderhaven_store::object_store` and
+//! `host_list`.
 //!
-//! Besides these calls it has, for tests: `PUT` and `DELETE /hosts/{host}`, `GET` and
-//! `POST /faults` ([`PlatformFaults`]), `POST /release` (the held writes take effect) and
-//! `GET /calls` (counts of calls).
+//! Tests have these calls in addition: `PUT` and `DELETE /hosts/{host}`, `GET` and `POST /faults`
+//! ([`PlatformFaults`]), `POST /release` (applies held writes) and `GET /calls` (numbers of calls).
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -29,17 +28,17 @@
 use crate::object_set::ObjectSet;
 use crate::platform_faults::PlatformFaults;
 
-/// The longest time that a watch waits.
+/// Upper bound of a watch's wait, whatever the caller asks for.
 const MAX_WATCH_WAIT: TimeSpan = TimeSpan::from_secs(30);
 
-/// A `PlatformOptions` says where the server listens and what it holds from the start.
+/// Address and initial content of a [`PlatformServer`].
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// The address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free one.
     pub listen: SocketAddr,
-    /// The objects to hold.
+    /// Objects to write before the server starts.
     pub objects: Vec<ObjectSet>,
-    /// The store to serve.
+    /// Store that handles the calls.
     pub store: FakeStore,
 }
 
@@ -53,7 +52,7 @@
     }
 }
 
-/// A `PlatformServer` serves a [`FakeStore`] over HTTP.
+/// Running HTTP server of a [`FakeStore`].
 #[derive(Debug)]
 pub struct PlatformServer {
     store: FakeStore,
@@ -61,7 +60,7 @@
     close_token: CancellationToken,
 }
 
-/// A `CallEnd` says how a call ends where it has no result to show.
+/// Error response of a call, or a connection to close without one.
 enum CallError {
     Reply(Box<HttpReply>),
     Aborted,
@@ -103,11 +102,11 @@
 type CallResult = Result<HttpReply, CallError>;
 
 impl PlatformServer {
-    /// Starts the server.
+    /// Writes the initial objects and starts to listen.
     ///
     /// # Errors
     /// The operating system's error where the address can't be bound, and `InvalidData` for an
-    /// object without a JSON form.
+    /// object that can't be serialized.
     pub async fn start(options: PlatformOptions) -> io::Result<Self> {
         let store = options.store;
         for set in &options.objects {
@@ -144,19 +143,19 @@
         })
     }
 
-    /// Gets the bound address.
+    /// Returns the bound address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Gets the store behind the server, for faults and direct writes.
+    /// Returns the store behind the server, to set faults and to write directly.
     #[must_use]
     pub const fn store(&self) -> &FakeStore {
         &self.store
     }
 
-    /// Stops the server; waiting watches and other calls in flight are cut off.
+    /// Stops the server; calls in flight, such as watches, are aborted.
     pub async fn stop(&self) {
         self.close_token.cancel();
         self.server.stop().await;
@@ -268,7 +267,7 @@
 }
 
 fn object_key(kind: &str, name: &str) -> Result<ObjectKey, CallError> {
-    // Objects are named like hosts: the same characters, the same length.
+    // Object names follow the rules of host names: same characters, same length.
     let name: HostId = name.parse().map_err(bad_request)?;
     Ok(ObjectKey {
         kind: kind.parse().map_err(bad_request)?,
--- a/alderhaven-standin/src/rate_limiter.rs
+++ b/alderhaven-standin/src/rate_limiter.rs
@@ -1,11 +1,11 @@
-//! The limit on calls a second that the platform's object API keeps.
+//! Rate limit of the platform's object API.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
-/// The share of a second's calls that may come at once.
+/// Burst capacity as a share of the calls of one second.
 const BURST_SHARE: f64 = 0.25;
 
-/// A `RateGate` is a token bucket that says how long to wait where a call comes too early.
+/// Token bucket that tells refused callers how long to wait.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     per_second: f64,
@@ -14,7 +14,7 @@
 }
 
 impl RateLimiter {
-    /// Returns a full gate for `per_second` calls a second.
+    /// Creates a full bucket.
     #[must_use]
     pub fn new(per_second: f64) -> Self {
         Self {
@@ -24,10 +24,10 @@
         }
     }
 
-    /// Takes one call.
+    /// Takes a token.
     ///
     /// # Errors
-    /// The span after which the next call fits, where this one is above the rate.
+    /// The time until a token is available, if there is none.
     pub fn admit(&mut self, now: TimePoint) -> Result<(), TimeSpan> {
         let gained = now.since(self.refilled_at).as_secs_f64() * self.per_second;
         self.tokens = (self.tokens + gained).min(Self::burst_capacity(self.per_second));
--- a/alderhaven-standin/src/registration.rs
+++ b/alderhaven-standin/src/registration.rs
@@ -1,4 +1,4 @@
-//! Writing a fleet's manifests and hosts into the platform's stand-in over HTTP.
+//! Registers a fleet's manifests and hosts at the platform over HTTP.
 
 use std::net::SocketAddr;
 
@@ -15,9 +15,9 @@
 use crate::http_connection::HttpConnection;
 use crate::target_fleet::TargetFleet;
 
-/// Registers the fleet, and gets the manifests as they were written.
+/// Writes all manifests and hosts of a fleet; returns the manifests as written.
 ///
-/// A manifest that the platform holds already is followed by a higher snapshot.
+/// A service that has a manifest already gets the next snapshot number.
 ///
 /// # Errors
 /// Where the platform can't be reached or refuses a write.
@@ -33,8 +33,7 @@
     Ok(written)
 }
 
-/// Publishes a manifest under the snapshot that follows the one in the platform, and gets it as it
-/// was written.
+/// Publishes a manifest under the next snapshot number, and returns it as written.
 ///
 /// # Errors
 /// Where the platform can't be reached or refuses the write.
@@ -42,7 +41,7 @@
     put_manifest(&mut connect(platform).await?, manifest).await
 }
 
-/// Writes a line of the host list.
+/// Writes one entry of the host list.
 ///
 /// # Errors
 /// Where the platform can't be reached or refuses the write.
@@ -86,7 +85,7 @@
     Ok(manifest)
 }
 
-/// Makes a call; a status other than 200, 404 and 409 is an error.
+/// Any status other than 200, 404 and 409 is an error.
 async fn send_request(
     connection: &mut HttpConnection,
     method: Method,
--- a/alderhaven-standin/src/rows.rs
+++ b/alderhaven-standin/src/rows.rs
@@ -1,35 +1,33 @@
-//! The rows that a target answers with, derived from the attempt alone, so that an oracle can check
-//! any answer.
+//! Rows of a target's answer, computed from the attempt alone so that an oracle can verify any
+//! answer.
 
 use alderhaven_core::ids::{IndexVersion, ServiceName, ShardId};
 use serde::{Deserialize, Serialize};
 
-/// The number of rows that each shard answers with.
+/// How many rows each shard returns.
 pub const ROWS_PER_SHARD: u32 = 2;
-/// The greatest score of a row plus one.
+/// Exclusive upper bound of a row's score.
 pub const SCORE_BOUND: u64 = 1_000;
-/// The longest `key` of a row in characters; the `id` covers the whole of the parameters.
+/// Longer keys are truncated; `id` still covers all parameters.
 const MAX_KEY_CHARS: usize = 64;
 
-/// A `DerivedRow` is one row of an answer.
+/// One row of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DerivedRow {
-    /// The shard that the row comes from.
+    /// Shard that produced the row.
     pub shard: ShardId,
-    /// The index version that the row comes from.
+    /// Index version that produced the row.
     pub version: IndexVersion,
-    /// The parameters' values as one text, joined by `/`.
+    /// Values of the parameters, joined by `/`.
     pub key: String,
-    /// A number to order and to add up by.
+    /// Number to sort and to add up by, below [`SCORE_BOUND`].
     pub score: u64,
-    /// The hash of service, shard, version, parameters and the row's number.
+    /// Hash of service, shard, version, parameters and the row's position.
     pub id: String,
 }
 
-/// Derives the rows of one shard.
-///
-/// `parameters` is the canonical JSON text.
+/// Computes the rows of one shard for `parameters` in canonical JSON.
 #[must_use]
 pub fn derive_rows(
     service: &ServiceName,
@@ -65,7 +63,7 @@
     blake3::hash(text.as_bytes())
 }
 
-/// Gets the `key` of rows: the values of the parameters in name order.
+/// Joins the parameters' values in the order of their names; empty for invalid JSON.
 #[must_use]
 pub fn row_key(parameters: &str) -> String {
     let values: alderhaven_core::parameters::ParameterSet =
--- a/alderhaven-standin/src/run_log.rs
+++ b/alderhaven-standin/src/run_log.rs
@@ -1,4 +1,4 @@
-//! The record of everything that the targets ran, for oracles.
+//! Log of all attempts that the targets ran, for oracles.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -6,52 +6,52 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use tokio::time::Instant;
 
-/// A `RunRecord` is one run of an attempt at a target.
+/// One run of an attempt at a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The target that ran the attempt.
+    /// Target that ran the attempt.
     pub target: TargetId,
-    /// The attempt.
+    /// Attempt id that the caller assigned.
     #[serde(serialize_with = "write_attempt", deserialize_with = "read_attempt")]
     pub attempt: AttemptId,
-    /// The service.
+    /// Service of the attempt.
     pub service: ServiceName,
-    /// The template.
+    /// Name of the query template.
     pub template: String,
-    /// The snapshot that the attempt named.
+    /// Snapshot that the attempt was pinned to.
     pub snapshot: SnapshotId,
-    /// The shard.
+    /// Shard that was read.
     pub shard: ShardId,
-    /// The index version.
+    /// Index version that was read.
     pub version: IndexVersion,
-    /// The canonical parameters, in which a non-idempotent request carries its own key.
+    /// Canonical parameters; those of a non-idempotent request include its unique key.
     pub parameters: String,
-    /// When the run began, in microseconds since the log began.
+    /// Start of the run, in microseconds since the log began.
     pub started_us: u64,
-    /// When the run ended, 0 while it runs.
+    /// End of the run, in microseconds since the log began; 0 while it runs.
     pub ended_us: u64,
-    /// How the run ended.
+    /// Whether and how the run ended.
     #[serde(rename = "end")]
     pub status: RunStatus,
 }
 
-/// A `RunEnd` says how a run ended.
+/// State or result of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunStatus {
-    /// The run goes on.
+    /// Not ended yet.
     Running,
-    /// The target answered.
+    /// The target replied with rows.
     Answered,
     /// The caller cancelled the attempt.
     Cancelled,
-    /// The attempt's deadline passed.
+    /// The deadline passed.
     Expired,
     /// The connection broke or the target crashed.
     Dropped,
 }
 
-/// A `RunLog` keeps the records of a whole fleet.
+/// Run records of a whole fleet, in the order of their starts.
 #[derive(Debug)]
 pub struct RunLog {
     started_at: Instant,
@@ -60,7 +60,7 @@
 
 #[derive(Debug, Default)]
 struct LogState {
-    /// The number of records that were taken before those in `records`.
+    /// Number of records that [`RunLog::take_records`] removed.
     taken_count: usize,
     records: Vec<RunRecord>,
 }
@@ -75,19 +75,19 @@
 }
 
 impl RunLog {
-    /// Gets the microseconds since the log began.
+    /// Returns the microseconds since the log began.
     #[must_use]
     pub fn elapsed_us(&self) -> u64 {
         u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Gets a copy of the records.
+    /// Returns a copy of the records that haven't been taken.
     #[must_use]
     pub fn records(&self) -> Vec<RunRecord> {
         self.lock_state().records.clone()
     }
 
-    /// Takes the records of runs out of the log; those still running keep the end they have now.
+    /// Removes and returns all records; a run that is still going on keeps its status `Running`.
     #[must_use]
     pub fn take_records(&self) -> Vec<RunRecord> {
         let mut state = self.lock_state();
@@ -95,7 +95,7 @@
         std::mem::take(&mut state.records)
     }
 
-    /// Gets the number of recorded runs that go on.
+    /// Counts the runs that haven't ended, among the records that haven't been taken.
     #[must_use]
     pub fn running_count(&self) -> usize {
         let state = self.lock_state();
@@ -103,14 +103,14 @@
         state.records.iter().filter(running).count()
     }
 
-    /// Gets the number of runs since the log began.
+    /// Counts all runs since the log began, taken records included.
     #[must_use]
     pub fn run_count(&self) -> usize {
         let state = self.lock_state();
         state.taken_count + state.records.len()
     }
 
-    /// Begins a run; the guard ends it as dropped unless it is ended otherwise.
+    /// Records the start of a run; dropping the guard ends the run as `Dropped`.
     #[must_use]
     pub fn start_run(self: &Arc<Self>, mut record: RunRecord) -> RunGuard {
         record.started_us = self.elapsed_us();
@@ -140,7 +140,7 @@
     }
 }
 
-/// A `RunGuard` ends a run when it goes out of scope.
+/// Ends a run when it is dropped.
 #[derive(Debug)]
 pub struct RunGuard {
     log: Arc<RunLog>,
@@ -149,7 +149,7 @@
 }
 
 impl RunGuard {
-    /// Ends the run.
+    /// Ends the run with the given status.
     pub fn finish(mut self, end: RunStatus) {
         self.status = end;
     }
--- a/alderhaven-standin/src/service_layout.rs
+++ b/alderhaven-standin/src/service_layout.rs
@@ -1,4 +1,4 @@
-//! The services that a fleet of targets serves, and the two deployments of today.
+//! Layouts of services over targets, with those of the two supported deployments.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,37 +10,37 @@
 
 use crate::service_time::ServiceTime;
 
-/// The number of key ranges that decimal keys are cut into.
+/// Size of the key space that is divided evenly among the shards: four decimal digits.
 const KEY_RANGE_COUNT: u32 = 10_000;
 
-/// A `ServiceLayout` says how a service is spread over targets.
+/// How a service is spread over targets, and their capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceLayout {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// The number of shards.
+    /// How many shards the data has.
     pub shards: u32,
-    /// The number of targets that hold each shard.
+    /// Number of targets that hold each shard.
     pub replicas: u32,
-    /// The attempts that a target runs at a time.
+    /// Attempts that a target runs concurrently.
     pub slots: u32,
-    /// The connections that a target takes.
+    /// Connections that a target accepts; further ones are closed.
     pub connections: u32,
-    /// The attempts that a target lets wait for a slot before it sheds.
+    /// Attempts that may wait for a slot at a target before it sheds.
     #[serde(rename = "queue")]
     pub max_queue_length: u32,
-    /// What a new connection costs before its first reply.
+    /// Delay of the first reply on a new connection.
     pub connect_cost: TimeSpan,
-    /// The failure domains, over which the replicas of a shard are spread.
+    /// Failure domains among which the replicas of a shard are spread.
     pub domains: Vec<FailureDomain>,
-    /// The index version of each shard.
+    /// Initial index version of all shards.
     pub version: IndexVersion,
-    /// How long a run takes.
+    /// Distribution of the run times.
     pub service_time: ServiceTime,
 }
 
-/// A `DeploymentKind` is one of the two deployments of today.
+/// Deployments with a predefined set of services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeploymentKind {
@@ -78,7 +78,7 @@
 }
 
 impl DeploymentKind {
-    /// Gets the layouts of the deployment's services; an instance is a shard, a server a replica.
+    /// Returns the layouts of all services of the deployment.
     #[must_use]
     pub fn layouts(self) -> Vec<ServiceLayout> {
         const VOLTA: [&str; 4] = ["accra-1", "accra-2", "accra-3", "accra-4"];
@@ -100,7 +100,7 @@
     }
 }
 
-/// Returns a layout of shards, replicas, slots, connections and milliseconds a new connection.
+/// `sizes` are shards, replicas, slots, connections and the milliseconds of a new connection.
 fn build_layout(
     service: &str,
     sizes: (u32, u32, u32, u32, u64),
@@ -122,15 +122,15 @@
 }
 
 impl ServiceLayout {
-    /// Gets the target of a shard's replica.
+    /// Derives the target name of a shard's replica.
     ///
     /// # Errors
-    /// `Error::Parse` where the name becomes too long.
+    /// `Error::Parse` where the name is too long.
     pub fn target_id(&self, shard: u32, replica: u32) -> Result<TargetId> {
         format!("{}-{shard}-{replica}", self.service).parse()
     }
 
-    /// Gets the failure domain of a shard's replica.
+    /// Assigns replicas to failure domains in turn, so that those of one shard differ.
     #[must_use]
     pub fn domain(&self, shard: u32, replica: u32) -> FailureDomain {
         let position = (shard + replica) as usize % self.domains.len().max(1);
@@ -140,7 +140,7 @@
             .unwrap_or_else(|| parse_literal("domain-1"))
     }
 
-    /// Gets the least key of a shard: decimal keys are spread evenly.
+    /// Returns the lower bound of a shard's key range; empty for the first shard.
     #[must_use]
     pub fn first_key(&self, shard: ShardId) -> String {
         if shard.0 == 0 {
@@ -149,7 +149,7 @@
         format!("{:04}", shard.0 * KEY_RANGE_COUNT / self.shards.max(1))
     }
 
-    /// Checks the layout.
+    /// Validates the counts.
     ///
     /// # Errors
     /// `Error::Invalid` for a count that is zero or too large.
@@ -172,7 +172,7 @@
     }
 }
 
-/// Reads a name that stands in this file.
+/// Parses a constant of this file, which must be a valid name.
 fn parse_literal<T: FromStr>(text: &str) -> T
 where
     T::Err: fmt::Debug,
--- a/alderhaven-standin/src/target_faults.rs
+++ b/alderhaven-standin/src/target_faults.rs
@@ -1,30 +1,30 @@
-//! The fault switches of a target.
+//! Fault switches of a target.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The text that makes a request crash targets where the switch is on.
+/// Marker of requests that crash a target while `poison_down_ms` is set.
 pub const POISON_MARKER: &str = "poison";
 
-/// A `TargetFaults` is the set of fault switches of a target.
+/// Complete set of switches of one target.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetFaults {
-    /// The factor by which each run is slower.
+    /// Factor on the time of each run.
     pub slow_factor: f64,
-    /// The target refuses attempts because it drains.
+    /// Refuses attempts and reports that the target drains.
     pub draining: bool,
-    /// The target sheds every attempt.
+    /// Sheds every attempt.
     pub shedding: bool,
-    /// The factor by which runs are slower while the target is cold.
+    /// Additional factor on run times while the target is cold.
     pub cold_factor: f64,
-    /// The runs after a start for which the target is cold.
+    /// Number of runs after a start for which the target is cold.
     pub cold_runs: u32,
-    /// The milliseconds after a start for which the target is cold.
+    /// Milliseconds after a start for which the target is cold.
     pub cold_ms: u64,
-    /// The milliseconds for which the target is down after a request whose parameters hold
-    /// [`POISON_MARKER`]; without a value such requests do no harm.
+    /// Downtime in milliseconds after a request whose parameters contain [`POISON_MARKER`]; if
+    /// absent, such requests run normally.
     pub poison_down_ms: Option<u64>,
 }
 
@@ -43,8 +43,8 @@
 }
 
 impl TargetFaults {
-    /// Gets the factor by which a run is slower that has `runs` runs before it since the target's
-    /// start, and begins `age` after it.
+    /// Returns the factor on the time of a run, given the number of earlier runs and the time since
+    /// the target's last start.
     #[must_use]
     pub fn slowdown_factor(&self, runs: u32, age: Duration) -> f64 {
         let is_cold = runs < self.cold_runs || age < Duration::from_millis(self.cold_ms);
@@ -52,8 +52,8 @@
         self.slow_factor * cold
     }
 
-    /// Gets the time for which the target is down after a request with these parameters; none where
-    /// it does no harm.
+    /// Returns the downtime that a request with these parameters causes; none if it doesn't crash
+    /// the target.
     #[must_use]
     pub fn crash_downtime(&self, parameters: &str) -> Option<Duration> {
         let down = self.poison_down_ms.map(Duration::from_millis)?;
--- a/alderhaven-standin/src/target_fleet.rs
+++ b/alderhaven-standin/src/target_fleet.rs
@@ -1,4 +1,4 @@
-//! Many targets in one process, with one record of their runs.
+//! Targets of several services in one process, with a common run log and control API.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,14 +15,14 @@
 use crate::service_layout::{DeploymentKind, ServiceLayout};
 use crate::target_server::TargetServer;
 
-/// A `FleetOptions` says which targets run.
+/// Services of a fleet and its settings.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// The services.
+    /// Layouts of the services to run.
     pub services: Vec<ServiceLayout>,
-    /// The seed of the run times.
+    /// Seed of the simulated run times.
     pub seed: u64,
-    /// The address of the control calls; port 0 takes a free one.
+    /// Address of the control API; port 0 selects a free one.
     pub control: SocketAddr,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A `TargetFleet` is a set of running targets with its control server.
+/// Running targets with their control server.
 #[derive(Debug)]
 pub struct TargetFleet {
     services: Arc<FleetServices>,
@@ -48,8 +48,8 @@
     /// Starts all targets and the control server ([`fleet_control`]).
     ///
     /// # Errors
-    /// `InvalidInput` for a layout that does not check, and the operating system's error where no
-    /// port can be bound.
+    /// `InvalidInput` for an invalid layout, and the operating system's error where no port can be
+    /// bound.
     pub async fn start(options: FleetOptions) -> io::Result<Self> {
         let services = FleetServices::start(options.services, options.seed).await?;
         let services = Arc::new(services);
@@ -66,48 +66,48 @@
         })
     }
 
-    /// Gets the services, for faults and changes.
+    /// Returns the services, to inject faults and to change versions.
     #[must_use]
     pub const fn services(&self) -> &Arc<FleetServices> {
         &self.services
     }
 
-    /// Gets the manifests of all services as snapshot `snapshot`.
+    /// Builds the manifests of all services, numbered `snapshot`.
     #[must_use]
     pub fn manifests(&self, snapshot: SnapshotId) -> Vec<SnapshotManifest> {
         self.services.manifests(snapshot)
     }
 
-    /// Gets the targets' lines of the host list.
+    /// Returns the host list entries of all targets that haven't been stopped.
     #[must_use]
     pub fn host_records(&self) -> Vec<HostRecord> {
         self.services.host_records()
     }
 
-    /// Gets all targets, by service, shard and replica.
+    /// Iterates over all targets by service, initial shard and replica.
     pub fn targets(&self) -> impl Iterator<Item = &TargetServer> {
         self.services.targets()
     }
 
-    /// Gets a target by its name.
+    /// Looks up a target by name.
     #[must_use]
     pub fn target(&self, target: &TargetId) -> Option<&TargetServer> {
         self.services.target(target)
     }
 
-    /// Gets the record of runs.
+    /// Returns the log that all targets write to.
     #[must_use]
     pub const fn run_log(&self) -> &Arc<RunLog> {
         &self.run_log
     }
 
-    /// Gets the address of the control calls.
+    /// Returns the address of the control API.
     #[must_use]
     pub const fn control_address(&self) -> SocketAddr {
         self.control_server.address()
     }
 
-    /// Stops all targets and waits for the attempts in flight.
+    /// Stops all targets, waits for the attempts in flight, then stops the control server.
     pub async fn stop(&self) {
         futures::future::join_all(self.targets().map(TargetServer::stop)).await;
         self.control_server.stop().await;
--- a/alderhaven-standin/src/target_lifecycle.rs
+++ b/alderhaven-standin/src/target_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The starts and crashes of a target, and the connections that it leaves silent.
+//! Starts and crashes of a target, and connections that stop answering.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// A `TargetLife` knows since when a target runs and tells its connections when it crashes.
+/// Start time and counters of a target, with the tokens that signal faults to its connections.
 #[derive(Debug)]
 pub struct TargetLifecycle {
     state: Mutex<LifecycleState>,
@@ -38,7 +38,7 @@
 }
 
 impl TargetLifecycle {
-    /// Begins a life, and returns the token that ends at its crash.
+    /// Records a start; the returned token is cancelled by the next crash.
     #[must_use]
     pub fn start(&self) -> CancellationToken {
         let mut state = self.lock_state();
@@ -48,7 +48,7 @@
         state.crash_token.clone()
     }
 
-    /// Ends the life: the listener and all connections go at once, and come back after `down`.
+    /// Signals a crash, after which the target stays down for `downtime`; ignored while it is down.
     pub fn crash(&self, downtime: Duration) {
         let mut state = self.lock_state();
         if !state.crash_token.is_cancelled() {
@@ -58,32 +58,32 @@
         }
     }
 
-    /// Gets the time for which the target stays down after its last crash.
+    /// Returns the downtime of the last crash.
     #[must_use]
     pub fn downtime(&self) -> Duration {
         self.lock_state().downtime
     }
 
-    /// Gets the number of crashes.
+    /// Returns the number of crashes since the target was created.
     #[must_use]
     pub fn crash_count(&self) -> u32 {
         self.lock_state().crash_count
     }
 
-    /// Makes the connections that are open now silent for good; new ones answer.
+    /// Stops answers on all currently open connections, for good; new connections work.
     pub fn silence_connections(&self) {
         let mut state = self.lock_state();
         state.silence_token.cancel();
         state.silence_token = CancellationToken::new();
     }
 
-    /// Gets the token, for a new connection, that ends when the connection becomes silent.
+    /// Returns the token for a new connection, which is cancelled when it is silenced.
     #[must_use]
     pub fn silence_token(&self) -> CancellationToken {
         self.lock_state().silence_token.clone()
     }
 
-    /// Counts a run; returns the runs before it in this life and the life's age.
+    /// Counts a run; returns the number of earlier runs since the last start, and the time since.
     pub fn record_run(&self) -> (u32, Duration) {
         let mut state = self.lock_state();
         state.run_count = state.run_count.saturating_add(1);
--- a/alderhaven-standin/src/target_server.rs
+++ b/alderhaven-standin/src/target_server.rs
@@ -1,4 +1,4 @@
-//! One target: a listener of its own, with a connection limit and a cost of new connections.
+//! A target with its own listener, a connection limit and a delay of new connections.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -20,10 +20,10 @@
 use crate::target_spec::TargetSpec;
 use crate::target_state::TargetState;
 
-/// The pause before another try to bind the address after a crash.
+/// Delay between attempts to rebind the address after a crash.
 const REBIND_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// A `TargetServer` is a running target.
+/// Running target.
 #[derive(Debug)]
 pub struct TargetServer {
     state: Arc<TargetState>,
@@ -33,7 +33,7 @@
 }
 
 impl TargetServer {
-    /// Starts a target on a free port of the loopback address.
+    /// Starts a target on a free loopback port.
     ///
     /// # Errors
     /// The operating system's error where no port can be bound.
@@ -56,19 +56,19 @@
         Ok(server)
     }
 
-    /// Gets the target's state, for faults.
+    /// Returns the target's state, to inject faults.
     #[must_use]
     pub const fn state(&self) -> &Arc<TargetState> {
         &self.state
     }
 
-    /// Gets the bound address.
+    /// Returns the bound address, which stays the same after a crash.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gets the target's line in a manifest.
+    /// Returns the target's entry of a manifest.
     #[must_use]
     pub fn replica_entry(&self) -> ReplicaEntry {
         let spec = self.state.spec();
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Returns true where the target was told to stop.
+    /// Returns true once [`TargetServer::stop`] was called.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stop_token.is_cancelled()
     }
 
-    /// Stops taking connections and waits for the attempts in flight.
+    /// Stops accepting connections, and waits for the attempts in flight.
     pub async fn stop(&self) {
         self.stop_token.cancel();
         self.tasks.close();
@@ -95,7 +95,7 @@
     }
 }
 
-/// A `ServerParts` is what the tasks of a target share.
+/// Shared by the tasks of one target.
 #[derive(Clone)]
 struct TargetContext {
     state: Arc<TargetState>,
@@ -103,7 +103,7 @@
     tasks: TaskTracker,
 }
 
-/// Serves until the stop; after a crash the target comes back on the same address.
+/// Accepts connections until the stop; after a crash the same address is bound again.
 async fn serve_until_stopped(mut listener: TcpListener, address: SocketAddr, parts: TargetContext) {
     loop {
         let crash_token = parts.state.lifecycle().start();
@@ -125,7 +125,7 @@
     }
 }
 
-/// Binds the address anew after the time down, again and again where it is taken for a moment.
+/// Waits for the downtime, then binds the address; retries while it is in use.
 async fn rebind(address: SocketAddr, downtime: Duration) -> TcpListener {
     tokio::time::sleep(downtime).await;
     loop {
@@ -143,7 +143,7 @@
 ) {
     let permits = Arc::new(Semaphore::new(parts.state.spec().connections as usize));
     while let Some(stream) = http_server::accept_connection(listener, &parts.stop_token).await {
-        // A connection beyond the limit is closed at once.
+        // Connections above the limit are closed at once.
         if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
             let connection = serve_connection(stream, parts.clone());
             let crash_token = crash_token.clone();
@@ -162,7 +162,8 @@
     let handler = move |request| {
         let (parts, silenced) = (parts.clone(), silenced.clone());
         async move {
-            // A request on a silent connection doesn't reach the target, and a reply is lost.
+            // A silenced connection delivers no requests to the target and no replies to the
+            // caller.
             if silenced.is_cancelled() {
                 return withhold_reply(&parts.stop_token).await;
             }
--- a/alderhaven-standin/src/target_spec.rs
+++ b/alderhaven-standin/src/target_spec.rs
@@ -1,33 +1,33 @@
-//! What a target is: place, capacity and run times.
+//! Identity, capacity and run times of a target.
 
 use alderhaven_core::ids::{FailureDomain, IndexVersion, ServiceName, ShardId, TargetId};
 use alderhaven_core::time::TimeSpan;
 
 use crate::service_time::ServiceTime;
 
-/// A `TargetSpec` is what a target is.
+/// Fixed properties of a target, derived from the layout of its service.
 #[derive(Clone, Debug)]
 pub struct TargetSpec {
-    /// The target.
+    /// Name of the target.
     pub target: TargetId,
-    /// The failure domain.
+    /// Failure domain that the target belongs to.
     pub domain: FailureDomain,
-    /// The service.
+    /// Service whose data the target holds.
     pub service: ServiceName,
-    /// The shard that it holds at its start.
+    /// Shard at the start.
     pub shard: ShardId,
-    /// The index version that it holds at its start.
+    /// Index version at the start.
     pub version: IndexVersion,
-    /// The attempts that it runs at a time.
+    /// Attempts that run concurrently.
     pub slots: u32,
-    /// The connections that it takes.
+    /// Connections that are accepted; further ones are closed.
     pub connections: u32,
-    /// The attempts that it lets wait for a slot.
+    /// Attempts that may wait for a slot; further ones are shed.
     pub max_queue_length: u32,
-    /// What a new connection costs before its first reply.
+    /// Delay of the first reply on a new connection.
     pub connect_cost: TimeSpan,
-    /// How long a run takes.
+    /// Distribution of the run times.
     pub service_time: ServiceTime,
-    /// The seed of the run times.
+    /// Seed of the run times, different for each target.
     pub seed: u64,
 }
--- a/alderhaven-standin/src/target_state.rs
+++ b/alderhaven-standin/src/target_state.rs
@@ -1,4 +1,4 @@
-//! What a target does with an attempt: slots, a short queue, shedding, runs and cancellation.
+//! Handling of attempts at a target: slots, a bounded queue, shedding, runs and cancellation.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -22,7 +22,7 @@
 use crate::target_lifecycle::TargetLifecycle;
 pub use crate::target_spec::TargetSpec;
 
-/// A `TargetState` runs the attempts of one target, whatever connection they come by.
+/// State of one target, shared by all its connections.
 #[derive(Debug)]
 pub struct TargetState {
     spec: TargetSpec,
@@ -37,7 +37,7 @@
 }
 
 impl TargetState {
-    /// Returns an idle target.
+    /// Creates an idle target that holds its initial index.
     #[must_use]
     pub fn new(spec: TargetSpec, runs: Arc<RunLog>) -> Self {
         Self {
@@ -56,42 +56,42 @@
         }
     }
 
-    /// Gets what the target is.
+    /// Returns the target's fixed properties.
     #[must_use]
     pub const fn spec(&self) -> &TargetSpec {
         &self.spec
     }
 
-    /// Gets the fault switches.
+    /// Returns the current fault switches.
     #[must_use]
     pub fn faults(&self) -> TargetFaults {
         *lock(&self.faults)
     }
 
-    /// Replaces the fault switches.
+    /// Replaces all fault switches.
     pub fn set_faults(&self, faults: TargetFaults) {
         *lock(&self.faults) = faults;
     }
 
-    /// Gets the indexes that the target holds.
+    /// Returns the indexes that the target serves.
     #[must_use]
     pub const fn indexes(&self) -> &HeldIndexes {
         &self.indexes
     }
 
-    /// Gets the target's starts and crashes.
+    /// Returns the starts and crashes of the target.
     #[must_use]
     pub const fn lifecycle(&self) -> &TargetLifecycle {
         &self.lifecycle
     }
 
-    /// Drops an attempt, whether it waits or runs; returns false where it is not known.
+    /// Cancels a waiting or running attempt; returns false if it isn't in flight.
     pub fn cancel(&self, attempt: AttemptId) -> bool {
         let cancel = lock(&self.cancel_tokens).get(&attempt).cloned();
         cancel.as_ref().inspect(|token| token.cancel()).is_some()
     }
 
-    /// Runs or refuses an attempt.
+    /// Runs an attempt or refuses it; the reply tells the number of free slots.
     pub async fn handle_attempt(&self, head: &AttemptHead, parameters: String) -> HttpReply {
         let mut reply = match self.refusal_reply(head) {
             Some(refusal) => refusal,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Waits for a slot; none where the queue is full.
+    /// Waits for a slot; returns none if the queue is full.
     async fn acquire_slot(&self) -> Option<SemaphorePermit<'_>> {
         if let Ok(slot) = self.slots.try_acquire() {
             return Some(slot);
@@ -163,7 +163,7 @@
         let faults = self.faults();
         if let Some(downtime) = faults.crash_downtime(&parameters) {
             self.lifecycle.crash(downtime);
-            // The crash ends the connection, and this run with it.
+            // The crash closes the connection, which drops this future.
             std::future::pending::<()>().await;
         }
         let (runs, age) = self.lifecycle.record_run();
@@ -206,7 +206,7 @@
     }
 }
 
-/// A `QueuePlace` is a place in the queue before the slots.
+/// Position in the queue of attempts that wait for a slot.
 struct QueuePermit<'a> {
     waiting_count: &'a AtomicU32,
 }
@@ -216,7 +216,7 @@
         let permit = Self {
             waiting_count: waiting,
         };
-        // The place is given back by `drop` where it was one too many.
+        // If the queue is full, `drop` undoes the increment.
         (waiting.fetch_add(1, Ordering::Relaxed) < capacity).then_some(permit)
     }
 }
@@ -227,7 +227,7 @@
     }
 }
 
-/// A `CancelGuard` keeps an attempt known to `cancel` while it waits or runs.
+/// Makes an attempt cancellable until it is dropped.
 struct CancelRegistration<'a> {
     cancel_tokens: &'a Mutex<HashMap<AttemptId, CancellationToken>>,
     attempt: AttemptId,
--- a/alderhaven-standin/tests/fake_store.rs
+++ b/alderhaven-standin/tests/fake_store.rs
@@ -1,4 +1,4 @@
-//! Tests of the platform's faults, with a paused clock.
+//! Faults of the in-memory platform, under a paused clock.
 
 use alderhaven_core::config_object::{ObjectKey, ObjectKind};
 use alderhaven_core::ids::StoreVersion;
--- a/alderhaven-standin/tests/faults.rs
+++ b/alderhaven-standin/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Tests of the fault switches of targets and of the control calls.
+//! Fault switches of targets and commands of the control API.
 
 use std::time::Duration;
 
@@ -100,7 +100,7 @@
     let mut hit = connect(&fleet).await;
     let poison = attempt(2, 1, 1, "poison-1").to_http("target").unwrap();
     assert!(hit.send(poison).await.is_err());
-    // The other connection of the target went with it.
+    // A crash closes the target's other connections too.
     assert!(idle.send(sound.to_http("target").unwrap()).await.is_err());
     let address = fleet.target(&TARGET_ID.parse().unwrap()).unwrap().address();
     let mut back = loop {
@@ -152,7 +152,7 @@
         AttemptOutcome::Answered
     );
     assert!(!silent.is_finished());
-    // Nothing of the second attempt reached the target, and the stop doesn't wait for it.
+    // The second attempt never reached the target, and the stop doesn't wait for it.
     assert_eq!(fleet.run_log().run_count(), 2);
     fleet.stop().await;
     assert!(silent.await.unwrap().is_err());
@@ -181,7 +181,7 @@
         let outcome = send_attempt(&mut connection, &request).await;
         assert_eq!(outcome, AttemptOutcome::Answered);
     }
-    // With one shard all four targets hold it, and without grace the former version is gone.
+    // With one shard, all four targets hold it; without grace, the former version is gone.
     let reply = post_control(&fleet, publish(0, Some(1))).await;
     let reply: ControlReply = serde_json::from_slice(reply.body()).unwrap();
     let manifest = reply.manifest.unwrap();
--- a/alderhaven-standin/tests/object_table.rs
+++ b/alderhaven-standin/tests/object_table.rs
@@ -1,4 +1,4 @@
-//! Tests of the object table against a plain oracle.
+//! Object table against a reference model.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use proptest::prelude::{ProptestConfig, Strategy, any, prop_assert, prop_assert_eq, proptest};
 use proptest::test_runner::RngSeed;
 
-/// A write as the test makes it: the object, whether its expected version is right, the body.
+/// Object number, whether the expected version is right, and the body.
 type DrawnWrite = (u8, bool, Option<u8>);
 
 fn config() -> ProptestConfig {
--- a/alderhaven-standin/tests/servers.rs
+++ b/alderhaven-standin/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-ins over HTTP on loopback.
+//! HTTP interfaces of the stand-ins on loopback.
 
 use alderhaven_core::config_object::StoredObject;
 use alderhaven_core::ids::{AttemptId, IndexVersion, ShardId, SnapshotId};
