--- a/alderhaven-load/src/caller_pool.rs
+++ b/alderhaven-load/src/caller_pool.rs
@@ -89,10 +89,15 @@
     fn build_request(&self, path: &str, body: Bytes) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = http::Method::POST;
-        *request.uri_mut() = path.parse().expect("template names stand in paths");
+        *request.uri_mut() = path
+            .parse()
+            .expect("a template name is valid in a URI path");
         let headers = request.headers_mut();
         let host = HeaderValue::from_str(&self.address.to_string());
-        headers.insert(HOST, host.expect("an address stands in a header"));
+        headers.insert(
+            HOST,
+            host.expect("a socket address is a valid header value"),
+        );
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         request
     }
--- a/alderhaven-load/src/crashable_runtime.rs
+++ b/alderhaven-load/src/crashable_runtime.rs
@@ -39,7 +39,10 @@
     where
         F: Future<Output: Send> + Send + 'static,
     {
-        let runtime = self.runtime.as_ref().expect("it is there until the drop");
+        let runtime = self
+            .runtime
+            .as_ref()
+            .expect("the runtime exists until the drop");
         runtime.spawn(task)
     }
 }
--- a/alderhaven-load/src/fault_script.rs
+++ b/alderhaven-load/src/fault_script.rs
@@ -244,7 +244,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a float cast saturates, which is what a bound wants"
+    reason = "the value is at least 0 and at most `count`"
 )]
 fn rounded_share(count: usize, share: f64) -> usize {
     (count as f64 * share).round() as usize
--- a/alderhaven-load/src/load_plan.rs
+++ b/alderhaven-load/src/load_plan.rs
@@ -57,7 +57,7 @@
         DeploymentKind::Volta => "libraries",
         DeploymentKind::Lagerblik => "inspectorate",
     };
-    name.parse().expect("the names here follow the rule")
+    name.parse().expect("the constant is a valid team name")
 }
 
 /// Returns the end of a burst, counted from the start of the run.
@@ -196,9 +196,9 @@
             .mix
             .iter()
             .find(|workload_template| workload_template.shard_count() == 1);
-        single_shard
-            .cloned()
-            .ok_or_else(|| Error::invalid("mix", "has no template that asks one shard"))
+        single_shard.cloned().ok_or_else(|| {
+            Error::invalid("mix", "has no template whose queries read a single shard")
+        })
     }
 }
 
--- a/alderhaven-load/src/load_query.rs
+++ b/alderhaven-load/src/load_query.rs
@@ -88,7 +88,7 @@
             .keys()
             .nth(position)
             .cloned();
-        let team = team.ok_or_else(|| Error::invalid("mix.teams", "names no team"))?;
+        let team = team.ok_or_else(|| Error::invalid("mix.teams", "the mix entry has no team"))?;
         let number = self.next_number;
         self.next_number += 1;
         let mut given = ParameterSet::default();
--- a/alderhaven-load/src/main.rs
+++ b/alderhaven-load/src/main.rs
@@ -170,7 +170,7 @@
 fn build_options(args: &RunArgs) -> Result<RunOptions> {
     let full_rate = Workload::for_deployment(args.deployment)?.rate_at_full_load();
     let load = match (args.load, args.rate) {
-        (Some(_), Some(_)) => bail!("--load and --rate can't be given together"),
+        (Some(_), Some(_)) => bail!("--load and --rate are mutually exclusive"),
         (Some(load), None) => load,
         (None, Some(rate)) => rate / full_rate,
         (None, None) => args.scenario.default_load(),
@@ -179,7 +179,7 @@
         bail!("--load: {load} is refused: allowed is above 0 to 20");
     }
     if !(1..=MAX_SECONDS).contains(&args.seconds) || args.warm_up > MAX_SECONDS {
-        bail!("--seconds and --warm-up: allowed is at most {MAX_SECONDS}, and 1 s of --seconds");
+        bail!("--seconds must be 1 to {MAX_SECONDS}, and --warm-up 0 to {MAX_SECONDS}");
     }
     if !(1..=MAX_NODES).contains(&args.nodes) {
         bail!(
--- a/alderhaven-load/src/report.rs
+++ b/alderhaven-load/src/report.rs
@@ -23,11 +23,11 @@
         lines.add(file, &text)?;
     }
     if lines.runs.is_empty() {
-        bail!("the files hold no results");
+        bail!("the files contain no result lines");
     }
     let directory = Path::new(directory);
     fs::create_dir_all(directory)
-        .wrap_err_with(|| format!("can't make {}", directory.display()))?;
+        .wrap_err_with(|| format!("can't create the directory {}", directory.display()))?;
     let mut plots = Vec::new();
     for kind in PlotKind::ALL {
         let svg = kind.draw(&kind.bars(&lines.runs))?;
--- a/alderhaven-load/src/report_page.rs
+++ b/alderhaven-load/src/report_page.rs
@@ -54,7 +54,7 @@
 #[must_use]
 pub fn render_page(lines: &ReportLines, plots: &[(PlotKind, String)]) -> String {
     let mut page = String::from("# Results of load runs\n");
-    page.push_str("\nLatencies count from when a query was due. `extra load` is the attempts that the targets ran over the fewest that the answers needed.\n");
+    page.push_str("\nLatencies are measured from the due time of a query. `extra load` is the number of attempts that the targets ran, divided by the minimum for the answers.\n");
     add_section(
         &mut page,
         "Results",
@@ -64,16 +64,11 @@
     let ratios = table_rows(&lines.ratios, ratio_row);
     add_section(&mut page, "Current over baseline", &RATIO_COLUMNS, ratios);
     let figures = lines.runs.iter().flat_map(figure_rows).collect();
-    add_section(
-        &mut page,
-        "Figures of single scenarios",
-        &FIGURE_COLUMNS,
-        figures,
-    );
+    add_section(&mut page, "Scenario figures", &FIGURE_COLUMNS, figures);
     let machine = table_rows(&lines.runs, machine_row);
     add_section(&mut page, "The machine", &MACHINE_COLUMNS, machine);
     if !plots.is_empty() {
-        page.push_str("\n## Plots\n\nMeans over the seeds.\n");
+        page.push_str("\n## Plots\n\nMeans over all seeds.\n");
         for (kind, file) in plots {
             page.extend(["\n![", kind.title(), "](", file, ")\n"]);
         }
--- a/alderhaven-load/src/report_plot.rs
+++ b/alderhaven-load/src/report_plot.rs
@@ -148,5 +148,5 @@
 }
 
 fn drawing_error(error: impl std::fmt::Display) -> eyre::Report {
-    eyre!("the plot can't be drawn: {error}")
+    eyre!("can't draw the plot: {error}")
 }
--- a/alderhaven-load/src/run_tally.rs
+++ b/alderhaven-load/src/run_tally.rs
@@ -254,7 +254,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds are valid for a histogram")
+    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds and the precision are valid")
 }
 
 fn record_span(histogram: &mut Histogram<u64>, span: TimeSpan) {
--- a/alderhaven-load/src/test_bed.rs
+++ b/alderhaven-load/src/test_bed.rs
@@ -113,7 +113,7 @@
             } else {
                 RelayNode::start(settings, config).await
             };
-            self.relays.push(relay.wrap_err("a relay can't start")?);
+            self.relays.push(relay.wrap_err("can't start a relay")?);
         }
         let relays: Vec<SocketAddr> = self.relays.iter().map(RelayNode::peer_address).collect();
         let extra_settings = format!(
@@ -125,7 +125,7 @@
                 self.node_settings("entry", number, policy, &extra_settings)?;
             let config = self.start_follower(&settings.node);
             let entry = EntryNode::start(settings, config).await;
-            self.entries.push(entry.wrap_err("an entry can't start")?);
+            self.entries.push(entry.wrap_err("can't start an entry")?);
         }
         Ok(())
     }
@@ -160,7 +160,7 @@
         while !self.is_ready() {
             if Instant::now() >= limit {
                 bail!(
-                    "the system is not ready within {} s",
+                    "the system is not ready after {} s",
                     START_TIMEOUT.as_secs()
                 );
             }
@@ -269,7 +269,7 @@
         while self.fleet.run_log().running_count() > 0 {
             if Instant::now() >= end {
                 bail!(
-                    "targets still run attempts {} s after the last reply",
+                    "targets still run attempts after waiting {} s",
                     limit.as_secs()
                 );
             }
--- a/alderhaven-load/src/workload.rs
+++ b/alderhaven-load/src/workload.rs
@@ -236,5 +236,5 @@
 }
 
 fn missing_error(field: &str, name: &impl std::fmt::Display) -> Error {
-    Error::invalid(field, format!("there is no `{name}`"))
+    Error::invalid(field, format!("`{name}` is not defined"))
 }
--- a/alderhaven-load/tests/common/mod.rs
+++ b/alderhaven-load/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Hand-made queries, manifests, runs and replies.
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test crate uses a part")]
 
 use std::sync::Arc;
 
--- a/alderhaven-standin/src/fake_store.rs
+++ b/alderhaven-standin/src/fake_store.rs
@@ -218,7 +218,7 @@
 impl StoreState {
     fn admit(&mut self, now: TimePoint, is_write: bool) -> StoreResult<()> {
         if self.faults.outage {
-            return Err(StoreError::not_done("out of service"));
+            return Err(StoreError::not_done("the object API is unavailable"));
         }
         let limiter = if is_write {
             &mut self.write_limiter
@@ -233,7 +233,7 @@
         };
         self.call_counts.throttled += 1;
         Err(StoreError::NotDone {
-            reason: "above the rate".to_owned(),
+            reason: "rate limit exceeded".to_owned(),
             retry_after: Some(wait),
         })
     }
@@ -304,7 +304,7 @@
             .as_ref()
             .is_some_and(|body| body.len() > MAX_VALUE_BYTES)
         {
-            return Err(StoreError::not_done("the value is too large"));
+            return Err(StoreError::not_done("the value exceeds the size limit"));
         }
         self.start_call(|calls| calls.writes += 1, true).await?;
         let mut state = self.lock_state();
@@ -312,12 +312,12 @@
             WriteFault::NoFault => Ok(state.table.write(write)),
             WriteFault::ReplyLost => {
                 state.table.write(write);
-                Err(StoreError::unknown("the answer was lost"))
+                Err(StoreError::unknown("the reply was lost"))
             }
-            WriteFault::Dropped => Err(StoreError::unknown("the call was lost")),
+            WriteFault::Dropped => Err(StoreError::unknown("the request was lost")),
             WriteFault::Held => {
                 state.held_writes.push(write);
-                Err(StoreError::unknown("the call is late"))
+                Err(StoreError::unknown("the request is delayed"))
             }
         };
         drop(state);
@@ -340,7 +340,7 @@
             let outcome = {
                 let state = self.lock_state();
                 if state.faults.outage {
-                    return Err(StoreError::unknown("the watch was cut off"));
+                    return Err(StoreError::unknown("the watch was aborted"));
                 }
                 state.table.changes(kinds, after)
             };
@@ -358,7 +358,7 @@
         let now = self.now();
         let state = self.lock_state();
         if state.faults.hosts_outage {
-            return Err(StoreError::not_done("the host list is out of service"));
+            return Err(StoreError::not_done("the host list is unavailable"));
         }
         Ok(state.lagging_listing(now))
     }
--- a/alderhaven-standin/src/fleet_control.rs
+++ b/alderhaven-standin/src/fleet_control.rs
@@ -105,7 +105,7 @@
             },
             Err(refusal) => refusal.reply(),
         },
-        _ => text_reply(StatusCode::NOT_FOUND, "no such call"),
+        _ => text_reply(StatusCode::NOT_FOUND, "unknown path or method"),
     }
 }
 
@@ -218,7 +218,7 @@
     for name in names {
         match services.target(name) {
             Some(target) => targets.push(target),
-            None => bail!("there is no target `{name}`"),
+            None => bail!("target `{name}` does not exist"),
         }
     }
     Ok(targets)
--- a/alderhaven-standin/src/fleet_services.rs
+++ b/alderhaven-standin/src/fleet_services.rs
@@ -166,7 +166,7 @@
         self.services
             .iter()
             .find(|service| service.layout().service == *name)
-            .ok_or_else(|| Error::invalid("service", format!("there is no `{name}`")))
+            .ok_or_else(|| Error::invalid("service", format!("`{name}` does not exist")))
     }
 
     fn lock_leaving(&self) -> MutexGuard<'_, Vec<LeavingRecord>> {
@@ -197,7 +197,7 @@
         next.version = IndexVersion(layout.version.0 + 1);
         next.check()?;
         if next.shards as usize > self.targets.len() {
-            let reason = format!("{} is more than there are targets", next.shards);
+            let reason = format!("{} exceeds the number of targets", next.shards);
             return Err(Error::invalid("shards", reason));
         }
         for (position, target) in self.targets.iter().enumerate() {
--- a/alderhaven-standin/src/http_connection.rs
+++ b/alderhaven-standin/src/http_connection.rs
@@ -44,7 +44,10 @@
         self.sender.ready().await?;
         let response = self.sender.send_request(request).await?;
         let (parts, body) = response.into_parts();
-        let body = body.collect().await.wrap_err("the reply was broken off")?;
+        let body = body
+            .collect()
+            .await
+            .wrap_err("the connection ended within the response")?;
         Ok(Response::from_parts(parts, body.to_bytes()))
     }
 }
--- a/alderhaven-standin/src/http_server.rs
+++ b/alderhaven-standin/src/http_server.rs
@@ -29,7 +29,7 @@
 
 impl fmt::Display for ConnectionAborted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the connection is cut without a reply")
+        formatter.write_str("connection closed without a response")
     }
 }
 
@@ -160,8 +160,13 @@
     #[must_use]
     pub fn reply(self) -> HttpReply {
         match self {
-            Self::TooLarge => text_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-            Self::Truncated => text_reply(StatusCode::BAD_REQUEST, "the body was broken off"),
+            Self::TooLarge => text_reply(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "the request body is too large",
+            ),
+            Self::Truncated => {
+                text_reply(StatusCode::BAD_REQUEST, "the request body is incomplete")
+            }
         }
     }
 }
--- a/alderhaven-standin/src/main.rs
+++ b/alderhaven-standin/src/main.rs
@@ -145,7 +145,7 @@
         services.extend(deployment.layouts());
     }
     if services.is_empty() {
-        bail!("no service is given: use --deployment, --service or --layout");
+        bail!("no services to run: use --deployment, --service or --layout");
     }
     let fleet = TargetFleet::start(FleetOptions {
         services,
@@ -169,14 +169,14 @@
 
 #[expect(
     clippy::print_stdout,
-    reason = "the ready line is the command's output"
+    reason = "the ready line goes to standard output"
 )]
 fn print_line(line: &impl Serialize) -> Result<()> {
     println!("{}", serde_json::to_string(line)?);
     Ok(())
 }
 
-#[expect(clippy::print_stderr, reason = "the error is the command's output")]
+#[expect(clippy::print_stderr, reason = "errors go to standard error")]
 fn print_error(error: &eyre::Report) {
     eprintln!("alder-standin: {error:#}");
 }
--- a/alderhaven-standin/src/platform_faults.rs
+++ b/alderhaven-standin/src/platform_faults.rs
@@ -12,7 +12,7 @@
 #[serde(default, deny_unknown_fields)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "the switches go on and off independently of each other"
+    reason = "the switches are independent of each other"
 )]
 pub struct PlatformFaults {
     /// Refuses every call of the object API, without effect.
--- a/alderhaven-standin/src/platform_server.rs
+++ b/alderhaven-standin/src/platform_server.rs
@@ -199,7 +199,7 @@
             Ok(text_reply(StatusCode::OK, ""))
         }
         (&Method::GET, ["calls"]) => Ok(json_reply(StatusCode::OK, &store.call_counts())),
-        _ => Ok(text_reply(StatusCode::NOT_FOUND, "no such call")),
+        _ => Ok(text_reply(StatusCode::NOT_FOUND, "unknown path or method")),
     }
 }
 
@@ -210,7 +210,7 @@
 
 async fn get(store: &FakeStore, key: &ObjectKey) -> CallResult {
     Ok(store.get(key).await?.map_or_else(
-        || text_reply(StatusCode::NOT_FOUND, "never written"),
+        || text_reply(StatusCode::NOT_FOUND, "the object does not exist"),
         |object| json_reply(StatusCode::OK, &object),
     ))
 }
@@ -248,7 +248,10 @@
     let wait = TimeSpan::from_millis(query_number(parts, "wait_ms")?).min(MAX_WATCH_WAIT);
     match store.watch(&kinds, after, wait).await? {
         WatchOutcome::Changes(list) => Ok(json_reply(StatusCode::OK, &list)),
-        WatchOutcome::Compacted => Ok(text_reply(StatusCode::GONE, "list again")),
+        WatchOutcome::Compacted => Ok(text_reply(
+            StatusCode::GONE,
+            "the revision is not available: list again",
+        )),
     }
 }
 
@@ -263,7 +266,7 @@
 fn query_number(parts: &Parts, name: &str) -> Result<u64, CallError> {
     query_parameter(parts.uri.query(), name)
         .and_then(|text| text.parse().ok())
-        .ok_or_else(|| bad_request(format!("`{name}` must be a whole number")))
+        .ok_or_else(|| bad_request(format!("parameter `{name}` must be a whole number")))
 }
 
 fn object_key(kind: &str, name: &str) -> Result<ObjectKey, CallError> {
@@ -285,7 +288,7 @@
 fn header_number(headers: &HeaderMap, name: &str) -> Result<u64, CallError> {
     header_text(headers, name)?
         .parse()
-        .map_err(|_| bad_request(format!("header `{name}` must be a whole number")))
+        .map_err(|_| bad_request(format!("header parameter `{name}` must be a whole number")))
 }
 
 async fn read_text(body: Incoming) -> Result<String, CallError> {
--- a/alderhaven-standin/src/registration.rs
+++ b/alderhaven-standin/src/registration.rs
@@ -80,7 +80,7 @@
     let body = serde_json::to_vec(&manifest)?;
     let (status, _) = send_request(connection, Method::PUT, &path, expected, body).await?;
     if status == StatusCode::CONFLICT {
-        bail!("another writer changed {path} at the same time");
+        bail!("conflict: another writer changed {path}");
     }
     Ok(manifest)
 }
@@ -104,6 +104,6 @@
         status @ (StatusCode::OK | StatusCode::NOT_FOUND | StatusCode::CONFLICT) => {
             Ok((status, response.into_body()))
         }
-        status => bail!("the platform answered {path} with {status}"),
+        status => bail!("the platform answered {path} with status {status}"),
     }
 }
--- a/alderhaven-standin/src/service_layout.rs
+++ b/alderhaven-standin/src/service_layout.rs
@@ -178,5 +178,5 @@
     T::Err: fmt::Debug,
 {
     text.parse()
-        .expect("the names in this file follow the rule for names")
+        .expect("the constants of this file are valid names")
 }
--- a/alderhaven-standin/src/target_server.rs
+++ b/alderhaven-standin/src/target_server.rs
@@ -203,16 +203,16 @@
         }
         (&Method::POST, target_dialect::CANCEL_PATH) => match parse_attempt_id(&parts.headers) {
             Ok(attempt) if state.cancel(attempt) => text_reply(StatusCode::OK, ""),
-            Ok(_) => text_reply(StatusCode::NOT_FOUND, "not in flight"),
+            Ok(_) => text_reply(StatusCode::NOT_FOUND, "the attempt is not in flight"),
             Err(header) => bad_header_reply(header),
         },
-        _ => text_reply(StatusCode::NOT_FOUND, "no such call"),
+        _ => text_reply(StatusCode::NOT_FOUND, "unknown path or method"),
     })
 }
 
 fn bad_header_reply(header: &str) -> HttpReply {
     text_reply(
         StatusCode::BAD_REQUEST,
-        format!("header `{header}` is missing or unreadable"),
+        format!("header `{header}` is missing or malformed"),
     )
 }
--- a/alderhaven-standin/src/target_state.rs
+++ b/alderhaven-standin/src/target_state.rs
@@ -120,11 +120,18 @@
             version: head.version,
         };
         match self.indexes.state_of(requested) {
-            _ if head.service != self.spec.service => {
-                Some(text_reply(StatusCode::NOT_FOUND, "not held here"))
-            }
-            IndexState::OtherShard => Some(text_reply(StatusCode::NOT_FOUND, "not held here")),
-            IndexState::Gone => Some(not_run_reply(StatusCode::GONE, "the version is gone")),
+            _ if head.service != self.spec.service => Some(text_reply(
+                StatusCode::NOT_FOUND,
+                "the shard is not held here",
+            )),
+            IndexState::OtherShard => Some(text_reply(
+                StatusCode::NOT_FOUND,
+                "the shard is not held here",
+            )),
+            IndexState::Gone => Some(not_run_reply(
+                StatusCode::GONE,
+                "the index version is no longer held",
+            )),
             IndexState::Held => None,
         }
     }
@@ -184,7 +191,7 @@
             }
             () = tokio::time::sleep_until(end) => {
                 guard.finish(RunStatus::Expired);
-                text_reply(StatusCode::GATEWAY_TIMEOUT, "the deadline passed")
+                text_reply(StatusCode::GATEWAY_TIMEOUT, "the deadline has passed")
             }
         }
     }
--- a/alderhaven-standin/tests/fake_store.rs
+++ b/alderhaven-standin/tests/fake_store.rs
@@ -91,7 +91,7 @@
         ..
     }) = refused
     else {
-        panic!("above the rate: {refused:?}");
+        panic!("expected a refusal by the rate limit, got {refused:?}");
     };
     tokio::time::sleep(wait.as_duration() + std::time::Duration::from_millis(1)).await;
     assert!(store.get(&key()).await.is_ok());
@@ -125,7 +125,7 @@
     tokio::task::yield_now().await;
     store.put(key(), Some("{}".to_owned()));
     let Ok(WatchOutcome::Changes(list)) = watch.await.unwrap() else {
-        panic!("a change was written");
+        panic!("expected the written change");
     };
     assert_eq!(list.objects[0].version, StoreVersion(1));
 }
--- a/alderhaven-standin/tests/servers.rs
+++ b/alderhaven-standin/tests/servers.rs
@@ -124,7 +124,7 @@
         StatusCode::OK
     );
     let lost = connection.send(put("/objects/team/desk", 0, "{}")).await;
-    assert!(lost.is_err(), "the connection ends without a reply");
+    assert!(lost.is_err(), "a lost reply must close the connection");
     assert_eq!(platform.store().table().revision().0, 1);
     platform.store().set_faults(PlatformFaults {
         throttle: true,
