--- a/alderhaven-load/src/answer_oracle.rs
+++ b/alderhaven-load/src/answer_oracle.rs
@@ -66,27 +66,25 @@
     /// Checks a query's reply; returns the violations found.
     #[must_use]
     pub fn check_reply(&self, query: &LoadQuery, reply: &QueryReply) -> Vec<ViolationKind> {
-        let mut violations = Vec::new();
+        let mut found = Vec::new();
         let runs = self.runs_of(query);
         if !query.workload_template.template.idempotent && runs.len() > 1 {
-            violations.push(ViolationKind::DoubleRun);
+            found.push(ViolationKind::DoubleRun);
         }
         if matches!(reply.content, ReplyContent::Aborted) {
-            violations.push(ViolationKind::CutInFlight);
+            found.push(ViolationKind::CutInFlight);
         }
         match reply.parse() {
-            ParsedReply::Answer(answer) => {
-                violations.extend(self.check_answer(query, &answer, runs))
-            }
+            ParsedReply::Answer(answer) => found.extend(self.check_answer(query, &answer, runs)),
             // With shared parameters the run may belong to another query.
             ParsedReply::Error(body)
                 if body.error.not_run && !runs.is_empty() && !query.group.shares_parameters() =>
             {
-                violations.push(ViolationKind::FalseNotRun);
+                found.push(ViolationKind::FalseNotRun);
             }
             ParsedReply::Error(_) | ParsedReply::Unreadable => {}
         }
-        violations
+        found
     }
 
     fn runs_of(&self, query: &LoadQuery) -> &[RunRecord] {
@@ -133,7 +131,7 @@
 ) -> Option<Vec<&'a ShardEntry>> {
     let selection = &query.workload_template.template.shards;
     let positions = manifest.select(selection, &query.parameters).ok()?;
-    let asked: Vec<&ShardEntry> = positions
+    let requested: Vec<&ShardEntry> = positions
         .into_iter()
         .map(|position| &manifest.shards[position])
         .collect();
@@ -144,12 +142,12 @@
             .iter()
             .any(|missing| missing.shard == entry.shard)
     };
-    let covered: Vec<&ShardEntry> = asked
+    let covered: Vec<&ShardEntry> = requested
         .iter()
         .copied()
         .filter(|entry| !is_missing(entry))
         .collect();
-    let is_true = report.requested == asked.len()
+    let is_true = report.requested == requested.len()
         && report.answered == covered.len()
         && report.answered + report.missing.len() == report.requested
         && (answer.outcome == QueryOutcome::Complete) == report.missing.is_empty();
--- a/alderhaven-load/src/load_plan.rs
+++ b/alderhaven-load/src/load_plan.rs
@@ -196,9 +196,9 @@
             .mix
             .iter()
             .find(|workload_template| workload_template.shard_count() == 1);
-        single_shard.cloned().ok_or_else(|| {
-            Error::invalid("mix", "has no template whose queries read a single shard")
-        })
+        single_shard
+            .cloned()
+            .ok_or_else(|| Error::invalid("mix", "has no template of a single shard"))
     }
 }
 
--- a/alderhaven-load/src/load_query.rs
+++ b/alderhaven-load/src/load_query.rs
@@ -71,10 +71,7 @@
         group: QueryGroup,
         rng: &mut impl Rng,
     ) -> Result<LoadQuery> {
-        let rates = || {
-            mix.iter()
-                .map(|workload_template| workload_template.rate_at_full_load())
-        };
+        let rates = || mix.iter().map(|template| template.rate_at_full_load());
         let workload_template = Arc::clone(&mix[pick_weighted(rates(), rates().sum(), rng)]);
         let team_shares = workload_template.mix_entry.teams.values().copied();
         let position = pick_weighted(
--- a/alderhaven-load/src/test_run.rs
+++ b/alderhaven-load/src/test_run.rs
@@ -35,15 +35,13 @@
             without_special_queries: true,
             ..options.clone()
         };
-        let without_special_queries = run_once(&comparison_options).await?.figures[COMPARED_FIGURE];
-        let ratio = match (line.figures[COMPARED_FIGURE], without_special_queries) {
-            (Some(with), Some(without_special_queries)) if without_special_queries > 0.0 => {
-                Some(rounded(with / without_special_queries))
-            }
+        let without = run_once(&comparison_options).await?.figures[COMPARED_FIGURE];
+        let ratio = match (line.figures[COMPARED_FIGURE], without) {
+            (Some(with), Some(without)) if without > 0.0 => Some(rounded(with / without)),
             _ => None,
         };
         let figures = &mut line.figures;
-        figures.insert("others_p99_alone_ms".to_owned(), without_special_queries);
+        figures.insert("others_p99_alone_ms".to_owned(), without);
         figures.insert("others_p99_ratio".to_owned(), ratio);
     }
     Ok(line)
--- a/alderhaven-load/src/workload.rs
+++ b/alderhaven-load/src/workload.rs
@@ -157,9 +157,7 @@
     /// # Errors
     /// `Error::Parse` where a template's name is too long.
     pub fn add_long_jobs(&mut self) -> Result<()> {
-        let is_urgent = |workload_template: &&WorkloadTemplate| {
-            workload_template.template.class == QueryClass::Urgent
-        };
+        let is_urgent = |entry: &&WorkloadTemplate| entry.template.class == QueryClass::Urgent;
         let urgent: Vec<WorkloadTemplate> = self.mix.iter().filter(is_urgent).cloned().collect();
         for mut workload_template in urgent {
             let name: TemplateName = format!("{}-long", workload_template.template.name).parse()?;
--- a/alderhaven-load/tests/figures.rs
+++ b/alderhaven-load/tests/figures.rs
@@ -60,21 +60,23 @@
 fn workload_fills_each_service_at_load_one() {
     for deployment in [DeploymentKind::Volta, DeploymentKind::Lagerblik] {
         let workload = Workload::for_deployment(deployment).unwrap();
-        let work = |workload_template: &WorkloadTemplate| {
-            workload_template.rate_at_full_load() * workload_template.mean_work()
-        };
+        let work = |entry: &WorkloadTemplate| entry.rate_at_full_load() * entry.mean_work();
         for layout in &workload.layouts {
             let slots = f64::from(layout.shards * layout.replicas * layout.slots);
-            let asked: f64 = workload
+            let work_per_second: f64 = workload
                 .mix
                 .iter()
                 .filter(|workload_template| workload_template.layout.service == layout.service)
                 .map(work)
                 .sum();
-            assert!((asked / slots - 1.0).abs() < 1e-9, "{}", layout.service);
+            assert!(
+                (work_per_second / slots - 1.0).abs() < 1e-9,
+                "{}",
+                layout.service
+            );
         }
-        let asked: f64 = workload.mix.iter().map(work).sum();
-        assert!((asked / workload.capacity() - 1.0).abs() < 1e-9);
+        let work_per_second: f64 = workload.mix.iter().map(work).sum();
+        assert!((work_per_second / workload.capacity() - 1.0).abs() < 1e-9);
         assert!(workload.teams.iter().all(|team| team.check().is_empty()));
         assert!(
             workload
--- a/alderhaven-standin/src/http_server.rs
+++ b/alderhaven-standin/src/http_server.rs
@@ -160,13 +160,8 @@
     #[must_use]
     pub fn reply(self) -> HttpReply {
         match self {
-            Self::TooLarge => text_reply(
-                StatusCode::PAYLOAD_TOO_LARGE,
-                "the request body is too large",
-            ),
-            Self::Truncated => {
-                text_reply(StatusCode::BAD_REQUEST, "the request body is incomplete")
-            }
+            Self::TooLarge => text_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
+            Self::Truncated => text_reply(StatusCode::BAD_REQUEST, "the body is incomplete"),
         }
     }
 }
--- a/alderhaven-standin/src/target_state.rs
+++ b/alderhaven-standin/src/target_state.rs
@@ -120,18 +120,13 @@
             version: head.version,
         };
         match self.indexes.state_of(requested) {
-            _ if head.service != self.spec.service => Some(text_reply(
-                StatusCode::NOT_FOUND,
-                "the shard is not held here",
-            )),
-            IndexState::OtherShard => Some(text_reply(
-                StatusCode::NOT_FOUND,
-                "the shard is not held here",
-            )),
-            IndexState::Gone => Some(not_run_reply(
-                StatusCode::GONE,
-                "the index version is no longer held",
-            )),
+            _ if head.service != self.spec.service => {
+                Some(text_reply(StatusCode::NOT_FOUND, "shard not held here"))
+            }
+            IndexState::OtherShard => {
+                Some(text_reply(StatusCode::NOT_FOUND, "shard not held here"))
+            }
+            IndexState::Gone => Some(not_run_reply(StatusCode::GONE, "version no longer held")),
             IndexState::Held => None,
         }
     }
