--- a/alderhaven-load/src/answer_oracle.rs
+++ b/alderhaven-load/src/answer_oracle.rs
@@ -48,10 +48,10 @@
     /// Indexes the manifests and the run records.
     #[must_use]
     pub fn new(manifests: Vec<SnapshotManifest>, records: Vec<RunRecord>) -> Self {
-        let mut runs: HashMap<(String, String), Vec<RunRecord>> = HashMap::new();
+        let mut run_records: HashMap<(String, String), Vec<RunRecord>> = HashMap::new();
         for record in records {
             let key = (record.template.clone(), record.parameters.clone());
-            runs.entry(key).or_default().push(record);
+            run_records.entry(key).or_default().push(record);
         }
         let manifests = manifests
             .into_iter()
@@ -59,7 +59,7 @@
             .collect();
         Self {
             manifests,
-            run_records: runs,
+            run_records,
         }
     }
 
--- a/alderhaven-load/src/fault_script.rs
+++ b/alderhaven-load/src/fault_script.rs
@@ -55,11 +55,8 @@
 impl<'a> FaultScript<'a> {
     /// Creates the script for a started system.
     #[must_use]
-    pub const fn new(options: &'a RunOptions, bed: &'a TestBed) -> Self {
-        Self {
-            options,
-            test_bed: bed,
-        }
+    pub const fn new(options: &'a RunOptions, test_bed: &'a TestBed) -> Self {
+        Self { options, test_bed }
     }
 
     /// Turns on the faults that last for the whole run.
--- a/alderhaven-load/src/load_driver.rs
+++ b/alderhaven-load/src/load_driver.rs
@@ -60,7 +60,7 @@
     query: LoadQuery,
     started_at: Instant,
 ) -> (LoadQuery, QueryReply) {
-    let sent = TimeSpan::from(started_at.elapsed());
+    let sent_at = TimeSpan::from(started_at.elapsed());
     let path = format!("/v1/query/{}", query.workload_template.template.name);
     let body = json!({ "team": query.team, "parameters": query.parameters }).to_string();
     let limit = query.workload_template.template.deadline.as_duration() + REPLY_GRACE;
@@ -69,7 +69,7 @@
         .await
         .unwrap_or(ReplyContent::TimedOut);
     let reply = QueryReply {
-        sent_at: sent,
+        sent_at,
         ended_at: TimeSpan::from(started_at.elapsed()),
         content,
     };
--- a/alderhaven-load/src/load_query.rs
+++ b/alderhaven-load/src/load_query.rs
@@ -67,7 +67,7 @@
     pub fn draw(
         &mut self,
         mix: &[Arc<WorkloadTemplate>],
-        due: TimeSpan,
+        due_at: TimeSpan,
         group: QueryGroup,
         rng: &mut impl Rng,
     ) -> Result<LoadQuery> {
@@ -95,7 +95,7 @@
             .insert(workload_template.mix_entry.unique_parameter.clone(), tag);
         Ok(LoadQuery {
             number,
-            due_at: due,
+            due_at,
             parameters: workload_template.template.bind(&team, given)?,
             workload_template,
             team,
--- a/alderhaven-load/src/run_tally.rs
+++ b/alderhaven-load/src/run_tally.rs
@@ -212,8 +212,8 @@
 
 fn evaluate_reply(query: &LoadQuery, reply: &QueryReply, parsed: &ParsedReply) -> QueryResult {
     let deadline = query.workload_template.template.deadline;
-    let in_time = reply.ended_at.saturating_sub(query.due_at) <= deadline;
-    let (outcome, covered) = match parsed {
+    let is_in_time = reply.ended_at.saturating_sub(query.due_at) <= deadline;
+    let (outcome, covered_share) = match parsed {
         ParsedReply::Answer(answer) => (answer.outcome, answer.coverage.covered_share()),
         ParsedReply::Error(body) => (error_outcome(body), 0.0),
         ParsedReply::Unreadable if matches!(reply.content, ReplyContent::Unsent) => {
@@ -226,9 +226,9 @@
     };
     QueryResult {
         outcome,
-        covered_share: covered,
-        is_in_time: in_time,
-        is_useful: in_time
+        covered_share,
+        is_in_time,
+        is_useful: is_in_time
             && matches!(parsed, ParsedReply::Answer(answer) if meets_coverage(query, answer)),
     }
 }
--- a/alderhaven-load/src/workload.rs
+++ b/alderhaven-load/src/workload.rs
@@ -122,24 +122,24 @@
     /// `Error::Invalid` for an unknown template or service.
     pub fn from_file(file: WorkloadFile, mut layouts: Vec<ServiceLayout>) -> Result<Self> {
         let mut mix = Vec::new();
-        for entry in file.mix {
+        for mix_entry in file.mix {
             let template = file
                 .templates
                 .iter()
-                .find(|template| template.name == entry.template)
+                .find(|template| template.name == mix_entry.template)
                 .cloned()
-                .ok_or_else(|| missing_error("mix.template", &entry.template))?;
+                .ok_or_else(|| missing_error("mix.template", &mix_entry.template))?;
             let layout = layouts
                 .iter_mut()
                 .find(|layout| layout.service == template.service)
                 .ok_or_else(|| missing_error("templates.service", &template.service))?;
-            let name = entry.template.to_string();
+            let name = mix_entry.template.to_string();
             layout
                 .service_time
                 .templates
-                .insert(name, entry.mean_run_time);
+                .insert(name, mix_entry.mean_run_time);
             mix.push(WorkloadTemplate {
-                mix_entry: entry,
+                mix_entry,
                 template,
                 layout: layout.clone(),
             });
--- a/alderhaven-standin/src/fleet_services.rs
+++ b/alderhaven-standin/src/fleet_services.rs
@@ -47,15 +47,15 @@
     /// `InvalidInput` for an invalid layout, and the operating system's error where no port can be
     /// bound.
     pub async fn start(layouts: Vec<ServiceLayout>, seed: u64) -> io::Result<Self> {
-        let runs = Arc::new(RunLog::default());
+        let run_log = Arc::new(RunLog::default());
         let mut services = Vec::new();
         for layout in layouts {
             layout.check().map_err(invalid_input)?;
-            services.push(RunningService::start(layout, seed, &runs).await?);
+            services.push(RunningService::start(layout, seed, &run_log).await?);
         }
         Ok(Self {
             services,
-            run_log: runs,
+            run_log,
             leaving: Mutex::default(),
         })
     }
@@ -128,12 +128,12 @@
 
     /// Marks a target as leaving; only the first call sets the time.
     pub fn record_leaving(&self, target: &TargetId) {
-        let at_us = self.run_log.elapsed_us();
+        let leaving_since_us = self.run_log.elapsed_us();
         let mut records = self.lock_leaving();
         if !is_leaving(&records, target) {
             records.push(LeavingRecord {
                 target: target.clone(),
-                leaving_since_us: at_us,
+                leaving_since_us,
             });
         }
     }
@@ -175,13 +175,13 @@
 }
 
 impl RunningService {
-    async fn start(layout: ServiceLayout, seed: u64, runs: &Arc<RunLog>) -> io::Result<Self> {
+    async fn start(layout: ServiceLayout, seed: u64, run_log: &Arc<RunLog>) -> io::Result<Self> {
         let mut targets = Vec::new();
         for shard in 0..layout.shards {
             for replica in 0..layout.replicas {
                 let spec =
                     build_target_spec(&layout, shard, replica, seed).map_err(invalid_input)?;
-                targets.push(TargetServer::start(spec, Arc::clone(runs)).await?);
+                targets.push(TargetServer::start(spec, Arc::clone(run_log)).await?);
             }
         }
         Ok(Self {
--- a/alderhaven-standin/src/object_table.rs
+++ b/alderhaven-standin/src/object_table.rs
@@ -24,13 +24,13 @@
 }
 
 impl ObjectTable {
-    /// Creates an empty table whose watches may lag behind by `history` revisions.
+    /// Creates an empty table whose watches may lag behind by `history_revisions`.
     #[must_use]
-    pub const fn new(history: u64) -> Self {
+    pub const fn new(history_revisions: u64) -> Self {
         Self {
             objects: BTreeMap::new(),
             revision: StoreVersion(0),
-            history_revisions: history,
+            history_revisions,
         }
     }
 
--- a/alderhaven-standin/src/platform_server.rs
+++ b/alderhaven-standin/src/platform_server.rs
@@ -118,15 +118,15 @@
             }
         }
         let shared = store.clone();
-        let closing = CancellationToken::new();
-        let close_token = closing.clone();
+        let close_token = CancellationToken::new();
+        let shared_token = close_token.clone();
         let server = ServerHandle::start(options.listen, move |request| {
             let store = shared.clone();
-            let close_token = close_token.clone();
+            let shared_token = shared_token.clone();
             async move {
                 let result = tokio::select! {
                     result = handle_request(&store, request) => result,
-                    () = close_token.cancelled() => Err(CallError::Aborted),
+                    () = shared_token.cancelled() => Err(CallError::Aborted),
                 };
                 match result {
                     Ok(reply) => Ok(reply),
@@ -139,7 +139,7 @@
         Ok(Self {
             store,
             server,
-            close_token: closing,
+            close_token,
         })
     }
 
--- a/alderhaven-standin/src/run_log.rs
+++ b/alderhaven-standin/src/run_log.rs
@@ -116,11 +116,11 @@
         record.started_us = self.elapsed_us();
         let mut state = self.lock_state();
         state.records.push(record);
-        let number = state.taken_count + state.records.len() - 1;
+        let run_number = state.taken_count + state.records.len() - 1;
         drop(state);
         RunGuard {
             log: Arc::clone(self),
-            run_number: number,
+            run_number,
             status: RunStatus::Dropped,
         }
     }
--- a/alderhaven-standin/src/service_layout.rs
+++ b/alderhaven-standin/src/service_layout.rs
@@ -81,20 +81,20 @@
     /// Returns the layouts of all services of the deployment.
     #[must_use]
     pub fn layouts(self) -> Vec<ServiceLayout> {
-        const VOLTA: [&str; 4] = ["accra-1", "accra-2", "accra-3", "accra-4"];
-        const LAGERBLIK: [&str; 3] = ["sjaelland-1", "sjaelland-2", "sjaelland-3"];
+        const VOLTA_DOMAINS: [&str; 4] = ["accra-1", "accra-2", "accra-3", "accra-4"];
+        const LAGERBLIK_DOMAINS: [&str; 3] = ["sjaelland-1", "sjaelland-2", "sjaelland-3"];
         match self {
             Self::Volta => vec![
-                build_layout("assignment-desk", (20, 2, 2, 25, 6), &VOLTA),
-                build_layout("trade-portal", (30, 2, 2, 25, 6), &VOLTA),
-                build_layout("record-view", (1, 4, 4, 100, 1), &VOLTA),
-                build_layout("billing-ledger", (1, 4, 4, 100, 1), &VOLTA),
+                build_layout("assignment-desk", (20, 2, 2, 25, 6), &VOLTA_DOMAINS),
+                build_layout("trade-portal", (30, 2, 2, 25, 6), &VOLTA_DOMAINS),
+                build_layout("record-view", (1, 4, 4, 100, 1), &VOLTA_DOMAINS),
+                build_layout("billing-ledger", (1, 4, 4, 100, 1), &VOLTA_DOMAINS),
             ],
             Self::Lagerblik => vec![
-                build_layout("shortage-desk", (20, 2, 2, 25, 6), &LAGERBLIK),
-                build_layout("stock-intake", (30, 2, 2, 25, 6), &LAGERBLIK),
-                build_layout("inspector-lookup", (1, 10, 3, 40, 1), &LAGERBLIK),
-                build_layout("monthly-statistics", (1, 5, 3, 40, 1), &LAGERBLIK),
+                build_layout("shortage-desk", (20, 2, 2, 25, 6), &LAGERBLIK_DOMAINS),
+                build_layout("stock-intake", (30, 2, 2, 25, 6), &LAGERBLIK_DOMAINS),
+                build_layout("inspector-lookup", (1, 10, 3, 40, 1), &LAGERBLIK_DOMAINS),
+                build_layout("monthly-statistics", (1, 5, 3, 40, 1), &LAGERBLIK_DOMAINS),
             ],
         }
     }
--- a/alderhaven-standin/src/target_fleet.rs
+++ b/alderhaven-standin/src/target_fleet.rs
@@ -54,7 +54,7 @@
         let services = FleetServices::start(options.services, options.seed).await?;
         let services = Arc::new(services);
         let shared = Arc::clone(&services);
-        let control = ServerHandle::start(options.control, move |request| {
+        let control_server = ServerHandle::start(options.control, move |request| {
             let services = Arc::clone(&shared);
             async move { Ok(fleet_control::handle_request(services, request).await) }
         })
@@ -62,7 +62,7 @@
         Ok(Self {
             run_log: Arc::clone(services.run_log()),
             services,
-            control_server: control,
+            control_server,
         })
     }
 
--- a/alderhaven-standin/src/target_server.rs
+++ b/alderhaven-standin/src/target_server.rs
@@ -37,22 +37,22 @@
     ///
     /// # Errors
     /// The operating system's error where no port can be bound.
-    pub async fn start(spec: TargetSpec, runs: Arc<RunLog>) -> io::Result<Self> {
+    pub async fn start(spec: TargetSpec, run_log: Arc<RunLog>) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let server = Self {
             address: listener.local_addr()?,
-            state: Arc::new(TargetState::new(spec, runs)),
+            state: Arc::new(TargetState::new(spec, run_log)),
             stop_token: CancellationToken::new(),
             tasks: TaskTracker::new(),
         };
-        let parts = TargetContext {
+        let context = TargetContext {
             state: Arc::clone(&server.state),
             stop_token: server.stop_token.clone(),
             tasks: server.tasks.clone(),
         };
         server
             .tasks
-            .spawn(serve_until_stopped(listener, server.address, parts));
+            .spawn(serve_until_stopped(listener, server.address, context));
         Ok(server)
     }
 
@@ -104,17 +104,21 @@
 }
 
 /// Accepts connections until the stop; after a crash the same address is bound again.
-async fn serve_until_stopped(mut listener: TcpListener, address: SocketAddr, parts: TargetContext) {
+async fn serve_until_stopped(
+    mut listener: TcpListener,
+    address: SocketAddr,
+    context: TargetContext,
+) {
     loop {
-        let crash_token = parts.state.lifecycle().start();
+        let crash_token = context.state.lifecycle().start();
         tokio::select! {
             biased;
             () = crash_token.cancelled() => {}
-            () = accept_connections(&listener, &parts, &crash_token) => return,
+            () = accept_connections(&listener, &context, &crash_token) => return,
         }
         drop(listener);
-        let downtime = parts.state.lifecycle().downtime();
-        match parts
+        let downtime = context.state.lifecycle().downtime();
+        match context
             .stop_token
             .run_until_cancelled(rebind(address, downtime))
             .await
@@ -138,16 +142,16 @@
 
 async fn accept_connections(
     listener: &TcpListener,
-    parts: &TargetContext,
+    context: &TargetContext,
     crash_token: &CancellationToken,
 ) {
-    let permits = Arc::new(Semaphore::new(parts.state.spec().connections as usize));
-    while let Some(stream) = http_server::accept_connection(listener, &parts.stop_token).await {
+    let permits = Arc::new(Semaphore::new(context.state.spec().connections as usize));
+    while let Some(stream) = http_server::accept_connection(listener, &context.stop_token).await {
         // Connections above the limit are closed at once.
         if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
-            let connection = serve_connection(stream, parts.clone());
+            let connection = serve_connection(stream, context.clone());
             let crash_token = crash_token.clone();
-            parts.tasks.spawn(async move {
+            context.tasks.spawn(async move {
                 crash_token.run_until_cancelled(connection).await;
                 drop(permit);
             });
@@ -155,21 +159,21 @@
     }
 }
 
-async fn serve_connection(stream: TcpStream, parts: TargetContext) {
-    let silenced = parts.state.lifecycle().silence_token();
-    tokio::time::sleep(parts.state.spec().connect_cost.as_duration()).await;
-    let stopping = parts.stop_token.clone();
+async fn serve_connection(stream: TcpStream, context: TargetContext) {
+    let silenced = context.state.lifecycle().silence_token();
+    tokio::time::sleep(context.state.spec().connect_cost.as_duration()).await;
+    let stopping = context.stop_token.clone();
     let handler = move |request| {
-        let (parts, silenced) = (parts.clone(), silenced.clone());
+        let (context, silenced) = (context.clone(), silenced.clone());
         async move {
             // A silenced connection delivers no requests to the target and no replies to the
             // caller.
             if silenced.is_cancelled() {
-                return withhold_reply(&parts.stop_token).await;
+                return withhold_reply(&context.stop_token).await;
             }
-            let reply = handle_request(parts.state, request).await;
+            let reply = handle_request(context.state, request).await;
             if silenced.is_cancelled() {
-                return withhold_reply(&parts.stop_token).await;
+                return withhold_reply(&context.stop_token).await;
             }
             reply
         }
--- a/alderhaven-standin/src/target_state.rs
+++ b/alderhaven-standin/src/target_state.rs
@@ -39,7 +39,7 @@
 impl TargetState {
     /// Creates an idle target that holds its initial index.
     #[must_use]
-    pub fn new(spec: TargetSpec, runs: Arc<RunLog>) -> Self {
+    pub fn new(spec: TargetSpec, run_log: Arc<RunLog>) -> Self {
         Self {
             slots: Semaphore::new(spec.slots as usize),
             waiting_count: AtomicU32::new(0),
@@ -51,7 +51,7 @@
                 version: spec.version,
             }),
             lifecycle: TargetLifecycle::default(),
-            run_log: runs,
+            run_log,
             spec,
         }
     }
@@ -121,11 +121,9 @@
         };
         match self.indexes.state_of(requested) {
             _ if head.service != self.spec.service => {
-                Some(text_reply(StatusCode::NOT_FOUND, "shard not held here"))
-            }
-            IndexState::OtherShard => {
-                Some(text_reply(StatusCode::NOT_FOUND, "shard not held here"))
+                Some(text_reply(StatusCode::NOT_FOUND, "not held here"))
             }
+            IndexState::OtherShard => Some(text_reply(StatusCode::NOT_FOUND, "not held here")),
             IndexState::Gone => Some(not_run_reply(StatusCode::GONE, "version no longer held")),
             IndexState::Held => None,
         }
@@ -214,12 +212,10 @@
 }
 
 impl<'a> QueuePermit<'a> {
-    fn try_acquire(waiting: &'a AtomicU32, capacity: u32) -> Option<Self> {
-        let permit = Self {
-            waiting_count: waiting,
-        };
+    fn try_acquire(waiting_count: &'a AtomicU32, capacity: u32) -> Option<Self> {
+        let permit = Self { waiting_count };
         // If the queue is full, `drop` undoes the increment.
-        (waiting.fetch_add(1, Ordering::Relaxed) < capacity).then_some(permit)
+        (waiting_count.fetch_add(1, Ordering::Relaxed) < capacity).then_some(permit)
     }
 }
 
@@ -237,11 +233,14 @@
 }
 
 impl<'a> CancelRegistration<'a> {
-    fn new(cancels: &'a Mutex<HashMap<AttemptId, CancellationToken>>, attempt: AttemptId) -> Self {
+    fn new(
+        cancel_tokens: &'a Mutex<HashMap<AttemptId, CancellationToken>>,
+        attempt: AttemptId,
+    ) -> Self {
         let token = CancellationToken::new();
-        lock(cancels).insert(attempt, token.clone());
+        lock(cancel_tokens).insert(attempt, token.clone());
         Self {
-            cancel_tokens: cancels,
+            cancel_tokens,
             attempt,
             token,
         }
