--- a/alderhaven-load/src/fault_script.rs
+++ b/alderhaven-load/src/fault_script.rs
@@ -42,7 +42,7 @@
 const OUTAGE_DURATION: Duration = Duration::from_secs(2);
 /// How long a failure domain is down.
 const DOMAIN_DOWNTIME: Duration = Duration::from_secs(2);
-/// Number of concurrent publications, and the pause between two.
+/// Number of rounds of concurrent writes, and the pause after each.
 const RACE_ROUNDS_AND_PAUSE: (u64, Duration) = (20, Duration::from_millis(100));
 
 /// Applies the faults and changes of a scenario to a running system.
--- a/alderhaven-load/src/load_query.rs
+++ b/alderhaven-load/src/load_query.rs
@@ -13,7 +13,7 @@
 /// Part of a run's load that a query belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QueryGroup {
-    /// Base load, the same for every scenario without a burst.
+    /// Base load, drawn from the whole mix.
     Base,
     /// Extra load of the hot team.
     HotTeam,
@@ -45,7 +45,7 @@
     pub workload_template: Arc<WorkloadTemplate>,
     /// Team that sends the query.
     pub team: TeamId,
-    /// Complete parameters, with defaults filled in.
+    /// Parameters as the targets receive them, after binding to the template.
     pub parameters: ParameterSet,
     /// Part of the load that the query belongs to.
     pub group: QueryGroup,
--- a/alderhaven-load/src/run_tally.rs
+++ b/alderhaven-load/src/run_tally.rs
@@ -53,7 +53,7 @@
     urgent_in_time: u64,
 }
 
-/// A reply as its caller judges it.
+/// Outcome and usefulness of one reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct QueryResult {
     outcome: QueryOutcome,
@@ -89,7 +89,7 @@
         self.violations.add(kind);
     }
 
-    /// Adds a query with its reply; the warm-up counts for needed attempts only.
+    /// Adds a query with its reply; counts and latencies are of queries due in the measured time.
     pub fn add(&mut self, query: &LoadQuery, reply: &QueryReply) {
         let parsed = reply.parse();
         if let ParsedReply::Answer(answer) = &parsed {
--- a/alderhaven-load/src/test_bed.rs
+++ b/alderhaven-load/src/test_bed.rs
@@ -56,8 +56,8 @@
 }
 
 impl TestBed {
-    /// Starts all parts, and waits until every node has the complete configuration and all links
-    /// are up.
+    /// Starts all parts, and waits until every node has the complete configuration and every entry
+    /// is connected to every relay.
     ///
     /// # Errors
     /// Where an address can't be bound, or the system isn't ready in time.
--- a/alderhaven-standin/src/http_server.rs
+++ b/alderhaven-standin/src/http_server.rs
@@ -35,7 +35,7 @@
 
 impl std::error::Error for ConnectionAborted {}
 
-/// Running server; it stops by [`ServerHandle::stop`] only.
+/// Running server; dropping the handle does not stop it.
 #[derive(Debug)]
 pub struct ServerHandle {
     address: SocketAddr,
--- a/alderhaven-standin/src/platform_server.rs
+++ b/alderhaven-standin/src/platform_server.rs
@@ -28,7 +28,7 @@
 use crate::object_set::ObjectSet;
 use crate::platform_faults::PlatformFaults;
 
-/// Upper bound of a watch's wait, whatever the caller asks for.
+/// Upper bound of the wait time that a watch requests.
 const MAX_WATCH_WAIT: TimeSpan = TimeSpan::from_secs(30);
 
 /// Address and initial content of a [`PlatformServer`].
--- a/alderhaven-standin/src/service_layout.rs
+++ b/alderhaven-standin/src/service_layout.rs
@@ -34,7 +34,7 @@
     pub connect_cost: TimeSpan,
     /// Failure domains among which the replicas of a shard are spread.
     pub domains: Vec<FailureDomain>,
-    /// Initial index version of all shards.
+    /// Index version of all shards.
     pub version: IndexVersion,
     /// Distribution of the run times.
     pub service_time: ServiceTime,
@@ -44,9 +44,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeploymentKind {
-    /// Volta Standard Numbering.
+    /// Four services in four failure domains.
     Volta,
-    /// Lagerblik.
+    /// Four services in three failure domains.
     Lagerblik,
 }
 
