--- a/alderhaven-load/src/answer_oracle.rs
+++ b/alderhaven-load/src/answer_oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle: checks every answer from the manifests, the derived rows and the targets' runs.
+//! Checks replies against the published manifests, the expected rows and the targets' run log.
 
 use std::collections::HashMap;
 
@@ -15,43 +15,43 @@
 use crate::query_reply::{AnswerBody, ParsedReply, QueryReply, ReplyContent};
 use crate::violations::ViolationKind;
 
-/// The time after which a leaving target must receive no new work ("after a few seconds").
+/// Time after which a leaving target must receive no new work.
 pub const LEAVING_GRACE: TimeSpan = TimeSpan::from_secs(3);
 
-/// A `TargetLeaving` is the moment at which a target began to leave, on the run log's clock.
+/// Time at which a target began to leave.
 #[derive(Clone, Debug)]
 pub struct LeavingTarget {
-    /// The target.
+    /// Name of the target.
     pub target: TargetId,
-    /// When it began to leave, in microseconds since the run log began.
+    /// Microseconds since the run log began.
     pub leaving_since_us: u64,
 }
 
-/// A `ConfigSighting` is the configuration that a node had in force, in the order of looking.
+/// Configuration revision in force on a node at one observation.
 #[derive(Clone, Debug)]
 pub struct ConfigObservation {
-    /// The node.
+    /// Name of the observed node.
     pub node: NodeId,
-    /// The revision in force.
+    /// Revision of the complete configuration in force.
     pub revision: StoreVersion,
 }
 
-/// An `AnswerOracle` knows all that was published and all that the targets ran.
+/// All published manifests and all runs of the targets.
 #[derive(Debug)]
 pub struct AnswerOracle {
     manifests: HashMap<(ServiceName, SnapshotId), SnapshotManifest>,
-    /// The runs by template and canonical parameters.
+    /// Runs by template name and canonical parameters.
     run_records: HashMap<(String, String), Vec<RunRecord>>,
 }
 
 impl AnswerOracle {
-    /// Returns an oracle over everything that was published and that ran.
+    /// Indexes the manifests and the run records.
     #[must_use]
     pub fn new(manifests: Vec<SnapshotManifest>, records: Vec<RunRecord>) -> Self {
-        let mut runs: HashMap<(String, String), Vec<RunRecord>> = HashMap::new();
+        let mut run_records: HashMap<(String, String), Vec<RunRecord>> = HashMap::new();
         for record in records {
             let key = (record.template.clone(), record.parameters.clone());
-            runs.entry(key).or_default().push(record);
+            run_records.entry(key).or_default().push(record);
         }
         let manifests = manifests
             .into_iter()
@@ -59,32 +59,32 @@
             .collect();
         Self {
             manifests,
-            run_records: runs,
+            run_records,
         }
     }
 
-    /// Checks a query's reply and returns the promises that it broke.
+    /// Checks a query's reply; returns the violations found.
     #[must_use]
     pub fn check_reply(&self, query: &LoadQuery, reply: &QueryReply) -> Vec<ViolationKind> {
-        let mut broken = Vec::new();
+        let mut found = Vec::new();
         let runs = self.runs_of(query);
         if !query.workload_template.template.idempotent && runs.len() > 1 {
-            broken.push(ViolationKind::DoubleRun);
+            found.push(ViolationKind::DoubleRun);
         }
         if matches!(reply.content, ReplyContent::Aborted) {
-            broken.push(ViolationKind::CutInFlight);
+            found.push(ViolationKind::CutInFlight);
         }
         match reply.parse() {
-            ParsedReply::Answer(answer) => broken.extend(self.check_answer(query, &answer, runs)),
-            // Where queries share their parameters a run may be another query's.
+            ParsedReply::Answer(answer) => found.extend(self.check_answer(query, &answer, runs)),
+            // With shared parameters the run may belong to another query.
             ParsedReply::Error(body)
                 if body.error.not_run && !runs.is_empty() && !query.group.shares_parameters() =>
             {
-                broken.push(ViolationKind::FalseNotRun);
+                found.push(ViolationKind::FalseNotRun);
             }
             ParsedReply::Error(_) | ParsedReply::Unreadable => {}
         }
-        broken
+        found
     }
 
     fn runs_of(&self, query: &LoadQuery) -> &[RunRecord] {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Gets the covered shards; none where the report contradicts itself or the manifest.
+/// Returns the covered shards; none if the coverage contradicts itself or the manifest.
 fn covered_shards<'a>(
     query: &LoadQuery,
     answer: &AnswerBody,
@@ -131,7 +131,7 @@
 ) -> Option<Vec<&'a ShardEntry>> {
     let selection = &query.workload_template.template.shards;
     let positions = manifest.select(selection, &query.parameters).ok()?;
-    let asked: Vec<&ShardEntry> = positions
+    let requested: Vec<&ShardEntry> = positions
         .into_iter()
         .map(|position| &manifest.shards[position])
         .collect();
@@ -142,12 +142,12 @@
             .iter()
             .any(|missing| missing.shard == entry.shard)
     };
-    let covered: Vec<&ShardEntry> = asked
+    let covered: Vec<&ShardEntry> = requested
         .iter()
         .copied()
         .filter(|entry| !is_missing(entry))
         .collect();
-    let is_true = report.requested == asked.len()
+    let is_true = report.requested == requested.len()
         && report.answered == covered.len()
         && report.answered + report.missing.len() == report.requested
         && (answer.outcome == QueryOutcome::Complete) == report.missing.is_empty();
@@ -182,7 +182,7 @@
     ))
 }
 
-/// Says why rows are not those that the coverage stands for.
+/// Classifies rows that differ from those of the covered shards.
 fn classify_wrong_rows(
     query: &LoadQuery,
     rows: &Value,
@@ -204,11 +204,11 @@
     ViolationKind::UntrueCoverage
 }
 
-/// Counts the runs that began at targets more than [`LEAVING_GRACE`] after they began to leave.
+/// Counts the runs that started more than [`LEAVING_GRACE`] after their target began to leave.
 #[must_use]
-pub fn count_runs_after_leaving(records: &[RunRecord], leavings: &[LeavingTarget]) -> usize {
+pub fn count_runs_after_leaving(records: &[RunRecord], leaving_targets: &[LeavingTarget]) -> usize {
     let is_late = |record: &&RunRecord| {
-        leavings.iter().any(|leaving| {
+        leaving_targets.iter().any(|leaving| {
             leaving.target == record.target
                 && record.started_us > leaving.leaving_since_us + LEAVING_GRACE.as_micros()
         })
@@ -216,14 +216,14 @@
     records.iter().filter(is_late).count()
 }
 
-/// Counts the steps back of any node's configuration.
+/// Counts how often a node's revision went back, given observations in the order of time.
 #[must_use]
-pub fn count_config_reversions(sightings: &[ConfigObservation]) -> usize {
+pub fn count_config_reversions(observations: &[ConfigObservation]) -> usize {
     let mut latest: HashMap<&NodeId, StoreVersion> = HashMap::new();
-    let mut steps = 0;
-    for sighting in sightings {
-        let last = latest.insert(&sighting.node, sighting.revision);
-        steps += usize::from(last.is_some_and(|last| last > sighting.revision));
+    let mut reversions = 0;
+    for observation in observations {
+        let last = latest.insert(&observation.node, observation.revision);
+        reversions += usize::from(last.is_some_and(|last| last > observation.revision));
     }
-    steps
+    reversions
 }
--- a/alderhaven-load/src/load_driver.rs
+++ b/alderhaven-load/src/load_driver.rs
@@ -1,4 +1,4 @@
-//! The sending of queries at their due times, whatever became of those before (open loop).
+//! Open-loop sender: each query is sent when due, regardless of outstanding replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use crate::load_query::LoadQuery;
 use crate::query_reply::{QueryReply, ReplyContent};
 
-/// The time after its deadline at which a caller gives up on a reply.
+/// Time after the deadline for which a caller waits for a reply.
 const REPLY_GRACE: Duration = Duration::from_secs(5);
 
-/// A `LoadDriver` sends queries through a pool and gathers the replies.
+/// Sends queries through a connection pool and collects the replies.
 #[derive(Debug)]
 pub struct LoadDriver {
     pool: Arc<CallerPool>,
@@ -24,7 +24,7 @@
 }
 
 impl LoadDriver {
-    /// Returns a driver whose run begins now.
+    /// Creates a driver; times are relative to this call.
     #[must_use]
     pub fn new(pool: CallerPool) -> Self {
         Self {
@@ -33,13 +33,14 @@
         }
     }
 
-    /// Gets when the run began.
+    /// Returns the start of the run.
     #[must_use]
     pub const fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Sends each query when it is due and returns all queries with their replies.
+    /// Sends each query when due; returns all queries with their replies in any order of
+    /// completion.
     pub async fn run(
         &self,
         queries: impl Iterator<Item = LoadQuery>,
@@ -57,19 +58,19 @@
 async fn send_query(
     pool: Arc<CallerPool>,
     query: LoadQuery,
-    began: Instant,
+    started_at: Instant,
 ) -> (LoadQuery, QueryReply) {
-    let sent = TimeSpan::from(began.elapsed());
+    let sent_at = TimeSpan::from(started_at.elapsed());
     let path = format!("/v1/query/{}", query.workload_template.template.name);
     let body = json!({ "team": query.team, "parameters": query.parameters }).to_string();
     let limit = query.workload_template.template.deadline.as_duration() + REPLY_GRACE;
-    let posting = pool.post(query.entry_index, &path, Bytes::from(body));
-    let content = time::timeout(limit, posting)
+    let request = pool.post(query.entry_index, &path, Bytes::from(body));
+    let content = time::timeout(limit, request)
         .await
         .unwrap_or(ReplyContent::TimedOut);
     let reply = QueryReply {
-        sent_at: sent,
-        ended_at: TimeSpan::from(began.elapsed()),
+        sent_at,
+        ended_at: TimeSpan::from(started_at.elapsed()),
         content,
     };
     (query, reply)
--- a/alderhaven-load/src/load_plan.rs
+++ b/alderhaven-load/src/load_plan.rs
@@ -1,6 +1,6 @@
-//! The queries of a run: the even load, and what a scenario adds to it.
+//! Queries of a run: the base load, and the special queries of a scenario.
 //!
-//! The even load is drawn alone, so that it is the same with and without the special queries.
+//! The base load has its own random numbers, so that it is the same without the special queries.
 
 use std::sync::Arc;
 
@@ -19,22 +19,22 @@
 use crate::scenario::ScenarioKind;
 use crate::workload::{Workload, WorkloadTemplate};
 
-/// The factor of a burst and its length.
+/// Factor on the base rate during a burst, and its length.
 const BURST_FACTOR_AND_LENGTH: (f64, TimeSpan) = (5.0, TimeSpan::from_secs(1));
-/// What a hot team offers beyond its share, as a multiple of that.
+/// Extra load of a hot team as a multiple of its share.
 const HOT_TEAM_EXTRA_FACTOR: f64 = 9.0;
-/// The load of a hot key, as a share of what its service can answer.
+/// Load of a hot key as a share of its service's capacity.
 const HOT_KEY_LOAD_SHARE: f64 = 1.0;
-/// The requests that crash targets.
+/// Number of different poison requests.
 const POISON_REQUEST_COUNT: u32 = 3;
-/// The pause between two such requests, and between two sendings of the same.
+/// Interval between two poison requests, and between two copies of the same one.
 const POISON_INTERVALS: (TimeSpan, TimeSpan) =
     (TimeSpan::from_millis(800), TimeSpan::from_millis(50));
 
-/// Draws all queries of a run in the order of their times; equal options give equal queries.
+/// Draws all queries of a run in the order of their due times; equal options give equal queries.
 ///
 /// # Errors
-/// Where the workload's templates don't take the parameters of its mix.
+/// Where a template doesn't accept its parameters.
 pub fn plan_queries(options: &RunOptions, workload: &Workload) -> Result<Vec<LoadQuery>> {
     let mut plan = LoadPlan::new(options, workload);
     let rate = options.load * workload.rate_at_full_load();
@@ -46,27 +46,27 @@
     Ok(plan.queries)
 }
 
-/// Gets the team that is hot in `hot-team`: one that asks both urgent or ordinary queries and a
-/// service of few targets.
+/// Returns the hot team of `hot-team`, which uses both a service with many targets and one with
+/// few.
 ///
 /// # Panics
-/// Never: the names here follow the rule for names.
+/// Never: the names are valid.
 #[must_use]
 pub fn hot_team(deployment: DeploymentKind) -> TeamId {
     let name = match deployment {
         DeploymentKind::Volta => "libraries",
         DeploymentKind::Lagerblik => "inspectorate",
     };
-    name.parse().expect("the names here follow the rule")
+    name.parse().expect("the constant is a valid team name")
 }
 
-/// Gets the time at which a burst ends.
+/// Returns the end of a burst, counted from the start of the run.
 #[must_use]
 pub fn burst_end(options: &RunOptions) -> TimeSpan {
     options.event_at() + BURST_FACTOR_AND_LENGTH.1
 }
 
-/// Gets the even load's phases at a rate of 1.
+/// Returns the lengths of the base load's phases, with factors on its rate.
 fn base_phases(options: &RunOptions) -> Vec<(TimeSpan, f64)> {
     let whole = options.warm_up + options.measured_time;
     if options.scenario != ScenarioKind::Burst {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Draws queries of a mix at `rate` by the factors of `phases`.
+    /// Adds queries of a mix at `rate` times the factor of each phase.
     fn draw_queries(
         &mut self,
         mix: &[WorkloadTemplate],
@@ -140,11 +140,11 @@
     fn draw_hot_team(&mut self) -> Result<()> {
         let team = hot_team(self.options.deployment);
         let mut mix = Vec::new();
-        for mixed in &self.workload.mix {
-            let total: f64 = mixed.mix_entry.teams.values().sum();
-            if let Some(part) = mixed.mix_entry.teams.get(&team) {
-                let mut hot = mixed.clone();
-                hot.mix_entry.capacity_share *= part / total;
+        for workload_template in &self.workload.mix {
+            let total: f64 = workload_template.mix_entry.teams.values().sum();
+            if let Some(team_share) = workload_template.mix_entry.teams.get(&team) {
+                let mut hot = workload_template.clone();
+                hot.mix_entry.capacity_share *= team_share / total;
                 hot.mix_entry.teams = [(team.clone(), 1.0)].into_iter().collect();
                 mix.push(hot);
             }
@@ -155,10 +155,15 @@
     }
 
     fn draw_hot_key(&mut self) -> Result<()> {
-        let mixed = self.single_shard_template()?;
-        let rate = mixed.rate_at_full_load() * HOT_KEY_LOAD_SHARE;
+        let workload_template = self.single_shard_template()?;
+        let rate = workload_template.rate_at_full_load() * HOT_KEY_LOAD_SHARE;
         let begin = self.queries.len();
-        self.draw_queries(&[mixed], rate, &self.whole_run(), QueryGroup::HotKey)?;
+        self.draw_queries(
+            &[workload_template],
+            rate,
+            &self.whole_run(),
+            QueryGroup::HotKey,
+        )?;
         for query in &mut self.queries[begin..] {
             set_tag(query, "hot");
         }
@@ -168,11 +173,11 @@
     fn draw_poison(&mut self) -> Result<()> {
         let mix = [Arc::new(self.single_shard_template()?)];
         let mut rng = StdRng::seed_from_u64(self.options.seed);
-        let (between, again) = POISON_INTERVALS;
+        let (request_interval, resend_interval) = POISON_INTERVALS;
         for request in 0..POISON_REQUEST_COUNT {
-            let first = self.options.event_at() + between.mul_f64(f64::from(request));
+            let first = self.options.event_at() + request_interval.mul_f64(f64::from(request));
             for entry in 0..self.options.nodes {
-                let due = first + again.mul_f64(entry as f64);
+                let due = first + resend_interval.mul_f64(entry as f64);
                 let mut query = self
                     .query_source
                     .draw(&mix, due, QueryGroup::Poison, &mut rng)?;
@@ -184,16 +189,16 @@
         Ok(())
     }
 
-    /// Gets the first template that asks one shard.
+    /// Returns the first template whose queries read one shard.
     fn single_shard_template(&self) -> Result<WorkloadTemplate> {
-        let by_key = self
+        let single_shard = self
             .workload
             .mix
             .iter()
-            .find(|mixed| mixed.shard_count() == 1);
-        by_key
+            .find(|workload_template| workload_template.shard_count() == 1);
+        single_shard
             .cloned()
-            .ok_or_else(|| Error::invalid("mix", "has no template that asks one shard"))
+            .ok_or_else(|| Error::invalid("mix", "has no template of a single shard"))
     }
 }
 
--- a/alderhaven-load/src/load_query.rs
+++ b/alderhaven-load/src/load_query.rs
@@ -1,4 +1,4 @@
-//! The queries of a run, drawn from the mix.
+//! Queries of a run, drawn at random from the mix.
 
 use std::sync::Arc;
 
@@ -10,85 +10,94 @@
 
 use crate::workload::WorkloadTemplate;
 
-/// A `QueryGroup` says to which part of a run's load a query belongs.
+/// Part of a run's load that a query belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QueryGroup {
-    /// The even load.
+    /// Base load, drawn from the whole mix.
     Base,
-    /// What a hot team asks beyond its share.
+    /// Extra load of the hot team.
     HotTeam,
-    /// Queries of the hot key.
+    /// Queries that all have the same key.
     HotKey,
-    /// Long jobs.
+    /// Long-running bulk queries.
     LongJob,
-    /// Requests that crash targets.
+    /// Requests that crash the target that runs them.
     Poison,
 }
 
 impl QueryGroup {
-    /// Returns true where several queries have the same parameters, so that the targets' runs can't
-    /// be told apart by query.
+    /// Returns true if queries of the group have equal parameters, so that a target's run can't be
+    /// attributed to one of them.
     #[must_use]
     pub const fn shares_parameters(self) -> bool {
         matches!(self, Self::HotKey | Self::Poison)
     }
 }
 
-/// A `LoadQuery` is one query of a run.
+/// One planned query.
 #[derive(Clone, Debug)]
 pub struct LoadQuery {
-    /// The number of the query in its run.
+    /// Position in the order of drawing, unique within the run.
     pub number: u64,
-    /// When the query is due, since the run began.
+    /// Time to send it, counted from the start of the run.
     pub due_at: TimeSpan,
-    /// The template.
+    /// Template to query, with its place in the mix.
     pub workload_template: Arc<WorkloadTemplate>,
-    /// The team that asks.
+    /// Team that sends the query.
     pub team: TeamId,
-    /// The parameters as the targets receive them.
+    /// Parameters as the targets receive them, after binding to the template.
     pub parameters: ParameterSet,
-    /// The part of the load.
+    /// Part of the load that the query belongs to.
     pub group: QueryGroup,
-    /// The entry to ask; any where there is none.
+    /// Entry to send it to; the next in turn if absent.
     pub entry_index: Option<usize>,
 }
 
-/// A `QuerySource` draws queries and numbers them.
+/// Draws queries and numbers them.
 #[derive(Debug, Default)]
 pub struct QuerySource {
     next_number: u64,
 }
 
 impl QuerySource {
-    /// Draws the query that is due at `due`, each template of `mix` in proportion to its rate.
+    /// Draws the template by its rate and the team by its share.
     ///
     /// # Errors
-    /// `Error::Invalid` where the template does not take the parameters of the mix.
+    /// `Error::Invalid` where the template doesn't accept the parameters of the mix.
     pub fn draw(
         &mut self,
         mix: &[Arc<WorkloadTemplate>],
-        due: TimeSpan,
+        due_at: TimeSpan,
         group: QueryGroup,
         rng: &mut impl Rng,
     ) -> Result<LoadQuery> {
-        let rates = || mix.iter().map(|mixed| mixed.rate_at_full_load());
-        let mixed = Arc::clone(&mix[pick_weighted(rates(), rates().sum(), rng)]);
-        let parts = mixed.mix_entry.teams.values().copied();
-        let position = pick_weighted(parts, mixed.mix_entry.teams.values().sum(), rng);
-        let team = mixed.mix_entry.teams.keys().nth(position).cloned();
-        let team = team.ok_or_else(|| Error::invalid("mix.teams", "names no team"))?;
+        let rates = || mix.iter().map(|template| template.rate_at_full_load());
+        let workload_template = Arc::clone(&mix[pick_weighted(rates(), rates().sum(), rng)]);
+        let team_shares = workload_template.mix_entry.teams.values().copied();
+        let position = pick_weighted(
+            team_shares,
+            workload_template.mix_entry.teams.values().sum(),
+            rng,
+        );
+        let team = workload_template
+            .mix_entry
+            .teams
+            .keys()
+            .nth(position)
+            .cloned();
+        let team = team.ok_or_else(|| Error::invalid("mix.teams", "the mix entry has no team"))?;
         let number = self.next_number;
         self.next_number += 1;
         let mut given = ParameterSet::default();
         let tag = ParameterValue::Text(format!("q{number:06}"));
         given
             .0
-            .insert(mixed.mix_entry.unique_parameter.clone(), tag);
+            .insert(workload_template.mix_entry.unique_parameter.clone(), tag);
         Ok(LoadQuery {
             number,
-            due_at: due,
-            parameters: mixed.template.bind(&team, given)?,
-            workload_template: mixed,
+            due_at,
+            parameters: workload_template.template.bind(&team, given)?,
+            workload_template,
             team,
             group,
             entry_index: None,
@@ -96,15 +105,15 @@
     }
 }
 
-/// Picks a position in proportion to the weights, which add up to `total`.
+/// Picks a position with a probability proportional to its weight; `total` is the sum.
 fn pick_weighted(weights: impl Iterator<Item = f64>, total: f64, rng: &mut impl Rng) -> usize {
-    let mut left = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     let mut last = 0;
     for (position, weight) in weights.enumerate() {
-        if left < weight {
+        if remaining < weight {
             return position;
         }
-        left -= weight;
+        remaining -= weight;
         last = position;
     }
     last
--- a/alderhaven-load/src/report_page.rs
+++ b/alderhaven-load/src/report_page.rs
@@ -1,10 +1,10 @@
-//! The Markdown page of a report.
+//! Markdown page of a report.
 
 use crate::report_lines::ReportLines;
 use crate::report_plot::PlotKind;
 use crate::run_line::{RatioLine, RunLine};
 
-/// The columns of the table of results.
+/// Header of the table of results.
 const RUN_COLUMNS: [&str; 20] = [
     "scenario",
     "deployment",
@@ -27,7 +27,7 @@
     "extra load",
     "violations",
 ];
-/// The columns of the table of ratios.
+/// Header of the table of ratios.
 const RATIO_COLUMNS: [&str; 9] = [
     "scenario",
     "seed",
@@ -39,7 +39,7 @@
     "coverage",
     "extra load",
 ];
-/// The columns of the tables of single scenarios' figures and of the machine.
+/// Headers of the tables of scenario figures and of machine usage.
 const FIGURE_COLUMNS: [&str; 5] = ["scenario", "policy", "seed", "figure", "value"];
 const MACHINE_COLUMNS: [&str; 6] = [
     "scenario",
@@ -50,11 +50,11 @@
     "send lag p99 ms",
 ];
 
-/// Writes the page with its tables, and with the named plots.
+/// Renders the tables, and links to the given plot files.
 #[must_use]
 pub fn render_page(lines: &ReportLines, plots: &[(PlotKind, String)]) -> String {
     let mut page = String::from("# Results of load runs\n");
-    page.push_str("\nLatencies count from when a query was due. `extra load` is the attempts that the targets ran over the fewest that the answers needed.\n");
+    page.push_str("\nLatencies are measured from the due time of a query. `extra load` is the number of attempts that the targets ran, divided by the minimum for the answers.\n");
     add_section(
         &mut page,
         "Results",
@@ -62,23 +62,13 @@
         table_rows(&lines.runs, run_row),
     );
     let ratios = table_rows(&lines.ratios, ratio_row);
-    add_section(
-        &mut page,
-        "Current over baseline",
-        &RATIO_COLUMNS,
-        ratios,
-    );
+    add_section(&mut page, "Current over baseline", &RATIO_COLUMNS, ratios);
     let figures = lines.runs.iter().flat_map(figure_rows).collect();
-    add_section(
-        &mut page,
-        "Figures of single scenarios",
-        &FIGURE_COLUMNS,
-        figures,
-    );
+    add_section(&mut page, "Scenario figures", &FIGURE_COLUMNS, figures);
     let machine = table_rows(&lines.runs, machine_row);
     add_section(&mut page, "The machine", &MACHINE_COLUMNS, machine);
     if !plots.is_empty() {
-        page.push_str("\n## Plots\n\nMeans over the seeds.\n");
+        page.push_str("\n## Plots\n\nMeans over all seeds.\n");
         for (kind, file) in plots {
             page.extend(["\n![", kind.title(), "](", file, ")\n"]);
         }
@@ -90,7 +80,7 @@
     lines.iter().map(row).collect()
 }
 
-/// Adds a heading with a table; nothing where the table has no rows.
+/// Appends a heading and a table; nothing if there are no rows.
 fn add_section(page: &mut String, title: &str, columns: &[&str], rows: Vec<Vec<String>>) {
     if rows.is_empty() {
         return;
@@ -168,7 +158,7 @@
     ]
 }
 
-/// Gets a figure as text; a dash where there is none.
+/// Formats a figure; a dash if there is none.
 fn figure_text(figure: Option<f64>) -> String {
     figure.map_or_else(|| "–".to_owned(), |figure| figure.to_string())
 }
--- a/alderhaven-load/src/run_tally.rs
+++ b/alderhaven-load/src/run_tally.rs
@@ -1,4 +1,4 @@
-//! The adding up of a run's queries to its figures.
+//! Aggregates the replies of a run into its result.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +17,10 @@
 use crate::violations::{ViolationCounts, ViolationKind};
 use crate::workload::Workload;
 
-/// The longest latency that is told apart, in microseconds.
+/// Longer latencies are recorded as this.
 const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// A `RunTally` adds up queries and replies.
+/// Counters and histograms of one run.
 #[derive(Debug)]
 pub struct RunTally<'a> {
     options: &'a RunOptions,
@@ -33,10 +33,10 @@
     fairness: FairnessTally,
     errors: BTreeMap<String, u64>,
     violations: ViolationCounts,
-    /// The useful work that came in the measured time, in seconds of a slot.
+    /// Useful work that arrived in the measured time, in slot seconds.
     useful_work: f64,
     coverage_sum: f64,
-    /// The shards that answers cover, over the whole run.
+    /// Shards that the answers of the whole run cover.
     needed_attempts: usize,
 }
 
@@ -53,18 +53,18 @@
     urgent_in_time: u64,
 }
 
-/// A `QueryVerdict` is what a reply comes to for its caller.
+/// Outcome and usefulness of one reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct QueryResult {
     outcome: QueryOutcome,
     covered_share: f64,
     is_in_time: bool,
-    /// The answer is in time and covers what its template asks for.
+    /// The answer is in time and meets the coverage that its template requires.
     is_useful: bool,
 }
 
 impl<'a> RunTally<'a> {
-    /// Returns an empty tally.
+    /// Creates an empty tally.
     #[must_use]
     pub fn new(options: &'a RunOptions, workload: &'a Workload) -> Self {
         Self {
@@ -84,30 +84,30 @@
         }
     }
 
-    /// Adds a violation.
+    /// Counts a violation, whenever it occurred.
     pub const fn add_violation(&mut self, kind: ViolationKind) {
         self.violations.add(kind);
     }
 
-    /// Adds a query with its reply.
+    /// Adds a query with its reply; counts and latencies are of queries due in the measured time.
     pub fn add(&mut self, query: &LoadQuery, reply: &QueryReply) {
-        let read = reply.parse();
-        if let ParsedReply::Answer(answer) = &read {
+        let parsed = reply.parse();
+        if let ParsedReply::Answer(answer) = &parsed {
             self.needed_attempts += answer.coverage.answered;
         }
-        let verdict = evaluate_reply(query, reply, &read);
-        if verdict.is_useful && self.is_measured(reply.ended_at) {
+        let result = evaluate_reply(query, reply, &parsed);
+        if result.is_useful && self.is_measured(reply.ended_at) {
             self.useful_work += query.workload_template.mean_work();
         }
         if !self.is_measured(query.due_at) {
             return;
         }
-        if let ParsedReply::Error(body) = &read {
+        if let ParsedReply::Error(body) = &parsed {
             *self.errors.entry(body.error.code.clone()).or_default() += 1;
         }
-        self.count_outcome(query, verdict);
-        self.record_latency(query, reply, verdict);
-        self.record_work(query, verdict);
+        self.count_outcome(query, result);
+        self.record_latency(query, reply, result);
+        self.record_work(query, result);
     }
 
     fn is_measured(&self, at: TimeSpan) -> bool {
@@ -115,10 +115,10 @@
         (begin..begin + self.options.measured_time).contains(&at)
     }
 
-    fn count_outcome(&mut self, query: &LoadQuery, verdict: QueryResult) {
+    fn count_outcome(&mut self, query: &LoadQuery, result: QueryResult) {
         let counts = &mut self.counts;
         counts.offered += 1;
-        let count = match verdict.outcome {
+        let count = match result.outcome {
             QueryOutcome::Complete => &mut counts.complete,
             QueryOutcome::Partial => &mut counts.partial,
             QueryOutcome::Refused => &mut counts.refused,
@@ -127,27 +127,27 @@
         };
         *count += 1;
         let answered = matches!(
-            verdict.outcome,
+            result.outcome,
             QueryOutcome::Complete | QueryOutcome::Partial
         );
-        counts.late += u64::from(answered && !verdict.is_in_time);
+        counts.late += u64::from(answered && !result.is_in_time);
         if query.workload_template.template.class == QueryClass::Urgent {
             counts.urgent += 1;
-            counts.urgent_in_time += u64::from(verdict.is_useful);
+            counts.urgent_in_time += u64::from(result.is_useful);
         }
     }
 
-    fn record_latency(&mut self, query: &LoadQuery, reply: &QueryReply, verdict: QueryResult) {
+    fn record_latency(&mut self, query: &LoadQuery, reply: &QueryReply, result: QueryResult) {
         record_span(
             &mut self.send_lags,
             reply.sent_at.saturating_sub(query.due_at),
         );
-        if verdict.outcome == QueryOutcome::Refused {
+        if result.outcome == QueryOutcome::Refused {
             let span = reply.ended_at.saturating_sub(reply.sent_at);
             record_span(&mut self.refusal_latencies, span);
             return;
         }
-        self.coverage_sum += verdict.covered_share;
+        self.coverage_sum += result.covered_share;
         let latency = reply.ended_at.saturating_sub(query.due_at);
         record_span(&mut self.all_latencies, latency);
         if query.workload_template.template.class == QueryClass::Urgent {
@@ -155,19 +155,19 @@
         }
     }
 
-    fn record_work(&mut self, query: &LoadQuery, verdict: QueryResult) {
+    fn record_work(&mut self, query: &LoadQuery, result: QueryResult) {
         let template = &query.workload_template.template;
         let work = self
             .fairness
             .work_mut(&template.service, template.class, &query.team);
         work.weight = self.workload.team_weight(&query.team);
         work.offered += query.workload_template.mean_work();
-        if verdict.is_useful {
+        if result.is_useful {
             work.served += query.workload_template.mean_work();
         }
     }
 
-    /// Returns the line of the run, in which the targets ran `attempts`.
+    /// Returns the result of a run in which the targets ran `attempts` attempts.
     #[must_use]
     pub fn line(&self, attempts: usize, shares: CpuShares) -> RunLine {
         let options = self.options;
@@ -210,10 +210,10 @@
     }
 }
 
-fn evaluate_reply(query: &LoadQuery, reply: &QueryReply, read: &ParsedReply) -> QueryResult {
+fn evaluate_reply(query: &LoadQuery, reply: &QueryReply, parsed: &ParsedReply) -> QueryResult {
     let deadline = query.workload_template.template.deadline;
-    let in_time = reply.ended_at.saturating_sub(query.due_at) <= deadline;
-    let (outcome, covered) = match read {
+    let is_in_time = reply.ended_at.saturating_sub(query.due_at) <= deadline;
+    let (outcome, covered_share) = match parsed {
         ParsedReply::Answer(answer) => (answer.outcome, answer.coverage.covered_share()),
         ParsedReply::Error(body) => (error_outcome(body), 0.0),
         ParsedReply::Unreadable if matches!(reply.content, ReplyContent::Unsent) => {
@@ -226,10 +226,10 @@
     };
     QueryResult {
         outcome,
-        covered_share: covered,
-        is_in_time: in_time,
-        is_useful: in_time
-            && matches!(read, ParsedReply::Answer(answer) if meets_coverage(query, answer)),
+        covered_share,
+        is_in_time,
+        is_useful: is_in_time
+            && matches!(parsed, ParsedReply::Answer(answer) if meets_coverage(query, answer)),
     }
 }
 
@@ -241,8 +241,8 @@
     }
 }
 
-/// Returns true where the answer covers what its template asks for: all shards, or with a
-/// preference for latency the least share that it names.
+/// A complete answer is required; with a preference for latency, the template's minimum coverage is
+/// enough.
 fn meets_coverage(query: &LoadQuery, answer: &AnswerBody) -> bool {
     let template = &query.workload_template.template;
     match (template.preference, template.min_coverage) {
@@ -254,7 +254,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds are valid for a histogram")
+    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds and the precision are valid")
 }
 
 fn record_span(histogram: &mut Histogram<u64>, span: TimeSpan) {
--- a/alderhaven-load/src/test_bed.rs
+++ b/alderhaven-load/src/test_bed.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process: stand-ins of platform and targets, relays and entries.
+//! Complete system in one process: stand-ins of platform and targets, relays and entries.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -31,14 +31,14 @@
 use crate::scenario::ScenarioKind;
 use crate::workload::Workload;
 
-/// The time within which the whole path must be ready.
+/// Time within which the system must be ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// The pause between two looks at whether it is.
+/// Interval of the checks for readiness and for idle targets.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The pause between two looks at the configuration in force during a run.
+/// Interval of the checks of each node's configuration.
 const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A `TestBed` is a running system with its stand-ins.
+/// Running system with its stand-ins.
 #[derive(Debug)]
 pub struct TestBed {
     platform: PlatformServer,
@@ -46,7 +46,7 @@
     manifests: Mutex<Vec<SnapshotManifest>>,
     templates: Vec<QueryTemplate>,
     publication_count: AtomicUsize,
-    /// The runtime of the first relay where that is to die.
+    /// Runtime of the first relay in scenarios that crash it.
     crashable_runtime: Mutex<Option<CrashableRuntime>>,
     configs: Vec<(NodeId, ConfigHandle)>,
     relays: Vec<RelayNode>,
@@ -56,10 +56,11 @@
 }
 
 impl TestBed {
-    /// Starts everything and waits until the configuration is in force on every node.
+    /// Starts all parts, and waits until every node has the complete configuration and every entry
+    /// is connected to every relay.
     ///
     /// # Errors
-    /// Where an address can't be bound or the system does not become ready.
+    /// Where an address can't be bound, or the system isn't ready in time.
     pub async fn start(workload: &Workload, options: &RunOptions) -> Result<Self> {
         let platform = PlatformServer::start(PlatformOptions {
             objects: vec![workload.objects()],
@@ -105,42 +106,43 @@
             let settings: RelaySettings = self.node_settings("relay", number, policy, "")?;
             let config = self.start_follower(&settings.node);
             let relay = if number == 1 && options.scenario == ScenarioKind::RelayCrash {
-                let doomed = CrashableRuntime::new()?;
-                let starting = doomed.spawn(RelayNode::start(settings, config));
-                *lock(&self.crashable_runtime) = Some(doomed);
+                let runtime = CrashableRuntime::new()?;
+                let starting = runtime.spawn(RelayNode::start(settings, config));
+                *lock(&self.crashable_runtime) = Some(runtime);
                 starting.await?
             } else {
                 RelayNode::start(settings, config).await
             };
-            self.relays.push(relay.wrap_err("a relay can't start")?);
+            self.relays.push(relay.wrap_err("can't start a relay")?);
         }
         let relays: Vec<SocketAddr> = self.relays.iter().map(RelayNode::peer_address).collect();
-        let more = format!(
+        let extra_settings = format!(
             "listen: 127.0.0.1:0\nrelays: {}\n",
             serde_json::to_string(&relays)?
         );
         for number in 1..=nodes {
-            let settings: EntrySettings = self.node_settings("entry", number, policy, &more)?;
+            let settings: EntrySettings =
+                self.node_settings("entry", number, policy, &extra_settings)?;
             let config = self.start_follower(&settings.node);
             let entry = EntryNode::start(settings, config).await;
-            self.entries.push(entry.wrap_err("an entry can't start")?);
+            self.entries.push(entry.wrap_err("can't start an entry")?);
         }
         Ok(())
     }
 
-    /// Reads settings as a process does; what is left out takes its default.
+    /// Parses a node's settings as its process does; omitted ones take their defaults.
     fn node_settings<T: serde::de::DeserializeOwned>(
         &self,
         role: &str,
         number: usize,
         policy: PolicyKind,
-        more: &str,
+        extra_settings: &str,
     ) -> Result<T> {
         let platform = self.platform.address();
         let text = format!(
             "node: {role}-{number}\nhost: host-{number}\ndomain: domain-1\n\
              peer_listen: 127.0.0.1:0\noperator_listen: 127.0.0.1:0\n\
-             platform: {platform}\npolicy: {policy}\n{more}"
+             platform: {platform}\npolicy: {policy}\n{extra_settings}"
         );
         Ok(settings::read_text(role, &text)?)
     }
@@ -158,7 +160,7 @@
         while !self.is_ready() {
             if Instant::now() >= limit {
                 bail!(
-                    "the system is not ready within {} s",
+                    "the system is not ready after {} s",
                     START_TIMEOUT.as_secs()
                 );
             }
@@ -178,66 +180,66 @@
             && self.entries.iter().all(is_linked)
     }
 
-    /// Gets the addresses for callers.
+    /// Returns the addresses for callers.
     #[must_use]
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(EntryNode::caller_address).collect()
     }
 
-    /// Gets the targets.
+    /// Returns the targets.
     #[must_use]
     pub const fn fleet(&self) -> &TargetFleet {
         &self.fleet
     }
 
-    /// Gets all manifests that were published.
+    /// Returns all published manifests, former ones included.
     #[must_use]
     pub fn manifests(&self) -> Vec<SnapshotManifest> {
         lock(&self.manifests).clone()
     }
 
-    /// Notes manifests that were published.
+    /// Adds manifests that were published.
     pub fn record_manifests(&self, manifests: impl IntoIterator<Item = SnapshotManifest>) {
         lock(&self.manifests).extend(manifests);
     }
 
-    /// Gets the platform's address.
+    /// Returns the platform's address.
     #[must_use]
     pub const fn platform_address(&self) -> SocketAddr {
         self.platform.address()
     }
 
-    /// Gets the platform's store, for faults.
+    /// Returns the platform's store, to inject faults.
     #[must_use]
     pub const fn store(&self) -> &FakeStore {
         self.platform.store()
     }
 
-    /// Gets the last template.
+    /// Returns the last template of the workload.
     #[must_use]
     pub fn last_template(&self) -> Option<QueryTemplate> {
         self.templates.last().cloned()
     }
 
-    /// Counts publications that were taken.
+    /// Adds to the number of accepted publications.
     pub fn add_publications(&self, count: usize) {
         self.publication_count.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// Gets the number of publications that were counted.
+    /// Returns the number of accepted publications.
     #[must_use]
     pub fn publication_count(&self) -> usize {
         self.publication_count.load(Ordering::Relaxed)
     }
 
-    /// Gets the number of ejections of targets, each entry's counted.
+    /// Returns the number of target ejections, summed over all entries.
     #[must_use]
     pub fn ejection_count(&self) -> u64 {
         let count = |entry: &EntryNode| entry.state().metrics.ejections.get();
         self.entries.iter().map(count).sum()
     }
 
-    /// Gets the fewest relays that any entry can use.
+    /// Returns the lowest number of usable relays among the entries.
     #[must_use]
     pub fn min_usable_relays(&self) -> usize {
         let usable = |entry: &EntryNode| {
@@ -247,27 +249,27 @@
         self.entries.iter().map(usable).min().unwrap_or(0)
     }
 
-    /// Ends all tasks and connections of the first relay at once.
+    /// Crashes the first relay, if it runs on its own runtime.
     pub fn crash_relay(&self) {
         lock(&self.crashable_runtime).take();
     }
 
-    /// Gets what was seen of the nodes' configuration.
+    /// Returns the observed configuration revisions, in the order of observation.
     #[must_use]
     pub fn config_observations(&self) -> Vec<ConfigObservation> {
         lock(&self.config_observations).clone()
     }
 
-    /// Waits until the targets run nothing.
+    /// Waits until no attempt runs at any target.
     ///
     /// # Errors
-    /// Where a run goes on beyond `limit`.
+    /// Where an attempt still runs after `limit`.
     pub async fn wait_until_idle(&self, limit: Duration) -> Result<()> {
         let end = Instant::now() + limit;
         while self.fleet.run_log().running_count() > 0 {
             if Instant::now() >= end {
                 bail!(
-                    "targets still run attempts {} s after the last reply",
+                    "targets still run attempts after waiting {} s",
                     limit.as_secs()
                 );
             }
@@ -276,7 +278,7 @@
         Ok(())
     }
 
-    /// Stops everything.
+    /// Stops nodes, targets and platform.
     pub async fn stop(self) {
         self.shutdown.cancel();
         drop(self.entries);
@@ -288,7 +290,7 @@
 
 async fn observe_configs(
     configs: Vec<(NodeId, ConfigHandle)>,
-    sightings: Arc<Mutex<Vec<ConfigObservation>>>,
+    observations: Arc<Mutex<Vec<ConfigObservation>>>,
 ) {
     let mut last: Vec<Option<StoreVersion>> = vec![None; configs.len()];
     loop {
@@ -298,11 +300,11 @@
                 continue;
             }
             last[position] = revision;
-            let sighting = revision.map(|revision| ConfigObservation {
+            let observation = revision.map(|revision| ConfigObservation {
                 node: node.clone(),
                 revision,
             });
-            lock(&sightings).extend(sighting);
+            lock(&observations).extend(observation);
         }
         time::sleep(CONFIG_POLL_INTERVAL).await;
     }
--- a/alderhaven-load/src/workload.rs
+++ b/alderhaven-load/src/workload.rs
@@ -1,5 +1,4 @@
-//! What is asked of a deployment: teams, templates and their mix, from the YAML files under
-//! `workloads/`.
+//! Workload of a deployment: teams, templates and their mix, from the YAML files in `workloads/`.
 
 use std::collections::BTreeMap;
 
@@ -17,67 +16,70 @@
 const VOLTA_YAML: &str = include_str!("../workloads/volta.yaml");
 const LAGERBLIK_YAML: &str = include_str!("../workloads/lagerblik.yaml");
 
-/// The mean run time of a long job, some thirty times that of a short query.
+/// Mean run time of a long job's attempts, many times that of a short query.
 const LONG_JOB_MEAN_RUN_TIME: TimeSpan = TimeSpan::from_secs(1);
-/// The deadline of a long job.
+/// Deadline of long jobs.
 const LONG_JOB_DEADLINE: TimeSpan = TimeSpan::from_secs(20);
-/// The part of a service's capacity that long jobs take.
+/// Share of a service's capacity that long jobs take.
 const LONG_JOB_CAPACITY_SHARE: f64 = 0.2;
 
-/// A `WorkloadFile` is the content of a workload file.
+/// Content of a workload file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkloadFile {
-    /// The teams.
+    /// Teams that send queries.
     pub teams: Vec<TeamPolicy>,
-    /// The templates.
+    /// Templates that are published.
     pub templates: Vec<QueryTemplate>,
-    /// How often each template is asked.
+    /// How often each template is queried.
     pub mix: Vec<MixEntry>,
 }
 
-/// A `MixEntry` says how often a template is asked and by whom.
+/// How often a template is queried and by which teams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MixEntry {
-    /// The template.
+    /// Name of the queried template.
     pub template: TemplateName,
-    /// The part of its service's capacity that the template takes at load 1.
+    /// Share of the service's capacity that the template takes at load 1.
+    #[serde(rename = "share")]
     pub capacity_share: f64,
-    /// The mean run time at a target.
+    /// Mean run time of an attempt at a target.
+    #[serde(rename = "mean")]
     pub mean_run_time: TimeSpan,
-    /// The parameter that is unique to each query, so that runs can be told apart.
+    /// Parameter that gets a unique value in each query, so that runs can be attributed.
+    #[serde(rename = "tag")]
     pub unique_parameter: String,
-    /// The teams that ask, by their part of the queries.
+    /// Querying teams with their shares of the queries.
     pub teams: BTreeMap<TeamId, f64>,
 }
 
-/// A `MixedTemplate` is a template with its place in the mix and its service.
+/// Template with its entry of the mix and its service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadTemplate {
-    /// The place in the mix.
+    /// Rate, run time and teams.
     pub mix_entry: MixEntry,
-    /// The template.
+    /// Definition of the template.
     pub template: QueryTemplate,
-    /// The service that it asks.
+    /// Service that the template reads.
     pub layout: ServiceLayout,
 }
 
-/// A `Workload` is what is asked of a deployment, with the services that are asked.
+/// Teams, templates and services of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workload {
-    /// The teams.
+    /// Teams that send queries.
     pub teams: Vec<TeamPolicy>,
-    /// The templates of the mix.
+    /// Templates of the base load.
     pub mix: Vec<WorkloadTemplate>,
-    /// The services, with the run times of the mix.
+    /// Services, with the run times of the mix.
     pub layouts: Vec<ServiceLayout>,
-    /// Long jobs, which are not part of the mix.
+    /// Long jobs, which aren't part of the mix.
     pub long_jobs: Vec<WorkloadTemplate>,
 }
 
 impl WorkloadTemplate {
-    /// Gets the number of shards that a query asks.
+    /// Returns how many shards a query reads.
     #[must_use]
     pub fn shard_count(&self) -> u32 {
         match &self.template.shards {
@@ -87,13 +89,13 @@
         }
     }
 
-    /// Gets the work of a query, in seconds of a slot: the fewest attempts by their mean time.
+    /// Returns the mean work of a query in slot seconds: one attempt per shard.
     #[must_use]
     pub fn mean_work(&self) -> f64 {
         f64::from(self.shard_count()) * self.mix_entry.mean_run_time.as_secs_f64()
     }
 
-    /// Gets the queries a second that take the entry's share of the service.
+    /// Returns the queries per second at load 1.
     #[must_use]
     pub fn rate_at_full_load(&self) -> f64 {
         self.mix_entry.capacity_share * slot_count(&self.layout) / self.mean_work()
@@ -101,10 +103,10 @@
 }
 
 impl Workload {
-    /// Returns the workload of a deployment.
+    /// Loads the workload of a deployment.
     ///
     /// # Errors
-    /// `Error::Invalid` where the deployment's file does not check.
+    /// `Error::Invalid` where the deployment's file is invalid.
     pub fn for_deployment(deployment: DeploymentKind) -> Result<Self> {
         let text = match deployment {
             DeploymentKind::Volta => VOLTA_YAML,
@@ -114,30 +116,30 @@
         Self::from_file(settings::read_text(&path, text)?, deployment.layouts())
     }
 
-    /// Joins a workload file to the services that it asks.
+    /// Combines a workload file with the services that it queries.
     ///
     /// # Errors
-    /// `Error::Invalid` for a template or service that is not there.
+    /// `Error::Invalid` for an unknown template or service.
     pub fn from_file(file: WorkloadFile, mut layouts: Vec<ServiceLayout>) -> Result<Self> {
         let mut mix = Vec::new();
-        for entry in file.mix {
+        for mix_entry in file.mix {
             let template = file
                 .templates
                 .iter()
-                .find(|template| template.name == entry.template)
+                .find(|template| template.name == mix_entry.template)
                 .cloned()
-                .ok_or_else(|| missing_error("mix.template", &entry.template))?;
+                .ok_or_else(|| missing_error("mix.template", &mix_entry.template))?;
             let layout = layouts
                 .iter_mut()
                 .find(|layout| layout.service == template.service)
                 .ok_or_else(|| missing_error("templates.service", &template.service))?;
-            let name = entry.template.to_string();
+            let name = mix_entry.template.to_string();
             layout
                 .service_time
                 .templates
-                .insert(name, entry.mean_run_time);
+                .insert(name, mix_entry.mean_run_time);
             mix.push(WorkloadTemplate {
-                mix_entry: entry,
+                mix_entry,
                 template,
                 layout: layout.clone(),
             });
@@ -150,36 +152,36 @@
         })
     }
 
-    /// Adds long jobs at the services that urgent templates ask: bulk queries of the same teams.
+    /// Adds long jobs at the services of urgent templates: bulk queries by the same teams.
     ///
     /// # Errors
-    /// `Error::Parse` where a name becomes too long.
+    /// `Error::Parse` where a template's name is too long.
     pub fn add_long_jobs(&mut self) -> Result<()> {
-        let is_urgent = |mixed: &&WorkloadTemplate| mixed.template.class == QueryClass::Urgent;
+        let is_urgent = |entry: &&WorkloadTemplate| entry.template.class == QueryClass::Urgent;
         let urgent: Vec<WorkloadTemplate> = self.mix.iter().filter(is_urgent).cloned().collect();
-        for mut mixed in urgent {
-            let name: TemplateName = format!("{}-long", mixed.template.name).parse()?;
-            mixed.template.name = name.clone();
-            mixed.template.class = QueryClass::Bulk;
-            mixed.template.preference = AnswerPreference::Coverage;
-            mixed.template.answer_by = None;
-            mixed.template.min_coverage = None;
-            mixed.template.deadline = LONG_JOB_DEADLINE;
-            mixed.mix_entry.template = name.clone();
-            mixed.mix_entry.mean_run_time = LONG_JOB_MEAN_RUN_TIME;
-            mixed.mix_entry.capacity_share = LONG_JOB_CAPACITY_SHARE;
+        for mut workload_template in urgent {
+            let name: TemplateName = format!("{}-long", workload_template.template.name).parse()?;
+            workload_template.template.name = name.clone();
+            workload_template.template.class = QueryClass::Bulk;
+            workload_template.template.preference = AnswerPreference::Coverage;
+            workload_template.template.answer_by = None;
+            workload_template.template.min_coverage = None;
+            workload_template.template.deadline = LONG_JOB_DEADLINE;
+            workload_template.mix_entry.template = name.clone();
+            workload_template.mix_entry.mean_run_time = LONG_JOB_MEAN_RUN_TIME;
+            workload_template.mix_entry.capacity_share = LONG_JOB_CAPACITY_SHARE;
             for layout in &mut self.layouts {
-                if layout.service == mixed.template.service {
+                if layout.service == workload_template.template.service {
                     let templates = &mut layout.service_time.templates;
                     templates.insert(name.to_string(), LONG_JOB_MEAN_RUN_TIME);
                 }
             }
-            self.long_jobs.push(mixed);
+            self.long_jobs.push(workload_template);
         }
         Ok(())
     }
 
-    /// Gets the objects to publish.
+    /// Returns the objects to publish.
     #[must_use]
     pub fn objects(&self) -> ObjectSet {
         ObjectSet {
@@ -187,14 +189,14 @@
                 .mix
                 .iter()
                 .chain(&self.long_jobs)
-                .map(|mixed| mixed.template.clone())
+                .map(|workload_template| workload_template.template.clone())
                 .collect(),
             teams: self.teams.clone(),
             manifests: Vec::new(),
         }
     }
 
-    /// Gets the queries a second at load 1.
+    /// Returns the queries per second at load 1.
     #[must_use]
     pub fn rate_at_full_load(&self) -> f64 {
         self.mix
@@ -203,7 +205,7 @@
             .sum()
     }
 
-    /// Gets the slots of all services that the mix asks: the seconds of a slot in a second.
+    /// Returns the slots of all services of the mix, which is their work per second.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         self.layouts
@@ -211,13 +213,13 @@
             .filter(|layout| {
                 self.mix
                     .iter()
-                    .any(|mixed| mixed.layout.service == layout.service)
+                    .any(|workload_template| workload_template.layout.service == layout.service)
             })
             .map(slot_count)
             .sum()
     }
 
-    /// Gets the weight of a team, 1 where it is not known.
+    /// Returns the weight of a team; 1 for an unknown one.
     #[must_use]
     pub fn team_weight(&self, team: &TeamId) -> f64 {
         self.teams
@@ -232,5 +234,5 @@
 }
 
 fn missing_error(field: &str, name: &impl std::fmt::Display) -> Error {
-    Error::invalid(field, format!("there is no `{name}`"))
+    Error::invalid(field, format!("`{name}` is not defined"))
 }
--- a/alderhaven-load/tests/common/mod.rs
+++ b/alderhaven-load/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Queries, manifests, runs and replies made by hand.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Hand-made queries, manifests, runs and replies.
+#![allow(dead_code, reason = "each test crate uses a part")]
 
 use std::sync::Arc;
 
@@ -17,17 +17,17 @@
 
 pub const SHARD_COUNT: u32 = 3;
 
-/// Gets a duplicate check (urgent, all shards, concatenated) that is due at `due_ms`.
+/// Returns an urgent query of all shards with concatenated rows, due at `due_ms`.
 pub fn duplicate_check(number: u64, due_ms: u64) -> LoadQuery {
     query_of("duplicate-check", number, due_ms)
 }
 
 pub fn query_of(template: &str, number: u64, due_ms: u64) -> LoadQuery {
     let workload = Workload::for_deployment(DeploymentKind::Volta).unwrap();
-    let mixed = workload
+    let workload_template = workload
         .mix
         .into_iter()
-        .find(|mixed| mixed.template.name.as_str() == template)
+        .find(|workload_template| workload_template.template.name.as_str() == template)
         .unwrap();
     let parameters = serde_json::from_value(json!({ "title": format!("q{number:06}") })).unwrap();
     LoadQuery {
@@ -35,7 +35,7 @@
         due_at: TimeSpan::from_millis(due_ms),
         team: "publishers".parse().unwrap(),
         parameters,
-        workload_template: Arc::new(mixed),
+        workload_template: Arc::new(workload_template),
         group: QueryGroup::Base,
         entry_index: None,
     }
@@ -45,7 +45,7 @@
     "assignment-desk".parse().unwrap()
 }
 
-/// Gets the manifest of [`SHARD_COUNT`] shards whose index version is the snapshot's number.
+/// Returns a manifest of [`SHARD_COUNT`] shards, whose index version is the snapshot's number.
 pub fn manifest(snapshot: u64) -> SnapshotManifest {
     let shards = (0..SHARD_COUNT).map(|shard| ShardEntry {
         shard: ShardId(shard),
@@ -126,7 +126,7 @@
     json!({"error": {"code": "overloaded", "message": "full", "not_run": true}})
 }
 
-/// Gets the reply with `body` to a query, `latency_ms` after it was due.
+/// Returns a reply with `body` that arrives `latency_ms` after the query was due.
 pub fn reply(query: &LoadQuery, latency_ms: u64, body: &Value) -> QueryReply {
     reply_of(
         query,
--- a/alderhaven-load/tests/figures.rs
+++ b/alderhaven-load/tests/figures.rs
@@ -1,4 +1,4 @@
-//! Tests of the figures: workloads, fairness, tally and the result line.
+//! Workloads, fairness, the tally and the fields of the result.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use common::{complete_answer, duplicate_check, refusal, reply, reply_of};
 use serde_json::{Value, json};
 
-/// The fields that readers of result lines rely on, in their order.
+/// Fields that readers of result lines rely on, in their order.
 const RESULT_FIELDS: [&str; 20] = [
     "scenario",
     "policy",
@@ -60,60 +60,64 @@
 fn workload_fills_each_service_at_load_one() {
     for deployment in [DeploymentKind::Volta, DeploymentKind::Lagerblik] {
         let workload = Workload::for_deployment(deployment).unwrap();
-        let work = |mixed: &WorkloadTemplate| mixed.rate_at_full_load() * mixed.mean_work();
+        let work = |entry: &WorkloadTemplate| entry.rate_at_full_load() * entry.mean_work();
         for layout in &workload.layouts {
             let slots = f64::from(layout.shards * layout.replicas * layout.slots);
-            let asked: f64 = workload
+            let work_per_second: f64 = workload
                 .mix
                 .iter()
-                .filter(|mixed| mixed.layout.service == layout.service)
+                .filter(|workload_template| workload_template.layout.service == layout.service)
                 .map(work)
                 .sum();
-            assert!((asked / slots - 1.0).abs() < 1e-9, "{}", layout.service);
+            assert!(
+                (work_per_second / slots - 1.0).abs() < 1e-9,
+                "{}",
+                layout.service
+            );
         }
-        let asked: f64 = workload.mix.iter().map(work).sum();
-        assert!((asked / workload.capacity() - 1.0).abs() < 1e-9);
+        let work_per_second: f64 = workload.mix.iter().map(work).sum();
+        assert!((work_per_second / workload.capacity() - 1.0).abs() < 1e-9);
         assert!(workload.teams.iter().all(|team| team.check().is_empty()));
         assert!(
             workload
                 .mix
                 .iter()
-                .all(|mixed| mixed.template.check().is_empty())
+                .all(|workload_template| workload_template.template.check().is_empty())
         );
     }
 }
 
 #[test]
-fn dues_by_weight_up_to_offered() {
+fn fair_shares_by_weight_up_to_offered() {
     let work = |weight, offered, served| TeamWork {
         weight,
         offered,
         served,
     };
-    let works = [
+    let team_work = [
         work(1.0, 5.0, 5.0),
         work(1.0, 90.0, 40.0),
         work(2.0, 90.0, 15.0),
     ];
-    let dues = fairness_tally::fair_shares(&works);
-    // The first team wants less than its part; the other 55 are shared one to two.
-    assert!((dues[0] - 5.0).abs() < 1e-9);
-    assert!((dues[1] - 55.0 / 3.0).abs() < 1e-9);
-    assert!((dues[2] - 110.0 / 3.0).abs() < 1e-9);
+    let shares = fairness_tally::fair_shares(&team_work);
+    // The first team offers less than its share; the other 55 are divided one to two.
+    assert!((shares[0] - 5.0).abs() < 1e-9);
+    assert!((shares[1] - 55.0 / 3.0).abs() < 1e-9);
+    assert!((shares[2] - 110.0 / 3.0).abs() < 1e-9);
 }
 
 #[test]
 fn fairness_lowest_team() {
-    let mut fair = FairnessTally::default();
+    let mut tally = FairnessTally::default();
     for (team, served) in [("publishers", 30.0), ("booksellers", 10.0)] {
         let class = QueryClass::Urgent;
-        *fair.work_mut(&common::service(), class, &team.parse().unwrap()) = TeamWork {
+        *tally.work_mut(&common::service(), class, &team.parse().unwrap()) = TeamWork {
             weight: 1.0,
             offered: 100.0,
             served,
         };
     }
-    assert!((fair.fairness() - 0.5).abs() < 1e-9);
+    assert!((tally.fairness() - 0.5).abs() < 1e-9);
 }
 
 #[test]
@@ -127,7 +131,7 @@
         tally.add(&query, &reply(&query, 2, &refusal()));
         let query = duplicate_check(4, 2_000);
         tally.add(&query, &reply_of(&query, 900, ReplyContent::TimedOut));
-        // Due in the warm-up: checked, not counted.
+        // Due in the warm-up, so it isn't counted.
         let query = duplicate_check(5, 500);
         tally.add(&query, &reply(&query, 10, &complete_answer(&query)));
         tally.add_violation(ViolationKind::Crossed);
@@ -144,7 +148,7 @@
     );
     assert_eq!(line.urgent_in_time, Some(0.25));
     assert_eq!(line.coverage, Some(0.6667));
-    // Twelve attempts for three answers over three shards each.
+    // Twelve attempts for three answers of three shards each.
     assert_eq!(line.extra_load, Some(1.3333));
     assert_eq!(line.violations.crossed, 1);
     assert_eq!(line.errors.get("overloaded"), Some(&1));
@@ -154,8 +158,8 @@
 
 #[test]
 fn line_latency_from_due_time() {
-    // A caller that waits for earlier replies before it sends hides the wait in its own queue;
-    // the latency counts from when the query was due.
+    // Latency includes the delay before sending; otherwise a slow sender hides queueing
+    // (coordinated omission).
     let line = line(3, |tally| {
         let query = duplicate_check(1, 1_000);
         let mut late = reply(&query, 700, &complete_answer(&query));
--- a/alderhaven-load/tests/scenario_figures.rs
+++ b/alderhaven-load/tests/scenario_figures.rs
@@ -1,4 +1,4 @@
-//! Tests of the figures that belong to single scenarios.
+//! Figures of single scenarios.
 
 mod common;
 
@@ -32,19 +32,19 @@
     scenario: ScenarioKind,
     pairs: &[(LoadQuery, QueryReply)],
     records: &[RunRecord],
-    leavings: &[LeavingRecord],
+    leaving_targets: &[LeavingRecord],
 ) -> FigureMap {
     let options = options(scenario);
     let mut tally = FigureTally::new(&options);
     for (query, reply) in pairs {
         tally.add(query, reply);
     }
-    tally.figures(records, leavings)
+    tally.figures(records, leaving_targets)
 }
 
 #[test]
-fn figures_way_back_after_burst() {
-    // 100 ms before, 500 ms during the burst and for 1.05 s after it, then 100 ms again.
+fn figures_recovery_after_burst() {
+    // Latency is 500 ms during the burst and for 1.05 s after it, and 100 ms otherwise.
     let pairs: Vec<(LoadQuery, QueryReply)> = (0..160)
         .map(|number| {
             let due = 1_000 + number * 50;
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn figures_never_away() {
-    // The slowest second comes late and is near the steady one: there was nothing to come back from.
+fn figures_without_degradation() {
+    // The slowest window comes late but is near the steady value, so the latency never degraded.
     let pairs: Vec<(LoadQuery, QueryReply)> = (0..160)
         .map(|number| {
             let due = 1_000 + number * 50;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn figures_never_back() {
+fn figures_without_recovery() {
     let pairs: Vec<(LoadQuery, QueryReply)> = (0..160)
         .map(|number| {
             let due = 1_000 + number * 50;
@@ -92,7 +92,7 @@
     pairs.push((refused.clone(), reply(&refused, 1, &refusal())));
     pairs.push(answered(4, 2_000, 900));
     pairs[3].0.group = QueryGroup::LongJob;
-    // Due in the warm-up: not counted.
+    // Due in the warm-up, so it isn't counted.
     pairs.push(answered(5, 500, 900));
     let figures = figures(ScenarioKind::LongAmongShort, &pairs, &[], &[]);
     assert_eq!(figures["others_p99_ms"], Some(120.0));
@@ -121,11 +121,11 @@
     let mut records = vec![run_of(&query, 0, 1), run_of(&query, 1, 1)];
     records[0].started_us = 2_500;
     records[1].started_us = 900_000;
-    let leavings = [LeavingRecord {
+    let leaving_targets = [LeavingRecord {
         target: target(0),
         leaving_since_us: 1_000,
     }];
-    let figures = figures(ScenarioKind::TargetLeaving, &[], &records, &leavings);
+    let figures = figures(ScenarioKind::TargetLeaving, &[], &records, &leaving_targets);
     assert_eq!(figures["leaving_targets"], Some(1.0));
     assert_eq!(figures["last_run_after_leaving_ms"], Some(1.5));
 }
--- a/alderhaven-standin/src/fake_store.rs
+++ b/alderhaven-standin/src/fake_store.rs
@@ -1,5 +1,5 @@
-//! The platform in memory: object API and host list with fault switches, for tests in process and
-//! behind the HTTP form alike.
+//! In-memory platform: object API and host list with injectable faults. Tests use it in process;
+//! `platform_server` serves it over HTTP.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,12 +21,12 @@
 use crate::platform_faults::PlatformFaults;
 use crate::rate_limiter::RateLimiter;
 
-/// The number of older host listings that are kept for the lag.
+/// Bounds the host listings that are kept to simulate a lagging host list.
 const MAX_HOST_LISTINGS: usize = 1_000;
 
-/// A `FakeStore` is a platform in memory; its clones share the same state.
+/// Platform in memory; clones share the same state.
 ///
-/// Its clock is tokio's, so that a paused clock holds for it as well.
+/// It reads tokio's clock, so a test that pauses the clock controls it.
 #[derive(Clone, Debug)]
 pub struct FakeStore {
     shared: Arc<StoreShared>,
@@ -52,20 +52,20 @@
     call_counts: CallCounts,
 }
 
-/// A `CallCounts` counts the calls of the object API, refused ones included.
+/// Numbers of calls of the object API, including refused ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
     /// Lists and gets.
     pub reads: u64,
     /// Conditional writes.
     pub writes: u64,
-    /// Watches, each waiting call as one.
+    /// Watches; each long poll counts as one.
     pub watches: u64,
-    /// Calls that were above the rate.
+    /// Calls that were refused because of the rate limit.
     pub throttled: u64,
 }
 
-/// A `WriteFate` says what a fault makes of a write.
+/// Fault that applies to one write.
 enum WriteFault {
     NoFault,
     ReplyLost,
@@ -80,11 +80,11 @@
 }
 
 impl FakeStore {
-    /// Returns a platform that holds `table`, without hosts and without faults.
+    /// Creates a platform with the objects of `table`, no hosts and no faults.
     #[must_use]
     pub fn new(table: ObjectTable) -> Self {
         let faults = PlatformFaults::default();
-        let core = StoreState {
+        let state = StoreState {
             table,
             read_limiter: RateLimiter::new(faults.reads_per_second),
             write_limiter: RateLimiter::new(faults.writes_per_second),
@@ -97,56 +97,56 @@
         };
         Self {
             shared: Arc::new(StoreShared {
-                state: Mutex::new(core),
+                state: Mutex::new(state),
                 changed: Notify::new(),
                 started_at: Instant::now(),
             }),
         }
     }
 
-    /// Replaces the whole set of fault switches.
+    /// Replaces all fault switches and refills the rate limiters.
     pub fn set_faults(&self, faults: PlatformFaults) {
-        let mut core = self.lock_state();
-        core.read_limiter = RateLimiter::new(faults.reads_per_second);
-        core.write_limiter = RateLimiter::new(faults.writes_per_second);
-        core.stale_table = match (faults.stale_list, core.stale_table.take()) {
+        let mut state = self.lock_state();
+        state.read_limiter = RateLimiter::new(faults.reads_per_second);
+        state.write_limiter = RateLimiter::new(faults.writes_per_second);
+        state.stale_table = match (faults.stale_list, state.stale_table.take()) {
             (false, _) => None,
             (true, Some(table)) => Some(table),
-            (true, None) => Some(core.table.clone()),
+            (true, None) => Some(state.table.clone()),
         };
-        core.faults = faults;
-        drop(core);
+        state.faults = faults;
+        drop(state);
         self.shared.changed.notify_waiters();
     }
 
-    /// Gets the fault switches as they stand, counters counted down.
+    /// Returns the fault switches; the counting ones show what is left.
     #[must_use]
     pub fn faults(&self) -> PlatformFaults {
         self.lock_state().faults.clone()
     }
 
-    /// Gets the counts of calls so far.
+    /// Returns the numbers of calls since the start.
     #[must_use]
     pub fn call_counts(&self) -> CallCounts {
         self.lock_state().call_counts
     }
 
-    /// Gets a copy of the objects.
+    /// Returns a copy of the stored objects.
     #[must_use]
     pub fn table(&self) -> ObjectTable {
         self.lock_state().table.clone()
     }
 
-    /// Puts `table` in place of the objects, as when the platform is restored from an old copy.
+    /// Replaces all objects, as a restore from a backup does.
     pub fn restore(&self, table: ObjectTable) {
         self.lock_state().table = table;
         self.shared.changed.notify_waiters();
     }
 
-    /// Writes an object whatever its version, beside all faults and rates.
+    /// Writes an object regardless of its version, bypassing faults and rate limits.
     pub fn put(&self, key: ObjectKey, body: Option<String>) {
-        let mut core = self.lock_state();
-        let expected = core
+        let mut state = self.lock_state();
+        let expected = state
             .table
             .get(&key)
             .map_or(StoreVersion(0), |object| object.version);
@@ -156,35 +156,35 @@
             write_id: uuid::Uuid::new_v4().to_string(),
             body,
         };
-        core.table.write(write);
-        drop(core);
+        state.table.write(write);
+        drop(state);
         self.shared.changed.notify_waiters();
     }
 
-    /// Lets the held writes take effect in the order in which they came.
+    /// Applies the held writes in the order of their arrival.
     pub fn release_held_writes(&self) {
-        let mut core = self.lock_state();
-        for write in std::mem::take(&mut core.held_writes) {
-            core.table.write(write);
+        let mut state = self.lock_state();
+        for write in std::mem::take(&mut state.held_writes) {
+            state.table.write(write);
         }
-        drop(core);
+        drop(state);
         self.shared.changed.notify_waiters();
     }
 
-    /// Adds a host to the list or replaces it.
+    /// Adds or replaces a host of the host list.
     pub fn put_host(&self, record: HostRecord) {
         let now = self.now();
-        let mut core = self.lock_state();
-        core.hosts.insert(record.host.clone(), record);
-        core.record_listing(now);
+        let mut state = self.lock_state();
+        state.hosts.insert(record.host.clone(), record);
+        state.record_listing(now);
     }
 
-    /// Takes a host from the list.
+    /// Removes a host from the host list.
     pub fn remove_host(&self, host: &HostId) {
         let now = self.now();
-        let mut core = self.lock_state();
-        core.hosts.remove(host);
-        core.record_listing(now);
+        let mut state = self.lock_state();
+        state.hosts.remove(host);
+        state.record_listing(now);
     }
 
     fn now(&self) -> TimePoint {
@@ -198,7 +198,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins a call: it waits as long as the API is slow, then the outage and the rate are asked.
+    /// Applies the delay, then the outage and the rate limit, to a call.
     async fn start_call(
         &self,
         count: impl FnOnce(&mut CallCounts),
@@ -209,23 +209,23 @@
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
         let now = self.now();
-        let mut core = self.lock_state();
-        count(&mut core.call_counts);
-        core.admit(now, is_write)
+        let mut state = self.lock_state();
+        count(&mut state.call_counts);
+        state.admit(now, is_write)
     }
 }
 
 impl StoreState {
     fn admit(&mut self, now: TimePoint, is_write: bool) -> StoreResult<()> {
         if self.faults.outage {
-            return Err(StoreError::not_done("out of service"));
+            return Err(StoreError::not_done("the object API is unavailable"));
         }
-        let gate = if is_write {
+        let limiter = if is_write {
             &mut self.write_limiter
         } else {
             &mut self.read_limiter
         };
-        let admitted = gate.admit(now);
+        let admitted = limiter.admit(now);
         let wait = match (self.faults.throttle, admitted) {
             (false, Ok(())) => return Ok(()),
             (true, Ok(())) => TimeSpan::from_millis(100),
@@ -233,12 +233,12 @@
         };
         self.call_counts.throttled += 1;
         Err(StoreError::NotDone {
-            reason: "above the rate".to_owned(),
+            reason: "rate limit exceeded".to_owned(),
             retry_after: Some(wait),
         })
     }
 
-    /// Takes the next write's fate from the counting switches.
+    /// Consumes the next fault of the counting switches.
     const fn next_write_fault(&mut self) -> WriteFault {
         if self.faults.lose_write_replies > 0 {
             self.faults.lose_write_replies -= 1;
@@ -270,7 +270,7 @@
         self.listings.push((now, listing));
     }
 
-    /// Gets the listing that stood `host_lag_ms` ago.
+    /// Returns the newest listing that is at least `host_lag_ms` old.
     fn lagging_listing(&self, now: TimePoint) -> HostListing {
         let lag = TimeSpan::from_millis(self.faults.host_lag_ms);
         self.listings
@@ -285,8 +285,12 @@
 impl ObjectStore for FakeStore {
     async fn list(&self, kinds: &[ObjectKind]) -> StoreResult<ObjectList> {
         self.start_call(|calls| calls.reads += 1, false).await?;
-        let core = self.lock_state();
-        Ok(core.stale_table.as_ref().unwrap_or(&core.table).list(kinds))
+        let state = self.lock_state();
+        Ok(state
+            .stale_table
+            .as_ref()
+            .unwrap_or(&state.table)
+            .list(kinds))
     }
 
     async fn get(&self, key: &ObjectKey) -> StoreResult<Option<StoredObject>> {
@@ -300,23 +304,23 @@
             .as_ref()
             .is_some_and(|body| body.len() > MAX_VALUE_BYTES)
         {
-            return Err(StoreError::not_done("the value is too large"));
+            return Err(StoreError::not_done("the value exceeds the size limit"));
         }
         self.start_call(|calls| calls.writes += 1, true).await?;
-        let mut core = self.lock_state();
-        let outcome = match core.next_write_fault() {
-            WriteFault::NoFault => Ok(core.table.write(write)),
+        let mut state = self.lock_state();
+        let outcome = match state.next_write_fault() {
+            WriteFault::NoFault => Ok(state.table.write(write)),
             WriteFault::ReplyLost => {
-                core.table.write(write);
-                Err(StoreError::unknown("the answer was lost"))
+                state.table.write(write);
+                Err(StoreError::unknown("the reply was lost"))
             }
-            WriteFault::Dropped => Err(StoreError::unknown("the call was lost")),
+            WriteFault::Dropped => Err(StoreError::unknown("the request was lost")),
             WriteFault::Held => {
-                core.held_writes.push(write);
-                Err(StoreError::unknown("the call is late"))
+                state.held_writes.push(write);
+                Err(StoreError::unknown("the request is delayed"))
             }
         };
-        drop(core);
+        drop(state);
         self.shared.changed.notify_waiters();
         outcome
     }
@@ -330,15 +334,15 @@
         self.start_call(|calls| calls.watches += 1, false).await?;
         let end = Instant::now() + wait.as_duration();
         loop {
-            // The notice is registered before the table is read, so that no change falls between.
+            // Register for the notification before reading the table, so that no change is missed.
             let mut changed = std::pin::pin!(self.shared.changed.notified());
             changed.as_mut().enable();
             let outcome = {
-                let core = self.lock_state();
-                if core.faults.outage {
-                    return Err(StoreError::unknown("the watch was cut off"));
+                let state = self.lock_state();
+                if state.faults.outage {
+                    return Err(StoreError::unknown("the watch was aborted"));
                 }
-                core.table.changes(kinds, after)
+                state.table.changes(kinds, after)
             };
             let is_empty =
                 matches!(&outcome, WatchOutcome::Changes(list) if list.objects.is_empty());
@@ -352,10 +356,10 @@
 impl HostSource for FakeStore {
     async fn hosts(&self) -> StoreResult<HostListing> {
         let now = self.now();
-        let core = self.lock_state();
-        if core.faults.hosts_outage {
-            return Err(StoreError::not_done("the host list is out of service"));
+        let state = self.lock_state();
+        if state.faults.hosts_outage {
+            return Err(StoreError::not_done("the host list is unavailable"));
         }
-        Ok(core.lagging_listing(now))
+        Ok(state.lagging_listing(now))
     }
 }
--- a/alderhaven-standin/src/platform_server.rs
+++ b/alderhaven-standin/src/platform_server.rs
@@ -1,9 +1,8 @@
-//! The platform's stand-in over HTTP, as `alderhaven_store::object_store` and `host_list`
-//! describe it.
+//! HTTP front end of the fake platform, with the protocol of `alderhaven_store::object_store` and
+//! `host_list`.
 //!
-//! Besides these calls it has, for tests: `PUT` and `DELETE /hosts/{host}`, `GET` and
-//! `POST /faults` ([`PlatformFaults`]), `POST /release` (the held writes take effect) and
-//! `GET /calls` (counts of calls).
+//! Tests have these calls in addition: `PUT` and `DELETE /hosts/{host}`, `GET` and `POST /faults`
+//! ([`PlatformFaults`]), `POST /release` (applies held writes) and `GET /calls` (numbers of calls).
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -29,17 +28,17 @@
 use crate::object_set::ObjectSet;
 use crate::platform_faults::PlatformFaults;
 
-/// The longest time that a watch waits.
+/// Upper bound of the wait time that a watch requests.
 const MAX_WATCH_WAIT: TimeSpan = TimeSpan::from_secs(30);
 
-/// A `PlatformOptions` says where the server listens and what it holds from the start.
+/// Address and initial content of a [`PlatformServer`].
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// The address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free one.
     pub listen: SocketAddr,
-    /// The objects to hold.
+    /// Objects to write before the server starts.
     pub objects: Vec<ObjectSet>,
-    /// The store to serve.
+    /// Store that handles the calls.
     pub store: FakeStore,
 }
 
@@ -53,7 +52,7 @@
     }
 }
 
-/// A `PlatformServer` serves a [`FakeStore`] over HTTP.
+/// Running HTTP server of a [`FakeStore`].
 #[derive(Debug)]
 pub struct PlatformServer {
     store: FakeStore,
@@ -61,7 +60,7 @@
     close_token: CancellationToken,
 }
 
-/// A `CallEnd` says how a call ends where it has no result to show.
+/// Error response of a call, or a connection to close without one.
 enum CallError {
     Reply(Box<HttpReply>),
     Aborted,
@@ -103,11 +102,11 @@
 type CallResult = Result<HttpReply, CallError>;
 
 impl PlatformServer {
-    /// Starts the server.
+    /// Writes the initial objects and starts to listen.
     ///
     /// # Errors
     /// The operating system's error where the address can't be bound, and `InvalidData` for an
-    /// object without a JSON form.
+    /// object that can't be serialized.
     pub async fn start(options: PlatformOptions) -> io::Result<Self> {
         let store = options.store;
         for set in &options.objects {
@@ -119,15 +118,15 @@
             }
         }
         let shared = store.clone();
-        let closing = CancellationToken::new();
-        let closed = closing.clone();
+        let close_token = CancellationToken::new();
+        let shared_token = close_token.clone();
         let server = ServerHandle::start(options.listen, move |request| {
             let store = shared.clone();
-            let closed = closed.clone();
+            let shared_token = shared_token.clone();
             async move {
                 let result = tokio::select! {
                     result = handle_request(&store, request) => result,
-                    () = closed.cancelled() => Err(CallError::Aborted),
+                    () = shared_token.cancelled() => Err(CallError::Aborted),
                 };
                 match result {
                     Ok(reply) => Ok(reply),
@@ -140,23 +139,23 @@
         Ok(Self {
             store,
             server,
-            close_token: closing,
+            close_token,
         })
     }
 
-    /// Gets the bound address.
+    /// Returns the bound address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Gets the store behind the server, for faults and direct writes.
+    /// Returns the store behind the server, to set faults and to write directly.
     #[must_use]
     pub const fn store(&self) -> &FakeStore {
         &self.store
     }
 
-    /// Stops the server; waiting watches and other calls in flight are cut off.
+    /// Stops the server; calls in flight, such as watches, are aborted.
     pub async fn stop(&self) {
         self.close_token.cancel();
         self.server.stop().await;
@@ -200,7 +199,7 @@
             Ok(text_reply(StatusCode::OK, ""))
         }
         (&Method::GET, ["calls"]) => Ok(json_reply(StatusCode::OK, &store.call_counts())),
-        _ => Ok(text_reply(StatusCode::NOT_FOUND, "no such call")),
+        _ => Ok(text_reply(StatusCode::NOT_FOUND, "unknown path or method")),
     }
 }
 
@@ -211,7 +210,7 @@
 
 async fn get(store: &FakeStore, key: &ObjectKey) -> CallResult {
     Ok(store.get(key).await?.map_or_else(
-        || text_reply(StatusCode::NOT_FOUND, "never written"),
+        || text_reply(StatusCode::NOT_FOUND, "the object does not exist"),
         |object| json_reply(StatusCode::OK, &object),
     ))
 }
@@ -249,7 +248,10 @@
     let wait = TimeSpan::from_millis(query_number(parts, "wait_ms")?).min(MAX_WATCH_WAIT);
     match store.watch(&kinds, after, wait).await? {
         WatchOutcome::Changes(list) => Ok(json_reply(StatusCode::OK, &list)),
-        WatchOutcome::Compacted => Ok(text_reply(StatusCode::GONE, "list again")),
+        WatchOutcome::Compacted => Ok(text_reply(
+            StatusCode::GONE,
+            "the revision is not available: list again",
+        )),
     }
 }
 
@@ -264,11 +266,11 @@
 fn query_number(parts: &Parts, name: &str) -> Result<u64, CallError> {
     query_parameter(parts.uri.query(), name)
         .and_then(|text| text.parse().ok())
-        .ok_or_else(|| bad_request(format!("`{name}` must be a whole number")))
+        .ok_or_else(|| bad_request(format!("parameter `{name}` must be a whole number")))
 }
 
 fn object_key(kind: &str, name: &str) -> Result<ObjectKey, CallError> {
-    // Objects are named like hosts: the same characters, the same length.
+    // Object names follow the rules of host names: same characters, same length.
     let name: HostId = name.parse().map_err(bad_request)?;
     Ok(ObjectKey {
         kind: kind.parse().map_err(bad_request)?,
@@ -286,7 +288,7 @@
 fn header_number(headers: &HeaderMap, name: &str) -> Result<u64, CallError> {
     header_text(headers, name)?
         .parse()
-        .map_err(|_| bad_request(format!("header `{name}` must be a whole number")))
+        .map_err(|_| bad_request(format!("header parameter `{name}` must be a whole number")))
 }
 
 async fn read_text(body: Incoming) -> Result<String, CallError> {
--- a/alderhaven-standin/src/registration.rs
+++ b/alderhaven-standin/src/registration.rs
@@ -1,4 +1,4 @@
-//! Writing a fleet's manifests and hosts into the platform's stand-in over HTTP.
+//! Registers a fleet's manifests and hosts at the platform over HTTP.
 
 use std::net::SocketAddr;
 
@@ -15,26 +15,25 @@
 use crate::http_connection::HttpConnection;
 use crate::target_fleet::TargetFleet;
 
-/// Registers the fleet, and gets the manifests as they were written.
+/// Writes all manifests and hosts of a fleet; returns the manifests as written.
 ///
-/// A manifest that the platform holds already is followed by a higher snapshot.
+/// A service that has a manifest already gets the next snapshot number.
 ///
 /// # Errors
 /// Where the platform can't be reached or refuses a write.
 pub async fn register(fleet: &TargetFleet, platform: SocketAddr) -> Result<Vec<SnapshotManifest>> {
-    let mut caller = connect(platform).await?;
+    let mut connection = connect(platform).await?;
     let mut written = Vec::new();
     for manifest in fleet.manifests(SnapshotId(1)) {
-        written.push(put_manifest(&mut caller, manifest).await?);
+        written.push(put_manifest(&mut connection, manifest).await?);
     }
     for host in fleet.host_records() {
-        write_host(&mut caller, &host).await?;
+        write_host(&mut connection, &host).await?;
     }
     Ok(written)
 }
 
-/// Publishes a manifest under the snapshot that follows the one in the platform, and gets it as it
-/// was written.
+/// Publishes a manifest under the next snapshot number, and returns it as written.
 ///
 /// # Errors
 /// Where the platform can't be reached or refuses the write.
@@ -42,7 +41,7 @@
     put_manifest(&mut connect(platform).await?, manifest).await
 }
 
-/// Writes a line of the host list.
+/// Writes one entry of the host list.
 ///
 /// # Errors
 /// Where the platform can't be reached or refuses the write.
@@ -56,19 +55,19 @@
         .wrap_err_with(|| format!("can't reach the platform at {platform}"))
 }
 
-async fn write_host(caller: &mut HttpConnection, host: &HostRecord) -> Result<()> {
+async fn write_host(connection: &mut HttpConnection, host: &HostRecord) -> Result<()> {
     let path = format!("/hosts/{}", host.host);
     let body = serde_json::to_vec(host)?;
-    send_request(caller, Method::PUT, &path, 0, body).await?;
+    send_request(connection, Method::PUT, &path, 0, body).await?;
     Ok(())
 }
 
 async fn put_manifest(
-    caller: &mut HttpConnection,
+    connection: &mut HttpConnection,
     mut manifest: SnapshotManifest,
 ) -> Result<SnapshotManifest> {
     let path = format!("/objects/{}/{}", ObjectKind::Manifest, manifest.service);
-    let (status, body) = send_request(caller, Method::GET, &path, 0, Vec::new()).await?;
+    let (status, body) = send_request(connection, Method::GET, &path, 0, Vec::new()).await?;
     let mut expected = 0;
     if status == StatusCode::OK {
         let stored: StoredObject = serde_json::from_slice(&body)?;
@@ -79,16 +78,16 @@
         }
     }
     let body = serde_json::to_vec(&manifest)?;
-    let (status, _) = send_request(caller, Method::PUT, &path, expected, body).await?;
+    let (status, _) = send_request(connection, Method::PUT, &path, expected, body).await?;
     if status == StatusCode::CONFLICT {
-        bail!("another writer changed {path} at the same time");
+        bail!("conflict: another writer changed {path}");
     }
     Ok(manifest)
 }
 
-/// Makes a call; a status other than 200, 404 and 409 is an error.
+/// Any status other than 200, 404 and 409 is an error.
 async fn send_request(
-    caller: &mut HttpConnection,
+    connection: &mut HttpConnection,
     method: Method,
     path: &str,
     expected: u64,
@@ -100,11 +99,11 @@
         .header(IF_VERSION_HEADER, expected)
         .header(WRITE_ID_HEADER, uuid::Uuid::new_v4().to_string())
         .body(Full::new(Bytes::from(body)))?;
-    let response = caller.send(request).await?;
+    let response = connection.send(request).await?;
     match response.status() {
         status @ (StatusCode::OK | StatusCode::NOT_FOUND | StatusCode::CONFLICT) => {
             Ok((status, response.into_body()))
         }
-        status => bail!("the platform answered {path} with {status}"),
+        status => bail!("the platform answered {path} with status {status}"),
     }
 }
--- a/alderhaven-standin/src/service_layout.rs
+++ b/alderhaven-standin/src/service_layout.rs
@@ -1,4 +1,4 @@
-//! The services that a fleet of targets serves, and the two deployments of today.
+//! Layouts of services over targets, with those of the two supported deployments.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,42 +10,43 @@
 
 use crate::service_time::ServiceTime;
 
-/// The number of key ranges that decimal keys are cut into.
+/// Size of the key space that is divided evenly among the shards: four decimal digits.
 const KEY_RANGE_COUNT: u32 = 10_000;
 
-/// A `ServiceLayout` says how a service is spread over targets.
+/// How a service is spread over targets, and their capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceLayout {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// The number of shards.
+    /// How many shards the data has.
     pub shards: u32,
-    /// The number of targets that hold each shard.
+    /// Number of targets that hold each shard.
     pub replicas: u32,
-    /// The attempts that a target runs at a time.
+    /// Attempts that a target runs concurrently.
     pub slots: u32,
-    /// The connections that a target takes.
+    /// Connections that a target accepts; further ones are closed.
     pub connections: u32,
-    /// The attempts that a target lets wait for a slot before it sheds.
+    /// Attempts that may wait for a slot at a target before it sheds.
+    #[serde(rename = "queue")]
     pub max_queue_length: u32,
-    /// What a new connection costs before its first reply.
+    /// Delay of the first reply on a new connection.
     pub connect_cost: TimeSpan,
-    /// The failure domains, over which the replicas of a shard are spread.
+    /// Failure domains among which the replicas of a shard are spread.
     pub domains: Vec<FailureDomain>,
-    /// The index version of each shard.
+    /// Index version of all shards.
     pub version: IndexVersion,
-    /// How long a run takes.
+    /// Distribution of the run times.
     pub service_time: ServiceTime,
 }
 
-/// A `DeploymentKind` is one of the two deployments of today.
+/// Deployments with a predefined set of services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeploymentKind {
-    /// Volta Standard Numbering.
+    /// Four services in four failure domains.
     Volta,
-    /// Lagerblik.
+    /// Four services in three failure domains.
     Lagerblik,
 }
 
@@ -77,29 +78,29 @@
 }
 
 impl DeploymentKind {
-    /// Gets the layouts of the deployment's services; an instance is a shard, a server a replica.
+    /// Returns the layouts of all services of the deployment.
     #[must_use]
     pub fn layouts(self) -> Vec<ServiceLayout> {
-        const VOLTA: [&str; 4] = ["accra-1", "accra-2", "accra-3", "accra-4"];
-        const LAGERBLIK: [&str; 3] = ["sjaelland-1", "sjaelland-2", "sjaelland-3"];
+        const VOLTA_DOMAINS: [&str; 4] = ["accra-1", "accra-2", "accra-3", "accra-4"];
+        const LAGERBLIK_DOMAINS: [&str; 3] = ["sjaelland-1", "sjaelland-2", "sjaelland-3"];
         match self {
             Self::Volta => vec![
-                build_layout("assignment-desk", (20, 2, 2, 25, 6), &VOLTA),
-                build_layout("trade-portal", (30, 2, 2, 25, 6), &VOLTA),
-                build_layout("record-view", (1, 4, 4, 100, 1), &VOLTA),
-                build_layout("billing-ledger", (1, 4, 4, 100, 1), &VOLTA),
+                build_layout("assignment-desk", (20, 2, 2, 25, 6), &VOLTA_DOMAINS),
+                build_layout("trade-portal", (30, 2, 2, 25, 6), &VOLTA_DOMAINS),
+                build_layout("record-view", (1, 4, 4, 100, 1), &VOLTA_DOMAINS),
+                build_layout("billing-ledger", (1, 4, 4, 100, 1), &VOLTA_DOMAINS),
             ],
             Self::Lagerblik => vec![
-                build_layout("shortage-desk", (20, 2, 2, 25, 6), &LAGERBLIK),
-                build_layout("stock-intake", (30, 2, 2, 25, 6), &LAGERBLIK),
-                build_layout("inspector-lookup", (1, 10, 3, 40, 1), &LAGERBLIK),
-                build_layout("monthly-statistics", (1, 5, 3, 40, 1), &LAGERBLIK),
+                build_layout("shortage-desk", (20, 2, 2, 25, 6), &LAGERBLIK_DOMAINS),
+                build_layout("stock-intake", (30, 2, 2, 25, 6), &LAGERBLIK_DOMAINS),
+                build_layout("inspector-lookup", (1, 10, 3, 40, 1), &LAGERBLIK_DOMAINS),
+                build_layout("monthly-statistics", (1, 5, 3, 40, 1), &LAGERBLIK_DOMAINS),
             ],
         }
     }
 }
 
-/// Returns a layout of shards, replicas, slots, connections and milliseconds a new connection.
+/// `sizes` are shards, replicas, slots, connections and the milliseconds of a new connection.
 fn build_layout(
     service: &str,
     sizes: (u32, u32, u32, u32, u64),
@@ -121,15 +122,15 @@
 }
 
 impl ServiceLayout {
-    /// Gets the target of a shard's replica.
+    /// Derives the target name of a shard's replica.
     ///
     /// # Errors
-    /// `Error::Parse` where the name becomes too long.
+    /// `Error::Parse` where the name is too long.
     pub fn target_id(&self, shard: u32, replica: u32) -> Result<TargetId> {
         format!("{}-{shard}-{replica}", self.service).parse()
     }
 
-    /// Gets the failure domain of a shard's replica.
+    /// Assigns replicas to failure domains in turn, so that those of one shard differ.
     #[must_use]
     pub fn domain(&self, shard: u32, replica: u32) -> FailureDomain {
         let position = (shard + replica) as usize % self.domains.len().max(1);
@@ -139,7 +140,7 @@
             .unwrap_or_else(|| parse_literal("domain-1"))
     }
 
-    /// Gets the least key of a shard: decimal keys are spread evenly.
+    /// Returns the lower bound of a shard's key range; empty for the first shard.
     #[must_use]
     pub fn first_key(&self, shard: ShardId) -> String {
         if shard.0 == 0 {
@@ -148,7 +149,7 @@
         format!("{:04}", shard.0 * KEY_RANGE_COUNT / self.shards.max(1))
     }
 
-    /// Checks the layout.
+    /// Validates the counts.
     ///
     /// # Errors
     /// `Error::Invalid` for a count that is zero or too large.
@@ -159,11 +160,11 @@
             ("slots", self.slots, 1_000),
             ("connections", self.connections, 10_000),
         ];
-        for (field, count, most) in counts {
-            if count == 0 || count as usize > most {
+        for (field, count, max) in counts {
+            if count == 0 || count as usize > max {
                 return Err(Error::invalid(
                     format!("{}.{field}", self.service),
-                    format!("{count} is refused: allowed is 1 to {most}"),
+                    format!("{count} is refused: allowed is 1 to {max}"),
                 ));
             }
         }
@@ -171,11 +172,11 @@
     }
 }
 
-/// Reads a name that stands in this file.
+/// Parses a constant of this file, which must be a valid name.
 fn parse_literal<T: FromStr>(text: &str) -> T
 where
     T::Err: fmt::Debug,
 {
     text.parse()
-        .expect("the names in this file follow the rule for names")
+        .expect("the constants of this file are valid names")
 }
--- a/alderhaven-standin/src/target_server.rs
+++ b/alderhaven-standin/src/target_server.rs
@@ -1,4 +1,4 @@
-//! One target: a listener of its own, with a connection limit and a cost of new connections.
+//! A target with its own listener, a connection limit and a delay of new connections.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -20,10 +20,10 @@
 use crate::target_spec::TargetSpec;
 use crate::target_state::TargetState;
 
-/// The pause before another try to bind the address after a crash.
+/// Delay between attempts to rebind the address after a crash.
 const REBIND_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// A `TargetServer` is a running target.
+/// Running target.
 #[derive(Debug)]
 pub struct TargetServer {
     state: Arc<TargetState>,
@@ -33,42 +33,42 @@
 }
 
 impl TargetServer {
-    /// Starts a target on a free port of the loopback address.
+    /// Starts a target on a free loopback port.
     ///
     /// # Errors
     /// The operating system's error where no port can be bound.
-    pub async fn start(spec: TargetSpec, runs: Arc<RunLog>) -> io::Result<Self> {
+    pub async fn start(spec: TargetSpec, run_log: Arc<RunLog>) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let server = Self {
             address: listener.local_addr()?,
-            state: Arc::new(TargetState::new(spec, runs)),
+            state: Arc::new(TargetState::new(spec, run_log)),
             stop_token: CancellationToken::new(),
             tasks: TaskTracker::new(),
         };
-        let parts = TargetContext {
+        let context = TargetContext {
             state: Arc::clone(&server.state),
             stop_token: server.stop_token.clone(),
             tasks: server.tasks.clone(),
         };
         server
             .tasks
-            .spawn(serve_until_stopped(listener, server.address, parts));
+            .spawn(serve_until_stopped(listener, server.address, context));
         Ok(server)
     }
 
-    /// Gets the target's state, for faults.
+    /// Returns the target's state, to inject faults.
     #[must_use]
     pub const fn state(&self) -> &Arc<TargetState> {
         &self.state
     }
 
-    /// Gets the bound address.
+    /// Returns the bound address, which stays the same after a crash.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gets the target's line in a manifest.
+    /// Returns the target's entry of a manifest.
     #[must_use]
     pub fn replica_entry(&self) -> ReplicaEntry {
         let spec = self.state.spec();
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Returns true where the target was told to stop.
+    /// Returns true once [`TargetServer::stop`] was called.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stop_token.is_cancelled()
     }
 
-    /// Stops taking connections and waits for the attempts in flight.
+    /// Stops accepting connections, and waits for the attempts in flight.
     pub async fn stop(&self) {
         self.stop_token.cancel();
         self.tasks.close();
@@ -95,7 +95,7 @@
     }
 }
 
-/// A `ServerParts` is what the tasks of a target share.
+/// Shared by the tasks of one target.
 #[derive(Clone)]
 struct TargetContext {
     state: Arc<TargetState>,
@@ -103,31 +103,35 @@
     tasks: TaskTracker,
 }
 
-/// Serves until the stop; after a crash the target comes back on the same address.
-async fn serve_until_stopped(mut listener: TcpListener, address: SocketAddr, parts: TargetContext) {
+/// Accepts connections until the stop; after a crash the same address is bound again.
+async fn serve_until_stopped(
+    mut listener: TcpListener,
+    address: SocketAddr,
+    context: TargetContext,
+) {
     loop {
-        let life = parts.state.lifecycle().start();
+        let crash_token = context.state.lifecycle().start();
         tokio::select! {
             biased;
-            () = life.cancelled() => {}
-            () = accept_connections(&listener, &parts, &life) => return,
+            () = crash_token.cancelled() => {}
+            () = accept_connections(&listener, &context, &crash_token) => return,
         }
         drop(listener);
-        let down = parts.state.lifecycle().downtime();
-        match parts
+        let downtime = context.state.lifecycle().downtime();
+        match context
             .stop_token
-            .run_until_cancelled(rebind(address, down))
+            .run_until_cancelled(rebind(address, downtime))
             .await
         {
-            Some(returned) => listener = returned,
+            Some(rebound) => listener = rebound,
             None => return,
         }
     }
 }
 
-/// Binds the address anew after the time down, again and again where it is taken for a moment.
-async fn rebind(address: SocketAddr, down: Duration) -> TcpListener {
-    tokio::time::sleep(down).await;
+/// Waits for the downtime, then binds the address; retries while it is in use.
+async fn rebind(address: SocketAddr, downtime: Duration) -> TcpListener {
+    tokio::time::sleep(downtime).await;
     loop {
         if let Ok(listener) = TcpListener::bind(address).await {
             return listener;
@@ -138,37 +142,38 @@
 
 async fn accept_connections(
     listener: &TcpListener,
-    parts: &TargetContext,
-    life: &CancellationToken,
+    context: &TargetContext,
+    crash_token: &CancellationToken,
 ) {
-    let places = Arc::new(Semaphore::new(parts.state.spec().connections as usize));
-    while let Some(stream) = http_server::accept_connection(listener, &parts.stop_token).await {
-        // A connection beyond the limit is closed at once.
-        if let Ok(place) = Arc::clone(&places).try_acquire_owned() {
-            let connection = serve_connection(stream, parts.clone());
-            let life = life.clone();
-            parts.tasks.spawn(async move {
-                life.run_until_cancelled(connection).await;
-                drop(place);
+    let permits = Arc::new(Semaphore::new(context.state.spec().connections as usize));
+    while let Some(stream) = http_server::accept_connection(listener, &context.stop_token).await {
+        // Connections above the limit are closed at once.
+        if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
+            let connection = serve_connection(stream, context.clone());
+            let crash_token = crash_token.clone();
+            context.tasks.spawn(async move {
+                crash_token.run_until_cancelled(connection).await;
+                drop(permit);
             });
         }
     }
 }
 
-async fn serve_connection(stream: TcpStream, parts: TargetContext) {
-    let silenced = parts.state.lifecycle().silence_token();
-    tokio::time::sleep(parts.state.spec().connect_cost.as_duration()).await;
-    let stopping = parts.stop_token.clone();
+async fn serve_connection(stream: TcpStream, context: TargetContext) {
+    let silenced = context.state.lifecycle().silence_token();
+    tokio::time::sleep(context.state.spec().connect_cost.as_duration()).await;
+    let stopping = context.stop_token.clone();
     let handler = move |request| {
-        let (parts, silenced) = (parts.clone(), silenced.clone());
+        let (context, silenced) = (context.clone(), silenced.clone());
         async move {
-            // A request on a silent connection doesn't reach the target, and a reply is lost.
+            // A silenced connection delivers no requests to the target and no replies to the
+            // caller.
             if silenced.is_cancelled() {
-                return withhold_reply(&parts.stop_token).await;
+                return withhold_reply(&context.stop_token).await;
             }
-            let reply = handle_request(parts.state, request).await;
+            let reply = handle_request(context.state, request).await;
             if silenced.is_cancelled() {
-                return withhold_reply(&parts.stop_token).await;
+                return withhold_reply(&context.stop_token).await;
             }
             reply
         }
@@ -202,16 +207,16 @@
         }
         (&Method::POST, target_dialect::CANCEL_PATH) => match parse_attempt_id(&parts.headers) {
             Ok(attempt) if state.cancel(attempt) => text_reply(StatusCode::OK, ""),
-            Ok(_) => text_reply(StatusCode::NOT_FOUND, "not in flight"),
+            Ok(_) => text_reply(StatusCode::NOT_FOUND, "the attempt is not in flight"),
             Err(header) => bad_header_reply(header),
         },
-        _ => text_reply(StatusCode::NOT_FOUND, "no such call"),
+        _ => text_reply(StatusCode::NOT_FOUND, "unknown path or method"),
     })
 }
 
 fn bad_header_reply(header: &str) -> HttpReply {
     text_reply(
         StatusCode::BAD_REQUEST,
-        format!("header `{header}` is missing or unreadable"),
+        format!("header `{header}` is missing or malformed"),
     )
 }
--- a/alderhaven-standin/src/target_state.rs
+++ b/alderhaven-standin/src/target_state.rs
@@ -1,4 +1,4 @@
-//! What a target does with an attempt: slots, a short queue, shedding, runs and cancellation.
+//! Handling of attempts at a target: slots, a bounded queue, shedding, runs and cancellation.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -22,7 +22,7 @@
 use crate::target_lifecycle::TargetLifecycle;
 pub use crate::target_spec::TargetSpec;
 
-/// A `TargetState` runs the attempts of one target, whatever connection they come by.
+/// State of one target, shared by all its connections.
 #[derive(Debug)]
 pub struct TargetState {
     spec: TargetSpec,
@@ -37,9 +37,9 @@
 }
 
 impl TargetState {
-    /// Returns an idle target.
+    /// Creates an idle target that holds its initial index.
     #[must_use]
-    pub fn new(spec: TargetSpec, runs: Arc<RunLog>) -> Self {
+    pub fn new(spec: TargetSpec, run_log: Arc<RunLog>) -> Self {
         Self {
             slots: Semaphore::new(spec.slots as usize),
             waiting_count: AtomicU32::new(0),
@@ -51,47 +51,47 @@
                 version: spec.version,
             }),
             lifecycle: TargetLifecycle::default(),
-            run_log: runs,
+            run_log,
             spec,
         }
     }
 
-    /// Gets what the target is.
+    /// Returns the target's fixed properties.
     #[must_use]
     pub const fn spec(&self) -> &TargetSpec {
         &self.spec
     }
 
-    /// Gets the fault switches.
+    /// Returns the current fault switches.
     #[must_use]
     pub fn faults(&self) -> TargetFaults {
         *lock(&self.faults)
     }
 
-    /// Replaces the fault switches.
+    /// Replaces all fault switches.
     pub fn set_faults(&self, faults: TargetFaults) {
         *lock(&self.faults) = faults;
     }
 
-    /// Gets the indexes that the target holds.
+    /// Returns the indexes that the target serves.
     #[must_use]
     pub const fn indexes(&self) -> &HeldIndexes {
         &self.indexes
     }
 
-    /// Gets the target's starts and crashes.
+    /// Returns the starts and crashes of the target.
     #[must_use]
     pub const fn lifecycle(&self) -> &TargetLifecycle {
         &self.lifecycle
     }
 
-    /// Drops an attempt, whether it waits or runs; returns false where it is not known.
+    /// Cancels a waiting or running attempt; returns false if it isn't in flight.
     pub fn cancel(&self, attempt: AttemptId) -> bool {
         let cancel = lock(&self.cancel_tokens).get(&attempt).cloned();
         cancel.as_ref().inspect(|token| token.cancel()).is_some()
     }
 
-    /// Runs or refuses an attempt.
+    /// Runs an attempt or refuses it; the reply tells the number of free slots.
     pub async fn handle_attempt(&self, head: &AttemptHead, parameters: String) -> HttpReply {
         let mut reply = match self.refusal_reply(head) {
             Some(refusal) => refusal,
@@ -115,16 +115,16 @@
             let reason = if faults.draining { "draining" } else { "shed" };
             return Some(not_run_reply(StatusCode::SERVICE_UNAVAILABLE, reason));
         }
-        let asked = HeldIndex {
+        let requested = HeldIndex {
             shard: head.shard,
             version: head.version,
         };
-        match self.indexes.state_of(asked) {
+        match self.indexes.state_of(requested) {
             _ if head.service != self.spec.service => {
                 Some(text_reply(StatusCode::NOT_FOUND, "not held here"))
             }
             IndexState::OtherShard => Some(text_reply(StatusCode::NOT_FOUND, "not held here")),
-            IndexState::Gone => Some(not_run_reply(StatusCode::GONE, "the version is gone")),
+            IndexState::Gone => Some(not_run_reply(StatusCode::GONE, "version no longer held")),
             IndexState::Held => None,
         }
     }
@@ -143,12 +143,12 @@
         }
     }
 
-    /// Waits for a slot; none where the queue is full.
+    /// Waits for a slot; returns none if the queue is full.
     async fn acquire_slot(&self) -> Option<SemaphorePermit<'_>> {
         if let Ok(slot) = self.slots.try_acquire() {
             return Some(slot);
         }
-        let _place = QueuePermit::try_acquire(&self.waiting_count, self.spec.max_queue_length)?;
+        let _permit = QueuePermit::try_acquire(&self.waiting_count, self.spec.max_queue_length)?;
         self.slots.acquire().await.ok()
     }
 
@@ -161,19 +161,19 @@
     ) -> HttpReply {
         let guard = self.run_log.start_run(self.new_record(head, &parameters));
         let faults = self.faults();
-        if let Some(down) = faults.crash_downtime(&parameters) {
-            self.lifecycle.crash(down);
-            // The crash ends the connection, and this run with it.
+        if let Some(downtime) = faults.crash_downtime(&parameters) {
+            self.lifecycle.crash(downtime);
+            // The crash closes the connection, which drops this future.
             std::future::pending::<()>().await;
         }
         let (runs, age) = self.lifecycle.record_run();
-        let span = self
+        let run_time = self
             .spec
             .service_time
             .sample(&head.template, &mut *lock(&self.rng))
             .mul_f64(faults.slowdown_factor(runs, age));
         tokio::select! {
-            () = tokio::time::sleep(span.as_duration()) => {
+            () = tokio::time::sleep(run_time.as_duration()) => {
                 guard.finish(RunStatus::Answered);
                 let rows = rows::derive_rows(&head.service, head.shard, head.version, &parameters);
                 json_reply(StatusCode::OK, &rows)
@@ -184,7 +184,7 @@
             }
             () = tokio::time::sleep_until(end) => {
                 guard.finish(RunStatus::Expired);
-                text_reply(StatusCode::GATEWAY_TIMEOUT, "the deadline passed")
+                text_reply(StatusCode::GATEWAY_TIMEOUT, "the deadline has passed")
             }
         }
     }
@@ -206,18 +206,16 @@
     }
 }
 
-/// A `QueuePlace` is a place in the queue before the slots.
+/// Position in the queue of attempts that wait for a slot.
 struct QueuePermit<'a> {
     waiting_count: &'a AtomicU32,
 }
 
 impl<'a> QueuePermit<'a> {
-    fn try_acquire(waiting: &'a AtomicU32, places: u32) -> Option<Self> {
-        let place = Self {
-            waiting_count: waiting,
-        };
-        // The place is given back by `drop` where it was one too many.
-        (waiting.fetch_add(1, Ordering::Relaxed) < places).then_some(place)
+    fn try_acquire(waiting_count: &'a AtomicU32, capacity: u32) -> Option<Self> {
+        let permit = Self { waiting_count };
+        // If the queue is full, `drop` undoes the increment.
+        (waiting_count.fetch_add(1, Ordering::Relaxed) < capacity).then_some(permit)
     }
 }
 
@@ -227,7 +225,7 @@
     }
 }
 
-/// A `CancelGuard` keeps an attempt known to `cancel` while it waits or runs.
+/// Makes an attempt cancellable until it is dropped.
 struct CancelRegistration<'a> {
     cancel_tokens: &'a Mutex<HashMap<AttemptId, CancellationToken>>,
     attempt: AttemptId,
@@ -235,11 +233,14 @@
 }
 
 impl<'a> CancelRegistration<'a> {
-    fn new(cancels: &'a Mutex<HashMap<AttemptId, CancellationToken>>, attempt: AttemptId) -> Self {
+    fn new(
+        cancel_tokens: &'a Mutex<HashMap<AttemptId, CancellationToken>>,
+        attempt: AttemptId,
+    ) -> Self {
         let token = CancellationToken::new();
-        lock(cancels).insert(attempt, token.clone());
+        lock(cancel_tokens).insert(attempt, token.clone());
         Self {
-            cancel_tokens: cancels,
+            cancel_tokens,
             attempt,
             token,
         }
