--- a/alderhaven-soak/src/link_proxy.rs
+++ b/alderhaven-soak/src/link_proxy.rs
@@ -25,10 +25,13 @@
     /// It passes everything on so much later.
     Delayed(Duration),
     /// What goes to the server is held up.
+    #[serde(rename = "cut_forth")]
     UpstreamBlocked,
     /// What comes from the server is held up.
+    #[serde(rename = "cut_back")]
     DownstreamBlocked,
     /// Both are held up, and new connections too.
+    #[serde(rename = "silent")]
     Blocked,
     /// Open connections are reset, and new ones at once.
     Reset,
--- a/alderhaven-soak/src/promises.rs
+++ b/alderhaven-soak/src/promises.rs
@@ -64,6 +64,7 @@
     /// The request, target or front.
     pub subject: String,
     /// What was seen.
+    #[serde(rename = "seen")]
     pub observed: String,
 }
 
--- a/alderhaven-soak/src/soak_fault.rs
+++ b/alderhaven-soak/src/soak_fault.rs
@@ -28,6 +28,7 @@
     /// The store treats all calls so for a while.
     StoreFault(StoreFault, TimeSpan),
     /// The store drops its history.
+    #[serde(rename = "store_forgets")]
     StoreCompaction,
     /// A target crashes; another starts after a while.
     CrashTarget(usize, TimeSpan),
@@ -52,14 +53,17 @@
     /// It works many times as long.
     Slow,
     /// It runs requests and says nothing.
+    #[serde(rename = "mute")]
     NoReply,
     /// It runs requests and fails.
     Fails,
     /// It refuses without running.
     Refuses,
     /// It runs requests and closes the connection.
+    #[serde(rename = "loses_answers")]
     Disconnects,
     /// It breaks answers off.
+    #[serde(rename = "cuts_answers")]
     TruncatesAnswers,
     /// It answers twice.
     AnswersTwice,
--- a/alderhaven-soak/src/soak_history.rs
+++ b/alderhaven-soak/src/soak_history.rs
@@ -24,12 +24,15 @@
     /// Configurations that the store accepted.
     pub configs: Vec<ConfigRecord>,
     /// Targets that said that they leave, with the time at which the store accepted it.
+    #[serde(rename = "leavings")]
     pub leaving_targets: Vec<(String, TimePoint)>,
     /// The failure domains that the operator evacuated.
     pub evacuations: Vec<EvacuationRecord>,
     /// What was disturbed, and when.
+    #[serde(rename = "troubles")]
     pub disruptions: Vec<DisruptionRecord>,
     /// The fronts' processes.
+    #[serde(rename = "lives")]
     pub processes: Vec<ProcessRecord>,
 }
 
@@ -42,8 +45,10 @@
     /// The host of the front that was asked.
     pub front: IpAddr,
     /// When it was sent.
+    #[serde(rename = "sent")]
     pub sent_at: TimePoint,
     /// How long its caller waits.
+    #[serde(rename = "patience")]
     pub timeout: TimeSpan,
     /// The method.
     pub method: String,
@@ -74,6 +79,7 @@
     /// The connection ended without one.
     Closed,
     /// The caller closed the connection early.
+    #[serde(rename = "left")]
     Abandoned,
     /// Nothing came for longer than the caller waits.
     Unanswered,
@@ -137,10 +143,12 @@
     /// Its version.
     pub version: u64,
     /// When it was accepted.
+    #[serde(rename = "acked")]
     pub accepted_at: TimePoint,
     /// The shards that are asked.
     pub shards: ShardSet,
     /// The versions whose own routes it holds.
+    #[serde(rename = "marks")]
     pub version_routes: Vec<u64>,
 }
 
@@ -150,8 +158,10 @@
     /// The failure domain.
     pub domain: String,
     /// When the store accepted it.
+    #[serde(rename = "acked")]
     pub accepted_at: TimePoint,
     /// When it was taken back; none while it is in force.
+    #[serde(rename = "taken_back")]
     pub revoked_at: Option<TimePoint>,
 }
 
@@ -175,6 +185,7 @@
     /// What is disturbed.
     pub subject: DisruptionSubject,
     /// What is done to it.
+    #[serde(rename = "what")]
     pub kind: String,
     /// From when.
     pub from: TimePoint,
@@ -188,12 +199,15 @@
     /// The host.
     pub front: IpAddr,
     /// When it was started.
+    #[serde(rename = "started")]
     pub started_at: TimePoint,
     /// When it was asked to stop.
+    #[serde(rename = "asked_to_stop")]
     pub stop_requested_at: Option<TimePoint>,
     /// Whether it was killed.
     pub is_killed: bool,
     /// When it ended.
+    #[serde(rename = "ended")]
     pub ended_at: Option<TimePoint>,
 }
 
--- a/alderhaven-soak/src/soak_workload.rs
+++ b/alderhaven-soak/src/soak_workload.rs
@@ -78,12 +78,14 @@
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
     /// The greatest records of all shards.
+    #[serde(rename = "sweep")]
     FanOut,
     /// One record; idempotent.
     Record,
     /// An order, which may run once at most.
     Order,
     /// A request on the route that a version of the configuration added.
+    #[serde(rename = "mark")]
     VersionRoute(u64),
 }
 
