--- a/alderhaven-proof/src/caller.rs
+++ b/alderhaven-proof/src/caller.rs
@@ -46,16 +46,16 @@
     /// # Errors
     /// Where no whole reply comes.
     pub async fn send(&self, entry: SocketAddr) -> Result<CallerReply> {
-        let mut caller = HttpConnection::connect(entry).await?;
+        let mut connection = HttpConnection::connect(entry).await?;
         let mut body = json!({ "team": TEAM, "parameters": { PARAMETER: self.key } });
-        if let Some(millis) = self.deadline_ms {
-            body["deadline_ms"] = json!(millis);
+        if let Some(deadline_ms) = self.deadline_ms {
+            body["deadline_ms"] = json!(deadline_ms);
         }
         let mut request = Request::post(format!("/v1/query/{}", self.template));
         if let Some(key) = self.idempotency_key {
             request = request.header("idempotency-key", key.to_string());
         }
-        let response = caller
+        let response = connection
             .send(request.body(Full::from(body.to_string()))?)
             .await?;
         Ok(CallerReply {
--- a/alderhaven-proof/src/child_process.rs
+++ b/alderhaven-proof/src/child_process.rs
@@ -112,8 +112,8 @@
     pub fn freeze(&self) -> Result<()> {
         self.signal(Signal::STOP)?;
         let id = Pid::from_child(&self.child);
-        let change = rustix::process::waitpid(Some(id), WaitOptions::UNTRACED)?;
-        if change.is_some_and(|(_, status)| status.stopped()) {
+        let status_change = rustix::process::waitpid(Some(id), WaitOptions::UNTRACED)?;
+        if status_change.is_some_and(|(_, status)| status.stopped()) {
             Ok(())
         } else {
             Err(eyre!("{} ended before it was frozen", self.name))
--- a/alderhaven-proof/src/cluster.rs
+++ b/alderhaven-proof/src/cluster.rs
@@ -298,7 +298,7 @@
     layout: &ServiceLayout,
     snapshot: SnapshotId,
 ) -> Result<SnapshotManifest> {
-    let own: Vec<SnapshotManifest> = targets[first..]
+    let process_manifests: Vec<SnapshotManifest> = targets[first..]
         .iter()
         .map(|process| {
             let manifests = process.ready_message()["manifests"].clone();
@@ -308,7 +308,7 @@
         .collect::<Result<_>>()?;
     let entry = |(shard, processes): (u32, &Vec<usize>)| -> Result<ShardEntry> {
         let replicas = processes.iter().map(|process| {
-            let replica = &own[*process].shards[shard as usize].replicas[0];
+            let replica = &process_manifests[*process].shards[shard as usize].replicas[0];
             Ok(ReplicaEntry {
                 // Each process has a target of this name; the cluster needs a name for each.
                 target: layout.target_id(shard, u32::try_from(first + process)?)?,
--- a/alderhaven-proof/src/cluster_options.rs
+++ b/alderhaven-proof/src/cluster_options.rs
@@ -75,8 +75,8 @@
     /// Gets the number of target processes.
     #[must_use]
     pub fn target_processes(&self) -> usize {
-        let greatest = self.placement.iter().flatten().max();
-        greatest.map_or(0, |number| number + 1)
+        let highest = self.placement.iter().flatten().max();
+        highest.map_or(0, |number| number + 1)
     }
 
     /// Gets the layout of each target process: one target for every shard.
--- a/alderhaven-proof/src/condition.rs
+++ b/alderhaven-proof/src/condition.rs
@@ -24,21 +24,21 @@
 /// # Errors
 /// As for [`until`].
 pub async fn within<T>(
-    promise: Duration,
+    timeout: Duration,
     what: &str,
     mut probe: impl AsyncFnMut() -> Result<Option<T>>,
 ) -> Result<T> {
-    let limit = Instant::now() + promise;
+    let deadline = Instant::now() + timeout;
     let mut last_error = String::from("none");
     loop {
-        match time::timeout_at(limit, probe()).await {
+        match time::timeout_at(deadline, probe()).await {
             Ok(Ok(Some(value))) => return Ok(value),
             Ok(Ok(None)) => {}
             Ok(Err(error)) => last_error = format!("{error:#}"),
-            Err(_) => bail!("{what}: not within {promise:?}, and the last look hangs"),
+            Err(_) => bail!("{what}: not within {timeout:?}, and the last look hangs"),
         }
-        if Instant::now() >= limit {
-            bail!("{what}: not within {promise:?}; last error: {last_error}");
+        if Instant::now() >= deadline {
+            bail!("{what}: not within {timeout:?}; last error: {last_error}");
         }
         time::sleep(POLL_INTERVAL).await;
     }
--- a/alderhaven-proof/src/operator_tool.rs
+++ b/alderhaven-proof/src/operator_tool.rs
@@ -23,16 +23,16 @@
     ///
     /// # Errors
     /// Where it can't be started, does not end in time or prints no report.
-    pub async fn alderctl(&self, operator: &str, words: &[&str]) -> Result<ToolResult> {
+    pub async fn alderctl(&self, operator: &str, arguments: &[&str]) -> Result<ToolResult> {
         let mut command = Command::new(&self.binaries.alderctl);
         command.args(["--json", "--operator", operator]);
         command.args(["--platform", &self.platform.address("address")?.to_string()]);
         for node in self.operator_addresses()? {
             command.args(["--node", &node.to_string()]);
         }
-        command.args(words);
-        let running = task::spawn_blocking(move || command.output());
-        let output = time::timeout(CONDITION_TIMEOUT, running).await???;
+        command.args(arguments);
+        let output_task = task::spawn_blocking(move || command.output());
+        let output = time::timeout(CONDITION_TIMEOUT, output_task).await???;
         let report = serde_json::from_slice(&output.stdout)
             .wrap_err_with(|| String::from_utf8_lossy(&output.stderr).into_owned())?;
         Ok(ToolResult {
--- a/alderhaven-proof/src/operator_view.rs
+++ b/alderhaven-proof/src/operator_view.rs
@@ -22,8 +22,8 @@
 /// # Errors
 /// Where it can't be reached or answers otherwise than with 200 and a text.
 pub async fn get_text(address: SocketAddr, path: &str) -> Result<String> {
-    let mut caller = HttpConnection::connect(address).await?;
-    let response = caller
+    let mut connection = HttpConnection::connect(address).await?;
+    let response = connection
         .send(Request::get(path).body(Full::default())?)
         .await?;
     if !response.status().is_success() {
--- a/alderhaven-proof/src/platform_client.rs
+++ b/alderhaven-proof/src/platform_client.rs
@@ -33,12 +33,12 @@
     /// Where the platform can't be reached, refuses, or another writer comes between.
     pub async fn put(&self, key: &ObjectKey, body: String) -> Result<StoreVersion> {
         let path = format!("/objects/{}/{}", key.kind, key.name);
-        let expected = match self.call(Method::GET, &path, 0, Vec::new()).await? {
+        let expected_version = match self.call(Method::GET, &path, 0, Vec::new()).await? {
             (StatusCode::OK, body) => serde_json::from_slice::<StoredObject>(&body)?.version.0,
             _ => 0,
         };
         let (status, body) = self
-            .call(Method::PUT, &path, expected, body.into_bytes())
+            .call(Method::PUT, &path, expected_version, body.into_bytes())
             .await?;
         if status != StatusCode::OK {
             bail!("{key}: status {status}");
@@ -76,17 +76,17 @@
         &self,
         method: Method,
         path: &str,
-        expected: u64,
+        expected_version: u64,
         body: Vec<u8>,
     ) -> Result<(StatusCode, Bytes)> {
-        let mut caller = HttpConnection::connect(self.address).await?;
+        let mut connection = HttpConnection::connect(self.address).await?;
         let request = Request::builder()
             .method(method)
             .uri(path)
-            .header(IF_VERSION_HEADER, expected)
+            .header(IF_VERSION_HEADER, expected_version)
             .header(WRITE_ID_HEADER, Uuid::new_v4().to_string())
             .body(Full::from(body))?;
-        let response = caller.send(request).await?;
+        let response = connection.send(request).await?;
         Ok((response.status(), response.into_body()))
     }
 }
--- a/alderhaven-proof/tests/end_to_end/at_most_once.rs
+++ b/alderhaven-proof/tests/end_to_end/at_most_once.rs
@@ -24,37 +24,40 @@
         .is_group(true)
         .build();
     let cluster = support::start_cluster(options).await;
-    let reserve = CallerQuery::builder()
+    let reservation = CallerQuery::builder()
         .template(RESERVATION_TEMPLATE)
         .key("reserved")
         .idempotency_key(Uuid::now_v7())
         .build();
     let entry = cluster.entry_address(0).unwrap();
-    let sent = reserve.clone();
-    let asked = tokio::spawn(async move { sent.send(entry).await });
+    let first_query = reservation.clone();
+    let pending_reply = tokio::spawn(async move { first_query.send(entry).await });
     condition::until("a run of the reservation", async || {
-        Ok((!cluster.runs(&reserve).await?.is_empty()).then_some(()))
+        Ok((!cluster.runs(&reservation).await?.is_empty()).then_some(()))
     })
     .await
     .unwrap();
-    (cluster, reserve, asked)
+    (cluster, reservation, pending_reply)
 }
 
 /// Sends the reservation again through entry 1, checks the answer's word and that there is no second
 /// run.
-async fn assert_resent_once(cluster: &TestCluster, reserve: &CallerQuery, word: &str) {
-    let again = CallerQuery {
+async fn assert_resent_once(cluster: &TestCluster, reservation: &CallerQuery, expected: &str) {
+    let resent = CallerQuery {
         deadline_ms: Some(RESEND_DEADLINE_MS),
-        ..reserve.clone()
+        ..reservation.clone()
     };
-    let reply = again.send(cluster.entry_address(1).unwrap()).await.unwrap();
-    assert_eq!(reply.outcome_or_code(), word, "{}", reply.body);
+    let reply = resent
+        .send(cluster.entry_address(1).unwrap())
+        .await
+        .unwrap();
+    assert_eq!(reply.outcome_or_code(), expected, "{}", reply.body);
     assert!(!reply.says_not_run(), "{}", reply.body);
-    assert_one_run(cluster, reserve).await;
+    assert_one_run(cluster, reservation).await;
 }
 
-async fn assert_one_run(cluster: &TestCluster, reserve: &CallerQuery) -> u32 {
-    let runs = cluster.runs(reserve).await.unwrap();
+async fn assert_one_run(cluster: &TestCluster, reservation: &CallerQuery) -> u32 {
+    let runs = cluster.runs(reservation).await.unwrap();
     assert_eq!(runs.len(), 1, "{runs:?}");
     runs[0].shard.0
 }
@@ -64,11 +67,11 @@
 /// the outcome is unknown, and the reservation is made once, not two or three times.
 #[tokio::test(flavor = "multi_thread")]
 async fn at_most_once_resend_other_entry_after_kill() {
-    let (mut cluster, reserve, asked) = start_reservation().await;
+    let (mut cluster, reservation, pending_reply) = start_reservation().await;
     cluster.entries[0].kill().unwrap();
-    assert!(asked.await.unwrap().is_err());
+    assert!(pending_reply.await.unwrap().is_err());
     for _ in 0..2 {
-        assert_resent_once(&cluster, &reserve, "unknown").await;
+        assert_resent_once(&cluster, &reservation, "unknown").await;
     }
 }
 
@@ -77,16 +80,16 @@
 /// answers, and what the caller sends once more gets that answer. The reservation is made once.
 #[tokio::test(flavor = "multi_thread")]
 async fn at_most_once_freeze() {
-    let (cluster, reserve, asked) = start_reservation().await;
+    let (cluster, reservation, pending_reply) = start_reservation().await;
     cluster.entries[0].freeze().unwrap();
-    assert_resent_once(&cluster, &reserve, "unknown").await;
+    assert_resent_once(&cluster, &reservation, "unknown").await;
     cluster.entries[0].resume().unwrap();
-    let first = asked.await.unwrap().unwrap();
+    let first = pending_reply.await.unwrap().unwrap();
     assert_eq!(first.outcome_or_code(), "complete", "{}", first.body);
-    let shard = assert_one_run(&cluster, &reserve).await;
+    let shard = assert_one_run(&cluster, &reservation).await;
     assert_eq!(
         first.body["rows"],
-        cluster.expected_rows(&reserve, &[shard])
+        cluster.expected_rows(&reservation, &[shard])
     );
-    assert_resent_once(&cluster, &reserve, "complete").await;
+    assert_resent_once(&cluster, &reservation, "complete").await;
 }
--- a/alderhaven-proof/tests/end_to_end/config.rs
+++ b/alderhaven-proof/tests/end_to_end/config.rs
@@ -58,8 +58,8 @@
     let cluster = start().await;
     for (round, limit) in [3, 1, 5].into_iter().enumerate() {
         let file = write_template(&cluster, &format!("round-{round}"), limit);
-        let words = ["publish", &file, "--wait", "--limit", "20s"];
-        let published = cluster.alderctl("ama", &words).await.unwrap();
+        let arguments = ["publish", &file, "--wait", "--limit", "20s"];
+        let published = cluster.alderctl("ama", &arguments).await.unwrap();
         assert_eq!(published.exit_code, Some(0), "{}", published.report);
         assert_eq!(published.report["publications"][0]["outcome"], "published");
         assert_in_force(&cluster, limit).await;
@@ -79,19 +79,19 @@
     for race in 0..RACE_ROUNDS {
         let operators = ["ama", "kofi"];
         let limits = [1 + 2 * race % 7, 2 + 2 * race % 7];
-        let mut plans = Vec::new();
+        let mut plan_files = Vec::new();
         for (operator, limit) in operators.into_iter().zip(limits) {
             let file = write_template(&cluster, &format!("{operator}-{race}"), limit);
             let plan = cluster.file_path(&format!("{operator}-{race}.json"));
-            let words = ["diff", &file, "--plan", &plan];
-            let planned = cluster.alderctl(operator, &words).await.unwrap();
-            assert_eq!(planned.exit_code, Some(0), "{}", planned.report);
-            plans.push(plan);
+            let arguments = ["diff", &file, "--plan", &plan];
+            let diffed = cluster.alderctl(operator, &arguments).await.unwrap();
+            assert_eq!(diffed.exit_code, Some(0), "{}", diffed.report);
+            plan_files.push(plan);
         }
-        let words = [0, 1].map(|operator| ["publish", "--plan", plans[operator].as_str()]);
+        let arguments = [0, 1].map(|operator| ["publish", "--plan", plan_files[operator].as_str()]);
         let (ama, kofi) = tokio::join!(
-            cluster.alderctl("ama", &words[0]),
-            cluster.alderctl("kofi", &words[1]),
+            cluster.alderctl("ama", &arguments[0]),
+            cluster.alderctl("kofi", &arguments[1]),
         );
         let results = [ama.unwrap(), kofi.unwrap()];
         let codes = results.each_ref().map(|result| result.exit_code);
@@ -99,14 +99,14 @@
         let winner = winner.unwrap_or_else(|| panic!("{results:?}: nobody won"));
         let loser = &results[1 - winner];
         assert_eq!(loser.exit_code, Some(4), "{}", loser.report);
-        let told = &loser.report["publications"][0];
-        assert_eq!(told["outcome"], "conflict", "{told}");
-        let by = told["current"]["write_id"].as_str().unwrap();
+        let publication = &loser.report["publications"][0];
+        assert_eq!(publication["outcome"], "conflict", "{publication}");
+        let write_id = publication["current"]["write_id"].as_str().unwrap();
         assert!(
-            by.contains(operators[winner]),
-            "{by} does not name the winner"
+            write_id.contains(operators[winner]),
+            "{write_id} does not name the winner"
         );
-        assert!(!told["winner_changed"].as_array().unwrap().is_empty());
+        assert!(!publication["winner_changed"].as_array().unwrap().is_empty());
         let version = &results[winner].report["publications"][0]["version"];
         let version = serde_json::from_value(version.clone()).unwrap();
         cluster.await_in_force(version).await.unwrap();
@@ -122,8 +122,8 @@
 async fn config_stays_through_outage_and_restart() {
     let mut cluster = start().await;
     let file = write_template(&cluster, "before", 3);
-    let words = ["publish", &file, "--wait", "--limit", "20s"];
-    let published = cluster.alderctl("ama", &words).await.unwrap();
+    let arguments = ["publish", &file, "--wait", "--limit", "20s"];
+    let published = cluster.alderctl("ama", &arguments).await.unwrap();
     assert_eq!(published.exit_code, Some(0), "{}", published.report);
     let outage = PlatformFaults {
         outage: true,
--- a/alderhaven-proof/tests/end_to_end/coverage.rs
+++ b/alderhaven-proof/tests/end_to_end/coverage.rs
@@ -19,13 +19,13 @@
     let entry = cluster.entry_address(0).unwrap();
     // The replica of a shard is chosen at random: sweeps are sent until the dying host has a run.
     let query = support::build_query(FAN_OUT_TEMPLATE, "killed");
-    let asked = tokio::spawn({
+    let pending_replies = tokio::spawn({
         let query = query.clone();
         async move { futures::future::join_all((0..4).map(|_| query.send(entry))).await }
     });
     cluster.await_runs_at(0, &query, 1).await.unwrap();
     cluster.targets[0].kill().unwrap();
-    for reply in asked.await.unwrap() {
+    for reply in pending_replies.await.unwrap() {
         let reply = reply.unwrap();
         assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let all = cluster.all_shards();
@@ -53,7 +53,7 @@
 /// shard 2 as missing and holds exactly the rows of the others. An answer that called itself
 /// complete would hide whatever shard 2 holds.
 #[tokio::test(flavor = "multi_thread")]
-async fn coverage_shard_gone() {
+async fn coverage_all_replicas_killed() {
     let placement = vec![vec![0, 1], vec![0, 1], vec![2, 3], vec![0, 1]];
     let options = ClusterOptions::builder().placement(placement).build();
     let mut cluster = support::start_cluster(options).await;
@@ -88,13 +88,13 @@
     let mut cluster = support::start_cluster(options).await;
     let entry = cluster.entry_address(0).unwrap();
     let query = support::build_query(FAN_OUT_TEMPLATE, "relay-killed");
-    let asked = tokio::spawn({
+    let pending_replies = tokio::spawn({
         let query = query.clone();
         async move { futures::future::join_all((0..4).map(|_| query.send(entry))).await }
     });
-    let busy = cluster.await_busy_relay().await.unwrap();
-    cluster.relays[busy].kill().unwrap();
-    for reply in asked.await.unwrap() {
+    let busy_relay = cluster.await_busy_relay().await.unwrap();
+    cluster.relays[busy_relay].kill().unwrap();
+    for reply in pending_replies.await.unwrap() {
         let reply = reply.unwrap();
         assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let all = cluster.all_shards();
@@ -115,8 +115,8 @@
         .build();
     let cluster = support::start_cluster(options).await;
     let entry = cluster.entry_address(0).unwrap();
-    let frozen = support::relay_with_most_lanes(&cluster).await;
-    cluster.relays[frozen].freeze().unwrap();
+    let frozen_relay = support::relay_with_most_lanes(&cluster).await;
+    cluster.relays[frozen_relay].freeze().unwrap();
     condition::until("an answer without the frozen relay's shards", async || {
         let query = support::build_query(FAN_OUT_TEMPLATE, "frozen");
         let reply = query.send(entry).await?;
@@ -136,7 +136,7 @@
     })
     .await
     .unwrap();
-    cluster.relays[frozen].resume().unwrap();
+    cluster.relays[frozen_relay].resume().unwrap();
     condition::until("a complete answer", async || {
         let query = support::build_query(FAN_OUT_TEMPLATE, "resumed");
         let reply = query.send(entry).await?;
@@ -154,15 +154,15 @@
 /// entry finds its link silent, asks the shards again through the other relay, and the caller gets
 /// the whole answer while the relay is still frozen.
 #[tokio::test(flavor = "multi_thread")]
-async fn coverage_relay_frozen_is_left() {
+async fn coverage_relay_frozen_link_replaced() {
     let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
     let entry = cluster.entry_address(0).unwrap();
-    let frozen = support::relay_with_most_lanes(&cluster).await;
-    cluster.relays[frozen].freeze().unwrap();
+    let frozen_relay = support::relay_with_most_lanes(&cluster).await;
+    cluster.relays[frozen_relay].freeze().unwrap();
     let query = support::build_query(FAN_OUT_TEMPLATE, "left");
     let reply = query.send(entry).await.unwrap();
     assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
     let all = cluster.expected_rows(&query, &cluster.all_shards());
     assert_eq!(reply.body["rows"], all);
-    cluster.relays[frozen].resume().unwrap();
+    cluster.relays[frozen_relay].resume().unwrap();
 }
--- a/alderhaven-proof/tests/end_to_end/group.rs
+++ b/alderhaven-proof/tests/end_to_end/group.rs
@@ -23,7 +23,7 @@
 /// A relay dies without a word. Callers see complete answers all along, and within seconds all
 /// others know it dead. Without the probes every query would go on trying it.
 #[tokio::test(flavor = "multi_thread")]
-async fn group_killed_relay_is_left() {
+async fn group_killed_relay_marked_dead() {
     let mut cluster = start().await;
     let entries = [0, 1].map(|number| cluster.entry_address(number).unwrap());
     let name = cluster.relays[0].name().to_owned();
--- a/alderhaven-proof/tests/end_to_end/interface.rs
+++ b/alderhaven-proof/tests/end_to_end/interface.rs
@@ -20,25 +20,25 @@
         let reply = query.send(entry).await.unwrap();
         assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
     }
-    let mut caller = HttpConnection::connect(entry).await.unwrap();
+    let mut connection = HttpConnection::connect(entry).await.unwrap();
     let request = Request::post(format!("/v1/query/{FAN_OUT_TEMPLATE}"))
         .header("x-request-id", "reported-1")
         .body(Full::from(
             r#"{"team":"desk","parameters":{"colour":"blue"}}"#,
         ))
         .unwrap();
-    let reply = caller.send(request).await.unwrap();
+    let reply = connection.send(request).await.unwrap();
     assert_eq!(reply.status(), 400);
     assert_eq!(reply.headers()["x-request-id"], "reported-1");
     let lines = condition::until("a line of the refused request", async || {
         let log = cluster.entries[0].log();
         let lines = log.iter().map(|line| serde_json::from_str::<Value>(line));
         let lines: Vec<Value> = lines.collect::<Result<_, _>>()?;
-        let of_requests = lines
+        let request_lines = lines
             .into_iter()
             .filter(|line| line["event"] == "request_not_answered");
-        let of_requests: Vec<Value> = of_requests.collect();
-        Ok((!of_requests.is_empty()).then_some(of_requests))
+        let request_lines: Vec<Value> = request_lines.collect();
+        Ok((!request_lines.is_empty()).then_some(request_lines))
     })
     .await
     .unwrap();
--- a/alderhaven-proof/tests/end_to_end/leaving.rs
+++ b/alderhaven-proof/tests/end_to_end/leaving.rs
@@ -136,7 +136,7 @@
 /// either entry see complete answers throughout, from the other replica, and the host runs nothing
 /// any more when it goes. With work still sent to it, that work would be cut.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_told_by_the_host_list() {
+async fn leaving_reported_by_host_list() {
     let (cluster, entries) = start().await;
     let platform = cluster.platform_client().unwrap();
     let faults = PlatformFaults {
@@ -158,11 +158,11 @@
     platform.put_host(&leaving).await.unwrap();
     assert_no_new_work(&cluster, &entries, &target).await;
     // The platform changes its mind, and the target is used again.
-    let stays = HostRecord {
+    let live = HostRecord {
         state: HostState::Live,
         ..leaving
     };
-    platform.put_host(&stays).await.unwrap();
+    platform.put_host(&live).await.unwrap();
     await_more_runs(&cluster, target_run_count(&cluster).await).await;
     load.stop().await;
 }
@@ -171,19 +171,19 @@
 /// later. Callers see complete answers throughout; the target gets no work in between, and work
 /// again afterwards.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_published_by_an_operator() {
+async fn leaving_published_by_operator() {
     let (cluster, entries) = start().await;
     let target = cluster.manifest.shards[LEAVING_SHARD].replicas[0]
         .target
         .to_string();
     let load = SteadyLoad::start(&entries);
     await_more_runs(&cluster, 0).await;
-    let words = ["drain", "--target", &target];
-    let drained = cluster.alderctl("ama", &words).await.unwrap();
+    let arguments = ["drain", "--target", &target];
+    let drained = cluster.alderctl("ama", &arguments).await.unwrap();
     assert_eq!(drained.exit_code, Some(0), "{}", drained.report);
     assert_no_new_work(&cluster, &entries, &target).await;
-    let words = ["drain", "--target", &target, "--end"];
-    let ended = cluster.alderctl("ama", &words).await.unwrap();
+    let arguments = ["drain", "--target", &target, "--end"];
+    let ended = cluster.alderctl("ama", &arguments).await.unwrap();
     assert_eq!(ended.exit_code, Some(0), "{}", ended.report);
     await_more_runs(&cluster, target_run_count(&cluster).await).await;
     load.stop().await;
@@ -193,7 +193,7 @@
 /// refusals did not run, so callers see complete answers from the other replica, and from the first
 /// refusal on an entry leaves the target alone, though it would take work again at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_told_by_its_own_reply() {
+async fn leaving_reported_in_reply() {
     let (cluster, entries) = start().await;
     let mut manifest = cluster.manifest.clone();
     let shard = &mut manifest.shards[LEAVING_SHARD];
--- a/alderhaven-proof/tests/end_to_end/not_run.rs
+++ b/alderhaven-proof/tests/end_to_end/not_run.rs
@@ -16,19 +16,19 @@
     let mut cluster = support::start_cluster(ClusterOptions::builder().build()).await;
     let entry = cluster.entry_address(0).unwrap();
     cluster.platform.kill().unwrap();
-    let reserve = CallerQuery::builder()
+    let reservation = CallerQuery::builder()
         .template(RESERVATION_TEMPLATE)
         .key("platform-down")
         .idempotency_key(Uuid::now_v7())
         .build();
-    let reply = reserve.send(entry).await.unwrap();
+    let reply = reservation.send(entry).await.unwrap();
     assert!(reply.says_not_run(), "{}", reply.body);
     let sweep = support::build_query(FAN_OUT_TEMPLATE, "platform-down");
     let answer = sweep.send(entry).await.unwrap();
     assert_eq!(answer.outcome_or_code(), "complete", "{}", answer.body);
     // The sweep went the same way after the reservation: its runs are there, none of the other's.
     assert!(!cluster.runs(&sweep).await.unwrap().is_empty());
-    assert!(cluster.runs(&reserve).await.unwrap().is_empty());
+    assert!(cluster.runs(&reservation).await.unwrap().is_empty());
 }
 
 /// An entry starts while the platform is down and knows no template. Callers hear at once that
@@ -58,19 +58,19 @@
         .build();
     let mut cluster = support::start_cluster(options).await;
     let entry = cluster.entry_address(0).unwrap();
-    let caught = support::build_query(FAN_OUT_TEMPLATE, "caught");
-    let asked = tokio::spawn({
-        let caught = caught.clone();
-        async move { caught.send(entry).await }
+    let running_query = support::build_query(FAN_OUT_TEMPLATE, "caught");
+    let pending_reply = tokio::spawn({
+        let running_query = running_query.clone();
+        async move { running_query.send(entry).await }
     });
     condition::until("a run of the query", async || {
-        let runs = cluster.runs(&caught).await?;
+        let runs = cluster.runs(&running_query).await?;
         Ok((!runs.is_empty()).then_some(()))
     })
     .await
     .unwrap();
     cluster.relays[0].kill().unwrap();
-    let reply = asked.await.unwrap().unwrap();
+    let reply = pending_reply.await.unwrap().unwrap();
     assert_eq!(reply.outcome_or_code(), "failed", "{}", reply.body);
     assert!(!reply.says_not_run(), "{}", reply.body);
 
@@ -81,8 +81,8 @@
     })
     .await
     .unwrap();
-    let refused = support::build_query(FAN_OUT_TEMPLATE, "refused");
-    let reply = refused.send(entry).await.unwrap();
+    let later_query = support::build_query(FAN_OUT_TEMPLATE, "refused");
+    let reply = later_query.send(entry).await.unwrap();
     assert!(reply.says_not_run(), "{}", reply.body);
-    assert!(cluster.runs(&refused).await.unwrap().is_empty());
+    assert!(cluster.runs(&later_query).await.unwrap().is_empty());
 }
--- a/alderhaven-proof/tests/end_to_end/own_answer.rs
+++ b/alderhaven-proof/tests/end_to_end/own_answer.rs
@@ -42,26 +42,26 @@
 async fn own_answer_after_late_replies() {
     let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
     let entry = cluster.entry_address(0).unwrap();
-    let _warm = support::relay_with_most_lanes(&cluster).await;
+    let _relay = support::relay_with_most_lanes(&cluster).await;
     for round in 0..5 {
         for relay in &cluster.relays {
             relay.freeze().unwrap();
         }
-        let hasty = CallerQuery::builder()
+        let short_query = CallerQuery::builder()
             .template(FAN_OUT_TEMPLATE)
             .key(format!("hasty-{round}"))
             .deadline_ms(200)
             .build();
-        let reply = hasty.send(entry).await.unwrap();
+        let reply = short_query.send(entry).await.unwrap();
         assert_eq!(reply.outcome_or_code(), "failed", "{}", reply.body);
         assert_eq!(reply.missing_shards().len(), 4, "{}", reply.body);
         for relay in &cluster.relays {
             relay.resume().unwrap();
         }
-        let patient = support::build_query(FAN_OUT_TEMPLATE, &format!("patient-{round}"));
-        let reply = patient.send(entry).await.unwrap();
+        let next_query = support::build_query(FAN_OUT_TEMPLATE, &format!("patient-{round}"));
+        let reply = next_query.send(entry).await.unwrap();
         assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let all = cluster.all_shards();
-        assert_eq!(reply.body["rows"], cluster.expected_rows(&patient, &all));
+        assert_eq!(reply.body["rows"], cluster.expected_rows(&next_query, &all));
     }
 }
--- a/alderhaven-proof/tests/end_to_end/snapshot.rs
+++ b/alderhaven-proof/tests/end_to_end/snapshot.rs
@@ -55,11 +55,11 @@
 fn spawn_query_loop(
     entry: SocketAddr,
     caller: usize,
-    stop: Arc<AtomicBool>,
+    stop_flag: Arc<AtomicBool>,
 ) -> JoinHandle<Vec<(CallerQuery, CallerReply)>> {
     tokio::spawn(async move {
         let mut replies = Vec::new();
-        while replies.len() < MAX_QUERIES && !stop.load(Ordering::Relaxed) {
+        while replies.len() < MAX_QUERIES && !stop_flag.load(Ordering::Relaxed) {
             let query = support::build_query(
                 FAN_OUT_TEMPLATE,
                 &format!("sweep-{caller}-{}", replies.len()),
@@ -104,12 +104,12 @@
         .deadline(TimeSpan::from_secs(3))
         .build();
     let mut cluster = support::start_cluster(options.clone()).await;
-    let older = cluster.targets.len();
+    let older_count = cluster.targets.len();
     let layout = layout_with_version(&options, 2);
-    let next = cluster
+    let newer_manifest = cluster
         .start_version(&options, &layout, SnapshotId(2))
         .unwrap();
-    let manifests = [cluster.manifest.clone(), next];
+    let manifests = [cluster.manifest.clone(), newer_manifest];
     let entries = [
         cluster.entry_address(0).unwrap(),
         cluster.entry_address(1).unwrap(),
@@ -117,9 +117,9 @@
     for entry in entries {
         await_snapshot(entry, &manifests, 1).await;
     }
-    let stop = Arc::new(AtomicBool::new(false));
+    let stop_flag = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..2 * CALLERS_PER_ENTRY)
-        .map(|caller| spawn_query_loop(entries[caller % 2], caller, Arc::clone(&stop)))
+        .map(|caller| spawn_query_loop(entries[caller % 2], caller, Arc::clone(&stop_flag)))
         .collect();
     condition::until("each caller's fourth sweep", async || {
         for caller in 0..callers.len() {
@@ -135,13 +135,13 @@
     // The entries know the newer manifest while sweeps for the older one are still under way.
     let version = cluster.publish_manifest(&manifests[1]).await.unwrap();
     cluster.await_in_force(version).await.unwrap();
-    for target in &mut cluster.targets[..older] {
+    for target in &mut cluster.targets[..older_count] {
         target.kill().unwrap();
     }
     for entry in entries {
         await_snapshot(entry, &manifests, 2).await;
     }
-    stop.store(true, Ordering::Relaxed);
+    stop_flag.store(true, Ordering::Relaxed);
     for caller in callers {
         let mut newest = 0;
         for (query, reply) in caller.await.unwrap() {
@@ -168,28 +168,28 @@
 /// query waits for a newer manifest, is run anew on it as a whole, and its answer holds rows of that
 /// one alone.
 #[tokio::test(flavor = "multi_thread")]
-async fn snapshot_gone_everywhere_restarts_whole() {
+async fn snapshot_incomplete_restarts_query() {
     let options = ClusterOptions::builder().build();
     let mut cluster = support::start_cluster(options.clone()).await;
     let entry = cluster.entry_address(0).unwrap();
     let layout = layout_with_version(&options, 2);
-    let whole = cluster
+    let complete = cluster
         .start_version(&options, &layout, SnapshotId(3))
         .unwrap();
     // Shards 0 and 1 are held in version 2; for 2 and 3 the manifest names hosts of version 1.
-    let mut torn = SnapshotManifest {
+    let mut incomplete = SnapshotManifest {
         snapshot: SnapshotId(2),
-        ..whole.clone()
+        ..complete.clone()
     };
     for shard in [2, 3] {
-        torn.shards[shard].replicas = cluster.manifest.shards[shard].replicas.clone();
+        incomplete.shards[shard].replicas = cluster.manifest.shards[shard].replicas.clone();
     }
-    let version = cluster.publish_manifest(&torn).await.unwrap();
+    let version = cluster.publish_manifest(&incomplete).await.unwrap();
     cluster.await_in_force(version).await.unwrap();
     let queries: Vec<CallerQuery> = (0..RESTARTED_QUERIES)
         .map(|number| support::build_query(FAN_OUT_TEMPLATE, &format!("restarted-{number}")))
         .collect();
-    let asked = tokio::spawn({
+    let pending_replies = tokio::spawn({
         let queries = queries.clone();
         async move { future::join_all(queries.iter().map(|query| query.send(entry))).await }
     });
@@ -204,17 +204,17 @@
     })
     .await
     .unwrap();
-    cluster.publish_manifest(&whole).await.unwrap();
-    let manifests = [whole];
+    cluster.publish_manifest(&complete).await.unwrap();
+    let manifests = [complete];
     let mut repeats = 0;
-    for (query, reply) in queries.iter().zip(asked.await.unwrap()) {
+    for (query, reply) in queries.iter().zip(pending_replies.await.unwrap()) {
         let reply = reply.unwrap();
         assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         assert_eq!(reply.body["snapshot"], 3);
         assert_one_snapshot(query, &reply, &manifests);
         let runs = cluster.runs(query).await.unwrap();
-        let of_whole = runs.iter().filter(|run| run.snapshot == SnapshotId(3));
-        let shards: Vec<u32> = of_whole.map(|run| run.shard.0).collect();
+        let complete_runs = runs.iter().filter(|run| run.snapshot == SnapshotId(3));
+        let shards: Vec<u32> = complete_runs.map(|run| run.shard.0).collect();
         let ran: BTreeSet<u32> = shards.iter().copied().collect();
         assert_eq!(
             ran,
--- a/alderhaven-proof/tests/end_to_end/stops.rs
+++ b/alderhaven-proof/tests/end_to_end/stops.rs
@@ -35,13 +35,13 @@
 }
 
 /// Asks over a connection that the caller keeps.
-async fn send_over(caller: &mut HttpConnection, query: &CallerQuery) -> Result<CallerReply> {
+async fn send_over(connection: &mut HttpConnection, query: &CallerQuery) -> Result<CallerReply> {
     let body = json!({ "team": TEAM, "parameters": { PARAMETER: query.key } });
     let mut request = Request::post(format!("/v1/query/{}", query.template));
     if let Some(key) = query.idempotency_key {
         request = request.header("idempotency-key", key.to_string());
     }
-    let response = caller
+    let response = connection
         .send(request.body(Full::from(body.to_string()))?)
         .await?;
     Ok(CallerReply {
@@ -51,10 +51,10 @@
 }
 
 /// Checks that the first reply of an entry that leaves says that the connection closes.
-async fn assert_connection_close(caller: &mut HttpConnection) {
+async fn assert_connection_close(connection: &mut HttpConnection) {
     condition::until("a reply of the leaving entry", async || {
         let request = Request::get("/v1/health").body(Full::default())?;
-        let response = caller.send(request).await.unwrap();
+        let response = connection.send(request).await.unwrap();
         let health: Value = serde_json::from_slice(response.body())?;
         if health["status"] == "serving" {
             return Ok(None);
@@ -70,11 +70,11 @@
 
 /// Connects, uses the connection once, and asks over it from then on.
 async fn open_kept_connection(entry: SocketAddr) -> HttpConnection {
-    let mut caller = HttpConnection::connect(entry).await.unwrap();
+    let mut connection = HttpConnection::connect(entry).await.unwrap();
     let request = Request::get("/v1/health").body(Full::default()).unwrap();
-    let health = caller.send(request).await.unwrap();
+    let health = connection.send(request).await.unwrap();
     assert!(health.status().is_success());
-    caller
+    connection
 }
 
 /// Sends one query of each caller at once and waits until targets run all of them.
@@ -83,22 +83,22 @@
     entry: SocketAddr,
     query_of: impl Fn(usize) -> CallerQuery,
 ) -> Vec<(CallerQuery, JoinHandle<Result<CallerReply>>)> {
-    let mut asked = Vec::new();
+    let mut pending = Vec::new();
     for number in 0..CALLERS {
         let query = query_of(number);
-        let mut caller = open_kept_connection(entry).await;
-        let sent = query.clone();
-        let task = tokio::spawn(async move { send_over(&mut caller, &sent).await });
-        asked.push((query, task));
+        let mut connection = open_kept_connection(entry).await;
+        let sent_query = query.clone();
+        let task = tokio::spawn(async move { send_over(&mut connection, &sent_query).await });
+        pending.push((query, task));
     }
-    for (query, _) in &asked {
+    for (query, _) in &pending {
         condition::until("a run of each query", async || {
             Ok((!cluster.runs(query).await?.is_empty()).then_some(()))
         })
         .await
         .unwrap();
     }
-    asked
+    pending
 }
 
 fn assert_complete(cluster: &TestCluster, query: &CallerQuery, reply: &CallerReply) {
@@ -121,30 +121,30 @@
 /// their connections closed and not know what ran. Replies from the signal on say that the
 /// connection closes: untold, a caller could send its next request just as that happens.
 #[tokio::test(flavor = "multi_thread")]
-async fn stop_entry_cuts_nothing() {
+async fn stop_entry_finishes_requests() {
     let mut cluster = start(LONG_RUN_TIME, 2).await;
     let [leaving, staying] = [0, 1].map(|number| cluster.entry_address(number).unwrap());
     condition::until("both entries are named", async || {
-        let named = listed_entries(staying).await?;
-        Ok((named.contains(&leaving) && named.contains(&staying)).then_some(()))
+        let listed = listed_entries(staying).await?;
+        Ok((listed.contains(&leaving) && listed.contains(&staying)).then_some(()))
     })
     .await
     .unwrap();
-    let mut idle_caller = open_kept_connection(leaving).await;
-    let mut late_caller = open_kept_connection(leaving).await;
+    let mut idle_connection = open_kept_connection(leaving).await;
+    let mut late_connection = open_kept_connection(leaving).await;
     let sweep = |number| support::build_query(FAN_OUT_TEMPLATE, &format!("in-flight-{number}"));
-    let asked = start_queries(&cluster, leaving, sweep).await;
+    let pending = start_queries(&cluster, leaving, sweep).await;
     cluster.entries[0].terminate().unwrap();
     condition::until("the leaving entry is not named", async || {
         Ok((!listed_entries(staying).await?.contains(&leaving)).then_some(()))
     })
     .await
     .unwrap();
-    assert_connection_close(&mut idle_caller).await;
+    assert_connection_close(&mut idle_connection).await;
     let late = support::build_query(FAN_OUT_TEMPLATE, "late");
-    let reply = send_over(&mut late_caller, &late).await.unwrap();
+    let reply = send_over(&mut late_connection, &late).await.unwrap();
     assert_complete(&cluster, &late, &reply);
-    for (query, reply) in asked {
+    for (query, reply) in pending {
         assert_complete(&cluster, &query, &reply.await.unwrap().unwrap());
     }
     let status = cluster.entries[0].await_exit().await.unwrap();
@@ -159,19 +159,19 @@
 /// targets that it served get work through the other relay. A relay that ended at once would leave
 /// reservations of unknown outcome.
 #[tokio::test(flavor = "multi_thread")]
-async fn stop_relay_cuts_nothing() {
+async fn stop_relay_finishes_attempts() {
     let mut cluster = start(LONG_RUN_TIME, 1).await;
     let entry = cluster.entry_address(0).unwrap();
-    let reserve = |number| {
+    let reservation = |number| {
         CallerQuery::builder()
             .template(RESERVATION_TEMPLATE)
             .key(format!("in-flight-{number}"))
             .idempotency_key(Uuid::now_v7())
             .build()
     };
-    let asked = start_queries(&cluster, entry, reserve).await;
+    let pending = start_queries(&cluster, entry, reservation).await;
     let leaving = cluster.await_busy_relay().await.unwrap();
-    let handed_over = cluster.lanes(leaving).await.unwrap();
+    let lanes_before = cluster.lanes(leaving).await.unwrap();
     cluster.relays[leaving].terminate().unwrap();
     for round in 0..2 {
         let queries: Vec<CallerQuery> = (0..CALLERS)
@@ -182,7 +182,7 @@
             assert_complete(&cluster, query, &reply.unwrap());
         }
     }
-    for (query, reply) in asked {
+    for (query, reply) in pending {
         let reply = reply.await.unwrap().unwrap();
         assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let runs = cluster.runs(&query).await.unwrap();
@@ -199,7 +199,7 @@
     condition::until("lanes to the targets handed over", async || {
         let lanes = cluster.lanes(1 - leaving).await?;
         let has_lane = |target| lanes.iter().any(|(known, _)| known == target);
-        let mut targets = handed_over.iter().map(|(target, _)| target);
+        let mut targets = lanes_before.iter().map(|(target, _)| target);
         Ok(targets.all(has_lane).then_some(()))
     })
     .await
--- a/alderhaven-proof/tests/settings.rs
+++ b/alderhaven-proof/tests/settings.rs
@@ -153,12 +153,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let ended = condition::until("the binary's end", async || Ok(child.try_wait()?)).await;
-    if ended.is_err() {
+    let exited = condition::until("the binary's end", async || Ok(child.try_wait()?)).await;
+    if exited.is_err() {
         child.kill().unwrap();
     }
     let output = child.wait_with_output().unwrap();
-    ended.unwrap_or_else(|_| panic!("{binary} {arguments:?} goes on"));
+    exited.unwrap_or_else(|_| panic!("{binary} {arguments:?} goes on"));
     ExitResult {
         exit_code: output.status.code(),
         stdout: String::from_utf8(output.stdout).unwrap(),
@@ -174,9 +174,9 @@
     path
 }
 
-async fn assert_all_rejected(role: &str, binary: &str, good: &str, wrong: &[InvalidLine]) {
-    for (line, parts) in wrong {
-        let path = write_file(role, "wrong.yaml", &format!("{good}{line}\n"));
+async fn assert_all_rejected(role: &str, binary: &str, valid: &str, invalid: &[InvalidLine]) {
+    for (line, parts) in invalid {
+        let path = write_file(role, "wrong.yaml", &format!("{valid}{line}\n"));
         let path = path.to_str().unwrap();
         // Checked only, and started: both refuse alike.
         for switches in [&["--check"][..], &[]] {
@@ -224,7 +224,7 @@
             VALID_RELAY,
         ),
     ];
-    for (name, binary, good) in binaries {
+    for (name, binary, valid) in binaries {
         let directory = env!("CARGO_TARGET_TMPDIR");
         let empty = write_file(name, "empty.yaml", "");
         let large = write_file(name, "large.yaml", &"# a long comment\n".repeat(80_000));
@@ -237,12 +237,12 @@
         for (path, part) in files {
             let result = run_to_exit(binary, &["--settings", path]).await;
             assert_eq!(result.exit_code, Some(2), "{path}: {}", result.stderr);
-            let named = result.stderr.contains(path) && result.stderr.contains(part);
-            assert!(named, "{path}: {}", result.stderr);
+            let names_path_and_error = result.stderr.contains(path) && result.stderr.contains(part);
+            assert!(names_path_and_error, "{path}: {}", result.stderr);
         }
-        for line in good.lines() {
+        for line in valid.lines() {
             let key = line.split(':').next().unwrap();
-            let others = good.lines().filter(|other| *other != line);
+            let others = valid.lines().filter(|other| *other != line);
             let without = others.collect::<Vec<_>>().join("\n");
             let path = write_file(name, "without.yaml", &without);
             let result = run_to_exit(binary, &["--settings", path.to_str().unwrap()]).await;
@@ -283,8 +283,8 @@
             VALID_RELAY,
         ),
     ];
-    for (name, binary, good) in binaries {
-        let path = write_file(name, "good.yaml", good);
+    for (name, binary, valid) in binaries {
+        let path = write_file(name, "good.yaml", valid);
         let printed = run_to_exit(
             binary,
             &["--settings", path.to_str().unwrap(), "--print-settings"],
--- a/alderhaven-soak/src/front_process.rs
+++ b/alderhaven-soak/src/front_process.rs
@@ -79,11 +79,11 @@
     ///
     /// # Errors
     /// The program can't be started again, or a signal can't be sent.
-    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<FrontCommand>) -> Result<()> {
+    pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<FrontCommand>) -> Result<()> {
         loop {
             tokio::select! {
-                order = orders.recv() => match order {
-                    Some(order) => self.execute(order)?,
+                command = commands.recv() => match command {
+                    Some(command) => self.execute(command)?,
                     None => return Ok(()),
                 },
                 () = tokio::time::sleep(POLL_INTERVAL) => {}
@@ -121,15 +121,15 @@
         Ok(())
     }
 
-    fn execute(&mut self, order: FrontCommand) -> Result<()> {
+    fn execute(&mut self, command: FrontCommand) -> Result<()> {
         if self.child.is_none() {
             return Ok(());
         }
         let now = self.log.now();
-        match order {
+        match command {
             FrontCommand::Stop => {
-                self.update_process_record(|life| {
-                    life.stop_requested_at = life.stop_requested_at.or(Some(now))
+                self.update_process_record(|process| {
+                    process.stop_requested_at = process.stop_requested_at.or(Some(now))
                 });
                 let grace = TimeSpan::from_secs(self.settings.grace_s);
                 self.kill_at = self.kill_at.or(Some(now + grace));
@@ -138,10 +138,10 @@
             FrontCommand::Kill => self.kill(),
             FrontCommand::Freeze(span) => {
                 self.resume()?;
-                let place = self
+                let disruption = self
                     .log
                     .begin_disruption(DisruptionSubject::Front(self.host()), "frozen");
-                self.frozen = Some((now + span, place));
+                self.frozen = Some((now + span, disruption));
                 self.signal(Signal::STOP)
             }
             FrontCommand::Reload => self.signal(Signal::HUP),
@@ -172,26 +172,26 @@
     fn record_exit(&mut self, now: TimePoint) {
         self.child = None;
         self.kill_at = None;
-        if let Some((_, place)) = self.frozen.take() {
-            self.log.end_disruption(place);
+        if let Some((_, disruption)) = self.frozen.take() {
+            self.log.end_disruption(disruption);
         }
         self.restart_at = now + RESTART_DELAY;
-        self.update_process_record(|life| life.ended_at = Some(now));
+        self.update_process_record(|process| process.ended_at = Some(now));
     }
 
     fn kill(&mut self) -> Result<()> {
         self.kill_at = None;
-        self.update_process_record(|life| life.is_killed = true);
+        self.update_process_record(|process| process.is_killed = true);
         self.log
             .record_disruption(DisruptionSubject::Front(self.host()), "killed");
         self.signal(Signal::KILL)
     }
 
     fn resume(&mut self) -> Result<()> {
-        let Some((_, place)) = self.frozen.take() else {
+        let Some((_, disruption)) = self.frozen.take() else {
             return Ok(());
         };
-        self.log.end_disruption(place);
+        self.log.end_disruption(disruption);
         self.signal(Signal::CONT)
     }
 
@@ -207,12 +207,12 @@
     fn update_process_record(&self, change: impl FnOnce(&mut ProcessRecord)) {
         let host = self.host();
         let mut history = self.log.lock();
-        let life = history
+        let process = history
             .processes
             .iter_mut()
-            .rfind(|life| life.front == host);
-        if let Some(life) = life {
-            change(life);
+            .rfind(|process| process.front == host);
+        if let Some(process) = process {
+            change(process);
         }
     }
 }
--- a/alderhaven-soak/src/history_index.rs
+++ b/alderhaven-soak/src/history_index.rs
@@ -60,12 +60,11 @@
         from: TimePoint,
         until: TimePoint,
     ) -> bool {
-        let touches = |trouble: &&DisruptionRecord| {
-            trouble.subject == *subject || trouble.subject == DisruptionSubject::Machine
+        let affects_subject = |record: &&DisruptionRecord| {
+            record.subject == *subject || record.subject == DisruptionSubject::Machine
         };
-        let mut troubles = self.history.disruptions.iter().filter(touches);
-        troubles
-            .all(|trouble| trouble.from > until || trouble.until.is_some_and(|ended| ended < from))
+        let mut disruptions = self.history.disruptions.iter().filter(affects_subject);
+        disruptions.all(|record| record.from > until || record.until.is_some_and(|end| end < from))
     }
 
     /// Returns true where a front was running and undisturbed for the whole span, and long enough
@@ -73,9 +72,9 @@
     #[must_use]
     pub fn is_front_undisrupted(&self, front: IpAddr, from: TimePoint, until: TimePoint) -> bool {
         let from = time_before(from, SETTLING_TIME);
-        let life = self.process_at(front, until);
-        life.is_some_and(|life| {
-            life.started_at <= from && life.stop_requested_at.is_none_or(|at| at > until)
+        let process = self.process_at(front, until);
+        process.is_some_and(|process| {
+            process.started_at <= from && process.stop_requested_at.is_none_or(|at| at > until)
         }) && self.is_undisrupted(&DisruptionSubject::Front(front), from, until)
     }
 
@@ -92,8 +91,8 @@
     /// Gets the process of a front that was the latest at a time.
     #[must_use]
     pub fn process_at(&self, front: IpAddr, at: TimePoint) -> Option<&'h ProcessRecord> {
-        let mut lives = self.history.processes.iter();
-        lives.rfind(|life| life.front == front && life.started_at <= at)
+        let mut processes = self.history.processes.iter();
+        processes.rfind(|process| process.front == front && process.started_at <= at)
     }
 
     /// Gets the configurations that may be in force for a request that was sent and ended so, where
@@ -101,19 +100,19 @@
     #[must_use]
     pub fn configs_in_force(
         &self,
-        sent: TimePoint,
-        ended: TimePoint,
-        lag: Option<TimeSpan>,
+        sent_at: TimePoint,
+        ended_at: TimePoint,
+        max_lag: Option<TimeSpan>,
     ) -> Vec<&'h ConfigRecord> {
         let configs = &self.history.configs;
-        let is_superseded = |place: usize| {
-            let next = configs.get(place + 1);
-            let lag = lag.unwrap_or(TimeSpan::from_secs(3_600));
-            next.is_some_and(|next| next.accepted_at + lag < sent)
+        let is_superseded = |index: usize| {
+            let next = configs.get(index + 1);
+            let max_lag = max_lag.unwrap_or(TimeSpan::from_secs(3_600));
+            next.is_some_and(|next| next.accepted_at + max_lag < sent_at)
         };
-        let known = configs.iter().enumerate();
-        known
-            .filter(|(place, config)| config.accepted_at <= ended && !is_superseded(*place))
+        let configs_by_index = configs.iter().enumerate();
+        configs_by_index
+            .filter(|(index, config)| config.accepted_at <= ended_at && !is_superseded(*index))
             .map(|(_, config)| config)
             .collect()
     }
--- a/alderhaven-soak/src/link_proxy.rs
+++ b/alderhaven-soak/src/link_proxy.rs
@@ -45,10 +45,10 @@
 }
 
 impl LinkMode {
-    const fn blocks(self, way: LinkDirection) -> bool {
+    const fn blocks(self, direction: LinkDirection) -> bool {
         match self {
-            Self::UpstreamBlocked => matches!(way, LinkDirection::Upstream),
-            Self::DownstreamBlocked => matches!(way, LinkDirection::Downstream),
+            Self::UpstreamBlocked => matches!(direction, LinkDirection::Upstream),
+            Self::DownstreamBlocked => matches!(direction, LinkDirection::Downstream),
             Self::Blocked => true,
             Self::Open | Self::Delayed(_) | Self::Reset => false,
         }
@@ -73,12 +73,12 @@
         let address = listener.local_addr()?;
         let mode = watch::Sender::new(LinkMode::Open);
         let stopping = CancellationToken::new();
-        let seen = mode.subscribe();
+        let mode_receiver = mode.subscribe();
         let stopped = stopping.clone();
         tokio::spawn(async move {
             tokio::select! {
                 () = stopped.cancelled() => {}
-                () = accept_connections(listener, server, seen, stopped.clone()) => {}
+                () = accept_connections(listener, server, mode_receiver, stopped.clone()) => {}
             }
         });
         Ok(Self {
@@ -106,12 +106,12 @@
     mode: watch::Receiver<LinkMode>,
     stopped: CancellationToken,
 ) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((client, _)) = listener.accept().await {
         let (mode, stopped) = (mode.clone(), stopped.clone());
         tokio::spawn(async move {
             tokio::select! {
                 () = stopped.cancelled() => {}
-                () = forward_connection(near, server, mode) => {}
+                () = forward_connection(client, server, mode) => {}
             }
         });
     }
@@ -119,39 +119,39 @@
 
 /// Passes one connection on until it ends or is reset.
 async fn forward_connection(
-    mut near: TcpStream,
+    mut client: TcpStream,
     server: SocketAddr,
     mut mode: watch::Receiver<LinkMode>,
 ) {
-    let mut waiting = mode.clone();
+    let mut unblocked_mode = mode.clone();
     // A link that is silent takes the connection and passes nothing on.
-    let is_open = waiting.wait_for(|mode| !mode.blocks(LinkDirection::Upstream));
-    if is_open.await.is_err() {
+    let is_unblocked = unblocked_mode.wait_for(|mode| !mode.blocks(LinkDirection::Upstream));
+    if is_unblocked.await.is_err() {
         return;
     }
     if *mode.borrow() == LinkMode::Reset {
-        reset_when_dropped(&near);
+        reset_when_dropped(&client);
         return;
     }
-    let Ok(mut far) = TcpStream::connect(server).await else {
-        reset_when_dropped(&near);
+    let Ok(mut upstream) = TcpStream::connect(server).await else {
+        reset_when_dropped(&client);
         return;
     };
     // Messages are small and written whole: waiting for more would only delay them.
-    let _unsupported = (near.set_nodelay(true), far.set_nodelay(true));
-    let ways = mode.clone();
+    let _unsupported = (client.set_nodelay(true), upstream.set_nodelay(true));
+    let copy_mode = mode.clone();
     let is_reset = {
-        let (near_in, near_out) = near.split();
-        let (far_in, far_out) = far.split();
+        let (client_reader, client_writer) = client.split();
+        let (upstream_reader, upstream_writer) = upstream.split();
         tokio::select! {
             () = wait_for_reset(&mut mode) => true,
-            () = forward_bytes(near_in, far_out, ways.clone(), LinkDirection::Upstream) => false,
-            () = forward_bytes(far_in, near_out, ways, LinkDirection::Downstream) => false,
+            () = forward_bytes(client_reader, upstream_writer, copy_mode.clone(), LinkDirection::Upstream) => false,
+            () = forward_bytes(upstream_reader, client_writer, copy_mode, LinkDirection::Downstream) => false,
         }
     };
     if is_reset {
-        reset_when_dropped(&near);
-        reset_when_dropped(&far);
+        reset_when_dropped(&client);
+        reset_when_dropped(&upstream);
     }
 }
 
@@ -167,7 +167,7 @@
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut mode: watch::Receiver<LinkMode>,
-    way: LinkDirection,
+    direction: LinkDirection,
 ) {
     let mut block = vec![0; BUFFER_BYTES];
     loop {
@@ -176,11 +176,11 @@
             // The end of one direction ends the connection: no side here uses half of one.
             _ => return,
         };
-        let now = match mode.wait_for(|mode| !mode.blocks(way)).await {
+        let current = match mode.wait_for(|mode| !mode.blocks(direction)).await {
             Ok(mode) => *mode,
             Err(_) => return,
         };
-        if let LinkMode::Delayed(delay) = now {
+        if let LinkMode::Delayed(delay) = current {
             tokio::time::sleep(delay).await;
         }
         if to.write_all(&block[..length]).await.is_err() {
--- a/alderhaven-soak/src/main.rs
+++ b/alderhaven-soak/src/main.rs
@@ -91,11 +91,11 @@
         Ok(arguments) => arguments,
         Err(code) => return code,
     };
-    let ended = match arguments.command {
+    let result = match arguments.command {
         SoakCommand::Run(arguments) => run(arguments),
         SoakCommand::Replay(arguments) => replay(arguments),
     };
-    match ended {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(EXIT_VIOLATIONS),
         Err(error) => {
@@ -113,9 +113,9 @@
         bail!("--fronts is not from 1 to {MAX_FRONTS}");
     }
     let runner = SeedRunner::new(arguments.front, arguments.logs, arguments.json)?;
-    let mut is_kept = true;
+    let mut all_kept = true;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
-        is_kept &= runner.run(
+        all_kept &= runner.run(
             &SeedCase {
                 seed,
                 seconds: arguments.seconds,
@@ -126,22 +126,22 @@
             EvacuationMode::Seeded,
         )?;
     }
-    Ok(is_kept)
+    Ok(all_kept)
 }
 
 fn replay(arguments: ReplayArgs) -> Result<bool> {
     let runner = SeedRunner::new(arguments.front, arguments.logs, arguments.json)?;
     let cases = seed_cases::read().map_err(|error| eyre::eyre!("{error}"))?;
-    let is_meant = |case: &SeedCase| arguments.seed.is_none_or(|seed| seed == case.seed);
-    let cases: Vec<SeedCase> = cases.into_iter().filter(is_meant).collect();
+    let is_selected = |case: &SeedCase| arguments.seed.is_none_or(|seed| seed == case.seed);
+    let cases: Vec<SeedCase> = cases.into_iter().filter(is_selected).collect();
     if cases.is_empty() {
         bail!("no such seed is kept");
     }
-    let mut is_kept = true;
+    let mut all_kept = true;
     for case in &cases {
-        is_kept &= runner.run(case, EvacuationMode::None)?;
+        all_kept &= runner.run(case, EvacuationMode::None)?;
     }
-    Ok(is_kept)
+    Ok(all_kept)
 }
 
 /// Whether failure domains are evacuated in a run: kept seeds stay as they were.
--- a/alderhaven-soak/src/promises.rs
+++ b/alderhaven-soak/src/promises.rs
@@ -71,11 +71,11 @@
 impl Violation {
     /// Returns a broken promise.
     #[must_use]
-    pub fn new(promise: PromiseKind, subject: &str, seen: impl Into<String>) -> Self {
+    pub fn new(promise: PromiseKind, subject: &str, observed: impl Into<String>) -> Self {
         Self {
             promise,
             subject: subject.to_owned(),
-            observed: seen.into(),
+            observed: observed.into(),
         }
     }
 }
@@ -83,22 +83,22 @@
 /// Gets the promises that a history breaks; `is_over` says that the run has ended.
 #[must_use]
 pub fn check(index: &HistoryIndex, scope: PromiseScope, is_over: bool) -> Vec<Violation> {
-    let mut broken = answers::check(index);
-    broken.extend(at_most_once::check(index));
-    broken.extend(config::check_no_regression(index));
-    broken.extend(stops::check(index));
+    let mut violations = answers::check(index);
+    violations.extend(at_most_once::check(index));
+    violations.extend(config::check_no_regression(index));
+    violations.extend(stops::check(index));
     if scope == PromiseScope::Untimed {
-        return broken;
+        return violations;
     }
-    broken.extend(config::check_in_force(index));
+    violations.extend(config::check_in_force(index));
     for arrival in &index.history.arrivals {
-        broken.extend(leaving::check_arrival(index, arrival));
-        broken.extend(evacuation::check_arrival(index, arrival));
+        violations.extend(leaving::check_arrival(index, arrival));
+        violations.extend(evacuation::check_arrival(index, arrival));
     }
-    broken.extend(repeat_budget::check(index));
-    broken.extend(deadlines::check(index));
+    violations.extend(repeat_budget::check(index));
+    violations.extend(deadlines::check(index));
     if is_over {
-        broken.extend(recovery::check(index));
+        violations.extend(recovery::check(index));
     }
-    broken
+    violations
 }
--- a/alderhaven-soak/src/promises/answers.rs
+++ b/alderhaven-soak/src/promises/answers.rs
@@ -25,42 +25,43 @@
     let RequestOutcome::Answered(answer) = &end.outcome else {
         return None;
     };
-    let (promise, seen) = if !answer.is_success() {
+    let (promise, observed) = if !answer.is_success() {
         check_failure(request, answer)?
     } else if request.kind == RequestKind::FanOut {
-        let seen = check_merged(index, id, request, answer)?;
-        (PromiseKind::TrueCoverage, seen)
+        let observed = check_merged(index, id, request, answer)?;
+        (PromiseKind::TrueCoverage, observed)
     } else {
         (
             PromiseKind::OwnAnswer,
             check_forwarded(id, request, answer)?,
         )
     };
-    Some(Violation::new(promise, id, seen))
+    Some(Violation::new(promise, id, observed))
 }
 
 fn check_failure(request: &RequestRecord, answer: &AnswerRecord) -> Option<(PromiseKind, String)> {
     let status = answer.status;
-    let is_missing_mark = status == 404 && matches!(request.kind, RequestKind::VersionRoute(_));
-    if (300..500).contains(&status) && !answer.is_refusal && !is_missing_mark {
+    let is_missing_version_route =
+        status == 404 && matches!(request.kind, RequestKind::VersionRoute(_));
+    if (300..500).contains(&status) && !answer.is_refusal && !is_missing_version_route {
         return Some((
             PromiseKind::NotDenied,
             format!("{} got {status}", request.kind),
         ));
     }
-    let is_changed = !answer.proof.is_empty() && status != TARGET_FAILURE_STATUS;
-    is_changed.then(|| {
-        let seen = format!("a target's failure came as {status}");
-        (PromiseKind::OwnAnswer, seen)
+    let is_changed_failure = !answer.proof.is_empty() && status != TARGET_FAILURE_STATUS;
+    is_changed_failure.then(|| {
+        let observed = format!("a target's failure came as {status}");
+        (PromiseKind::OwnAnswer, observed)
     })
 }
 
 fn check_forwarded(id: &str, request: &RequestRecord, answer: &AnswerRecord) -> Option<String> {
-    let Some((service, answered)) = shard_records::parse_proof(&answer.proof) else {
+    let Some((service, answered_id)) = shard_records::parse_proof(&answer.proof) else {
         return Some(format!("a success with the digest `{}`", answer.proof));
     };
-    if answered != id {
-        return Some(format!("the answer to {answered}"));
+    if answered_id != id {
+        return Some(format!("the answer to {answered_id}"));
     }
     let allowed = request.kind.services(ShardSet::Old);
     if !allowed.iter().any(|name| name == service) {
@@ -83,24 +84,24 @@
     let Some(parts) = parts else {
         return Some(format!("no digest: {:?}", answer.part_proofs));
     };
-    if let Some((service, foreign)) = parts.iter().find(|(_, answered)| *answered != id) {
-        return Some(format!("a part of {service} for {foreign}"));
+    if let Some((service, other_id)) = parts.iter().find(|(_, answered_id)| *answered_id != id) {
+        return Some(format!("a part of {service} for {other_id}"));
     }
     let services: Vec<&str> = parts.iter().map(|(service, _)| *service).collect();
     let distinct: BTreeSet<&str> = services.iter().copied().collect();
     if distinct.len() != services.len() {
         return Some(format!("a shard twice: {services:?}"));
     }
-    let ended = request.end.as_ref()?.at;
-    let configs = index.configs_in_force(request.sent_at, ended, None);
-    let is_one_set = configs.iter().any(|config| {
+    let ended_at = request.end.as_ref()?.at;
+    let configs = index.configs_in_force(request.sent_at, ended_at, None);
+    let is_single_shard_set = configs.iter().any(|config| {
         let set = config.shards.services();
         let holds_all = distinct
             .iter()
             .all(|part| set.iter().any(|name| name == part));
         holds_all && set.len() == distinct.len() + answer.missing
     });
-    if !is_one_set {
+    if !is_single_shard_set {
         let missing = answer.missing;
         return Some(format!(
             "no configuration's shards: {services:?} and {missing} missing"
--- a/alderhaven-soak/src/promises/at_most_once.rs
+++ b/alderhaven-soak/src/promises/at_most_once.rs
@@ -10,7 +10,7 @@
 /// Checks the requests that reached targets.
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
-    let mut broken: Vec<Violation> = index
+    let mut violations: Vec<Violation> = index
         .history
         .arrivals
         .iter()
@@ -19,13 +19,13 @@
     for (id, request) in &index.history.requests {
         let runs = index.arrivals(id).iter().filter(|arrival| arrival.is_run);
         let runs: Vec<&ArrivalRecord> = runs.copied().collect();
-        broken.extend(check_runs(index, id, request, &runs));
+        violations.extend(check_runs(index, id, request, &runs));
     }
-    broken
+    violations
 }
 
 fn check_arrival(index: &HistoryIndex, arrival: &ArrivalRecord) -> Option<Violation> {
-    let seen = match index.request(arrival) {
+    let observed = match index.request(arrival) {
         None => format!("no caller sent `{}`", arrival.request_id),
         Some(request) if !is_unchanged(request, arrival) => format!(
             "{} {} came as {} {}",
@@ -36,7 +36,7 @@
     Some(Violation::new(
         PromiseKind::NothingInvented,
         &arrival.target,
-        seen,
+        observed,
     ))
 }
 
@@ -64,8 +64,8 @@
         return None;
     }
     let targets: Vec<&str> = runs.iter().map(|run| run.target.as_str()).collect();
-    let seen = format!("ran on {targets:?}");
-    Some(Violation::new(PromiseKind::AtMostOnce, id, seen))
+    let observed = format!("ran on {targets:?}");
+    Some(Violation::new(PromiseKind::AtMostOnce, id, observed))
 }
 
 /// Checks that a request that was refused has not run, whatever its kind: its caller sends it again.
@@ -74,8 +74,8 @@
         return None;
     };
     let run = runs.first().filter(|_| answer.is_refusal)?;
-    let seen = format!("got {} and ran on {}", answer.status, run.target);
-    Some(Violation::new(PromiseKind::NotRun, id, seen))
+    let observed = format!("got {} and ran on {}", answer.status, run.target);
+    Some(Violation::new(PromiseKind::NotRun, id, observed))
 }
 
 /// Checks that no shard ran the request on more targets than allowed; those that were disturbed may
@@ -92,9 +92,9 @@
             targets.entry(&run.service).or_default().insert(&run.target);
         }
     }
-    let spread = targets
+    let excess_targets = targets
         .values()
         .find(|targets| targets.len() > MAX_TARGETS_PER_SHARD)?;
-    let seen = format!("ran on {spread:?}");
-    Some(Violation::new(PromiseKind::AtMostOnce, id, seen))
+    let observed = format!("ran on {excess_targets:?}");
+    Some(Violation::new(PromiseKind::AtMostOnce, id, observed))
 }
--- a/alderhaven-soak/src/promises/config.rs
+++ b/alderhaven-soak/src/promises/config.rs
@@ -17,41 +17,43 @@
 #[must_use]
 pub fn check_in_force(index: &HistoryIndex) -> Vec<Violation> {
     let requests = index.history.requests.iter();
-    let broken = requests.filter_map(|(id, request)| {
+    let violations = requests.filter_map(|(id, request)| {
         let end = request.end.as_ref()?;
-        let is_calm = index.is_front_undisrupted(request.front, request.sent_at, end.at)
+        let is_undisrupted = index.is_front_undisrupted(request.front, request.sent_at, end.at)
             && index.is_store_undisrupted(request.sent_at, end.at);
-        if !is_calm {
+        if !is_undisrupted {
             return None;
         }
         let configs = index.configs_in_force(request.sent_at, end.at, Some(APPLY_BOUND));
-        let is_held = configs.iter().any(|config| is_consistent(config, request));
+        let is_satisfied = configs.iter().any(|config| is_consistent(config, request));
         let versions: Vec<u64> = configs.iter().map(|config| config.version).collect();
-        (!is_held).then(|| {
-            let seen = format!(
+        (!is_satisfied).then(|| {
+            let observed = format!(
                 "{} not as by any of the versions {versions:?}",
                 request.kind
             );
-            Violation::new(PromiseKind::ConfigInForce, id, seen)
+            Violation::new(PromiseKind::ConfigInForce, id, observed)
         })
     });
-    broken.collect()
+    violations.collect()
 }
 
 /// Checks that no process goes back: once an answer has shown a version, later requests to the process
 /// are handled by that version or a newer one.
 #[must_use]
 pub fn check_no_regression(index: &HistoryIndex) -> Vec<Violation> {
-    let mut by_life: BTreeMap<(std::net::IpAddr, TimePoint), Vec<(&str, &RequestRecord)>> =
+    let mut by_process: BTreeMap<(std::net::IpAddr, TimePoint), Vec<(&str, &RequestRecord)>> =
         BTreeMap::new();
     for (id, request) in &index.history.requests {
-        if let Some(life) = index.process_at(request.front, request.sent_at) {
-            let requests = by_life.entry((request.front, life.started_at)).or_default();
+        if let Some(process) = index.process_at(request.front, request.sent_at) {
+            let requests = by_process
+                .entry((request.front, process.started_at))
+                .or_default();
             requests.push((id, request));
         }
     }
-    let lives = by_life.values();
-    lives
+    let request_groups = by_process.values();
+    request_groups
         .flat_map(|requests| check_process(index, requests))
         .collect()
 }
@@ -59,7 +61,7 @@
 fn check_process(index: &HistoryIndex, requests: &[(&str, &RequestRecord)]) -> Vec<Violation> {
     let configs = &index.history.configs;
     // When each version was first seen in force.
-    let mut shown: Vec<(TimePoint, u64)> = requests
+    let mut first_seen: Vec<(TimePoint, u64)> = requests
         .iter()
         .filter_map(|(_, request)| {
             Some((
@@ -68,29 +70,29 @@
             ))
         })
         .collect();
-    shown.sort_unstable();
-    let broken = requests.iter().filter_map(|(id, request)| {
-        let ended = request.end.as_ref()?.at;
-        let before = shown.iter().filter(|(at, _)| *at < request.sent_at);
-        let newest = before.map(|(_, version)| *version).max()?;
+    first_seen.sort_unstable();
+    let violations = requests.iter().filter_map(|(id, request)| {
+        let ended_at = request.end.as_ref()?.at;
+        let seen_before = first_seen.iter().filter(|(at, _)| *at < request.sent_at);
+        let newest_seen = seen_before.map(|(_, version)| *version).max()?;
         let mut possible = configs
             .iter()
-            .filter(|config| config.version >= newest && config.accepted_at <= ended);
-        let is_held = possible.any(|config| is_consistent(config, request));
-        (!is_held).then(|| {
-            let seen = format!("{} handled by a version before {newest}", request.kind);
-            Violation::new(PromiseKind::ConfigKept, id, seen)
+            .filter(|config| config.version >= newest_seen && config.accepted_at <= ended_at);
+        let is_satisfied = possible.any(|config| is_consistent(config, request));
+        (!is_satisfied).then(|| {
+            let observed = format!("{} handled by a version before {newest_seen}", request.kind);
+            Violation::new(PromiseKind::ConfigKept, id, observed)
         })
     });
-    broken.collect()
+    violations.collect()
 }
 
 /// Gets the oldest version that can have handled a request; none where any can.
 fn oldest_possible_version(configs: &[ConfigRecord], request: &RequestRecord) -> Option<u64> {
-    let mut agreeing = configs
+    let mut consistent = configs
         .iter()
         .filter(|config| is_consistent(config, request));
-    agreeing.next().map(|config| config.version)
+    consistent.next().map(|config| config.version)
 }
 
 /// Returns true where a request may have come to its end under a configuration.
@@ -104,9 +106,9 @@
     match request.kind {
         RequestKind::VersionRoute(version) => {
             let is_served = answer.is_success();
-            let is_missing = answer.status == 404;
+            let is_not_found = answer.status == 404;
             let has_route = config.version_routes.contains(&version);
-            (!is_served || has_route) && (!is_missing || !has_route)
+            (!is_served || has_route) && (!is_not_found || !has_route)
         }
         RequestKind::FanOut if answer.is_success() => {
             let set: BTreeSet<String> = config.shards.services().into_iter().collect();
--- a/alderhaven-soak/src/promises/deadlines.rs
+++ b/alderhaven-soak/src/promises/deadlines.rs
@@ -14,51 +14,51 @@
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let requests = index.history.requests.iter();
-    let late = requests.filter_map(|(id, request)| check_request(index, id, request));
+    let late_answers = requests.filter_map(|(id, request)| check_request(index, id, request));
     let arrivals = index.history.arrivals.iter();
     let arrivals = arrivals.filter_map(|arrival| check_arrival(index, arrival));
-    late.chain(arrivals).collect()
+    late_answers.chain(arrivals).collect()
 }
 
 fn check_request(index: &HistoryIndex, id: &str, request: &RequestRecord) -> Option<Violation> {
     let end = request.end.as_ref()?;
-    let took = end.at.since(request.sent_at);
+    let elapsed = end.at.since(request.sent_at);
     let is_final = matches!(
         end.outcome,
         RequestOutcome::Answered(_) | RequestOutcome::Closed | RequestOutcome::Unanswered
     );
-    let is_late = is_final && took > request.timeout + TIME_TOLERANCE;
-    let is_held = is_late && index.is_front_undisrupted(request.front, request.sent_at, end.at);
-    is_held.then(|| {
-        let seen = format!("a {} took {took}", request.kind);
-        Violation::new(PromiseKind::AnswerInTime, id, seen)
+    let is_late = is_final && elapsed > request.timeout + TIME_TOLERANCE;
+    let is_violated = is_late && index.is_front_undisrupted(request.front, request.sent_at, end.at);
+    is_violated.then(|| {
+        let observed = format!("a {} took {elapsed}", request.kind);
+        Violation::new(PromiseKind::AnswerInTime, id, observed)
     })
 }
 
 fn check_arrival(index: &HistoryIndex, arrival: &ArrivalRecord) -> Option<Violation> {
     let request = index.request(arrival)?;
     let subject = DisruptionSubject::Target(arrival.target.clone());
-    let is_calm = index.is_front_undisrupted(request.front, request.sent_at, arrival.at)
+    let is_undisrupted = index.is_front_undisrupted(request.front, request.sent_at, arrival.at)
         && index.is_undisrupted(&subject, request.sent_at, arrival.at);
-    if !is_calm {
+    if !is_undisrupted {
         return None;
     }
     let id = &arrival.request_id;
     let waited = arrival.at.since(request.sent_at);
-    let left = request.timeout.saturating_sub(waited);
+    let remaining = request.timeout.saturating_sub(waited);
     if arrival
         .time_left
-        .is_none_or(|told| told > left + TIME_TOLERANCE)
+        .is_none_or(|time_left| time_left > remaining + TIME_TOLERANCE)
     {
-        let seen = format!("{:?} told, {left} left", arrival.time_left);
-        return Some(Violation::new(PromiseKind::TimeLeft, id, seen));
+        let observed = format!("{:?} told, {remaining} left", arrival.time_left);
+        return Some(Violation::new(PromiseKind::TimeLeft, id, observed));
     }
     let end = request.end.as_ref()?;
-    let has_left = matches!(end.outcome, RequestOutcome::Abandoned);
-    let is_after = has_left && arrival.at > end.at + TIME_TOLERANCE;
-    is_after.then(|| {
+    let is_abandoned = matches!(end.outcome, RequestOutcome::Abandoned);
+    let is_late_arrival = is_abandoned && arrival.at > end.at + TIME_TOLERANCE;
+    is_late_arrival.then(|| {
         let after = arrival.at.since(end.at);
-        let seen = format!("sent to {} {after} after its caller left", arrival.target);
-        Violation::new(PromiseKind::CallerGone, id, seen)
+        let observed = format!("sent to {} {after} after its caller left", arrival.target);
+        Violation::new(PromiseKind::CallerGone, id, observed)
     })
 }
--- a/alderhaven-soak/src/promises/evacuation.rs
+++ b/alderhaven-soak/src/promises/evacuation.rs
@@ -16,12 +16,12 @@
     let mut evacuations = index.history.evacuations.iter();
     let evacuation = evacuations.find(|evacuation| is_in_force(evacuation, arrival))?;
     let request = index.request(arrival)?;
-    let is_held = index.is_front_undisrupted(request.front, evacuation.accepted_at, arrival.at)
+    let is_violated = index.is_front_undisrupted(request.front, evacuation.accepted_at, arrival.at)
         && index.is_store_undisrupted(evacuation.accepted_at, arrival.at);
-    is_held.then(|| {
+    is_violated.then(|| {
         let after = arrival.at.since(evacuation.accepted_at);
-        let seen = format!("{} came {after} after its evacuation", arrival.request_id);
-        Violation::new(PromiseKind::EvacuatedLeftAlone, &arrival.target, seen)
+        let observed = format!("{} came {after} after its evacuation", arrival.request_id);
+        Violation::new(PromiseKind::EvacuatedLeftAlone, &arrival.target, observed)
     })
 }
 
--- a/alderhaven-soak/src/promises/leaving.rs
+++ b/alderhaven-soak/src/promises/leaving.rs
@@ -8,17 +8,17 @@
 /// Checks a request that reached a target, which may be leaving.
 #[must_use]
 pub fn check_arrival(index: &HistoryIndex, arrival: &ArrivalRecord) -> Option<Violation> {
-    let mut leavings = index.history.leaving_targets.iter();
-    let (_, said) = leavings.find(|(target, _)| *target == arrival.target)?;
+    let mut leaving_targets = index.history.leaving_targets.iter();
+    let (_, leaving_since) = leaving_targets.find(|(target, _)| *target == arrival.target)?;
     let request = index.request(arrival)?;
     let subject = DisruptionSubject::Target(arrival.target.clone());
-    let is_held = arrival.at > *said + DRAIN_TIME
-        && index.is_front_undisrupted(request.front, *said, arrival.at)
-        && index.is_store_undisrupted(*said, arrival.at)
-        && index.is_undisrupted(&subject, *said, arrival.at);
-    is_held.then(|| {
-        let after = arrival.at.since(*said);
-        let seen = format!("{} came {after} after it was leaving", arrival.request_id);
-        Violation::new(PromiseKind::LeavingLeftAlone, &arrival.target, seen)
+    let is_violated = arrival.at > *leaving_since + DRAIN_TIME
+        && index.is_front_undisrupted(request.front, *leaving_since, arrival.at)
+        && index.is_store_undisrupted(*leaving_since, arrival.at)
+        && index.is_undisrupted(&subject, *leaving_since, arrival.at);
+    is_violated.then(|| {
+        let after = arrival.at.since(*leaving_since);
+        let observed = format!("{} came {after} after it was leaving", arrival.request_id);
+        Violation::new(PromiseKind::LeavingLeftAlone, &arrival.target, observed)
     })
 }
--- a/alderhaven-soak/src/promises/recovery.rs
+++ b/alderhaven-soak/src/promises/recovery.rs
@@ -25,8 +25,8 @@
     if counted.len() >= MIN_REQUESTS && share >= MIN_SERVED_SHARE {
         return Vec::new();
     }
-    let seen = format!("{served} of {} served at the end", counted.len());
-    vec![Violation::new(PromiseKind::Recovery, "all", seen)]
+    let observed = format!("{served} of {} served at the end", counted.len());
+    vec![Violation::new(PromiseKind::Recovery, "all", observed)]
 }
 
 fn is_served(request: &RequestRecord) -> bool {
--- a/alderhaven-soak/src/promises/repeat_budget.rs
+++ b/alderhaven-soak/src/promises/repeat_budget.rs
@@ -19,9 +19,9 @@
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let mut repeats: BTreeMap<&str, Vec<TimePoint>> = BTreeMap::new();
-    let mut known = BTreeSet::new();
+    let mut first_arrivals = BTreeSet::new();
     for arrival in &index.history.arrivals {
-        if !known.insert((&arrival.service, &arrival.request_id)) {
+        if !first_arrivals.insert((&arrival.service, &arrival.request_id)) {
             let times = repeats.entry(&arrival.service).or_default();
             times.push(arrival.at);
         }
@@ -40,16 +40,16 @@
         .filter(|request| may_use_service(request.kind, service))
         .map(|request| request.sent_at)
         .collect();
-    let over = times.iter().find_map(|end| {
+    let excess = times.iter().find_map(|end| {
         let from = history_index::time_before(*end, BUDGET_WINDOW);
         let count = count_within(times, from, *end);
         let allowed =
             max_window_requests(&sent, *end) as f64 * REPEAT_RATIO + FREE_REPEATS_PER_WINDOW as f64;
         (count as f64 > allowed).then_some((count, allowed))
     });
-    let (count, allowed) = over?;
-    let seen = format!("{count} repeats in a window, {allowed:.0} allowed");
-    Some(Violation::new(PromiseKind::RepeatBudget, service, seen))
+    let (count, allowed) = excess?;
+    let observed = format!("{count} repeats in a window, {allowed:.0} allowed");
+    Some(Violation::new(PromiseKind::RepeatBudget, service, observed))
 }
 
 /// Gets the most requests of the window that ends then, the one half a window earlier and the one
--- a/alderhaven-soak/src/promises/stops.rs
+++ b/alderhaven-soak/src/promises/stops.rs
@@ -10,9 +10,11 @@
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let requests = index.history.requests.iter();
-    let cut = requests.filter_map(|(id, request)| check_request(index, id, request));
-    let lives = index.history.processes.iter();
-    cut.chain(lives.filter_map(check_process)).collect()
+    let cut_requests = requests.filter_map(|(id, request)| check_request(index, id, request));
+    let processes = index.history.processes.iter();
+    cut_requests
+        .chain(processes.filter_map(check_process))
+        .collect()
 }
 
 fn check_request(index: &HistoryIndex, id: &str, request: &RequestRecord) -> Option<Violation> {
@@ -20,37 +22,38 @@
     if !matches!(end.outcome, RequestOutcome::Closed) {
         return None;
     }
-    let life = index.process_at(request.front, request.sent_at)?;
-    let is_front_sound = !life.is_killed
+    let process = index.process_at(request.front, request.sent_at)?;
+    let is_front_undisrupted = !process.is_killed
         && index.is_undisrupted(
             &DisruptionSubject::Front(request.front),
             request.sent_at,
             end.at,
         );
     // The answer of a sound target was under way, or was there.
-    let is_sound = |arrival: &&&ArrivalRecord| {
+    let is_answered_undisrupted = |arrival: &&&ArrivalRecord| {
         let subject = DisruptionSubject::Target(arrival.target.clone());
         arrival.is_answered && index.is_undisrupted(&subject, request.sent_at, end.at)
     };
-    let arrival = index.arrivals(id).iter().find(is_sound)?;
-    is_front_sound.then(|| {
-        let asked = if life.stop_requested_at.is_some() {
+    let arrival = index.arrivals(id).iter().find(is_answered_undisrupted)?;
+    is_front_undisrupted.then(|| {
+        let phase = if process.stop_requested_at.is_some() {
             "during its stop"
         } else {
             "while it served"
         };
-        let seen = format!(
-            "{} cut it {asked}, sent to {}",
+        let observed = format!(
+            "{} cut it {phase}, sent to {}",
             request.front, arrival.target
         );
-        Violation::new(PromiseKind::NothingCut, id, seen)
+        Violation::new(PromiseKind::NothingCut, id, observed)
     })
 }
 
-fn check_process(life: &ProcessRecord) -> Option<Violation> {
-    let is_alone = life.ended_at.is_some() && !life.is_killed && life.stop_requested_at.is_none();
-    is_alone.then(|| {
-        let front = life.front.to_string();
+fn check_process(process: &ProcessRecord) -> Option<Violation> {
+    let ended_unasked =
+        process.ended_at.is_some() && !process.is_killed && process.stop_requested_at.is_none();
+    ended_unasked.then(|| {
+        let front = process.front.to_string();
         Violation::new(PromiseKind::ProcessLives, &front, "it ended by itself")
     })
 }
--- a/alderhaven-soak/src/shard_records.rs
+++ b/alderhaven-soak/src/shard_records.rs
@@ -26,8 +26,7 @@
         .map(|service| response_body(service, request_id));
     let mut records: Vec<Vec<u8>> = bodies
         .flat_map(|body| {
-            body
-                .chunks(RECORD_BYTES)
+            body.chunks(RECORD_BYTES)
                 .map(<[u8]>::to_vec)
                 .collect::<Vec<_>>()
         })
--- a/alderhaven-soak/src/soak_caller.rs
+++ b/alderhaven-soak/src/soak_caller.rs
@@ -68,21 +68,21 @@
                 Some((front, connection)) => self.send_request(front, connection).await,
                 None => time::sleep(CONNECT_RETRY_DELAY).await,
             }
-            let think = Duration::from_millis(self.rng.random_range(0..MAX_THINK_TIME_MS));
-            time::sleep(think).await;
+            let think_time = Duration::from_millis(self.rng.random_range(0..MAX_THINK_TIME_MS));
+            time::sleep(think_time).await;
         }
     }
 
     async fn connect(&mut self) -> Option<(IpAddr, CallerConnection)> {
-        let asked = self.rng.random_range(0..self.fronts.len());
-        let directory = self.fronts[asked].directory_address();
+        let directory_index = self.rng.random_range(0..self.fronts.len());
+        let directory = self.fronts[directory_index].directory_address();
         let domain = DOMAINS[self.rng.random_range(0..DOMAINS.len())];
-        let found = caller_client::find_fronts(directory, domain);
-        let found = time::timeout(CONNECT_TIMEOUT, found).await.ok()??;
-        if found.is_empty() {
+        let fronts = caller_client::find_fronts(directory, domain);
+        let fronts = time::timeout(CONNECT_TIMEOUT, fronts).await.ok()??;
+        if fronts.is_empty() {
             return None;
         }
-        let front = found[self.rng.random_range(0..found.len())];
+        let front = fronts[self.rng.random_range(0..fronts.len())];
         let opened = time::timeout(CONNECT_TIMEOUT, CallerConnection::open(front));
         Some((front.ip(), opened.await.ok()??))
     }
@@ -93,22 +93,22 @@
         self.sent_count += 1;
         let request_id = format!("q{}x{}", self.number, self.sent_count);
         let request = self.start_request(&request_id, kind, front);
-        let most = (kind.timeout() + LATE_ANSWER_WAIT).as_duration();
-        let leaves = self.rng.random_bool(ABANDONED_SHARE);
-        let limit = if leaves {
+        let max_wait = (kind.timeout() + LATE_ANSWER_WAIT).as_duration();
+        let abandons = self.rng.random_bool(ABANDONED_SHARE);
+        let timeout = if abandons {
             Duration::from_millis(self.rng.random_range(1..60))
         } else {
-            most
+            max_wait
         };
-        let reply = time::timeout(limit, connection.send(&request)).await;
+        let reply = time::timeout(timeout, connection.send(&request)).await;
         let outcome = match &reply {
             Ok(Some(reply)) => RequestOutcome::Answered(answer_record(reply)),
             Ok(None) => RequestOutcome::Closed,
-            Err(_) if leaves => RequestOutcome::Abandoned,
+            Err(_) if abandons => RequestOutcome::Abandoned,
             Err(_) => RequestOutcome::Unanswered,
         };
-        let may_go_on = matches!(&reply, Ok(Some(reply)) if !reply.closes_connection());
-        if may_go_on {
+        let is_reusable = matches!(&reply, Ok(Some(reply)) if !reply.closes_connection());
+        if is_reusable {
             self.open_connection = Some((front, connection));
         } else {
             drop(connection);
@@ -135,7 +135,7 @@
     /// Draws the route of a version that was accepted lately, or that was taken away lately.
     fn draw_version_route(&mut self) -> Option<u64> {
         let history = self.log.lock();
-        let mut marks: Vec<u64> = history
+        let mut versions: Vec<u64> = history
             .configs
             .iter()
             .rev()
@@ -143,12 +143,12 @@
             .flat_map(|config| config.version_routes.clone())
             .collect();
         drop(history);
-        marks.sort_unstable();
-        marks.dedup();
-        if marks.is_empty() {
+        versions.sort_unstable();
+        versions.dedup();
+        if versions.is_empty() {
             return None;
         }
-        Some(marks[self.rng.random_range(0..marks.len())])
+        Some(versions[self.rng.random_range(0..versions.len())])
     }
 
     fn start_request(&self, request_id: &str, kind: RequestKind, front: IpAddr) -> CallerRequest {
--- a/alderhaven-soak/src/soak_history.rs
+++ b/alderhaven-soak/src/soak_history.rs
@@ -232,12 +232,12 @@
 
     /// Notes that a disturbance begins; gets its place for [`Self::end_trouble`].
     #[must_use]
-    pub fn begin_disruption(&self, subject: DisruptionSubject, what: &str) -> usize {
+    pub fn begin_disruption(&self, subject: DisruptionSubject, kind: &str) -> usize {
         let from = self.now();
         let mut history = self.lock();
         history.disruptions.push(DisruptionRecord {
             subject,
-            kind: what.to_owned(),
+            kind: kind.to_owned(),
             from,
             until: None,
         });
@@ -245,10 +245,10 @@
     }
 
     /// Notes that a disturbance is over.
-    pub fn end_disruption(&self, place: usize) {
+    pub fn end_disruption(&self, index: usize) {
         let now = self.now();
-        if let Some(trouble) = self.lock().disruptions.get_mut(place) {
-            trouble.until = Some(now);
+        if let Some(disruption) = self.lock().disruptions.get_mut(index) {
+            disruption.until = Some(now);
         }
     }
 
@@ -267,18 +267,18 @@
     }
 
     /// Takes an evacuation back.
-    pub fn end_evacuation(&self, store: &StoreStandin, place: usize) {
+    pub fn end_evacuation(&self, store: &StoreStandin, index: usize) {
         let mut history = self.lock();
         let now = self.now();
-        if let Some(evacuation) = history.evacuations.get_mut(place) {
+        if let Some(evacuation) = history.evacuations.get_mut(index) {
             evacuation.revoked_at = Some(now);
             store.remove(store_fixtures::EVACUATION_KIND, &evacuation.domain);
         }
     }
 
     /// Notes a disturbance of a moment.
-    pub fn record_disruption(&self, subject: DisruptionSubject, what: &str) {
-        let place = self.begin_disruption(subject, what);
-        self.end_disruption(place);
+    pub fn record_disruption(&self, subject: DisruptionSubject, kind: &str) {
+        let index = self.begin_disruption(subject, kind);
+        self.end_disruption(index);
     }
 }
--- a/alderhaven-soak/src/soak_plan.rs
+++ b/alderhaven-soak/src/soak_plan.rs
@@ -53,9 +53,9 @@
         let mut steps: Vec<SoakStep> = Vec::new();
         let mut at = FAULT_FREE_START;
         while at < faults_end {
-            let last = steps.last().map(|step| step.fault);
-            let again = last.filter(|_| rng.random_bool(REPEAT_PROBABILITY));
-            let fault = again.unwrap_or_else(|| draw_fault(&mut rng));
+            let previous = steps.last().map(|step| step.fault);
+            let repeated = previous.filter(|_| rng.random_bool(REPEAT_PROBABILITY));
+            let fault = repeated.unwrap_or_else(|| draw_fault(&mut rng));
             steps.push(SoakStep { at, fault });
             at = at + TimeSpan::from_millis(rng.random_range(0..MAX_FAULT_INTERVAL_MS));
         }
@@ -70,11 +70,11 @@
         let mut at = FAULT_FREE_START;
         loop {
             let span = TimeSpan::from_millis(rng.random_range(EVACUATION_DURATION_MS));
-            let place = rng.random_range(0..usize::MAX >> 1);
+            let index = rng.random_range(0..usize::MAX >> 1);
             if at + span > faults_end {
                 break;
             }
-            let fault = SoakFault::Evacuate(place, span);
+            let fault = SoakFault::Evacuate(index, span);
             self.steps.push(SoakStep { at, fault });
             at = at + span + TimeSpan::from_millis(rng.random_range(0..MAX_FAULT_INTERVAL_MS));
         }
@@ -84,22 +84,22 @@
 }
 
 fn draw_fault(rng: &mut StdRng) -> SoakFault {
-    let place = rng.random_range(0..usize::MAX >> 1);
-    let lasting = TimeSpan::from_millis(rng.random_range(FAULT_DURATION_MS));
+    let index = rng.random_range(0..usize::MAX >> 1);
+    let duration = TimeSpan::from_millis(rng.random_range(FAULT_DURATION_MS));
     match rng.random_range(0..100) {
-        0..8 => SoakFault::StopFront(place),
+        0..8 => SoakFault::StopFront(index),
         8..10 => SoakFault::StopAll(TimeSpan::from_millis(rng.random_range(100..1_500))),
-        10..16 => SoakFault::KillFront(place),
+        10..16 => SoakFault::KillFront(index),
         16..18 => SoakFault::KillAll,
-        18..25 => SoakFault::FreezeFront(place, lasting),
-        25..29 => SoakFault::ReloadFront(place),
-        29..36 => SoakFault::StoreLink(place, draw_link_mode(rng), lasting),
-        36..42 => SoakFault::StoreFault(draw_store_fault(rng), lasting),
+        18..25 => SoakFault::FreezeFront(index, duration),
+        25..29 => SoakFault::ReloadFront(index),
+        29..36 => SoakFault::StoreLink(index, draw_link_mode(rng), duration),
+        36..42 => SoakFault::StoreFault(draw_store_fault(rng), duration),
         42..45 => SoakFault::StoreCompaction,
-        45..53 => SoakFault::CrashTarget(place, lasting),
-        53..61 => SoakFault::DrainTarget(place),
-        61..69 => SoakFault::TargetLink(place, draw_link_mode(rng), lasting),
-        69..83 => SoakFault::TargetFault(place, draw_target_fault(rng), lasting),
+        45..53 => SoakFault::CrashTarget(index, duration),
+        53..61 => SoakFault::DrainTarget(index),
+        61..69 => SoakFault::TargetLink(index, draw_link_mode(rng), duration),
+        69..83 => SoakFault::TargetFault(index, draw_target_fault(rng), duration),
         83..96 => SoakFault::ChangeConfig,
         _ => SoakFault::Reshard,
     }
--- a/alderhaven-soak/src/soak_report.rs
+++ b/alderhaven-soak/src/soak_report.rs
@@ -62,9 +62,9 @@
 /// Counts how often the machine did not keep up.
 #[must_use]
 pub fn count_stalls(history: &SoakHistory) -> usize {
-    let troubles = history.disruptions.iter();
-    troubles
-        .filter(|trouble| trouble.subject == DisruptionSubject::Machine)
+    let disruptions = history.disruptions.iter();
+    disruptions
+        .filter(|disruption| disruption.subject == DisruptionSubject::Machine)
         .count()
 }
 
--- a/alderhaven-soak/src/soak_run.rs
+++ b/alderhaven-soak/src/soak_run.rs
@@ -115,9 +115,9 @@
 
 /// Gets the loopback address of a host of this process's run: each process has its own, since all
 /// fronts listen on the same ports.
-fn host_address(place: usize) -> IpAddr {
+fn host_address(index: usize) -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let host = u8::try_from(place + 1).unwrap_or(u8::MAX);
+    let host = u8::try_from(index + 1).unwrap_or(u8::MAX);
     IpAddr::V4(Ipv4Addr::new(127, 128 | high, low, host))
 }
 
@@ -125,19 +125,19 @@
     async fn start(options: &SoakOptions, folder: &std::path::Path) -> Result<Self> {
         let log = HistoryLog::default();
         let store = StoreStandin::start().await.wrap_err("no store")?;
-        let crew = TargetFleet::start(log.clone(), store.clone()).await?;
+        let targets = TargetFleet::start(log.clone(), store.clone()).await?;
         let operator = SoakOperator::start(log.clone(), store.clone());
         let mut run = Self {
             log,
             store,
-            targets: crew,
+            targets,
             operator,
             fronts: Vec::new(),
             fault_tasks: JoinSet::new(),
             caller_tasks: Vec::new(),
         };
-        for place in 0..options.fronts {
-            let front = run.start_front(options, folder, place).await?;
+        for index in 0..options.fronts {
+            let front = run.start_front(options, folder, index).await?;
             run.fronts.push(front);
         }
         run.wait_until_ready().await?;
@@ -149,15 +149,15 @@
         &self,
         options: &SoakOptions,
         folder: &std::path::Path,
-        place: usize,
+        index: usize,
     ) -> Result<RunningFront> {
         let link = LinkProxy::start(self.store.address())
             .await
             .wrap_err("no link")?;
         let settings = FrontSettings {
-            name: format!("front-{place}"),
-            ip: host_address(place),
-            domain: DOMAINS[place % DOMAINS.len()].to_owned(),
+            name: format!("front-{index}"),
+            ip: host_address(index),
+            domain: DOMAINS[index % DOMAINS.len()].to_owned(),
             seeds: (0..MAX_SEED_FRONTS.min(options.fronts))
                 .map(host_address)
                 .collect(),
@@ -167,25 +167,25 @@
         };
         let log = self.log.clone();
         let process = FrontProcess::start(settings.clone(), &options.front_binary, folder, log)?;
-        let (orders, received) = mpsc::unbounded_channel();
+        let (commands, received_commands) = mpsc::unbounded_channel();
         Ok(RunningFront {
             settings,
             link,
-            commands: orders,
-            process_task: AbortOnDropHandle::new(tokio::spawn(process.run(received))),
+            commands,
+            process_task: AbortOnDropHandle::new(tokio::spawn(process.run(received_commands))),
         })
     }
 
     async fn wait_until_ready(&self) -> Result<()> {
-        let waiting = async {
+        let all_ready = async {
             for front in &self.fronts {
                 while !caller_client::is_ready(front.settings.ready_address()).await {
                     time::sleep(READY_POLL_INTERVAL).await;
                 }
             }
         };
-        let in_time = time::timeout(READY_TIMEOUT, waiting).await;
-        in_time.wrap_err("the fronts are not ready")
+        let ready = time::timeout(READY_TIMEOUT, all_ready).await;
+        ready.wrap_err("the fronts are not ready")
     }
 
     fn start_callers(&mut self, options: &SoakOptions) {
@@ -209,9 +209,9 @@
             self.inject_fault(*fault);
             if time::Instant::now() >= next_check {
                 next_check = time::Instant::now() + CHECK_INTERVAL;
-                let broken = self.check(options, false);
-                if !broken.is_empty() {
-                    return Ok(broken);
+                let violations = self.check(options, false);
+                if !violations.is_empty() {
+                    return Ok(violations);
                 }
             }
         }
@@ -237,99 +237,99 @@
 
     /// Begins a fault; what ends it goes on beside the run.
     fn inject_fault(&mut self, fault: SoakFault) {
-        let crew = self.targets.clone();
-        let target = |place: usize| place % crew.slot_count();
+        let targets = self.targets.clone();
+        let target = |index: usize| index % targets.slot_count();
         match fault {
-            SoakFault::StopFront(place) => self.send_command(place, FrontCommand::Stop),
+            SoakFault::StopFront(index) => self.send_command(index, FrontCommand::Stop),
             SoakFault::StopAll(pause) => self.stop_all(pause),
-            SoakFault::KillFront(place) => self.send_command(place, FrontCommand::Kill),
-            SoakFault::KillAll => (0..self.fronts.len()).for_each(|place| {
-                self.send_command(place, FrontCommand::Kill);
+            SoakFault::KillFront(index) => self.send_command(index, FrontCommand::Kill),
+            SoakFault::KillAll => (0..self.fronts.len()).for_each(|index| {
+                self.send_command(index, FrontCommand::Kill);
             }),
-            SoakFault::FreezeFront(place, span) => {
-                self.send_command(place, FrontCommand::Freeze(span))
+            SoakFault::FreezeFront(index, span) => {
+                self.send_command(index, FrontCommand::Freeze(span))
             }
-            SoakFault::ReloadFront(place) => self.send_command(place, FrontCommand::Reload),
-            SoakFault::StoreLink(place, mode, span) => self.disrupt_store_link(place, mode, span),
+            SoakFault::ReloadFront(index) => self.send_command(index, FrontCommand::Reload),
+            SoakFault::StoreLink(index, mode, span) => self.disrupt_store_link(index, mode, span),
             SoakFault::StoreFault(fault, span) => self.disrupt_store(fault, span),
             SoakFault::StoreCompaction => {
                 self.store.compact_history();
                 self.log
                     .record_disruption(DisruptionSubject::Store, "forgot");
             }
-            SoakFault::CrashTarget(place, pause) => {
-                let place = target(place);
+            SoakFault::CrashTarget(index, pause) => {
+                let index = target(index);
                 self.fault_tasks
-                    .spawn(async move { crew.crash(place, pause).await });
+                    .spawn(async move { targets.crash(index, pause).await });
             }
-            SoakFault::DrainTarget(place) => {
-                let place = target(place);
+            SoakFault::DrainTarget(index) => {
+                let index = target(index);
                 self.fault_tasks
-                    .spawn(async move { crew.drain(place).await });
+                    .spawn(async move { targets.drain(index).await });
             }
-            SoakFault::TargetLink(place, mode, span) => {
-                let place = target(place);
+            SoakFault::TargetLink(index, mode, span) => {
+                let index = target(index);
                 self.fault_tasks.spawn(async move {
-                    crew.disrupt_link(place, mode, span).await;
+                    targets.disrupt_link(index, mode, span).await;
                     Ok(())
                 });
             }
-            SoakFault::TargetFault(place, trouble, span) => {
-                let place = target(place);
+            SoakFault::TargetFault(index, fault, span) => {
+                let index = target(index);
                 self.fault_tasks.spawn(async move {
-                    crew.inject_fault(place, trouble, span).await;
+                    targets.inject_fault(index, fault, span).await;
                     Ok(())
                 });
             }
             SoakFault::ChangeConfig => self.operator.change_config(),
             SoakFault::Reshard => self.operator.reshard(),
-            SoakFault::Evacuate(place, span) => self.evacuate(place, span),
+            SoakFault::Evacuate(index, span) => self.evacuate(index, span),
         }
     }
 
-    fn send_command(&self, place: usize, order: FrontCommand) {
-        let front = &self.fronts[place % self.fronts.len()];
+    fn send_command(&self, index: usize, command: FrontCommand) {
+        let front = &self.fronts[index % self.fronts.len()];
         // Its task is gone only where it failed, which the end of the run tells.
-        let _is_gone = front.commands.send(order);
+        let _is_gone = front.commands.send(command);
     }
 
     fn stop_all(&mut self, pause: TimeSpan) {
-        let orders: Vec<_> = self
+        let senders: Vec<_> = self
             .fronts
             .iter()
             .map(|front| front.commands.clone())
             .collect();
         self.fault_tasks.spawn(async move {
-            for order in orders {
-                let _is_gone = order.send(FrontCommand::Stop);
+            for sender in senders {
+                let _is_gone = sender.send(FrontCommand::Stop);
                 time::sleep(pause.as_duration()).await;
             }
             Ok(())
         });
     }
 
-    fn disrupt_store_link(&mut self, place: usize, mode: LinkMode, span: TimeSpan) {
-        let front = &self.fronts[place % self.fronts.len()];
+    fn disrupt_store_link(&mut self, index: usize, mode: LinkMode, span: TimeSpan) {
+        let front = &self.fronts[index % self.fronts.len()];
         let link = front.link.clone();
         let log = self.log.clone();
         let subject = DisruptionSubject::Front(front.settings.ip);
         self.fault_tasks.spawn(async move {
-            let trouble = log.begin_disruption(subject, "store link");
+            let disruption = log.begin_disruption(subject, "store link");
             link.set_mode(mode);
             time::sleep(span.as_duration()).await;
             link.set_mode(LinkMode::Open);
-            log.end_disruption(trouble);
+            log.end_disruption(disruption);
             Ok(())
         });
     }
 
-    fn evacuate(&mut self, place: usize, span: TimeSpan) {
-        let domain = DOMAINS[place % DOMAINS.len()];
+    fn evacuate(&mut self, index: usize, span: TimeSpan) {
+        let domain = DOMAINS[index % DOMAINS.len()];
         let (store, log) = (self.store.clone(), self.log.clone());
         self.fault_tasks.spawn(async move {
-            let place = log.begin_evacuation(&store, domain);
+            let evacuation = log.begin_evacuation(&store, domain);
             time::sleep(span.as_duration()).await;
-            log.end_evacuation(&store, place);
+            log.end_evacuation(&store, evacuation);
             Ok(())
         });
     }
@@ -337,11 +337,11 @@
     fn disrupt_store(&mut self, fault: StoreFault, span: TimeSpan) {
         let (store, log) = (self.store.clone(), self.log.clone());
         self.fault_tasks.spawn(async move {
-            let place = log.begin_disruption(DisruptionSubject::Store, "failing");
+            let disruption = log.begin_disruption(DisruptionSubject::Store, "failing");
             store.set_fault(fault);
             time::sleep(span.as_duration()).await;
             store.set_fault(StoreFault::None);
-            log.end_disruption(place);
+            log.end_disruption(disruption);
             Ok(())
         });
     }
--- a/alderhaven-soak/src/soak_workload.rs
+++ b/alderhaven-soak/src/soak_workload.rs
@@ -30,8 +30,8 @@
 /// Gets the failure domain of a target by its id.
 #[must_use]
 pub fn target_domain(target: &str) -> &str {
-    let (_, place) = target.rsplit_once('.').unwrap_or_default();
-    place.trim_end_matches(|letter: char| letter.is_ascii_digit())
+    let (_, position) = target.rsplit_once('.').unwrap_or_default();
+    position.trim_end_matches(|letter: char| letter.is_ascii_digit())
 }
 
 /// A `ShardSet` is one of the sets of shards that the index can be cut into.
@@ -176,8 +176,8 @@
         store_fixtures::path_route("record", "/record/", "safe", RECORD_SERVICE),
         store_fixtures::path_route("order", "/order/", "unsafe", ORDER_SERVICE),
     ];
-    routes.extend(config.version_routes.iter().map(|mark| {
-        let name = format!("mark-{mark}");
+    routes.extend(config.version_routes.iter().map(|version| {
+        let name = format!("mark-{version}");
         store_fixtures::path_route(&name, &format!("/{name}/"), "safe", RECORD_SERVICE)
     }));
     let services = all_services();
--- a/alderhaven-soak/src/stall_detector.rs
+++ b/alderhaven-soak/src/stall_detector.rs
@@ -15,14 +15,14 @@
 /// Watches until the guard is dropped.
 #[must_use]
 pub fn start(log: HistoryLog) -> DropGuard {
-    let stopping = CancellationToken::new();
-    let stopped = stopping.clone();
+    let cancel_token = CancellationToken::new();
+    let stop_token = cancel_token.clone();
     thread::spawn(move || {
-        while !stopped.is_cancelled() {
+        while !stop_token.is_cancelled() {
             let from = log.now();
-            let asleep = Instant::now();
+            let sleep_start = Instant::now();
             thread::sleep(TICK_PERIOD);
-            if asleep.elapsed() > MAX_TICK_DELAY {
+            if sleep_start.elapsed() > MAX_TICK_DELAY {
                 let until = log.now();
                 log.lock().disruptions.push(DisruptionRecord {
                     subject: DisruptionSubject::Machine,
@@ -33,5 +33,5 @@
             }
         }
     });
-    stopping.drop_guard()
+    cancel_token.drop_guard()
 }
--- a/alderhaven-soak/src/target_fleet.rs
+++ b/alderhaven-soak/src/target_fleet.rs
@@ -62,55 +62,55 @@
     /// # Errors
     /// No port can be had.
     pub async fn start(log: HistoryLog, store: StoreStandin) -> Result<Self> {
-        let mut posts = Vec::new();
+        let mut slots = Vec::new();
         for service in soak_workload::all_services() {
-            posts.extend(DOMAINS.iter().map(|domain| TargetSlot {
+            slots.extend(DOMAINS.iter().map(|domain| TargetSlot {
                 service: service.clone(),
                 domain,
                 start_count: 0,
                 target: None,
             }));
         }
-        let count = posts.len();
-        let crew = Self {
+        let count = slots.len();
+        let fleet = Self {
             log,
             store,
-            slots: Arc::new(Mutex::new(posts)),
+            slots: Arc::new(Mutex::new(slots)),
         };
-        for place in 0..count {
-            crew.start_target(place).await?;
+        for index in 0..count {
+            fleet.start_target(index).await?;
         }
-        Ok(crew)
+        Ok(fleet)
     }
 
     /// Crashes the target at a place; another one starts there after `pause`.
     ///
     /// # Errors
     /// The other one can't be started.
-    pub async fn crash(&self, place: usize, pause: TimeSpan) -> Result<()> {
-        let Some(running) = self.take_running(place) else {
+    pub async fn crash(&self, index: usize, pause: TimeSpan) -> Result<()> {
+        let Some(running) = self.take_running(index) else {
             return Ok(());
         };
         let id = running.target.id.clone();
-        let trouble = self.begin_disruption(&id, "crashed");
+        let disruption = self.begin_disruption(&id, "crashed");
         running.target.crash();
         tokio::time::sleep(REGISTRATION_TTL).await;
         self.store.remove(store_fixtures::TARGET_KIND, &id);
         tokio::time::sleep(pause.as_duration()).await;
-        self.log.end_disruption(trouble);
-        self.start_target(place).await
+        self.log.end_disruption(disruption);
+        self.start_target(index).await
     }
 
     /// Lets the target at a place leave; another one starts there first.
     ///
     /// # Errors
     /// The other one can't be started.
-    pub async fn drain(&self, place: usize) -> Result<()> {
-        let Some(running) = self.take_running(place) else {
+    pub async fn drain(&self, index: usize) -> Result<()> {
+        let Some(running) = self.take_running(index) else {
             return Ok(());
         };
-        self.start_target(place).await?;
-        let (service, domain) = self.service_and_domain(place);
+        self.start_target(index).await?;
+        let (service, domain) = self.service_and_domain(index);
         let id = running.target.id.clone();
         let address = running.link.address();
         let leaving = store_fixtures::registration(address, &service, domain, "draining");
@@ -124,77 +124,76 @@
     }
 
     /// Disturbs the link to the target at a place for a while.
-    pub async fn disrupt_link(&self, place: usize, mode: LinkMode, span: TimeSpan) {
-        let Some(running) = self.running_target(place) else {
+    pub async fn disrupt_link(&self, index: usize, mode: LinkMode, span: TimeSpan) {
+        let Some(running) = self.running_target(index) else {
             return;
         };
-        let trouble = self.begin_disruption(&running.target.id, "link");
+        let disruption = self.begin_disruption(&running.target.id, "link");
         running.link.set_mode(mode);
         tokio::time::sleep(span.as_duration()).await;
         running.link.set_mode(LinkMode::Open);
-        self.log.end_disruption(trouble);
+        self.log.end_disruption(disruption);
     }
 
     /// Lets the target at a place fail for a while.
-    pub async fn inject_fault(&self, place: usize, fault: TargetFault, span: TimeSpan) {
-        let Some(running) = self.running_target(place) else {
+    pub async fn inject_fault(&self, index: usize, fault: TargetFault, span: TimeSpan) {
+        let Some(running) = self.running_target(index) else {
             return;
         };
-        let trouble = self.begin_disruption(&running.target.id, "failing");
+        let disruption = self.begin_disruption(&running.target.id, "failing");
         running.set_fault(Some(fault));
         tokio::time::sleep(span.as_duration()).await;
         running.set_fault(None);
-        self.log.end_disruption(trouble);
+        self.log.end_disruption(disruption);
     }
 
-    async fn start_target(&self, place: usize) -> Result<()> {
-        let (service, domain) = self.service_and_domain(place);
+    async fn start_target(&self, index: usize) -> Result<()> {
+        let (service, domain) = self.service_and_domain(index);
         let id = {
-            let mut posts = self.lock_slots();
-            let post = &mut posts[place];
-            post.start_count += 1;
-            let life = post.start_count;
-            soak_workload::target_id(&service, domain, life)
+            let mut slots = self.lock_slots();
+            let slot = &mut slots[index];
+            slot.start_count += 1;
+            let start_number = slot.start_count;
+            soak_workload::target_id(&service, domain, start_number)
         };
-        let trouble = Arc::new(Mutex::new(None));
+        let fault = Arc::new(Mutex::new(None));
         let log = self.log.clone();
-        let (own_id, own_service, own_trouble) =
-            (id.clone(), service.clone(), Arc::clone(&trouble));
+        let (own_id, own_service, own_fault) = (id.clone(), service.clone(), Arc::clone(&fault));
         let target = TargetStandin::start_scripted(&id, move |request| {
-            let trouble = *own_trouble.lock().unwrap_or_else(PoisonError::into_inner);
-            let act = choose_behavior(&own_service, request, trouble);
-            record_arrival(&log, &own_id, &own_service, request, &act);
-            act
+            let fault = *own_fault.lock().unwrap_or_else(PoisonError::into_inner);
+            let behavior = choose_behavior(&own_service, request, fault);
+            record_arrival(&log, &own_id, &own_service, request, &behavior);
+            behavior
         });
         let target = target.await.wrap_err("no target")?;
         let link = LinkProxy::start(target.address).await.wrap_err("no link")?;
         let entry = store_fixtures::registration(link.address(), &service, domain, "ready");
         self.store.put(store_fixtures::TARGET_KIND, &id, entry);
-        self.lock_slots()[place].target = Some(RunningTarget {
+        self.lock_slots()[index].target = Some(RunningTarget {
             target,
             link,
-            fault: trouble,
+            fault,
         });
         Ok(())
     }
 
-    fn begin_disruption(&self, id: &str, what: &str) -> usize {
+    fn begin_disruption(&self, id: &str, kind: &str) -> usize {
         self.log
-            .begin_disruption(DisruptionSubject::Target(id.to_owned()), what)
+            .begin_disruption(DisruptionSubject::Target(id.to_owned()), kind)
     }
 
-    fn service_and_domain(&self, place: usize) -> (String, &'static str) {
-        let posts = self.lock_slots();
-        let post = &posts[place % posts.len()];
-        (post.service.clone(), post.domain)
+    fn service_and_domain(&self, index: usize) -> (String, &'static str) {
+        let slots = self.lock_slots();
+        let slot = &slots[index % slots.len()];
+        (slot.service.clone(), slot.domain)
     }
 
-    fn take_running(&self, place: usize) -> Option<RunningTarget> {
-        self.lock_slots().get_mut(place)?.target.take()
+    fn take_running(&self, index: usize) -> Option<RunningTarget> {
+        self.lock_slots().get_mut(index)?.target.take()
     }
 
-    fn running_target(&self, place: usize) -> Option<RunningTarget> {
-        self.lock_slots().get(place)?.target.clone()
+    fn running_target(&self, index: usize) -> Option<RunningTarget> {
+        self.lock_slots().get(index)?.target.clone()
     }
 
     /// Gets the count of places.
@@ -209,16 +208,16 @@
 }
 
 impl RunningTarget {
-    fn set_fault(&self, trouble: Option<TargetFault>) {
+    fn set_fault(&self, fault: Option<TargetFault>) {
         let mut current = self.fault.lock().unwrap_or_else(PoisonError::into_inner);
-        *current = trouble;
+        *current = fault;
     }
 }
 
 fn choose_behavior(
     service: &str,
     request: &TargetRequest,
-    trouble: Option<TargetFault>,
+    fault: Option<TargetFault>,
 ) -> TargetBehavior {
     let kind = if request.path.starts_with("/sweep/") {
         RequestKind::FanOut
@@ -228,8 +227,8 @@
     let body = shard_records::response_body(service, &request.request_id);
     let mut rng = rand::rng();
     let work = kind.mean_service_time().mul_f64(rng.random_range(0.5..2.0));
-    let trouble = trouble.filter(|_| rng.random_bool(FAULTY_SHARE));
-    match trouble {
+    let fault = fault.filter(|_| rng.random_bool(FAULTY_SHARE));
+    match fault {
         None => TargetBehavior::AnswerAfter(work, body),
         Some(TargetFault::Slow) => TargetBehavior::AnswerAfter(work * SLOW_FACTOR, body),
         Some(TargetFault::NoReply) => TargetBehavior::RunWithoutReply,
@@ -246,7 +245,7 @@
     target: &str,
     service: &str,
     request: &TargetRequest,
-    act: &TargetBehavior,
+    behavior: &TargetBehavior,
 ) {
     let at = log.now();
     log.lock().arrivals.push(ArrivalRecord {
@@ -258,9 +257,9 @@
         path: request.path.clone(),
         body: Bytes::copy_from_slice(&request.body),
         time_left: request.time_left.map(TimeSpan::from),
-        is_run: act.runs_request(),
+        is_run: behavior.runs_request(),
         is_answered: matches!(
-            act,
+            behavior,
             TargetBehavior::Answer(_)
                 | TargetBehavior::AnswerAfter(..)
                 | TargetBehavior::AnswerTwice(_)
--- a/alderhaven-soak/tests/history/mod.rs
+++ b/alderhaven-soak/tests/history/mod.rs
@@ -43,41 +43,47 @@
 impl HistoryBuilder {
     /// A sweep, a record and an order at nine seconds, all served, and enough requests at the end.
     pub fn valid() -> Self {
-        let mut maker = Self {
+        let mut builder = Self {
             history: SoakHistory::default(),
         };
-        maker.history.processes.push(ProcessRecord {
+        builder.history.processes.push(ProcessRecord {
             front: FRONT_ADDRESS,
             started_at: at_millis(0),
             stop_requested_at: None,
             is_killed: false,
             ended_at: None,
         });
-        maker.add_config(1, &[1], ShardSet::Old, at_millis(0));
-        maker.add_request("sweep", RequestKind::FanOut, at_millis(9_000));
-        maker.add_request("record", RequestKind::Record, at_millis(9_000));
-        maker.add_request("order", RequestKind::Order, at_millis(9_000));
+        builder.add_config(1, &[1], ShardSet::Old, at_millis(0));
+        builder.add_request("sweep", RequestKind::FanOut, at_millis(9_000));
+        builder.add_request("record", RequestKind::Record, at_millis(9_000));
+        builder.add_request("order", RequestKind::Order, at_millis(9_000));
         for number in 0..10 {
-            maker.add_request(
+            builder.add_request(
                 &format!("tail{number}"),
                 RequestKind::Record,
                 at_millis(18_500),
             );
         }
-        maker
+        builder
     }
 
-    pub fn add_config(&mut self, version: u64, marks: &[u64], shards: ShardSet, acked: TimePoint) {
+    pub fn add_config(
+        &mut self,
+        version: u64,
+        version_routes: &[u64],
+        shards: ShardSet,
+        accepted_at: TimePoint,
+    ) {
         self.history.configs.push(ConfigRecord {
             version,
-            accepted_at: acked,
+            accepted_at,
             shards,
-            version_routes: marks.to_vec(),
+            version_routes: version_routes.to_vec(),
         });
     }
 
     /// Adds a request that is served.
-    pub fn add_request(&mut self, id: &str, kind: RequestKind, sent: TimePoint) {
+    pub fn add_request(&mut self, id: &str, kind: RequestKind, sent_at: TimePoint) {
         let services = kind.services(ShardSet::Old);
         let answer = if kind == RequestKind::FanOut {
             let proofs = services
@@ -104,13 +110,13 @@
         let request = RequestRecord {
             kind,
             front: FRONT_ADDRESS,
-            sent_at: sent,
+            sent_at,
             timeout: kind.timeout(),
             method: kind.method().to_owned(),
             path: kind.path(id),
             body: Bytes::new(),
             end: Some(RequestEnd {
-                at: sent + ANSWER_TIME,
+                at: sent_at + ANSWER_TIME,
                 outcome: RequestOutcome::Answered(answer),
             }),
         };
@@ -120,7 +126,7 @@
                 id,
                 &format!("{service}.a1"),
                 service,
-                sent + TimeSpan::from_millis(2),
+                sent_at + TimeSpan::from_millis(2),
             );
         }
     }
@@ -147,13 +153,13 @@
     pub fn add_evacuation(
         &mut self,
         domain: &str,
-        acked: TimePoint,
-        taken_back: Option<TimePoint>,
+        accepted_at: TimePoint,
+        revoked_at: Option<TimePoint>,
     ) {
         self.history.evacuations.push(EvacuationRecord {
             domain: domain.to_owned(),
-            accepted_at: acked,
-            revoked_at: taken_back,
+            accepted_at,
+            revoked_at,
         });
     }
 
@@ -200,8 +206,11 @@
     /// The promises that are broken, each once.
     pub fn broken_promises(&self, scope: PromiseScope) -> Vec<PromiseKind> {
         let index = HistoryIndex::new(&self.history, at_millis(HISTORY_END_MS));
-        let broken = promises::check(&index, scope, true);
-        let mut kinds: Vec<PromiseKind> = broken.iter().map(|broken| broken.promise).collect();
+        let violations = promises::check(&index, scope, true);
+        let mut kinds: Vec<PromiseKind> = violations
+            .iter()
+            .map(|violation| violation.promise)
+            .collect();
         kinds.dedup();
         kinds
     }
--- a/alderhaven-soak/tests/links.rs
+++ b/alderhaven-soak/tests/links.rs
@@ -43,7 +43,7 @@
 
 /// A cut holds bytes back, and delivers them once it has healed: nothing is lost.
 #[tokio::test]
-async fn link_cut_and_healed() {
+async fn link_blocked_and_reopened() {
     let (link, mut stream) = echo_link().await;
     for mode in [
         LinkMode::UpstreamBlocked,
@@ -52,8 +52,8 @@
     ] {
         link.set_mode(mode);
         stream.write_u8(8).await.expect("it is open");
-        let silent = tokio::time::timeout(SILENCE_TIMEOUT, stream.read_u8()).await;
-        assert!(silent.is_err(), "{mode:?}");
+        let blocked_read = tokio::time::timeout(SILENCE_TIMEOUT, stream.read_u8()).await;
+        assert!(blocked_read.is_err(), "{mode:?}");
         link.set_mode(LinkMode::Open);
         assert_eq!(read_byte(&mut stream).await, Some(8));
     }
--- a/alderhaven-soak/tests/promises.rs
+++ b/alderhaven-soak/tests/promises.rs
@@ -13,308 +13,311 @@
 const ALL: PromiseScope = PromiseScope::All;
 
 #[test]
-fn check_sound_history() {
-    let maker = HistoryBuilder::valid();
-    assert_eq!(maker.broken_promises(ALL), []);
-    assert_eq!(maker.broken_promises(PromiseScope::Untimed), []);
+fn check_valid_history() {
+    let builder = HistoryBuilder::valid();
+    assert_eq!(builder.broken_promises(ALL), []);
+    assert_eq!(builder.broken_promises(PromiseScope::Untimed), []);
 }
 
 /// A caller asks for a record and gets the answer to another caller's request.
 #[test]
 fn check_foreign_answer() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("record", |answer| {
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("record", |answer| {
         answer.proof = "d-records.a1-other".to_owned();
     });
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::OwnAnswer]);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::OwnAnswer]);
 }
 
 /// The answer of a target is cut on the way and reaches the caller as a whole one.
 #[test]
-fn check_short_answer() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("record", |answer| answer.body = answer.body.slice(..20));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::OwnAnswer]);
+fn check_truncated_answer() {
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("record", |answer| answer.body = answer.body.slice(..20));
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::OwnAnswer]);
 }
 
 /// A target fails, and its failure reaches the caller with another status.
 #[test]
 fn check_changed_failure() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("record", |answer| answer.status = 502);
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::OwnAnswer]);
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("record", |answer| answer.status = 502);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::OwnAnswer]);
 }
 
 /// An answer is merged from the shards of two configurations.
 #[test]
 fn check_mixed_shards() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("sweep", |answer| {
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("sweep", |answer| {
         answer.part_proofs[0] = "d-new-0.a1-sweep".to_owned();
         let mut services = ShardSet::Old.services();
         services[0] = "new-0".to_owned();
         answer.body = history::merged_body(&services, "sweep");
     });
-    let broken = maker.broken_promises(PromiseScope::Untimed);
+    let broken = builder.broken_promises(PromiseScope::Untimed);
     assert!(broken.contains(&PromiseKind::TrueCoverage), "{broken:?}");
 }
 
 /// A shard is missing and the answer does not say so.
 #[test]
-fn check_hidden_gap() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("sweep", |answer| {
+fn check_unreported_missing_shard() {
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("sweep", |answer| {
         answer.part_proofs.pop();
         let services = &ShardSet::Old.services()[..5];
         answer.body = history::merged_body(services, "sweep");
     });
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::TrueCoverage]);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
 /// The digests of all shards are there, and the records of one of them are not.
 #[test]
-fn check_lost_records() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("sweep", |answer| {
+fn check_missing_records() {
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("sweep", |answer| {
         answer.body = history::merged_body(&ShardSet::Old.services()[1..], "sweep");
         assert_eq!(answer.body.len(), MERGED_RECORDS * 16);
     });
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::TrueCoverage]);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
 /// More shards are missing than a caller can do without, and it gets a success all the same.
 #[test]
-fn check_thin_answer() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("sweep", |answer| {
+fn check_insufficient_coverage() {
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("sweep", |answer| {
         answer.part_proofs.truncate(2);
         answer.missing = 4;
         answer.body = history::merged_body(&ShardSet::Old.services()[..2], "sweep");
     });
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::TrueCoverage]);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
 /// A proper request is called wrong.
 #[test]
-fn check_denied_request() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("order", |answer| answer.status = 400);
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NotDenied]);
+fn check_rejected_valid_request() {
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("order", |answer| answer.status = 400);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::NotDenied]);
 }
 
 /// An order is sent to a second target because the first one was slow, and both run it.
 #[test]
 fn check_order_run_twice() {
-    let mut maker = HistoryBuilder::valid();
-    maker.add_arrival("order", "orders.b1", "orders", at_millis(9_050));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::AtMostOnce]);
+    let mut builder = HistoryBuilder::valid();
+    builder.add_arrival("order", "orders.b1", "orders", at_millis(9_050));
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::AtMostOnce]);
 }
 
 /// A shard's third target is asked although two is the most.
 #[test]
 fn check_too_many_targets() {
-    let mut maker = HistoryBuilder::valid();
-    maker.add_arrival("sweep", "old-0.b1", "old-0", at_millis(9_020));
-    assert_eq!(maker.broken_promises(ALL), []);
-    maker.add_arrival("sweep", "old-0.a2", "old-0", at_millis(9_030));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::AtMostOnce]);
+    let mut builder = HistoryBuilder::valid();
+    builder.add_arrival("sweep", "old-0.b1", "old-0", at_millis(9_020));
+    assert_eq!(builder.broken_promises(ALL), []);
+    builder.add_arrival("sweep", "old-0.a2", "old-0", at_millis(9_030));
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::AtMostOnce]);
 }
 
 /// A caller is told that its order has not run, sends it again, and it had run.
 #[test]
 fn check_false_refusal() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("order", |answer| {
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("order", |answer| {
         answer.status = 503;
         answer.is_refusal = true;
         answer.proof = String::new();
     });
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NotRun]);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::NotRun]);
 }
 
 /// A caller is told that its query over all shards has not run and when to come back, and a part of it had
 /// run: the refusal cost the targets work that nobody gets.
 #[test]
 fn check_false_refusal_of_a_query() {
-    let mut maker = HistoryBuilder::valid();
-    maker.edit_answer("sweep", |answer| {
+    let mut builder = HistoryBuilder::valid();
+    builder.edit_answer("sweep", |answer| {
         answer.status = 503;
         answer.is_refusal = true;
         answer.proof = String::new();
         answer.part_proofs.clear();
     });
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NotRun]);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::NotRun]);
 }
 
 /// A target gets a request that no caller sent, and one whose path has changed.
 #[test]
 fn check_invented_request() {
-    let mut maker = HistoryBuilder::valid();
-    maker.add_arrival("nobody", "records.a1", "records", at_millis(9_020));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NothingInvented]);
-    let mut maker = HistoryBuilder::valid();
-    maker.history.arrivals[0].path = "/sweep/".to_owned();
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NothingInvented]);
+    let mut builder = HistoryBuilder::valid();
+    builder.add_arrival("nobody", "records.a1", "records", at_millis(9_020));
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::NothingInvented]);
+    let mut builder = HistoryBuilder::valid();
+    builder.history.arrivals[0].path = "/sweep/".to_owned();
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::NothingInvented]);
 }
 
 /// A target says that it leaves, and gets work after its time. While the store fails that may be.
 #[test]
 fn check_work_for_leaving_target() {
-    let mut maker = HistoryBuilder::valid();
-    maker.add_leaving_target("records.a1", at_millis(5_000));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::LeavingLeftAlone]);
-    maker.add_disruption(DisruptionSubject::Store, at_millis(4_000), at_millis(6_000));
-    assert_eq!(maker.broken_promises(ALL), []);
+    let mut builder = HistoryBuilder::valid();
+    builder.add_leaving_target("records.a1", at_millis(5_000));
+    assert_eq!(
+        builder.broken_promises(ALL),
+        [PromiseKind::LeavingLeftAlone]
+    );
+    builder.add_disruption(DisruptionSubject::Store, at_millis(4_000), at_millis(6_000));
+    assert_eq!(builder.broken_promises(ALL), []);
 }
 
 /// A failure domain is evacuated, and its targets get work after the bound; not while the store fails, not within the
 /// bound, and not once it is taken back.
 #[test]
 fn check_work_for_evacuated_domain() {
-    let mut maker = HistoryBuilder::valid();
-    maker.add_evacuation("b", at_millis(1_000), None);
+    let mut builder = HistoryBuilder::valid();
+    builder.add_evacuation("b", at_millis(1_000), None);
     assert_eq!(
-        maker.broken_promises(ALL),
+        builder.broken_promises(ALL),
         [],
         "the targets lie in the other one"
     );
-    maker.add_evacuation("a", at_millis(3_000), Some(at_millis(10_000)));
+    builder.add_evacuation("a", at_millis(3_000), Some(at_millis(10_000)));
     assert!(
-        maker
+        builder
             .broken_promises(ALL)
             .contains(&PromiseKind::EvacuatedLeftAlone)
     );
-    maker.add_disruption(DisruptionSubject::Store, at_millis(2_000), at_millis(4_000));
-    assert_eq!(maker.broken_promises(ALL), []);
-    let mut maker = HistoryBuilder::valid();
-    maker.add_evacuation("a", at_millis(4_500), Some(at_millis(10_000)));
-    assert_eq!(maker.broken_promises(ALL), [], "within the bound");
-    let mut maker = HistoryBuilder::valid();
-    maker.add_evacuation("a", at_millis(1_000), Some(at_millis(8_000)));
-    assert_eq!(maker.broken_promises(ALL), [], "taken back");
+    builder.add_disruption(DisruptionSubject::Store, at_millis(2_000), at_millis(4_000));
+    assert_eq!(builder.broken_promises(ALL), []);
+    let mut builder = HistoryBuilder::valid();
+    builder.add_evacuation("a", at_millis(4_500), Some(at_millis(10_000)));
+    assert_eq!(builder.broken_promises(ALL), [], "within the bound");
+    let mut builder = HistoryBuilder::valid();
+    builder.add_evacuation("a", at_millis(1_000), Some(at_millis(8_000)));
+    assert_eq!(builder.broken_promises(ALL), [], "taken back");
 }
 
 /// A route that was added long ago is missing at a front; within the first seconds that may be.
 #[test]
-fn check_late_configuration() {
-    let mut maker = HistoryBuilder::valid();
-    maker.add_request("mark", RequestKind::VersionRoute(4), at_millis(9_000));
-    maker.edit_answer("mark", |answer| {
+fn check_late_config() {
+    let mut builder = HistoryBuilder::valid();
+    builder.add_request("mark", RequestKind::VersionRoute(4), at_millis(9_000));
+    builder.edit_answer("mark", |answer| {
         answer.status = 404;
         answer.proof = String::new();
     });
-    maker.add_config(4, &[1, 4], ShardSet::Old, at_millis(7_000));
-    assert_eq!(maker.broken_promises(ALL), []);
-    maker.history.configs[1].accepted_at = at_millis(4_000);
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::ConfigInForce]);
+    builder.add_config(4, &[1, 4], ShardSet::Old, at_millis(7_000));
+    assert_eq!(builder.broken_promises(ALL), []);
+    builder.history.configs[1].accepted_at = at_millis(4_000);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::ConfigInForce]);
 }
 
 /// A route that was taken away long ago is still served.
 #[test]
-fn check_route_that_is_gone() {
-    let mut maker = HistoryBuilder::valid();
-    maker.add_request("mark", RequestKind::VersionRoute(1), at_millis(9_000));
-    maker.add_config(4, &[4], ShardSet::Old, at_millis(4_000));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::ConfigInForce]);
+fn check_removed_route() {
+    let mut builder = HistoryBuilder::valid();
+    builder.add_request("mark", RequestKind::VersionRoute(1), at_millis(9_000));
+    builder.add_config(4, &[4], ShardSet::Old, at_millis(4_000));
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::ConfigInForce]);
 }
 
 /// A front serves a new route and then, after a late word from a peer, does not know it.
 #[test]
-fn check_configuration_that_goes_back() {
-    let mut maker = HistoryBuilder::valid();
-    maker.add_config(4, &[1, 4], ShardSet::Old, at_millis(8_500));
-    maker.add_request("first", RequestKind::VersionRoute(4), at_millis(9_000));
-    maker.add_request("second", RequestKind::VersionRoute(4), at_millis(9_200));
-    assert_eq!(maker.broken_promises(ALL), []);
-    maker.edit_answer("second", |answer| {
+fn check_config_regression() {
+    let mut builder = HistoryBuilder::valid();
+    builder.add_config(4, &[1, 4], ShardSet::Old, at_millis(8_500));
+    builder.add_request("first", RequestKind::VersionRoute(4), at_millis(9_000));
+    builder.add_request("second", RequestKind::VersionRoute(4), at_millis(9_200));
+    assert_eq!(builder.broken_promises(ALL), []);
+    builder.edit_answer("second", |answer| {
         answer.status = 404;
         answer.proof = String::new();
     });
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::ConfigKept]);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::ConfigKept]);
 }
 
 /// A front is asked to stop and closes a connection although the target's answer is coming. Where it
 /// is killed that may be.
 #[test]
 fn check_cut_request() {
-    let mut maker = HistoryBuilder::valid();
-    maker.set_outcome("order", RequestOutcome::Closed);
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NothingCut]);
-    maker.history.processes[0].stop_requested_at = Some(at_millis(8_000));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::NothingCut]);
-    maker.history.processes[0].is_killed = true;
-    assert_eq!(maker.broken_promises(ALL), []);
+    let mut builder = HistoryBuilder::valid();
+    builder.set_outcome("order", RequestOutcome::Closed);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::NothingCut]);
+    builder.history.processes[0].stop_requested_at = Some(at_millis(8_000));
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::NothingCut]);
+    builder.history.processes[0].is_killed = true;
+    assert_eq!(builder.broken_promises(ALL), []);
 }
 
 /// A process ends although nobody asked it to.
 #[test]
-fn check_crash() {
-    let mut maker = HistoryBuilder::valid();
-    maker.history.processes[0].ended_at = Some(at_millis(11_000));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::ProcessLives]);
+fn check_unrequested_exit() {
+    let mut builder = HistoryBuilder::valid();
+    builder.history.processes[0].ended_at = Some(at_millis(11_000));
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::ProcessLives]);
 }
 
 /// A service that fails gets more repeats than all fronts together may send.
 #[test]
-fn check_flood_of_repeats() {
-    let mut maker = HistoryBuilder::valid();
+fn check_excessive_repeats() {
+    let mut builder = HistoryBuilder::valid();
     for number in 0..40 {
         let id = format!("again{number}");
-        maker.add_request(&id, RequestKind::Record, at_millis(9_000));
-        maker.add_arrival(&id, "records.b1", "records", at_millis(9_100));
+        builder.add_request(&id, RequestKind::Record, at_millis(9_000));
+        builder.add_arrival(&id, "records.b1", "records", at_millis(9_100));
     }
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::RepeatBudget]);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::RepeatBudget]);
 }
 
 /// A target is told that it may work for longer than the caller waits.
 #[test]
-fn check_borrowed_time() {
-    let mut maker = HistoryBuilder::valid();
-    maker.history.arrivals[0].time_left = Some(TimeSpan::from_secs(30));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::TimeLeft]);
+fn check_excessive_time_left() {
+    let mut builder = HistoryBuilder::valid();
+    builder.history.arrivals[0].time_left = Some(TimeSpan::from_secs(30));
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::TimeLeft]);
 }
 
 /// A front keeps a caller waiting beyond its time. While the front stands still that may be.
 #[test]
 fn check_late_answer() {
-    let mut maker = HistoryBuilder::valid();
-    maker.set_end("order", at_millis(13_000), RequestOutcome::Unanswered);
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::AnswerInTime]);
-    maker.add_disruption(
+    let mut builder = HistoryBuilder::valid();
+    builder.set_end("order", at_millis(13_000), RequestOutcome::Unanswered);
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::AnswerInTime]);
+    builder.add_disruption(
         DisruptionSubject::Front(FRONT_ADDRESS),
         at_millis(9_000),
         at_millis(12_000),
     );
-    assert_eq!(maker.broken_promises(ALL), []);
+    assert_eq!(builder.broken_promises(ALL), []);
 }
 
 /// A caller leaves, and the front still sends its request to another target.
 #[test]
-fn check_work_for_gone_caller() {
-    let mut maker = HistoryBuilder::valid();
-    maker.set_end("sweep", at_millis(9_040), RequestOutcome::Abandoned);
-    assert_eq!(maker.broken_promises(ALL), []);
-    maker.add_arrival("sweep", "old-1.b1", "old-1", at_millis(9_700));
-    assert_eq!(maker.broken_promises(ALL), [PromiseKind::CallerGone]);
+fn check_work_for_disconnected_caller() {
+    let mut builder = HistoryBuilder::valid();
+    builder.set_end("sweep", at_millis(9_040), RequestOutcome::Abandoned);
+    assert_eq!(builder.broken_promises(ALL), []);
+    builder.add_arrival("sweep", "old-1.b1", "old-1", at_millis(9_700));
+    assert_eq!(builder.broken_promises(ALL), [PromiseKind::CallerGone]);
 }
 
 /// All faults are over and the fronts still refuse.
 #[test]
 fn check_missing_recovery() {
-    let mut maker = HistoryBuilder::valid();
+    let mut builder = HistoryBuilder::valid();
     for number in 0..12 {
         let id = format!("last{number}");
-        maker.add_request(&id, RequestKind::Record, at_millis(19_000));
-        maker.edit_answer(&id, |answer| {
+        builder.add_request(&id, RequestKind::Record, at_millis(19_000));
+        builder.edit_answer(&id, |answer| {
             answer.status = 503;
             answer.is_refusal = true;
             answer.proof = String::new();
         });
     }
     // What is refused is sent nowhere.
-    let arrivals = &mut maker.history.arrivals;
+    let arrivals = &mut builder.history.arrivals;
     arrivals.retain(|arrival| !arrival.request_id.starts_with("last"));
-    let broken = maker.broken_promises(ALL);
+    let broken = builder.broken_promises(ALL);
     assert_eq!(broken, [PromiseKind::Recovery]);
 }
 
