--- a/alderhaven-soak/src/front_process.rs
+++ b/alderhaven-soak/src/front_process.rs
@@ -1,4 +1,4 @@
-//! A front as a process of its own, with the signals for it; it starts again whenever it ends.
+//! Runs a front as a child process, sends it signals and restarts it whenever it ends.
 
 use std::fs::File;
 use std::net::IpAddr;
@@ -14,25 +14,25 @@
 
 use crate::soak_history::{DisruptionSubject, HistoryLog, ProcessRecord};
 
-/// How often the process is looked at.
+/// How often the child process is checked for its end and for due actions.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long after its end a process is started again, as a supervisor does it.
+/// The delay between the end of a process and its restart.
 const RESTART_DELAY: TimeSpan = TimeSpan::from_millis(300);
 
-/// A `FrontOrder` is something that is done to the process of a front.
+/// A command for the process of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontCommand {
-    /// It is asked to stop (SIGTERM), and killed once its grace is over.
+    /// Stops it with SIGTERM, and kills it after the grace period.
     Stop,
-    /// It is killed (SIGKILL).
+    /// Kills it with SIGKILL.
     Kill,
-    /// It stands still for so long (SIGSTOP, SIGCONT).
+    /// Suspends it for a time, with SIGSTOP and SIGCONT.
     Freeze(TimeSpan),
-    /// It is told to read its settings again (SIGHUP).
+    /// Makes it reload its settings, with SIGHUP.
     Reload,
 }
 
-/// A `FrontProcess` runs one front after the other on a host; dropping it kills the one that runs.
+/// Supervises the successive processes of one front. Dropping it kills the current one.
 #[derive(Debug)]
 pub struct FrontProcess {
     settings: FrontSettings,
@@ -47,10 +47,10 @@
 }
 
 impl FrontProcess {
-    /// Starts the first process; its settings and the output of all processes go to `folder`.
+    /// Starts the first process. Its settings file and the output of all processes go to `folder`.
     ///
     /// # Errors
-    /// A file can't be written, or the program can't be started.
+    /// A file can't be written, or the binary can't be started.
     pub fn start(
         settings: FrontSettings,
         binary: &Path,
@@ -75,10 +75,10 @@
         Ok(process)
     }
 
-    /// Carries out orders until the sender is gone, and starts the process again whenever it ends.
+    /// Executes commands until the sender is dropped, and restarts the process whenever it ends.
     ///
     /// # Errors
-    /// The program can't be started again, or a signal can't be sent.
+    /// The binary can't be started again, or a signal can't be sent.
     pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<FrontCommand>) -> Result<()> {
         loop {
             tokio::select! {
@@ -100,8 +100,10 @@
         self.start_count += 1;
         let name = &self.settings.name;
         let output = self.folder.join(format!("{name}.{}.log", self.start_count));
-        let output = File::create(&output).wrap_err("the log can't be created")?;
-        let errors = output.try_clone().wrap_err("the log can't be shared")?;
+        let output = File::create(&output).wrap_err("the output log can't be created")?;
+        let errors = output
+            .try_clone()
+            .wrap_err("the output log can't be duplicated for stderr")?;
         let child = Command::new(&self.binary)
             .env(SETTINGS_VARIABLE, self.folder.join(format!("{name}.toml")))
             .stdin(Stdio::null())
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Does what is due by time, and notes where the process has ended.
+    /// Performs the actions that are due, and records the end of the process.
     fn run_maintenance(&mut self) -> Result<()> {
         let now = self.log.now();
         if self.frozen.is_some_and(|(until, _)| now >= until) {
@@ -159,7 +161,11 @@
         }
         match &mut self.child {
             Some(child) => {
-                if child.try_wait().wrap_err("no status")?.is_some() {
+                if child
+                    .try_wait()
+                    .wrap_err("the status of the process can't be read")?
+                    .is_some()
+                {
                     self.record_exit(now);
                 }
                 Ok(())
@@ -199,7 +205,7 @@
         let Some(child) = &self.child else {
             return Ok(());
         };
-        // The child is waited for only by `keep_up` and `drop`, so its id is still its own.
+        // Only `run_maintenance` and `drop` reap the child, so its id can't have been reused.
         rustix::process::kill_process(Pid::from_child(child), signal)
             .wrap_err_with(|| format!("{signal:?} can't be sent to {}", self.settings.name))
     }
@@ -222,7 +228,7 @@
         let Some(child) = &mut self.child else {
             return;
         };
-        // A process that has ended already can't be killed again.
+        // Fails if the process has already ended.
         let _ended_before = child.kill();
         let _status = child.wait();
     }
--- a/alderhaven-soak/src/history_index.rs
+++ b/alderhaven-soak/src/history_index.rs
@@ -1,4 +1,4 @@
-//! Questions to a history that several promises share.
+//! Lookups in a history that several promise checks share.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -10,22 +10,22 @@
     SoakHistory,
 };
 
-/// For how long after a disturbance what it touched is not held to promises with a time: connections
-/// are opened again, peers are heard, queues empty. The users' platform allows as much.
+/// How long after a disruption its subject is exempt from promises with a time bound, while
+/// connections are reopened, peers are contacted again and queues drain.
 pub const SETTLING_TIME: TimeSpan = TimeSpan::from_secs(4);
 
-/// A `HistoryIndex` is a history with what the checks look up in it.
+/// A history with its arrivals indexed by request.
 #[derive(Debug)]
 pub struct HistoryIndex<'h> {
-    /// The history.
+    /// The indexed history.
     pub history: &'h SoakHistory,
-    /// When it was looked at.
+    /// The time up to which the history is complete.
     pub now: TimePoint,
     arrivals: BTreeMap<&'h str, Vec<&'h ArrivalRecord>>,
 }
 
 impl<'h> HistoryIndex<'h> {
-    /// Returns the index of a history as of `now`.
+    /// Indexes a history as of `now`.
     #[must_use]
     pub fn new(history: &'h SoakHistory, now: TimePoint) -> Self {
         let mut arrivals: BTreeMap<&str, Vec<&ArrivalRecord>> = BTreeMap::new();
@@ -40,19 +40,19 @@
         }
     }
 
-    /// Gets the arrivals of a request.
+    /// Returns the arrivals of a request at targets, in order.
     #[must_use]
     pub fn arrivals(&self, request_id: &str) -> &[&'h ArrivalRecord] {
         self.arrivals.get(request_id).map_or(&[], Vec::as_slice)
     }
 
-    /// Gets the request of an arrival.
+    /// Returns the caller's request of an arrival; `None` if no caller sent it.
     #[must_use]
     pub fn request(&self, arrival: &ArrivalRecord) -> Option<&'h RequestRecord> {
         self.history.requests.get(&arrival.request_id)
     }
 
-    /// Returns true where nothing disturbed the subject in that span, nor the machine.
+    /// Returns true if no disruption of the subject or the machine overlaps the period.
     #[must_use]
     pub fn is_undisrupted(
         &self,
@@ -67,8 +67,8 @@
         disruptions.all(|record| record.from > until || record.until.is_some_and(|end| end < from))
     }
 
-    /// Returns true where a front was running and undisturbed for the whole span, and long enough
-    /// before it.
+    /// Returns true if one process of the front ran undisrupted, and was not asked to stop, from
+    /// [`SETTLING_TIME`] before the period to its end.
     #[must_use]
     pub fn is_front_undisrupted(&self, front: IpAddr, from: TimePoint, until: TimePoint) -> bool {
         let from = time_before(from, SETTLING_TIME);
@@ -78,7 +78,8 @@
         }) && self.is_undisrupted(&DisruptionSubject::Front(front), from, until)
     }
 
-    /// Returns true where the store was undisturbed for the whole span and long enough before it.
+    /// Returns true if the store was undisrupted from [`SETTLING_TIME`] before the period to its
+    /// end.
     #[must_use]
     pub fn is_store_undisrupted(&self, from: TimePoint, until: TimePoint) -> bool {
         self.is_undisrupted(
@@ -88,15 +89,16 @@
         )
     }
 
-    /// Gets the process of a front that was the latest at a time.
+    /// Returns the front's process that was started last at or before `at`.
     #[must_use]
     pub fn process_at(&self, front: IpAddr, at: TimePoint) -> Option<&'h ProcessRecord> {
         let mut processes = self.history.processes.iter();
         processes.rfind(|process| process.front == front && process.started_at <= at)
     }
 
-    /// Gets the configurations that may be in force for a request that was sent and ended so, where
-    /// changes take `lag` at most; all of those that came before where no lag is promised.
+    /// Returns the configurations that may have been in force during a request, if a change takes
+    /// at most `max_lag` to be applied. Without `max_lag`, all accepted before the end of the
+    /// request.
     #[must_use]
     pub fn configs_in_force(
         &self,
@@ -118,7 +120,7 @@
     }
 }
 
-/// Gets the point that lies so long before another one.
+/// Returns the time `span` before `point`, at the earliest the start of the clock.
 #[must_use]
 pub fn time_before(point: TimePoint, span: TimeSpan) -> TimePoint {
     TimePoint::START + point.since(TimePoint::START).saturating_sub(span)
--- a/alderhaven-soak/src/lib.rs
+++ b/alderhaven-soak/src/lib.rs
@@ -1,5 +1,6 @@
-//! A fault soak: the real fronts as separate processes on loopback, faults from outside, callers that
-//! keep their connections, and checks of the promises on what callers and targets saw.
+//! Soak test with fault injection: runs real front processes on loopback, injects faults while
+//! callers send requests over persistent connections, and checks the recorded history against the
+//! promises.
 #![forbid(unsafe_code)]
 
 pub mod front_process;
--- a/alderhaven-soak/src/link_proxy.rs
+++ b/alderhaven-soak/src/link_proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that disturbs the connections through it.
+//! A TCP proxy on loopback that delays, blocks or resets the connections through it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,32 +12,32 @@
 use tokio::sync::watch;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// The bytes that are passed on at a time.
+/// The size of the forwarding buffer.
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// A `LinkMode` is how a link treats what goes over it.
+/// How a link handles its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkMode {
-    /// It passes everything on.
+    /// Forwards everything.
     #[default]
     Open,
-    /// It passes everything on so much later.
+    /// Forwards everything, and delays each block that it reads.
     Delayed(Duration),
-    /// What goes to the server is held up.
+    /// Holds back bytes to the server until the mode changes.
     #[serde(rename = "cut_forth")]
     UpstreamBlocked,
-    /// What comes from the server is held up.
+    /// Holds back bytes from the server until the mode changes.
     #[serde(rename = "cut_back")]
     DownstreamBlocked,
-    /// Both are held up, and new connections too.
+    /// Holds back bytes in both directions; new connections are accepted but not forwarded.
     #[serde(rename = "silent")]
     Blocked,
-    /// Open connections are reset, and new ones at once.
+    /// Resets open connections, and new ones when they are accepted.
     Reset,
 }
 
-/// A `LinkWay` is one of the two directions.
+/// The direction of transfer: to the server (upstream) or from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkDirection {
     Upstream,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A `LinkProxy` is a link to one server; it ends with the last of its clones.
+/// A link to one server. It closes when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct LinkProxy {
     address: SocketAddr,
@@ -67,7 +67,7 @@
     /// Opens a link to `server`.
     ///
     /// # Errors
-    /// The operating system's error where no port can be had.
+    /// The operating system's error if no port can be bound.
     pub async fn start(server: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -88,13 +88,13 @@
         })
     }
 
-    /// Gets where the server is reached through the link.
+    /// Returns the address at which clients reach the server through the link.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// From now on the link treats everything so.
+    /// Changes the mode of open and new connections.
     pub fn set_mode(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
@@ -117,14 +117,14 @@
     }
 }
 
-/// Passes one connection on until it ends or is reset.
+/// Forwards one connection until it ends or is reset.
 async fn forward_connection(
     mut client: TcpStream,
     server: SocketAddr,
     mut mode: watch::Receiver<LinkMode>,
 ) {
     let mut unblocked_mode = mode.clone();
-    // A link that is silent takes the connection and passes nothing on.
+    // While requests are blocked, the connection is accepted but none is opened to the server.
     let is_unblocked = unblocked_mode.wait_for(|mode| !mode.blocks(LinkDirection::Upstream));
     if is_unblocked.await.is_err() {
         return;
@@ -137,16 +137,21 @@
         reset_when_dropped(&client);
         return;
     };
-    // Messages are small and written whole: waiting for more would only delay them.
+    // Messages are small and written whole, so Nagle's algorithm would only delay them.
     let _unsupported = (client.set_nodelay(true), upstream.set_nodelay(true));
-    let copy_mode = mode.clone();
+    let modes = mode.clone();
     let is_reset = {
-        let (client_reader, client_writer) = client.split();
-        let (upstream_reader, upstream_writer) = upstream.split();
+        let (client_in, client_out) = client.split();
+        let (upstream_in, upstream_out) = upstream.split();
         tokio::select! {
             () = wait_for_reset(&mut mode) => true,
-            () = forward_bytes(client_reader, upstream_writer, copy_mode.clone(), LinkDirection::Upstream) => false,
-            () = forward_bytes(upstream_reader, client_writer, copy_mode, LinkDirection::Downstream) => false,
+            () = forward_bytes(
+                client_in,
+                upstream_out,
+                modes.clone(),
+                LinkDirection::Upstream,
+            ) => false,
+            () = forward_bytes(upstream_in, client_out, modes, LinkDirection::Downstream) => false,
         }
     };
     if is_reset {
@@ -158,7 +163,7 @@
 async fn wait_for_reset(mode: &mut watch::Receiver<LinkMode>) {
     let is_reset = mode.wait_for(|mode| *mode == LinkMode::Reset);
     if is_reset.await.is_err() {
-        // The link's owner is gone: nothing will be reset any more.
+        // The link was dropped, so no reset can follow.
         std::future::pending::<()>().await;
     }
 }
@@ -173,7 +178,8 @@
     loop {
         let length = match from.read(&mut block).await {
             Ok(length) if length > 0 => length,
-            // The end of one direction ends the connection: no side here uses half of one.
+            // The end of one direction ends the connection: neither side uses half-closed
+            // connections.
             _ => return,
         };
         let current = match mode.wait_for(|mode| !mode.blocks(direction)).await {
@@ -189,8 +195,8 @@
     }
 }
 
-/// Makes the system reset the connection when it is dropped, as a broken one is.
+/// Makes the system send a reset when the connection is dropped.
 fn reset_when_dropped(stream: &TcpStream) {
-    // Where it is refused the connection ends in order, which is a fault as well.
+    // If this fails, the connection is closed in order, which is a fault as well.
     let _refused = stream.set_zero_linger();
 }
--- a/alderhaven-soak/src/main.rs
+++ b/alderhaven-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `alder-soak`: runs real fronts under faults from outside and checks the promises.
+//! `alder-soak`: runs front processes under injected faults and checks the promises.
 #![forbid(unsafe_code)]
 
 use std::path::PathBuf;
@@ -15,16 +15,17 @@
 use tokio::signal::unix;
 use tokio::signal::unix::SignalKind;
 
-/// The exit code where a promise was broken.
+/// The exit code of a run in which a promise was broken.
 const EXIT_VIOLATIONS: u8 = 1;
-/// The exit code where a run could not be made.
+/// The exit code when a run could not be set up or was interrupted.
 const EXIT_NOT_RUN: u8 = 2;
-/// The shortest run, in seconds: the calm time at its end, and some faults before.
+/// The shortest run: the fault-free time at its start and end, and a few faults in between.
 const MIN_SECONDS: u64 = 10;
-/// The longest run, in seconds.
+/// The longest run.
 const MAX_SECONDS: u64 = 3_600;
 
-/// Soak of alderhaven's fronts: real processes on loopback, faults from outside, promises checked.
+/// Soak test of alderhaven's fronts: runs real processes on loopback, injects faults and checks the
+/// promises.
 #[derive(FromArgs)]
 struct SoakArgs {
     #[argh(subcommand)]
@@ -38,7 +39,7 @@
     Replay(ReplayArgs),
 }
 
-/// Runs the faults of one seed or of several, one after the other.
+/// Runs the faults of one seed, or of several consecutive seeds.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 struct RunArgs {
@@ -48,40 +49,40 @@
     /// the number of seeds (default 1)
     #[argh(option, default = "1")]
     seeds: u64,
-    /// the seconds of each run (default 25)
+    /// the length of each run in seconds (default 25)
     #[argh(option, default = "25")]
     seconds: u64,
-    /// the fronts (default 4)
+    /// the number of fronts (default 4)
     #[argh(option, default = "4")]
     fronts: usize,
-    /// the callers (default 16)
+    /// the number of callers (default 16)
     #[argh(option, default = "16")]
     callers: usize,
-    /// the program under test (default: alder-front beside this program)
+    /// the front binary under test (default: alder-front in this program's directory)
     #[argh(option)]
     front: Option<PathBuf>,
-    /// where the logs of failed seeds are kept (default: target/soak)
+    /// the directory for the logs of failed seeds (default: target/soak)
     #[argh(option, default = "PathBuf::from(\"target/soak\")")]
     logs: PathBuf,
-    /// print one JSON line a seed
+    /// print one JSON line per seed
     #[argh(switch)]
     json: bool,
 }
 
-/// Runs a seed that once broke a promise as it was run then; without a seed, all of them.
+/// Reruns a regression seed with its recorded options; without a seed, all of them.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 struct ReplayArgs {
     /// the seed
     #[argh(positional)]
     seed: Option<u64>,
-    /// the program under test (default: alder-front beside this program)
+    /// the front binary under test (default: alder-front in this program's directory)
     #[argh(option)]
     front: Option<PathBuf>,
-    /// where the logs of failed seeds are kept (default: target/soak)
+    /// the directory for the logs of failed seeds (default: target/soak)
     #[argh(option, default = "PathBuf::from(\"target/soak\")")]
     logs: PathBuf,
-    /// print one JSON line a seed
+    /// print one JSON line per seed
     #[argh(switch)]
     json: bool,
 }
@@ -107,10 +108,10 @@
 
 fn run(arguments: RunArgs) -> Result<bool> {
     if !(MIN_SECONDS..=MAX_SECONDS).contains(&arguments.seconds) {
-        bail!("--seconds is not from {MIN_SECONDS} to {MAX_SECONDS}");
+        bail!("--seconds must be from {MIN_SECONDS} to {MAX_SECONDS}");
     }
     if !(1..=MAX_FRONTS).contains(&arguments.fronts) {
-        bail!("--fronts is not from 1 to {MAX_FRONTS}");
+        bail!("--fronts must be from 1 to {MAX_FRONTS}");
     }
     let runner = SeedRunner::new(arguments.front, arguments.logs, arguments.json)?;
     let mut all_kept = true;
@@ -135,7 +136,7 @@
     let is_selected = |case: &SeedCase| arguments.seed.is_none_or(|seed| seed == case.seed);
     let cases: Vec<SeedCase> = cases.into_iter().filter(is_selected).collect();
     if cases.is_empty() {
-        bail!("no such seed is kept");
+        bail!("cases.yaml has no such seed");
     }
     let mut all_kept = true;
     for case in &cases {
@@ -144,14 +145,14 @@
     Ok(all_kept)
 }
 
-/// Whether failure domains are evacuated in a run: kept seeds stay as they were.
+/// Whether a run evacuates failure domains. Regression seeds were recorded without evacuations.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum EvacuationMode {
     None,
     Seeded,
 }
 
-/// A `SeedRunner` runs seeds and prints what they came to.
+/// Runs seeds and prints their reports.
 struct SeedRunner {
     front: PathBuf,
     logs: PathBuf,
@@ -167,7 +168,7 @@
         })
     }
 
-    /// Runs one seed; returns true where every promise was kept.
+    /// Runs one seed; returns true if every promise was kept.
     fn run(&self, case: &SeedCase, evacuations: EvacuationMode) -> Result<bool> {
         let options = SoakOptions::builder()
             .seed(case.seed)
@@ -182,7 +183,7 @@
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()
-            .wrap_err("the runtime can't start")?;
+            .wrap_err("the Tokio runtime can't start")?;
         let report = runtime.block_on(run_until_signal(&options))?;
         if self.is_json {
             println!("{}", serde_json::to_string(&report)?);
@@ -193,7 +194,8 @@
     }
 }
 
-/// Runs until the end, or until this process is told to stop: its fronts must not outlive it.
+/// Runs to the end or until a termination signal. Handling the signal lets the front processes be
+/// killed on drop, so that they don't outlive this process.
 async fn run_until_signal(options: &SoakOptions) -> Result<SoakReport> {
     let mut terminate = unix::signal(SignalKind::terminate())?;
     let mut interrupt = unix::signal(SignalKind::interrupt())?;
@@ -210,7 +212,9 @@
     if let Some(path) = named {
         return Ok(path);
     }
-    let own = std::env::current_exe().wrap_err("no path of this program")?;
-    let folder = own.parent().ok_or_eyre("this program lies in no folder")?;
+    let own = std::env::current_exe().wrap_err("the path of this program is unknown")?;
+    let folder = own
+        .parent()
+        .ok_or_eyre("the path of this program has no parent directory")?;
     Ok(folder.join("alder-front"))
 }
--- a/alderhaven-soak/src/promises.rs
+++ b/alderhaven-soak/src/promises.rs
@@ -1,4 +1,4 @@
-//! The promises, held against what was seen.
+//! The promises to callers, targets and operators, and their checks against a recorded history.
 
 use serde::Serialize;
 
@@ -15,61 +15,63 @@
 pub mod repeat_budget;
 pub mod stops;
 
-/// A `PromiseKind` is one of the promises.
+/// A promise that is checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PromiseKind {
-    /// A caller gets the whole answer to its own request.
+    /// A caller gets the whole answer to its own request, and a target's failure with its own
+    /// status.
     OwnAnswer,
-    /// A merged answer holds the parts that it names, from the shards of one configuration, and enough
-    /// of them.
+    /// A merged answer contains the parts that it names. They are from the shards of one
+    /// configuration, and enough of these are covered.
     TrueCoverage,
-    /// A proper request is not called wrong.
+    /// A valid request is not rejected as invalid.
     NotDenied,
-    /// A request that is not idempotent runs once at most, and no request on more targets than allowed.
+    /// A non-idempotent request runs at most once, and no request runs on more targets than
+    /// allowed.
     AtMostOnce,
-    /// What is said not to have run has not, and never will.
+    /// A request that is refused as not run has not run and never will.
     NotRun,
-    /// A target gets only what callers sent, unchanged.
+    /// A target gets only requests that callers sent, unchanged.
     NothingInvented,
-    /// A target that leaves gets no work after some seconds.
+    /// A leaving target gets no requests after a time bound.
     LeavingLeftAlone,
-    /// The targets of an evacuated failure domain get no work after some seconds.
+    /// The targets of an evacuated failure domain get no requests after a time bound.
     EvacuatedLeftAlone,
-    /// An accepted configuration is in force within seconds.
+    /// An accepted configuration is applied within a time bound.
     ConfigInForce,
-    /// A process never goes back to an older configuration.
+    /// A process never reverts to an older configuration.
     ConfigKept,
-    /// A front that serves or is asked to stop cuts no request that it has sent to a target.
+    /// A front, also a stopping one, aborts no request that a target answers.
     NothingCut,
-    /// Repeats stay within the budget that all fronts share.
+    /// The repeats of all fronts together stay within the budget.
     RepeatBudget,
-    /// A target is told no more time than the caller has.
+    /// A target is told no more time than the caller has left.
     TimeLeft,
-    /// Callers get a final answer in time.
+    /// A request ends within the caller's timeout.
     AnswerInTime,
-    /// Nothing is sent for a caller that has gone.
+    /// No attempt is sent for a caller that has disconnected.
     CallerGone,
-    /// A process ends only where it is told to.
+    /// A process ends only if it is stopped or killed.
     ProcessLives,
-    /// Once all faults are over callers are served.
+    /// Requests are served again after all faults have ended.
     Recovery,
 }
 
-/// A `Violation` is a promise that was broken.
+/// A broken promise, with the evidence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The promise.
+    /// The broken promise.
     pub promise: PromiseKind,
-    /// The request, target or front.
+    /// The id of the request or target, the service or the front's host; `all` for the whole run.
     pub subject: String,
-    /// What was seen.
+    /// What the history shows.
     #[serde(rename = "seen")]
     pub observed: String,
 }
 
 impl Violation {
-    /// Returns a broken promise.
+    /// Creates the violation of a promise.
     #[must_use]
     pub fn new(promise: PromiseKind, subject: &str, observed: impl Into<String>) -> Self {
         Self {
@@ -80,7 +82,7 @@
     }
 }
 
-/// Gets the promises that a history breaks; `is_over` says that the run has ended.
+/// Returns the violations in a history. Recovery is only checked if the run is over.
 #[must_use]
 pub fn check(index: &HistoryIndex, scope: PromiseScope, is_over: bool) -> Vec<Violation> {
     let mut violations = answers::check(index);
--- a/alderhaven-soak/src/promises/answers.rs
+++ b/alderhaven-soak/src/promises/answers.rs
@@ -1,4 +1,4 @@
-//! Each caller its own whole answer, with true coverage.
+//! Checks that each caller gets the whole answer to its own request, with true coverage.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 use crate::soak_history::{AnswerRecord, RequestOutcome, RequestRecord};
 use crate::soak_workload::{MERGED_RECORDS, MIN_SHARD_SHARE, RequestKind, ShardSet};
 
-/// The status that a failing target answers with.
+/// The status with which a faulty target answers.
 const TARGET_FAILURE_STATUS: u16 = 500;
 
-/// Checks the answers of all requests.
+/// Checks the answers to all requests.
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let requests = index.history.requests.iter();
@@ -51,24 +51,30 @@
     }
     let is_changed_failure = !answer.proof.is_empty() && status != TARGET_FAILURE_STATUS;
     is_changed_failure.then(|| {
-        let observed = format!("a target's failure came as {status}");
+        let observed = format!("a target's failure arrived as status {status}");
         (PromiseKind::OwnAnswer, observed)
     })
 }
 
 fn check_forwarded(id: &str, request: &RequestRecord, answer: &AnswerRecord) -> Option<String> {
     let Some((service, answered_id)) = shard_records::parse_proof(&answer.proof) else {
-        return Some(format!("a success with the digest `{}`", answer.proof));
+        return Some(format!(
+            "a success with the invalid digest `{}`",
+            answer.proof
+        ));
     };
     if answered_id != id {
-        return Some(format!("the answer to {answered_id}"));
+        return Some(format!("got the answer to {answered_id}"));
     }
     let allowed = request.kind.services(ShardSet::Old);
     if !allowed.iter().any(|name| name == service) {
-        return Some(format!("an answer of {service} to a {}", request.kind));
+        return Some(format!(
+            "got an answer of {service} to a {} request",
+            request.kind
+        ));
     }
     let is_whole = answer.body == shard_records::response_body(service, id);
-    (!is_whole).then(|| format!("another body than that of {service}"))
+    (!is_whole).then(|| format!("the body differs from that of {service}"))
 }
 
 fn check_merged(
@@ -82,15 +88,15 @@
         .map(|proof| shard_records::parse_proof(proof))
         .collect();
     let Some(parts) = parts else {
-        return Some(format!("no digest: {:?}", answer.part_proofs));
+        return Some(format!("an invalid digest in {:?}", answer.part_proofs));
     };
     if let Some((service, other_id)) = parts.iter().find(|(_, answered_id)| *answered_id != id) {
-        return Some(format!("a part of {service} for {other_id}"));
+        return Some(format!("the part of {service} is for {other_id}"));
     }
     let services: Vec<&str> = parts.iter().map(|(service, _)| *service).collect();
     let distinct: BTreeSet<&str> = services.iter().copied().collect();
     if distinct.len() != services.len() {
-        return Some(format!("a shard twice: {services:?}"));
+        return Some(format!("a duplicate shard in {services:?}"));
     }
     let ended_at = request.end.as_ref()?.at;
     let configs = index.configs_in_force(request.sent_at, ended_at, None);
@@ -104,13 +110,15 @@
     if !is_single_shard_set {
         let missing = answer.missing;
         return Some(format!(
-            "no configuration's shards: {services:?} and {missing} missing"
+            "{services:?} and {missing} missing are the shards of no configuration"
         ));
     }
     let share = distinct.len() as f64 / (distinct.len() + answer.missing) as f64;
     if share < MIN_SHARD_SHARE {
-        return Some(format!("only {share:.2} of the shards"));
+        return Some(format!(
+            "covers only {share:.2} of the shards, not {MIN_SHARD_SHARE}"
+        ));
     }
     let is_greatest = answer.body == shard_records::greatest_records(&services, id, MERGED_RECORDS);
-    (!is_greatest).then(|| "other records than the greatest of the parts".to_owned())
+    (!is_greatest).then(|| "the records are not the greatest of the parts".to_owned())
 }
--- a/alderhaven-soak/src/promises/at_most_once.rs
+++ b/alderhaven-soak/src/promises/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Requests run as often as they may, and what did not run is called so.
+//! Checks that requests run as often as they may, that refused ones did not run, and that targets
+//! get only requests that callers sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +8,7 @@
 use crate::soak_history::{ArrivalRecord, DisruptionSubject, RequestOutcome, RequestRecord};
 use crate::soak_workload::MAX_TARGETS_PER_SHARD;
 
-/// Checks the requests that reached targets.
+/// Checks the arrivals, and the runs of each request.
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let mut violations: Vec<Violation> = index
@@ -28,7 +29,7 @@
     let observed = match index.request(arrival) {
         None => format!("no caller sent `{}`", arrival.request_id),
         Some(request) if !is_unchanged(request, arrival) => format!(
-            "{} {} came as {} {}",
+            "{} {} arrived as {} {}",
             request.method, request.path, arrival.method, arrival.path
         ),
         Some(_) => return None,
@@ -58,7 +59,7 @@
     violation.or_else(|| check_refusal(id, request, runs))
 }
 
-/// Checks that a request that may run once did.
+/// Checks that a non-idempotent request ran at most once.
 fn check_run_count(id: &str, runs: &[&ArrivalRecord]) -> Option<Violation> {
     if runs.len() < 2 {
         return None;
@@ -68,7 +69,7 @@
     Some(Violation::new(PromiseKind::AtMostOnce, id, observed))
 }
 
-/// Checks that a request that was refused has not run, whatever its kind: its caller sends it again.
+/// Checks that a refused request has not run, idempotent or not, since its caller sends it again.
 fn check_refusal(id: &str, request: &RequestRecord, runs: &[&ArrivalRecord]) -> Option<Violation> {
     let RequestOutcome::Answered(answer) = &request.end.as_ref()?.outcome else {
         return None;
@@ -78,8 +79,8 @@
     Some(Violation::new(PromiseKind::NotRun, id, observed))
 }
 
-/// Checks that no shard ran the request on more targets than allowed; those that were disturbed may
-/// have been given up before.
+/// Checks that no shard ran the request on more targets than allowed. Targets that were disrupted
+/// don't count, since a front may have abandoned the attempt there.
 fn check_target_count(
     index: &HistoryIndex,
     id: &str,
--- a/alderhaven-soak/src/promises/config.rs
+++ b/alderhaven-soak/src/promises/config.rs
@@ -1,4 +1,5 @@
-//! Accepted configurations are in force within seconds, and none goes back.
+//! Checks that accepted configurations are applied in time and that no process reverts to an older
+//! one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,10 +11,10 @@
 use crate::soak_history::{ConfigRecord, RequestOutcome, RequestRecord};
 use crate::soak_workload::RequestKind;
 
-/// Within which time a configuration must be in force at fronts that are undisturbed.
+/// The time within which an undisrupted front must apply an accepted configuration.
 const APPLY_BOUND: TimeSpan = TimeSpan::from_millis(3_000);
 
-/// Checks that requests are handled by configurations that are not too old.
+/// Checks that undisrupted fronts handle requests under a configuration that is recent enough.
 #[must_use]
 pub fn check_in_force(index: &HistoryIndex) -> Vec<Violation> {
     let requests = index.history.requests.iter();
@@ -29,7 +30,7 @@
         let versions: Vec<u64> = configs.iter().map(|config| config.version).collect();
         (!is_satisfied).then(|| {
             let observed = format!(
-                "{} not as by any of the versions {versions:?}",
+                "{} inconsistent with all versions in force, {versions:?}",
                 request.kind
             );
             Violation::new(PromiseKind::ConfigInForce, id, observed)
@@ -38,8 +39,8 @@
     violations.collect()
 }
 
-/// Checks that no process goes back: once an answer has shown a version, later requests to the process
-/// are handled by that version or a newer one.
+/// Checks that no process reverts: after an answer that needs some version, the process handles
+/// later requests under that version or a newer one.
 #[must_use]
 pub fn check_no_regression(index: &HistoryIndex) -> Vec<Violation> {
     let mut by_process: BTreeMap<(std::net::IpAddr, TimePoint), Vec<(&str, &RequestRecord)>> =
@@ -60,7 +61,7 @@
 
 fn check_process(index: &HistoryIndex, requests: &[(&str, &RequestRecord)]) -> Vec<Violation> {
     let configs = &index.history.configs;
-    // When each version was first seen in force.
+    // The oldest version that can explain each answer, by the time of the answer.
     let mut first_seen: Vec<(TimePoint, u64)> = requests
         .iter()
         .filter_map(|(_, request)| {
@@ -80,14 +81,17 @@
             .filter(|config| config.version >= newest_seen && config.accepted_at <= ended_at);
         let is_satisfied = possible.any(|config| is_consistent(config, request));
         (!is_satisfied).then(|| {
-            let observed = format!("{} handled by a version before {newest_seen}", request.kind);
+            let observed = format!(
+                "{} handled under a version before {newest_seen}",
+                request.kind
+            );
             Violation::new(PromiseKind::ConfigKept, id, observed)
         })
     });
     violations.collect()
 }
 
-/// Gets the oldest version that can have handled a request; none where any can.
+/// Returns the oldest version that can explain the outcome of a request; `None` if no version can.
 fn oldest_possible_version(configs: &[ConfigRecord], request: &RequestRecord) -> Option<u64> {
     let mut consistent = configs
         .iter()
@@ -95,7 +99,7 @@
     consistent.next().map(|config| config.version)
 }
 
-/// Returns true where a request may have come to its end under a configuration.
+/// Returns true if the outcome of a request is possible under a configuration.
 fn is_consistent(config: &ConfigRecord, request: &RequestRecord) -> bool {
     let Some(end) = &request.end else {
         return true;
--- a/alderhaven-soak/src/promises/deadlines.rs
+++ b/alderhaven-soak/src/promises/deadlines.rs
@@ -1,5 +1,5 @@
-//! Answers come in time, targets are told the time that is left, and nothing is sent for callers that
-//! have gone.
+//! Checks that requests end in time, that targets are told the remaining time, and that no attempt
+//! is sent for a caller that has disconnected.
 
 use alderhaven_core::time::TimeSpan;
 
@@ -7,10 +7,10 @@
 use crate::promises::{PromiseKind, Violation};
 use crate::soak_history::{ArrivalRecord, DisruptionSubject, RequestOutcome, RequestRecord};
 
-/// How much later than promised something may be: the ways there and back, and a busy moment.
+/// The tolerance of all time bounds, for transfer and scheduling delays.
 const TIME_TOLERANCE: TimeSpan = TimeSpan::from_millis(500);
 
-/// Checks answers, and what reached targets.
+/// Checks the ends of requests, and the arrivals at targets.
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let requests = index.history.requests.iter();
@@ -30,7 +30,7 @@
     let is_late = is_final && elapsed > request.timeout + TIME_TOLERANCE;
     let is_violated = is_late && index.is_front_undisrupted(request.front, request.sent_at, end.at);
     is_violated.then(|| {
-        let observed = format!("a {} took {elapsed}", request.kind);
+        let observed = format!("a {} request took {elapsed}", request.kind);
         Violation::new(PromiseKind::AnswerInTime, id, observed)
     })
 }
@@ -50,7 +50,7 @@
         .time_left
         .is_none_or(|time_left| time_left > remaining + TIME_TOLERANCE)
     {
-        let observed = format!("{:?} told, {remaining} left", arrival.time_left);
+        let observed = format!("told {:?}, but {remaining} was left", arrival.time_left);
         return Some(Violation::new(PromiseKind::TimeLeft, id, observed));
     }
     let end = request.end.as_ref()?;
@@ -58,7 +58,10 @@
     let is_late_arrival = is_abandoned && arrival.at > end.at + TIME_TOLERANCE;
     is_late_arrival.then(|| {
         let after = arrival.at.since(end.at);
-        let observed = format!("sent to {} {after} after its caller left", arrival.target);
+        let observed = format!(
+            "arrived at {} {after} after its caller disconnected",
+            arrival.target
+        );
         Violation::new(PromiseKind::CallerGone, id, observed)
     })
 }
--- a/alderhaven-soak/src/promises/evacuation.rs
+++ b/alderhaven-soak/src/promises/evacuation.rs
@@ -1,4 +1,4 @@
-//! The targets of an evacuated failure domain get no work after some seconds.
+//! Checks that the targets of an evacuated failure domain get no requests after a time bound.
 
 use alderhaven_core::time::TimeSpan;
 
@@ -7,10 +7,10 @@
 use crate::soak_history::{ArrivalRecord, EvacuationRecord};
 use crate::soak_workload;
 
-/// The time within which an evacuation is in force.
+/// The time within which an evacuation must take effect.
 pub const EVACUATION_BOUND: TimeSpan = TimeSpan::from_secs(5);
 
-/// Checks a request that reached a target, whose failure domain may be evacuated.
+/// Checks an arrival at a target whose failure domain may be evacuated.
 #[must_use]
 pub fn check_arrival(index: &HistoryIndex, arrival: &ArrivalRecord) -> Option<Violation> {
     let mut evacuations = index.history.evacuations.iter();
@@ -20,7 +20,10 @@
         && index.is_store_undisrupted(evacuation.accepted_at, arrival.at);
     is_violated.then(|| {
         let after = arrival.at.since(evacuation.accepted_at);
-        let observed = format!("{} came {after} after its evacuation", arrival.request_id);
+        let observed = format!(
+            "{} arrived {after} after the evacuation",
+            arrival.request_id
+        );
         Violation::new(PromiseKind::EvacuatedLeftAlone, &arrival.target, observed)
     })
 }
--- a/alderhaven-soak/src/promises/leaving.rs
+++ b/alderhaven-soak/src/promises/leaving.rs
@@ -1,11 +1,11 @@
-//! A target that leaves gets no work after some seconds.
+//! Checks that a leaving target gets no requests after the drain time.
 
 use crate::history_index::HistoryIndex;
 use crate::promises::{PromiseKind, Violation};
 use crate::soak_history::{ArrivalRecord, DisruptionSubject};
 use crate::target_fleet::DRAIN_TIME;
 
-/// Checks a request that reached a target, which may be leaving.
+/// Checks an arrival at a target that may be leaving.
 #[must_use]
 pub fn check_arrival(index: &HistoryIndex, arrival: &ArrivalRecord) -> Option<Violation> {
     let mut leaving_targets = index.history.leaving_targets.iter();
@@ -18,7 +18,10 @@
         && index.is_undisrupted(&subject, *leaving_since, arrival.at);
     is_violated.then(|| {
         let after = arrival.at.since(*leaving_since);
-        let observed = format!("{} came {after} after it was leaving", arrival.request_id);
+        let observed = format!(
+            "{} arrived {after} after the target reported that it is leaving",
+            arrival.request_id
+        );
         Violation::new(PromiseKind::LeavingLeftAlone, &arrival.target, observed)
     })
 }
--- a/alderhaven-soak/src/promises/recovery.rs
+++ b/alderhaven-soak/src/promises/recovery.rs
@@ -1,4 +1,4 @@
-//! Once all faults are over callers are served.
+//! Checks that requests are served again after all faults have ended.
 
 use alderhaven_core::time::TimeSpan;
 
@@ -6,15 +6,16 @@
 use crate::promises::{PromiseKind, Violation};
 use crate::soak_history::{RequestOutcome, RequestRecord};
 
-/// The span at the end of a run whose requests are counted; the faults are over some seconds before.
+/// The period at the end of a run whose requests are counted. The last fault ends before it, with
+/// time to recover.
 const RECOVERY_WINDOW: TimeSpan = TimeSpan::from_millis(2_500);
-/// The share of them that is to be answered with success. What is left are requests at the very end,
-/// and those on routes that were taken away.
+/// The share of them that must succeed. The others are allowed for requests still in flight and for
+/// routes that were removed.
 const MIN_SERVED_SHARE: f64 = 0.6;
-/// The fewest requests that tell something.
+/// The fewest requests that must have been sent in that period.
 const MIN_REQUESTS: usize = 10;
 
-/// Checks the last seconds of a run that has ended.
+/// Checks the requests at the end of a run that is over.
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let from = history_index::time_before(index.now, RECOVERY_WINDOW);
@@ -25,7 +26,10 @@
     if counted.len() >= MIN_REQUESTS && share >= MIN_SERVED_SHARE {
         return Vec::new();
     }
-    let observed = format!("{served} of {} served at the end", counted.len());
+    let observed = format!(
+        "{served} of {} requests at the end were served",
+        counted.len()
+    );
     vec![Violation::new(PromiseKind::Recovery, "all", observed)]
 }
 
--- a/alderhaven-soak/src/promises/repeat_budget.rs
+++ b/alderhaven-soak/src/promises/repeat_budget.rs
@@ -1,4 +1,4 @@
-//! All fronts together keep to the budget for repeats.
+//! Checks that the repeats of all fronts together stay within the budget.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,14 +8,14 @@
 use crate::promises::{PromiseKind, Violation};
 use crate::soak_workload::{RequestKind, ShardSet};
 
-/// The window of the budget.
+/// The length of the window over which repeats and requests are counted.
 const BUDGET_WINDOW: TimeSpan = TimeSpan::from_secs(10);
-/// The share of the requests for a service that it may get as repeats.
+/// The allowed repeats for a service as a share of the requests for it.
 const REPEAT_RATIO: f64 = 0.2;
-/// The repeats beyond that share in each window.
+/// The repeats that are allowed in each window in addition to that share.
 pub const FREE_REPEATS_PER_WINDOW: u64 = 30;
 
-/// Checks the arrivals at each service.
+/// Checks the repeated arrivals of requests at each service.
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let mut repeats: BTreeMap<&str, Vec<TimePoint>> = BTreeMap::new();
@@ -52,8 +52,8 @@
     Some(Violation::new(PromiseKind::RepeatBudget, service, observed))
 }
 
-/// Gets the most requests of the window that ends then, the one half a window earlier and the one
-/// before.
+/// Returns the most requests in any of three windows, which end at `end`, half a window before and
+/// a whole window before.
 fn max_window_requests(sent: &[TimePoint], end: TimePoint) -> usize {
     let ends = [0.0, 0.5, 1.0]
         .map(|windows| history_index::time_before(end, BUDGET_WINDOW.mul_f64(windows)));
--- a/alderhaven-soak/src/promises/stops.rs
+++ b/alderhaven-soak/src/promises/stops.rs
@@ -1,4 +1,5 @@
-//! Fronts cut no request that they have sent to a target, and end only where they are told to.
+//! Checks that fronts abort no request that a target answers, and that their processes end only if
+//! they are stopped or killed.
 
 use crate::history_index::HistoryIndex;
 use crate::promises::{PromiseKind, Violation};
@@ -29,7 +30,7 @@
             request.sent_at,
             end.at,
         );
-    // The answer of a sound target was under way, or was there.
+    // An undisrupted target was sending the answer or had sent it.
     let is_answered_undisrupted = |arrival: &&&ArrivalRecord| {
         let subject = DisruptionSubject::Target(arrival.target.clone());
         arrival.is_answered && index.is_undisrupted(&subject, request.sent_at, end.at)
@@ -42,7 +43,7 @@
             "while it served"
         };
         let observed = format!(
-            "{} cut it {phase}, sent to {}",
+            "{} closed the connection {phase} although {} answers",
             request.front, arrival.target
         );
         Violation::new(PromiseKind::NothingCut, id, observed)
@@ -54,6 +55,10 @@
         process.ended_at.is_some() && !process.is_killed && process.stop_requested_at.is_none();
     ended_unasked.then(|| {
         let front = process.front.to_string();
-        Violation::new(PromiseKind::ProcessLives, &front, "it ended by itself")
+        Violation::new(
+            PromiseKind::ProcessLives,
+            &front,
+            "the process ended without a signal",
+        )
     })
 }
--- a/alderhaven-soak/src/seed_cases.rs
+++ b/alderhaven-soak/src/seed_cases.rs
@@ -1,30 +1,30 @@
-//! Seeds that once broke a promise, each with its cause; they stay as they are.
+//! Regression seeds: runs that once broke a promise, each with its cause.
 
 use alderhaven_core::errors::{Error, Result};
 use serde::{Deserialize, Serialize};
 
-/// The cases, as they stand in the repository.
+/// The cases, embedded at build time.
 const CASES_YAML: &str = include_str!("../cases.yaml");
 
-/// A `SeedCase` is a seed that once broke a promise.
+/// A run that once broke a promise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeedCase {
-    /// The seed.
+    /// The seed from which faults and requests are drawn.
     pub seed: u64,
-    /// The seconds of the run.
+    /// The length of the run in seconds.
     pub seconds: u64,
-    /// The fronts of the run.
+    /// The number of fronts.
     pub fronts: usize,
-    /// The callers of the run.
+    /// The number of callers.
     pub callers: usize,
-    /// What was broken, and why.
+    /// The broken promise and the defect behind it.
     pub cause: String,
 }
 
-/// Reads the cases.
+/// Parses the embedded cases.
 ///
 /// # Errors
-/// The file does not hold a list of cases.
+/// `cases.yaml` is not a valid list of cases.
 pub fn read() -> Result<Vec<SeedCase>> {
     serde_saphyr::from_str(CASES_YAML).map_err(|error| Error::invalid("cases", error.to_string()))
 }
--- a/alderhaven-soak/src/shard_records.rs
+++ b/alderhaven-soak/src/shard_records.rs
@@ -1,12 +1,12 @@
-//! What targets answer: a function of their service and the request, so that a caller can tell a right
-//! answer from a wrong one.
+//! The expected bodies of targets' answers: a function of the service and the request, so that
+//! callers can verify answers.
 
-/// The length of a record in bytes.
+/// The length of a record.
 const RECORD_BYTES: usize = 16;
-/// The records that a shard answers.
+/// The number of records in a shard's answer.
 const RECORDS_PER_SHARD: usize = 12;
 
-/// Gets the body that every target of a service answers to a request.
+/// Returns the body with which every target of a service answers a request.
 #[must_use]
 pub fn response_body(service: &str, request_id: &str) -> Vec<u8> {
     let mut hasher = blake3::Hasher::new();
@@ -18,7 +18,7 @@
     body
 }
 
-/// Gets the greatest records of several services' bodies, greatest first.
+/// Returns the `count` greatest records over the bodies of the services, in descending order.
 #[must_use]
 pub fn greatest_records(services: &[&str], request_id: &str, count: usize) -> Vec<u8> {
     let bodies = services
@@ -36,7 +36,8 @@
     records.concat()
 }
 
-/// Gets the service and the request that a target's digest names; none where it is no digest.
+/// Extracts the service and the request id from a target's digest, `d-{target}-{request id}`;
+/// `None` if it has another form.
 #[must_use]
 pub fn parse_proof(proof: &str) -> Option<(&str, &str)> {
     let (target, request_id) = proof.strip_prefix("d-")?.rsplit_once('-')?;
--- a/alderhaven-soak/src/soak_caller.rs
+++ b/alderhaven-soak/src/soak_caller.rs
@@ -1,5 +1,5 @@
-//! A caller: it finds a front, keeps the connection until the front is gone, and sends one request
-//! after the other.
+//! A caller: finds a front through a directory, keeps one connection while it can be reused, and
+//! sends requests sequentially.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use crate::soak_history::{AnswerRecord, HistoryLog, RequestEnd, RequestOutcome, RequestRecord};
 use crate::soak_workload::{DOMAINS, RequestKind};
 
-/// How long a caller waits for a directory or a connection.
+/// The timeout of a directory query and of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pause after a directory or a front that could not be reached.
+/// The pause after a directory or a front that can't be reached.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(30);
-/// How much longer than it says a caller waits for an answer, so that late ones are seen.
+/// How long a caller waits beyond its announced timeout, so that late answers are recorded.
 const LATE_ANSWER_WAIT: TimeSpan = TimeSpan::from_millis(1_000);
-/// The share of the requests whose caller leaves early.
+/// The share of requests that the caller abandons early.
 const ABANDONED_SHARE: f64 = 0.03;
-/// The longest pause between two requests, in milliseconds.
+/// The upper bound of the pause between two requests.
 const MAX_THINK_TIME_MS: u64 = 40;
 
-/// A `SoakCaller` is one caller.
+/// A caller, which sends random requests and records them in the history.
 #[derive(Debug)]
 pub struct SoakCaller {
     number: usize,
@@ -39,7 +39,7 @@
 }
 
 impl SoakCaller {
-    /// Returns a caller that knows the directories of these fronts.
+    /// Creates a caller that looks up fronts in the directories of `fronts`.
     #[must_use]
     pub const fn new(
         number: usize,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends requests until it is dropped.
+    /// Sends requests until the future is dropped.
     pub async fn run(mut self) {
         loop {
             let connected = match self.open_connection.take() {
@@ -87,7 +87,7 @@
         Some((front.ip(), opened.await.ok()??))
     }
 
-    /// Sends one request, and keeps the connection where it can be used again.
+    /// Sends one request and keeps the connection if it can be reused.
     async fn send_request(&mut self, front: IpAddr, mut connection: CallerConnection) {
         let kind = self.draw_kind();
         self.sent_count += 1;
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Draws the route of a version that was accepted lately, or that was taken away lately.
+    /// Draws a version route of one of the three newest configurations, which the newest may have
+    /// removed.
     fn draw_version_route(&mut self) -> Option<u64> {
         let history = self.log.lock();
         let mut versions: Vec<u64> = history
--- a/alderhaven-soak/src/soak_fault.rs
+++ b/alderhaven-soak/src/soak_fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a run.
+//! The faults that a run can inject.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_platform_standin::store_fault::StoreFault;
@@ -6,71 +6,72 @@
 
 use crate::link_proxy::LinkMode;
 
-/// A `SoakFault` is something that is done to the system from outside. Fronts and targets are named by
-/// numbers that are taken modulo their count.
+/// A fault that is injected into the running system. A `usize` selects the front, target or failure
+/// domain, modulo their number; a `TimeSpan` is a duration or pause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SoakFault {
-    /// A front is asked to stop; it starts again once it has ended.
+    /// Sends SIGTERM to a front, which is restarted after it has ended.
     StopFront(usize),
-    /// All fronts are asked to stop, one after the other.
+    /// Sends SIGTERM to all fronts, with a pause after each.
     StopAll(TimeSpan),
-    /// A front is killed; it starts again.
+    /// Kills a front, which is restarted.
     KillFront(usize),
-    /// All fronts are killed at once.
+    /// Kills all fronts at once.
     KillAll,
-    /// A front stands still for a while.
+    /// Suspends the process of a front.
     FreezeFront(usize, TimeSpan),
-    /// A front is told to read its settings again.
+    /// Makes a front reload its settings.
     ReloadFront(usize),
-    /// The way of a front to the store is disturbed for a while.
+    /// Disrupts the link from a front to the store.
     StoreLink(usize, LinkMode, TimeSpan),
-    /// The store treats all calls so for a while.
+    /// Makes the store handle all calls in a faulty way.
     StoreFault(StoreFault, TimeSpan),
-    /// The store drops its history.
+    /// Makes the store compact its history, so that watches from older revisions fail.
     #[serde(rename = "store_forgets")]
     StoreCompaction,
-    /// A target crashes; another starts after a while.
+    /// Crashes a target; its replacement starts after the pause.
     CrashTarget(usize, TimeSpan),
-    /// A target says that it leaves, serves on for a while and ends; another starts.
+    /// Drains a target: it reports that it is leaving, serves for the drain time and ends. A
+    /// replacement starts first.
     DrainTarget(usize),
-    /// The way to a target is disturbed for a while.
+    /// Disrupts the link to a target.
     TargetLink(usize, LinkMode, TimeSpan),
-    /// A target treats some requests so for a while.
+    /// Makes a target handle a share of its requests in a faulty way.
     TargetFault(usize, TargetFault, TimeSpan),
-    /// The operator changes the configuration.
+    /// The operator publishes a changed configuration.
     ChangeConfig,
-    /// The operator cuts the index into the other set of shards.
+    /// The operator switches the index to the other set of shards.
     Reshard,
-    /// The operator evacuates a failure domain for a while.
+    /// The operator evacuates a failure domain.
     Evacuate(usize, TimeSpan),
 }
 
-/// A `TargetTrouble` is how a target fails.
+/// How a target mishandles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetFault {
-    /// It works many times as long.
+    /// Runs for a multiple of the usual time.
     Slow,
-    /// It runs requests and says nothing.
+    /// Runs the request and sends no reply.
     #[serde(rename = "mute")]
     NoReply,
-    /// It runs requests and fails.
+    /// Runs the request and answers with an error.
     Fails,
-    /// It refuses without running.
+    /// Refuses the request without running it.
     Refuses,
-    /// It runs requests and closes the connection.
+    /// Runs the request and closes the connection.
     #[serde(rename = "loses_answers")]
     Disconnects,
-    /// It breaks answers off.
+    /// Sends a truncated answer.
     #[serde(rename = "cuts_answers")]
     TruncatesAnswers,
-    /// It answers twice.
+    /// Sends the answer twice.
     AnswersTwice,
 }
 
 impl SoakFault {
-    /// Gets the name of its kind.
+    /// Returns the name of the variant, as reports show it.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
--- a/alderhaven-soak/src/soak_history.rs
+++ b/alderhaven-soak/src/soak_history.rs
@@ -1,4 +1,5 @@
-//! What callers, targets and the operator of a run saw, in the order in which they saw it.
+//! The history of a run: events as callers, targets, the operator and the fault injection recorded
+//! them.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -14,145 +15,147 @@
 
 use crate::soak_workload::{RequestKind, ShardSet};
 
-/// A `SoakHistory` is all that was seen in a run.
+/// All recorded events of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SoakHistory {
-    /// Callers' requests by their ids.
+    /// Callers' requests by request id.
     pub requests: BTreeMap<String, RequestRecord>,
-    /// Requests that reached targets.
+    /// Requests that reached targets, in order of arrival.
     pub arrivals: Vec<ArrivalRecord>,
-    /// Configurations that the store accepted.
+    /// Configurations that the store accepted, oldest first.
     pub configs: Vec<ConfigRecord>,
-    /// Targets that said that they leave, with the time at which the store accepted it.
+    /// The ids of targets that reported that they are leaving, with the time when the store
+    /// accepted it.
     #[serde(rename = "leavings")]
     pub leaving_targets: Vec<(String, TimePoint)>,
-    /// The failure domains that the operator evacuated.
+    /// Evacuations of failure domains.
     pub evacuations: Vec<EvacuationRecord>,
-    /// What was disturbed, and when.
+    /// Disruptions by injected faults and stalls of the machine.
     #[serde(rename = "troubles")]
     pub disruptions: Vec<DisruptionRecord>,
-    /// The fronts' processes.
+    /// The processes of all fronts, in order of their start.
     #[serde(rename = "lives")]
     pub processes: Vec<ProcessRecord>,
 }
 
-/// A `RequestRecord` is a caller's request and what became of it.
+/// A caller's request and its outcome.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub struct RequestRecord {
-    /// What was asked.
+    /// The kind of request.
     pub kind: RequestKind,
-    /// The host of the front that was asked.
+    /// The address of the front's host.
     pub front: IpAddr,
-    /// When it was sent.
+    /// When the caller sent it.
     #[serde(rename = "sent")]
     pub sent_at: TimePoint,
-    /// How long its caller waits.
+    /// The timeout that the caller announced.
     #[serde(rename = "patience")]
     pub timeout: TimeSpan,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// The path.
+    /// The path and query.
     pub path: String,
-    /// The body, which is left out of the logs.
+    /// The body; not serialized.
     #[serde(skip)]
     pub body: Bytes,
-    /// Its end; none while it is under way.
+    /// The outcome; `None` while the request is in flight.
     pub end: Option<RequestEnd>,
 }
 
-/// A `RequestEnd` is when and how a request ended for its caller.
+/// The time and outcome of a request's end, as its caller saw it.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestEnd {
-    /// When.
+    /// When the request ended.
     pub at: TimePoint,
-    /// How.
+    /// How the request ended.
     pub outcome: RequestOutcome,
 }
 
-/// A `RequestOutcome` is what a caller saw at the end of a request.
+/// How a request ended for its caller.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// A whole answer.
+    /// The caller received a whole answer.
     Answered(AnswerRecord),
-    /// The connection ended without one.
+    /// The connection was closed before a whole answer arrived.
     Closed,
     /// The caller closed the connection early.
     #[serde(rename = "left")]
     Abandoned,
-    /// Nothing came for longer than the caller waits.
+    /// No answer arrived within the timeout and the extra time that the caller waits for late
+    /// answers.
     Unanswered,
 }
 
-/// An `AnswerRecord` is a whole answer.
+/// An answer that a caller received whole.
 #[derive(Clone, Debug, Serialize)]
 pub struct AnswerRecord {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// Whether it promises that the request has not run and never will.
+    /// Whether it states that the request has not run and never will.
     pub is_refusal: bool,
-    /// The digests of the parts of a merged answer.
+    /// The digests of the parts of a merged answer, one per shard.
     pub part_proofs: Vec<String>,
-    /// The digest of an answer that was passed through.
+    /// The digest of an answer that was forwarded unmerged; empty if there is none.
     pub proof: String,
-    /// The shards that are left out.
+    /// The number of shards that the answer declares missing.
     pub missing: usize,
-    /// The body, which is left out of the logs.
+    /// The body; not serialized.
     #[serde(skip)]
     pub body: Bytes,
 }
 
 impl AnswerRecord {
-    /// Returns true where it is a success.
+    /// Returns true if the status is 2xx.
     #[must_use]
     pub const fn is_success(&self) -> bool {
         self.status >= 200 && self.status < 300
     }
 }
 
-/// An `ArrivalRecord` is a request that reached a target.
+/// A request that reached a target.
 #[derive(Clone, Debug, Serialize)]
 pub struct ArrivalRecord {
-    /// When.
+    /// When it arrived.
     pub at: TimePoint,
-    /// The target.
+    /// The target's id.
     pub target: String,
-    /// Its service.
+    /// The target's service.
     pub service: String,
-    /// The caller's id.
+    /// The id that the caller gave to the request.
     pub request_id: String,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// The path.
+    /// The path and query.
     pub path: String,
-    /// The body, which is left out of the logs.
+    /// The body; not serialized.
     #[serde(skip)]
     pub body: Bytes,
-    /// How much longer the sender waits.
+    /// The remaining time that the front told the target; `None` if it told none.
     pub time_left: Option<TimeSpan>,
-    /// Whether the target ran it.
+    /// Whether the target runs the request.
     pub is_run: bool,
-    /// Whether the target answers it whole.
+    /// Whether the target sends a whole answer.
     pub is_answered: bool,
 }
 
-/// A `ConfigRecord` is a configuration that the store accepted.
+/// A configuration that the store accepted.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfigRecord {
-    /// Its version.
+    /// The version; versions grow, with gaps.
     pub version: u64,
-    /// When it was accepted.
+    /// When the store accepted it.
     #[serde(rename = "acked")]
     pub accepted_at: TimePoint,
-    /// The shards that are asked.
+    /// The shards over which queries fan out.
     pub shards: ShardSet,
-    /// The versions whose own routes it holds.
+    /// The versions whose routes it contains.
     #[serde(rename = "marks")]
     pub version_routes: Vec<u64>,
 }
 
-/// An `EvacuationRecord` is a failure domain whose targets were to get nothing new.
+/// An evacuation of a failure domain, whose targets must get no new requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct EvacuationRecord {
     /// The failure domain.
@@ -160,58 +163,58 @@
     /// When the store accepted it.
     #[serde(rename = "acked")]
     pub accepted_at: TimePoint,
-    /// When it was taken back; none while it is in force.
+    /// When it was revoked; `None` while it is in force.
     #[serde(rename = "taken_back")]
     pub revoked_at: Option<TimePoint>,
 }
 
-/// A `TroubleSubject` is what a disturbance touches.
+/// The part of the system that a disruption affects.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DisruptionSubject {
-    /// The process of a front, or its way to the store.
+    /// The front on this host: its process or its link to the store.
     Front(IpAddr),
-    /// The store.
+    /// The store for all of its clients.
     Store,
-    /// A target or the way to it.
+    /// The target with this id, or the link to it.
     Target(String),
-    /// The machine that runs all of this did not keep up.
+    /// The whole machine, which stalled.
     Machine,
 }
 
-/// A `TroubleRecord` is one disturbance.
+/// A period of disruption.
 #[derive(Clone, Debug, Serialize)]
 pub struct DisruptionRecord {
-    /// What is disturbed.
+    /// The affected part of the system.
     pub subject: DisruptionSubject,
-    /// What is done to it.
+    /// A short description of the disruption.
     #[serde(rename = "what")]
     pub kind: String,
-    /// From when.
+    /// When it began.
     pub from: TimePoint,
-    /// Until when; none while it goes on.
+    /// When it ended; `None` while it lasts.
     pub until: Option<TimePoint>,
 }
 
-/// A `FrontLife` is one process of a front.
+/// The lifetime of one process of a front.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProcessRecord {
-    /// The host.
+    /// The address of the front's host.
     pub front: IpAddr,
     /// When it was started.
     #[serde(rename = "started")]
     pub started_at: TimePoint,
-    /// When it was asked to stop.
+    /// When it was first sent SIGTERM.
     #[serde(rename = "asked_to_stop")]
     pub stop_requested_at: Option<TimePoint>,
-    /// Whether it was killed.
+    /// Whether it was sent SIGKILL.
     pub is_killed: bool,
-    /// When it ended.
+    /// When its end was noticed.
     #[serde(rename = "ended")]
     pub ended_at: Option<TimePoint>,
 }
 
-/// A `HistoryLog` is the history of a run that goes on; its clones share it.
+/// The history of a run in progress. Clones share the history and its clock.
 #[derive(Clone, Debug, Default)]
 pub struct HistoryLog {
     clock: ProcessClock,
@@ -219,18 +222,18 @@
 }
 
 impl HistoryLog {
-    /// Gets the time now.
+    /// Returns the time since the log was created, as a point on the history's clock.
     #[must_use]
     pub fn now(&self) -> TimePoint {
         self.clock.now()
     }
 
-    /// Gets the history so far, to read or to add to.
+    /// Locks the history for reading or appending.
     pub fn lock(&self) -> MutexGuard<'_, SoakHistory> {
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a disturbance begins; gets its place for [`Self::end_trouble`].
+    /// Records the start of a disruption; returns its index for [`Self::end_disruption`].
     #[must_use]
     pub fn begin_disruption(&self, subject: DisruptionSubject, kind: &str) -> usize {
         let from = self.now();
@@ -244,7 +247,7 @@
         history.disruptions.len() - 1
     }
 
-    /// Notes that a disturbance is over.
+    /// Records the end of a disruption.
     pub fn end_disruption(&self, index: usize) {
         let now = self.now();
         if let Some(disruption) = self.lock().disruptions.get_mut(index) {
@@ -252,10 +255,11 @@
         }
     }
 
-    /// Has a failure domain evacuated; gets its place for [`Self::end_evacuation`].
+    /// Evacuates a failure domain through the store; returns the index for
+    /// [`Self::end_evacuation`].
     #[must_use]
     pub fn begin_evacuation(&self, store: &StoreStandin, domain: &str) -> usize {
-        // The lock is held while the store takes it, as for a configuration.
+        // Locked across the write, so that no effect is recorded before the evacuation itself.
         let mut history = self.lock();
         store.put(store_fixtures::EVACUATION_KIND, domain, json!({}));
         history.evacuations.push(EvacuationRecord {
@@ -266,7 +270,7 @@
         history.evacuations.len() - 1
     }
 
-    /// Takes an evacuation back.
+    /// Revokes an evacuation through the store.
     pub fn end_evacuation(&self, store: &StoreStandin, index: usize) {
         let mut history = self.lock();
         let now = self.now();
@@ -276,7 +280,7 @@
         }
     }
 
-    /// Notes a disturbance of a moment.
+    /// Records a momentary disruption.
     pub fn record_disruption(&self, subject: DisruptionSubject, kind: &str) {
         let index = self.begin_disruption(subject, kind);
         self.end_disruption(index);
--- a/alderhaven-soak/src/soak_operator.rs
+++ b/alderhaven-soak/src/soak_operator.rs
@@ -1,4 +1,4 @@
-//! The operator: it writes one configuration after the other.
+//! The operator, who publishes configurations to the store.
 
 use alderhaven_platform_standin::store_fixtures;
 use alderhaven_platform_standin::store_standin::StoreStandin;
@@ -6,12 +6,12 @@
 use crate::soak_history::{ConfigRecord, HistoryLog};
 use crate::soak_workload::{self, ShardSet};
 
-/// The versions whose own routes a configuration holds: the newest ones.
+/// The most version routes in a configuration; a change drops the oldest beyond this.
 const MAX_VERSION_ROUTES: usize = 2;
-/// By how much versions grow: they come in uneven steps.
+/// The increments between versions, used in rotation, so that versions are not consecutive.
 const VERSION_INCREMENTS: [u64; 3] = [1, 4, 2];
 
-/// A `SoakOperator` writes configurations.
+/// Publishes configurations and records each in the history.
 #[derive(Debug)]
 pub struct SoakOperator {
     log: HistoryLog,
@@ -21,7 +21,7 @@
 }
 
 impl SoakOperator {
-    /// Returns an operator that has written the first configuration.
+    /// Creates the operator and publishes the first configuration.
     #[must_use]
     pub fn start(log: HistoryLog, store: StoreStandin) -> Self {
         let first = ConfigRecord {
@@ -40,7 +40,7 @@
         operator
     }
 
-    /// Writes a configuration with a route of its own; the oldest such route goes.
+    /// Publishes a configuration with a new version route and without the oldest one.
     pub fn change_config(&mut self) {
         let mut next = self.latest_config.clone();
         next.version += VERSION_INCREMENTS[self.write_count % VERSION_INCREMENTS.len()];
@@ -50,7 +50,7 @@
         self.publish(next);
     }
 
-    /// Writes a configuration with the other set of shards.
+    /// Publishes a configuration with the other set of shards.
     pub fn reshard(&mut self) {
         self.latest_config.shards = self.latest_config.shards.other();
         self.change_config();
@@ -58,7 +58,8 @@
 
     fn publish(&mut self, mut config: ConfigRecord) {
         let (kind, name) = store_fixtures::CONFIG_KEY;
-        // The lock is held while the store takes it: nobody sees it in force before it is noted.
+        // Locked across the write, so that no caller records an effect of the configuration before
+        // the configuration itself is recorded.
         let mut history = self.log.lock();
         self.store
             .put(kind, name, soak_workload::config_json(&config));
--- a/alderhaven-soak/src/soak_options.rs
+++ b/alderhaven-soak/src/soak_options.rs
@@ -1,40 +1,40 @@
-//! What a run is asked to do.
+//! The options of a run.
 
 use std::path::PathBuf;
 
 use alderhaven_core::time::TimeSpan;
 
-/// The most fronts: a process each, and the whole run stays under a few hundred.
+/// The most fronts. Each is a process, and its host number must fit one byte of an IPv4 address.
 pub const MAX_FRONTS: usize = 200;
 
-/// A `PromiseScope` says which promises are held against a run.
+/// Which promises a run is checked against.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PromiseScope {
-    /// All of them.
+    /// All promises.
     #[default]
     All,
-    /// Those without a time in them: they hold on a machine that is as busy as it likes.
+    /// Only promises without a time bound, which hold on an overloaded machine too.
     Untimed,
 }
 
-/// A `SoakOptions` says what one run does.
+/// The options of one run.
 #[derive(Clone, Debug, bon::Builder)]
 pub struct SoakOptions {
-    /// The seed of the faults.
+    /// The seed from which faults and requests are drawn.
     pub seed: u64,
-    /// How long the run takes.
+    /// The length of the run.
     pub span: TimeSpan,
-    /// The fronts.
+    /// The number of fronts.
     pub fronts: usize,
-    /// The callers; each has one connection and sends one request after the other.
+    /// The number of callers; each sends its requests sequentially over one connection.
     pub callers: usize,
-    /// The program under test.
+    /// The front binary under test.
     pub front_binary: PathBuf,
-    /// Where the logs of runs that break a promise are kept.
+    /// The directory for logs, which are kept only if a promise is broken.
     pub logs: PathBuf,
-    /// Whether failure domains are evacuated beside the faults of the seed.
+    /// Whether failure domains are evacuated in addition to the faults of the seed.
     #[builder(default)]
     pub has_evacuations: bool,
-    /// The promises that are checked.
+    /// The promises to check.
     pub scope: PromiseScope,
 }
--- a/alderhaven-soak/src/soak_plan.rs
+++ b/alderhaven-soak/src/soak_plan.rs
@@ -1,4 +1,4 @@
-//! Which faults come when: drawn from the seed alone.
+//! The schedule of faults, derived from the seed alone.
 
 use std::time::Duration;
 
@@ -11,41 +11,42 @@
 use crate::link_proxy::LinkMode;
 use crate::soak_fault::{SoakFault, TargetFault};
 
-/// The calm time at the start: the fronts are ready, and callers have their connections.
+/// The fault-free time at the start, in which callers connect.
 const FAULT_FREE_START: TimeSpan = TimeSpan::from_millis(1_000);
-/// The calm time at the end: everything has started again and settled, and what is served then is
-/// counted.
+/// The fault-free time at the end. All processes restart and recover in it before served requests
+/// are counted.
 pub const FAULT_FREE_END: TimeSpan = TimeSpan::from_millis(7_000);
-/// The longest pause between faults, in milliseconds. Most faults last longer, so that they overlap.
+/// The longest time between two fault starts. Most faults last longer, so that they overlap.
 const MAX_FAULT_INTERVAL_MS: u64 = 900;
-/// The shortest and the longest disturbance, in milliseconds: from less than a time-out to more than
-/// what peers take for a death.
+/// The range of fault durations: from below a timeout to above the time after which peers declare a
+/// process dead.
 const FAULT_DURATION_MS: std::ops::Range<u64> = 100..4_000;
-/// The shortest and the longest evacuation, in milliseconds: it is checked some seconds after its start.
+/// The range of evacuation durations; each exceeds the time after which the evacuation is checked.
 const EVACUATION_DURATION_MS: std::ops::Range<u64> = 5_600..9_000;
-/// How likely a fault comes again at once, in the same place: what one has left behind meets the next.
+/// The probability that the previous fault is injected again on the same subject before it has
+/// recovered.
 const REPEAT_PROBABILITY: f64 = 0.2;
 
-/// A `SoakPlan` is the faults of a run in their order.
+/// The faults of a run, ordered by time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SoakPlan {
-    /// The faults.
+    /// The scheduled faults.
     pub steps: Vec<SoakStep>,
-    /// How long the run takes.
+    /// The length of the run.
     pub span: TimeSpan,
 }
 
-/// A `SoakStep` is one fault at its time.
+/// A fault with its scheduled time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SoakStep {
-    /// When, counted from the start of the callers.
+    /// The time since the callers started.
     pub at: TimeSpan,
-    /// What.
+    /// The fault to inject.
     pub fault: SoakFault,
 }
 
 impl SoakPlan {
-    /// Returns the plan of a seed for a run of that length.
+    /// Draws the faults for a run of length `span`; equal arguments give equal plans.
     #[must_use]
     pub fn new(seed: u64, span: TimeSpan) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -62,7 +63,8 @@
         Self { steps, span }
     }
 
-    /// Adds evacuations, one after the other, beside the faults that the seed has drawn.
+    /// Adds consecutive evacuations, without changing the faults that [`Self::new`] drew from the
+    /// seed.
     #[must_use]
     pub fn with_evacuations(mut self, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(!seed);
--- a/alderhaven-soak/src/soak_report.rs
+++ b/alderhaven-soak/src/soak_report.rs
@@ -1,4 +1,4 @@
-//! What a run came to.
+//! The report of a run.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,37 +8,37 @@
 use crate::promises::Violation;
 use crate::soak_history::{DisruptionSubject, RequestOutcome, SoakHistory};
 
-/// The violations that are printed; the logs hold all.
+/// The most violations that are printed; the logs contain all of them.
 const MAX_PRINTED_VIOLATIONS: usize = 10;
 
-/// A `SoakReport` is what a run came to.
+/// The result of a run, printed as text or as one JSON line.
 #[derive(Clone, Debug, Serialize)]
 pub struct SoakReport {
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// How long it ran, in seconds.
+    /// The measured length of the run in seconds.
     pub seconds: f64,
-    /// The fronts.
+    /// The number of fronts.
     pub fronts: usize,
-    /// The processes of fronts that were started.
+    /// The number of front processes that were started.
     pub processes: usize,
-    /// The requests by what became of them.
+    /// The number of requests by outcome.
     pub requests: BTreeMap<&'static str, usize>,
-    /// The requests that reached targets.
+    /// The number of requests that reached targets.
     pub arrivals: usize,
-    /// The faults by kind.
+    /// The number of faults by kind.
     pub faults: BTreeMap<&'static str, usize>,
-    /// The configurations.
+    /// The number of published configurations.
     pub configs: usize,
-    /// How often the machine did not keep up.
+    /// The number of detected stalls of the machine.
     pub stalls: usize,
-    /// The broken promises.
+    /// The broken promises; empty if the run passed.
     pub violations: Vec<Violation>,
-    /// Where the logs are kept; none where nothing was broken.
+    /// The directory of the kept logs; `None` if no promise was broken.
     pub logs: Option<String>,
 }
 
-/// Counts requests by what became of them.
+/// Counts requests by outcome, under the names that reports show.
 #[must_use]
 pub fn count_requests(history: &SoakHistory) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
@@ -59,7 +59,7 @@
     counts
 }
 
-/// Counts how often the machine did not keep up.
+/// Counts the stalls of the machine.
 #[must_use]
 pub fn count_stalls(history: &SoakHistory) -> usize {
     let disruptions = history.disruptions.iter();
--- a/alderhaven-soak/src/soak_run.rs
+++ b/alderhaven-soak/src/soak_run.rs
@@ -1,5 +1,5 @@
-//! One run: it starts everything, plays the faults of the plan and holds the promises against what was
-//! seen.
+//! One soak run: starts store, targets, fronts and callers, injects the planned faults and checks
+//! the recorded history against the promises.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -34,18 +34,17 @@
 use crate::stall_detector;
 use crate::target_fleet::TargetFleet;
 
-/// How long all fronts may take to be ready; far above what a busy machine needs.
+/// How long the fronts may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often that is asked.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often the promises are checked while the run goes on.
+/// How often the promises are checked during the run.
 const CHECK_INTERVAL: Duration = Duration::from_secs(4);
-/// The fronts that a front knows at its start.
+/// The most fronts in the seed list of a front.
 const MAX_SEED_FRONTS: usize = 3;
 /// The time between SIGTERM and SIGKILL.
 const STOP_GRACE_PERIOD: TimeSpan = TimeSpan::from_secs(6);
 
-/// A `SoakRun` is a run that goes on.
+/// A run in progress. Dropping it ends its processes and tasks.
 struct SoakRun {
     log: HistoryLog,
     store: StoreStandin,
@@ -63,10 +62,10 @@
     process_task: AbortOnDropHandle<Result<()>>,
 }
 
-/// Runs the faults of a seed, and gets what it came to.
+/// Runs the faults of a seed and returns the report.
 ///
 /// # Errors
-/// Something of the run itself can't be started; a broken promise is in the report.
+/// A part of the run can't be started or fails. A broken promise is no error: the report lists it.
 pub async fn run(options: &SoakOptions) -> Result<SoakReport> {
     let folder = create_log_folder(options)?;
     let mut plan = SoakPlan::new(options.seed, options.span);
@@ -78,12 +77,12 @@
     let violations = run.run_plan(options, &plan).await?;
     let history = run.log.lock().clone();
     let logs = if violations.is_empty() {
-        std::fs::remove_dir_all(&folder).wrap_err("the logs can't be removed")?;
+        std::fs::remove_dir_all(&folder).wrap_err("the log directory can't be removed")?;
         None
     } else {
         let path = folder.join("history.json");
         let content = serde_json::to_vec(&(&plan, &history, &violations))?;
-        std::fs::write(path, content).wrap_err("the history can't be written")?;
+        std::fs::write(path, content).wrap_err("history.json can't be written")?;
         Some(folder.display().to_string())
     };
     let mut faults = BTreeMap::new();
@@ -113,8 +112,8 @@
     Ok(folder)
 }
 
-/// Gets the loopback address of a host of this process's run: each process has its own, since all
-/// fronts listen on the same ports.
+/// Returns the loopback address of a front's host. It contains the id of this process, since all
+/// fronts listen on the same ports and several runs may share a machine.
 fn host_address(index: usize) -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let host = u8::try_from(index + 1).unwrap_or(u8::MAX);
@@ -124,7 +123,9 @@
 impl SoakRun {
     async fn start(options: &SoakOptions, folder: &std::path::Path) -> Result<Self> {
         let log = HistoryLog::default();
-        let store = StoreStandin::start().await.wrap_err("no store")?;
+        let store = StoreStandin::start()
+            .await
+            .wrap_err("the store stand-in can't be started")?;
         let targets = TargetFleet::start(log.clone(), store.clone()).await?;
         let operator = SoakOperator::start(log.clone(), store.clone());
         let mut run = Self {
@@ -153,7 +154,7 @@
     ) -> Result<RunningFront> {
         let link = LinkProxy::start(self.store.address())
             .await
-            .wrap_err("no link")?;
+            .wrap_err("the store link of a front can't be opened")?;
         let settings = FrontSettings {
             name: format!("front-{index}"),
             ip: host_address(index),
@@ -185,7 +186,7 @@
             }
         };
         let ready = time::timeout(READY_TIMEOUT, all_ready).await;
-        ready.wrap_err("the fronts are not ready")
+        ready.wrap_err("the fronts did not become ready in time")
     }
 
     fn start_callers(&mut self, options: &SoakOptions) {
@@ -200,7 +201,7 @@
             .collect();
     }
 
-    /// Plays the plan to its end, or until a promise is broken.
+    /// Runs the plan to its end or until a promise is broken.
     async fn run_plan(&mut self, options: &SoakOptions, plan: &SoakPlan) -> Result<Vec<Violation>> {
         let start = time::Instant::now();
         let mut next_check = start + CHECK_INTERVAL;
@@ -216,7 +217,7 @@
             }
         }
         while let Some(fault) = self.fault_tasks.join_next().await {
-            fault.wrap_err("a fault's task failed")??;
+            fault.wrap_err("the task of a fault failed")??;
         }
         time::sleep_until(start + plan.span.as_duration()).await;
         if let Some(front) = self
@@ -224,7 +225,7 @@
             .iter()
             .find(|front| front.process_task.is_finished())
         {
-            bail!("{} is not looked after any more", front.settings.name);
+            bail!("the supervisor task of {} has ended", front.settings.name);
         }
         Ok(self.check(options, true))
     }
@@ -235,7 +236,7 @@
         promises::check(&index, options.scope, is_over)
     }
 
-    /// Begins a fault; what ends it goes on beside the run.
+    /// Starts a fault. One with a duration ends in a task of its own, so that faults overlap.
     fn inject_fault(&mut self, fault: SoakFault) {
         let targets = self.targets.clone();
         let target = |index: usize| index % targets.slot_count();
@@ -289,7 +290,7 @@
 
     fn send_command(&self, index: usize, command: FrontCommand) {
         let front = &self.fronts[index % self.fronts.len()];
-        // Its task is gone only where it failed, which the end of the run tells.
+        // The receiver is gone only if its task failed, which `run_plan` reports at the end.
         let _is_gone = front.commands.send(command);
     }
 
--- a/alderhaven-soak/src/soak_workload.rs
+++ b/alderhaven-soak/src/soak_workload.rs
@@ -1,4 +1,4 @@
-//! The site of a run: its services, routes and requests.
+//! The workload of a run: services, routes and kinds of requests.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,43 +10,44 @@
 
 use crate::soak_history::ConfigRecord;
 
-/// The records in a merged answer.
+/// The number of records in a merged answer.
 pub const MERGED_RECORDS: usize = 10;
-/// The least share of the shards that a merged answer holds.
+/// The smallest share of the shards that a merged answer must cover.
 pub const MIN_SHARD_SHARE: f64 = 0.5;
-/// The most targets that a request is sent to, a shard.
+/// The most targets of a shard that may run the same request.
 pub const MAX_TARGETS_PER_SHARD: usize = 2;
-/// The failure domains.
+/// The names of the failure domains.
 pub const DOMAINS: [&str; 2] = ["a", "b"];
-/// The targets of a service, one a domain.
+/// The number of targets of a service: one per failure domain.
 pub const REPLICAS_PER_SERVICE: usize = DOMAINS.len();
 
-/// Gets the id of a target of a service in a failure domain, in its `life`-th process.
+/// Returns the id of a target of a service in a failure domain; `number` counts the targets started
+/// there.
 #[must_use]
-pub fn target_id(service: &str, domain: &str, life: usize) -> String {
-    format!("{service}.{domain}{life}")
+pub fn target_id(service: &str, domain: &str, number: usize) -> String {
+    format!("{service}.{domain}{number}")
 }
 
-/// Gets the failure domain of a target by its id.
+/// Extracts the failure domain from a target id of the form of [`target_id`].
 #[must_use]
 pub fn target_domain(target: &str) -> &str {
     let (_, position) = target.rsplit_once('.').unwrap_or_default();
     position.trim_end_matches(|letter: char| letter.is_ascii_digit())
 }
 
-/// A `ShardSet` is one of the sets of shards that the index can be cut into.
+/// A way to divide the index into shards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ShardSet {
-    /// Six shards.
+    /// Six shards, `old-0` to `old-5`.
     #[default]
     Old,
-    /// Eight others.
+    /// Eight shards, `new-0` to `new-7`.
     New,
 }
 
 impl ShardSet {
-    /// Gets the services of the shards.
+    /// Returns the names of the services, one per shard.
     #[must_use]
     pub fn services(self) -> Vec<String> {
         let (name, count) = match self {
@@ -58,7 +59,7 @@
             .collect()
     }
 
-    /// Gets the other set.
+    /// Returns the set that a reshard switches to.
     #[must_use]
     pub const fn other(self) -> Self {
         match self {
@@ -68,29 +69,29 @@
     }
 }
 
-/// The service of requests for single records.
+/// The service that answers requests for single records.
 pub const RECORD_SERVICE: &str = "records";
-/// The service of requests that may run once only.
+/// The service that runs non-idempotent requests.
 pub const ORDER_SERVICE: &str = "orders";
 
-/// A `RequestKind` is what a caller asks.
+/// The kind of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
-    /// The greatest records of all shards.
+    /// Merges the greatest records of all shards; idempotent.
     #[serde(rename = "sweep")]
     FanOut,
-    /// One record; idempotent.
+    /// Reads one record; idempotent.
     Record,
-    /// An order, which may run once at most.
+    /// Places an order, which must run at most once.
     Order,
-    /// A request on the route that a version of the configuration added.
+    /// Reads one record over the route that this configuration version added; idempotent.
     #[serde(rename = "mark")]
     VersionRoute(u64),
 }
 
 impl RequestKind {
-    /// Gets the path of the request with this id.
+    /// Returns the path and query of the request with this id.
     #[must_use]
     pub fn path(self, request_id: &str) -> String {
         match self {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Gets the method.
+    /// Returns the HTTP method.
     #[must_use]
     pub const fn method(self) -> &'static str {
         match self {
@@ -110,13 +111,13 @@
         }
     }
 
-    /// Returns true where it may run more than once.
+    /// Returns true if the request may run more than once.
     #[must_use]
     pub const fn is_idempotent(self) -> bool {
         !matches!(self, Self::Order)
     }
 
-    /// Gets how long a caller waits.
+    /// Returns the timeout that the caller announces.
     #[must_use]
     pub const fn timeout(self) -> TimeSpan {
         match self {
@@ -125,16 +126,16 @@
         }
     }
 
-    /// Gets how long a target works on it, on average.
+    /// Returns the base service time, which each target varies by a random factor.
     #[must_use]
-    pub const fn mean_service_time(self) -> Duration {
+    pub const fn base_service_time(self) -> Duration {
         match self {
             Self::FanOut => Duration::from_millis(5),
             _ => Duration::from_millis(30),
         }
     }
 
-    /// Gets the services that it may be sent to under a configuration with these shards.
+    /// Returns the services that may receive the request under a configuration with these shards.
     #[must_use]
     pub fn services(self, shards: ShardSet) -> Vec<String> {
         match self {
@@ -156,7 +157,7 @@
     }
 }
 
-/// Gets all services of the site.
+/// Returns the names of all services, of both shard sets.
 #[must_use]
 pub fn all_services() -> Vec<String> {
     let mut services = ShardSet::Old.services();
@@ -166,7 +167,7 @@
     services
 }
 
-/// Returns the text of a configuration as the operator writes it.
+/// Builds the configuration document that the operator writes to the store.
 #[must_use]
 pub fn config_json(config: &ConfigRecord) -> Value {
     let shards = config.shards.services();
--- a/alderhaven-soak/src/stall_detector.rs
+++ b/alderhaven-soak/src/stall_detector.rs
@@ -1,4 +1,5 @@
-//! Whether the machine keeps up: where it doesn't, promises with a time in them say nothing.
+//! Detects scheduling stalls of the machine, during which promises with a time bound are not
+//! checked.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -7,12 +8,12 @@
 
 use crate::soak_history::{DisruptionRecord, DisruptionSubject, HistoryLog};
 
-/// How often it is looked.
+/// The time that the detector sleeps between checks.
 const TICK_PERIOD: Duration = Duration::from_millis(10);
-/// How late a tick may be: processes that wait so long for a core answer late themselves.
+/// The longest tick without a stall. Longer ones mean that other processes wait for a core too.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
 
-/// Watches until the guard is dropped.
+/// Starts a thread that records stalls in the history until the guard is dropped.
 #[must_use]
 pub fn start(log: HistoryLog) -> DropGuard {
     let cancel_token = CancellationToken::new();
--- a/alderhaven-soak/src/target_fleet.rs
+++ b/alderhaven-soak/src/target_fleet.rs
@@ -1,4 +1,5 @@
-//! The targets of a run: their lives, their registrations, the links to them and what they do.
+//! The targets of a run: starts, crashes and drains them, registers them in the store and injects
+//! faults.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -19,19 +20,18 @@
 use crate::soak_history::{ArrivalRecord, DisruptionSubject, HistoryLog};
 use crate::soak_workload::{self, DOMAINS, RequestKind};
 
-/// How long a target serves after it has said that it leaves: the promise that it gets no more work by
-/// then, and a little.
+/// How long after a target reports that it is leaving it may still get requests.
 pub const DRAIN_TIME: TimeSpan = TimeSpan::from_millis(3_000);
-/// How much longer it serves, so that work that comes too late is seen.
+/// How much longer a draining target serves, so that late requests are recorded.
 const DRAIN_MARGIN: TimeSpan = TimeSpan::from_millis(500);
-/// After how long the registration of a crashed target lapses: three missed heartbeats.
+/// The time after which the registration of a crashed target expires.
 const REGISTRATION_TTL: Duration = Duration::from_millis(1_500);
-/// How many times as long a slow target works.
+/// The factor by which a slow target multiplies its service time.
 const SLOW_FACTOR: u32 = 20;
-/// The share of the requests that a failing target treats badly.
+/// The share of its requests that a faulty target mishandles.
 const FAULTY_SHARE: f64 = 0.6;
 
-/// A `TargetCrew` is all targets of a run; its clones share them.
+/// All targets of a run. Clones share them.
 #[derive(Clone, Debug)]
 pub struct TargetFleet {
     log: HistoryLog,
@@ -39,7 +39,7 @@
     slots: Arc<Mutex<Vec<TargetSlot>>>,
 }
 
-/// A `TargetPost` is a place of a service, at which one target runs after the other.
+/// A service's slot in a failure domain, which successive targets occupy.
 #[derive(Debug)]
 struct TargetSlot {
     service: String,
@@ -48,7 +48,7 @@
     target: Option<RunningTarget>,
 }
 
-/// A `RunningTarget` is a target with the link to it.
+/// A running target with its link and its current fault.
 #[derive(Clone, Debug)]
 struct RunningTarget {
     target: TargetStandin,
@@ -57,10 +57,10 @@
 }
 
 impl TargetFleet {
-    /// Starts and registers the targets of all services.
+    /// Starts and registers one target per service and failure domain.
     ///
     /// # Errors
-    /// No port can be had.
+    /// No port can be bound.
     pub async fn start(log: HistoryLog, store: StoreStandin) -> Result<Self> {
         let mut slots = Vec::new();
         for service in soak_workload::all_services() {
@@ -83,10 +83,11 @@
         Ok(fleet)
     }
 
-    /// Crashes the target at a place; another one starts there after `pause`.
+    /// Crashes the target of a slot. Its registration expires, and a replacement starts `pause`
+    /// later. Does nothing if the slot is empty.
     ///
     /// # Errors
-    /// The other one can't be started.
+    /// The replacement can't be started.
     pub async fn crash(&self, index: usize, pause: TimeSpan) -> Result<()> {
         let Some(running) = self.take_running(index) else {
             return Ok(());
@@ -101,10 +102,11 @@
         self.start_target(index).await
     }
 
-    /// Lets the target at a place leave; another one starts there first.
+    /// Drains the target of a slot, after starting its replacement. Does nothing if the slot is
+    /// empty.
     ///
     /// # Errors
-    /// The other one can't be started.
+    /// The replacement can't be started.
     pub async fn drain(&self, index: usize) -> Result<()> {
         let Some(running) = self.take_running(index) else {
             return Ok(());
@@ -123,7 +125,7 @@
         Ok(())
     }
 
-    /// Disturbs the link to the target at a place for a while.
+    /// Sets the mode of the link to the target of a slot for the time `span`.
     pub async fn disrupt_link(&self, index: usize, mode: LinkMode, span: TimeSpan) {
         let Some(running) = self.running_target(index) else {
             return;
@@ -135,7 +137,7 @@
         self.log.end_disruption(disruption);
     }
 
-    /// Lets the target at a place fail for a while.
+    /// Makes the target of a slot faulty for the time `span`.
     pub async fn inject_fault(&self, index: usize, fault: TargetFault, span: TimeSpan) {
         let Some(running) = self.running_target(index) else {
             return;
@@ -165,8 +167,10 @@
             record_arrival(&log, &own_id, &own_service, request, &behavior);
             behavior
         });
-        let target = target.await.wrap_err("no target")?;
-        let link = LinkProxy::start(target.address).await.wrap_err("no link")?;
+        let target = target.await.wrap_err("the target can't be started")?;
+        let link = LinkProxy::start(target.address)
+            .await
+            .wrap_err("the link to the target can't be opened")?;
         let entry = store_fixtures::registration(link.address(), &service, domain, "ready");
         self.store.put(store_fixtures::TARGET_KIND, &id, entry);
         self.lock_slots()[index].target = Some(RunningTarget {
@@ -196,7 +200,7 @@
         self.lock_slots().get(index)?.target.clone()
     }
 
-    /// Gets the count of places.
+    /// Returns the number of slots, occupied or not.
     #[must_use]
     pub fn slot_count(&self) -> usize {
         self.lock_slots().len()
@@ -226,7 +230,7 @@
     };
     let body = shard_records::response_body(service, &request.request_id);
     let mut rng = rand::rng();
-    let work = kind.mean_service_time().mul_f64(rng.random_range(0.5..2.0));
+    let work = kind.base_service_time().mul_f64(rng.random_range(0.5..2.0));
     let fault = fault.filter(|_| rng.random_bool(FAULTY_SHARE));
     match fault {
         None => TargetBehavior::AnswerAfter(work, body),
--- a/alderhaven-soak/tests/history/mod.rs
+++ b/alderhaven-soak/tests/history/mod.rs
@@ -1,4 +1,4 @@
-//! A history that is made by hand.
+//! A builder of histories for the tests of the promise checks.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -14,18 +14,18 @@
 use alderhaven_soak::soak_workload::{MERGED_RECORDS, RequestKind, ShardSet};
 use bytes::Bytes;
 
-/// The one front.
+/// The address of the only front.
 pub const FRONT_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 200, 0, 1));
-/// How long an answer takes.
+/// The time from sending a request to its answer.
 const ANSWER_TIME: TimeSpan = TimeSpan::from_millis(50);
-/// When the history ends, in milliseconds.
+/// The end of the history.
 const HISTORY_END_MS: u64 = 20_000;
 
 pub fn at_millis(millis: u64) -> TimePoint {
     TimePoint::START + TimeSpan::from_millis(millis)
 }
 
-/// The body of an answer that is merged from these shards.
+/// Returns the body of an answer that is merged from these shards.
 pub fn merged_body(services: &[String], request_id: &str) -> Bytes {
     let services: Vec<&str> = services.iter().map(String::as_str).collect();
     Bytes::from(shard_records::greatest_records(
@@ -35,13 +35,14 @@
     ))
 }
 
-/// A `HistoryMaker` holds a history in the making.
+/// Builds a history of one front.
 pub struct HistoryBuilder {
     pub history: SoakHistory,
 }
 
 impl HistoryBuilder {
-    /// A sweep, a record and an order at nine seconds, all served, and enough requests at the end.
+    /// Creates a history that breaks no promise: one served request of each kind at nine seconds,
+    /// and enough served requests at the end.
     pub fn valid() -> Self {
         let mut builder = Self {
             history: SoakHistory::default(),
@@ -82,7 +83,7 @@
         });
     }
 
-    /// Adds a request that is served.
+    /// Adds a request that is served 50 ms later, with its arrivals at targets.
     pub fn add_request(&mut self, id: &str, kind: RequestKind, sent_at: TimePoint) {
         let services = kind.services(ShardSet::Old);
         let answer = if kind == RequestKind::FanOut {
@@ -149,7 +150,7 @@
         });
     }
 
-    /// Evacuates a failure domain.
+    /// Adds an evacuation of a failure domain.
     pub fn add_evacuation(
         &mut self,
         domain: &str,
@@ -163,25 +164,37 @@
         });
     }
 
-    /// Changes the answer to a request.
+    /// Edits the answer to a request.
     pub fn edit_answer(&mut self, id: &str, change: impl FnOnce(&mut AnswerRecord)) {
-        let request = self.history.requests.get_mut(id).expect("a request");
-        let end = request.end.as_mut().expect("it has ended");
+        let request = self
+            .history
+            .requests
+            .get_mut(id)
+            .expect("the request was added");
+        let end = request.end.as_mut().expect("the request has ended");
         let RequestOutcome::Answered(answer) = &mut end.outcome else {
-            panic!("it was answered");
+            panic!("request {id} has no answer");
         };
         change(answer);
     }
 
-    /// Lets a request end otherwise.
+    /// Replaces the outcome of a request.
     pub fn set_outcome(&mut self, id: &str, outcome: RequestOutcome) {
-        let request = self.history.requests.get_mut(id).expect("a request");
-        request.end.as_mut().expect("it has ended").outcome = outcome;
+        let request = self
+            .history
+            .requests
+            .get_mut(id)
+            .expect("the request was added");
+        request.end.as_mut().expect("the request has ended").outcome = outcome;
     }
 
-    /// Lets a request end otherwise, at another time.
+    /// Replaces the time and outcome of a request's end.
     pub fn set_end(&mut self, id: &str, at: TimePoint, outcome: RequestOutcome) {
-        let request = self.history.requests.get_mut(id).expect("a request");
+        let request = self
+            .history
+            .requests
+            .get_mut(id)
+            .expect("the request was added");
         request.end = Some(RequestEnd { at, outcome });
     }
 
@@ -203,7 +216,7 @@
         });
     }
 
-    /// The promises that are broken, each once.
+    /// Returns the kinds of broken promises, without consecutive duplicates.
     pub fn broken_promises(&self, scope: PromiseScope) -> Vec<PromiseKind> {
         let index = HistoryIndex::new(&self.history, at_millis(HISTORY_END_MS));
         let violations = promises::check(&index, scope, true);
--- a/alderhaven-soak/tests/links.rs
+++ b/alderhaven-soak/tests/links.rs
@@ -1,4 +1,4 @@
-//! Tests of the link that disturbs connections, and of the plan.
+//! Tests of the link proxy and of the fault plan.
 
 use std::time::Duration;
 
@@ -8,13 +8,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long silence is waited for.
+/// The time without a byte after which a read counts as blocked.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A server that sends back what it gets, and a connection to it through a link.
+/// Starts an echo server, and connects to it through a link.
 async fn echo_link() -> (LinkProxy, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let server = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("the address can be bound");
+    let server = listener.local_addr().expect("the listener has an address");
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
@@ -23,10 +25,10 @@
             });
         }
     });
-    let link = LinkProxy::start(server).await.expect("a link");
+    let link = LinkProxy::start(server).await.expect("the link opens");
     let stream = TcpStream::connect(link.address())
         .await
-        .expect("a connection");
+        .expect("the link accepts the connection");
     (link, stream)
 }
 
@@ -37,11 +39,11 @@
 #[tokio::test]
 async fn link_open() {
     let (_link, mut stream) = echo_link().await;
-    stream.write_u8(7).await.expect("it is open");
+    stream.write_u8(7).await.expect("the connection is open");
     assert_eq!(read_byte(&mut stream).await, Some(7));
 }
 
-/// A cut holds bytes back, and delivers them once it has healed: nothing is lost.
+/// A blocked link holds bytes back and delivers them once it is open again: none is lost.
 #[tokio::test]
 async fn link_blocked_and_reopened() {
     let (link, mut stream) = echo_link().await;
@@ -51,7 +53,7 @@
         LinkMode::Blocked,
     ] {
         link.set_mode(mode);
-        stream.write_u8(8).await.expect("it is open");
+        stream.write_u8(8).await.expect("the connection is open");
         let blocked_read = tokio::time::timeout(SILENCE_TIMEOUT, stream.read_u8()).await;
         assert!(blocked_read.is_err(), "{mode:?}");
         link.set_mode(LinkMode::Open);
@@ -59,15 +61,17 @@
     }
 }
 
-/// A reset breaks open connections, and new ones at once.
+/// A reset link closes open connections, and new ones as soon as they are accepted.
 #[tokio::test]
 async fn link_reset() {
     let (link, mut stream) = echo_link().await;
-    stream.write_u8(9).await.expect("it is open");
+    stream.write_u8(9).await.expect("the connection is open");
     assert_eq!(read_byte(&mut stream).await, Some(9));
     link.set_mode(LinkMode::Reset);
     assert_eq!(read_byte(&mut stream).await, None);
-    let mut next = TcpStream::connect(link.address()).await.expect("a port");
+    let mut next = TcpStream::connect(link.address())
+        .await
+        .expect("the address can be bound");
     assert_eq!(read_byte(&mut next).await, None);
 }
 
@@ -78,6 +82,9 @@
     assert_eq!(plan, SoakPlan::new(7, span));
     assert_ne!(plan, SoakPlan::new(8, span));
     assert!(plan.steps.len() > 20);
-    let last = plan.steps.last().expect("a fault").at;
-    assert!(last + FAULT_FREE_END <= span, "the end is calm");
+    let last = plan.steps.last().expect("the plan has a fault").at;
+    assert!(
+        last + FAULT_FREE_END <= span,
+        "no fault starts in the fault-free end"
+    );
 }
--- a/alderhaven-soak/tests/promises.rs
+++ b/alderhaven-soak/tests/promises.rs
@@ -1,4 +1,5 @@
-//! Each check sees its promise broken: a sound history breaks none, and each test spoils one thing.
+//! Tests of the promise checks: a valid history breaks no promise, and each change to it breaks
+//! one.
 
 mod history;
 
@@ -19,7 +20,7 @@
     assert_eq!(builder.broken_promises(PromiseScope::Untimed), []);
 }
 
-/// A caller asks for a record and gets the answer to another caller's request.
+/// A caller gets the answer to another caller's request.
 #[test]
 fn check_foreign_answer() {
     let mut builder = HistoryBuilder::valid();
@@ -29,7 +30,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::OwnAnswer]);
 }
 
-/// The answer of a target is cut on the way and reaches the caller as a whole one.
+/// A truncated answer reaches the caller as a whole one.
 #[test]
 fn check_truncated_answer() {
     let mut builder = HistoryBuilder::valid();
@@ -37,7 +38,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::OwnAnswer]);
 }
 
-/// A target fails, and its failure reaches the caller with another status.
+/// A target's failure reaches the caller with another status.
 #[test]
 fn check_changed_failure() {
     let mut builder = HistoryBuilder::valid();
@@ -59,7 +60,7 @@
     assert!(broken.contains(&PromiseKind::TrueCoverage), "{broken:?}");
 }
 
-/// A shard is missing and the answer does not say so.
+/// A shard is missing, and the answer does not declare it.
 #[test]
 fn check_unreported_missing_shard() {
     let mut builder = HistoryBuilder::valid();
@@ -71,7 +72,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
-/// The digests of all shards are there, and the records of one of them are not.
+/// The answer names the digests of all shards but lacks the records of one.
 #[test]
 fn check_missing_records() {
     let mut builder = HistoryBuilder::valid();
@@ -82,7 +83,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
-/// More shards are missing than a caller can do without, and it gets a success all the same.
+/// An answer is a success although it covers fewer shards than required.
 #[test]
 fn check_insufficient_coverage() {
     let mut builder = HistoryBuilder::valid();
@@ -94,7 +95,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
-/// A proper request is called wrong.
+/// A valid request is rejected with status 400.
 #[test]
 fn check_rejected_valid_request() {
     let mut builder = HistoryBuilder::valid();
@@ -102,7 +103,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::NotDenied]);
 }
 
-/// An order is sent to a second target because the first one was slow, and both run it.
+/// A second target runs an order that the first one has run.
 #[test]
 fn check_order_run_twice() {
     let mut builder = HistoryBuilder::valid();
@@ -110,7 +111,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::AtMostOnce]);
 }
 
-/// A shard's third target is asked although two is the most.
+/// A third target of a shard runs a request; two are allowed.
 #[test]
 fn check_too_many_targets() {
     let mut builder = HistoryBuilder::valid();
@@ -120,7 +121,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::AtMostOnce]);
 }
 
-/// A caller is told that its order has not run, sends it again, and it had run.
+/// An order is refused as not run although it ran.
 #[test]
 fn check_false_refusal() {
     let mut builder = HistoryBuilder::valid();
@@ -132,8 +133,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::NotRun]);
 }
 
-/// A caller is told that its query over all shards has not run and when to come back, and a part of it had
-/// run: the refusal cost the targets work that nobody gets.
+/// A fan-out query is refused as not run although its shards ran it.
 #[test]
 fn check_false_refusal_of_a_query() {
     let mut builder = HistoryBuilder::valid();
@@ -146,7 +146,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::NotRun]);
 }
 
-/// A target gets a request that no caller sent, and one whose path has changed.
+/// A target gets a request that no caller sent, or one with a changed path.
 #[test]
 fn check_invented_request() {
     let mut builder = HistoryBuilder::valid();
@@ -157,7 +157,8 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::NothingInvented]);
 }
 
-/// A target says that it leaves, and gets work after its time. While the store fails that may be.
+/// A leaving target gets a request after the drain time. That is allowed while the store is
+/// disrupted.
 #[test]
 fn check_work_for_leaving_target() {
     let mut builder = HistoryBuilder::valid();
@@ -170,17 +171,13 @@
     assert_eq!(builder.broken_promises(ALL), []);
 }
 
-/// A failure domain is evacuated, and its targets get work after the bound; not while the store fails, not within the
-/// bound, and not once it is taken back.
+/// A target of an evacuated failure domain gets a request after the bound. That is allowed while
+/// the store is disrupted, within the bound and after the evacuation was revoked.
 #[test]
 fn check_work_for_evacuated_domain() {
     let mut builder = HistoryBuilder::valid();
     builder.add_evacuation("b", at_millis(1_000), None);
-    assert_eq!(
-        builder.broken_promises(ALL),
-        [],
-        "the targets lie in the other one"
-    );
+    assert_eq!(builder.broken_promises(ALL), [], "no target is in domain b");
     builder.add_evacuation("a", at_millis(3_000), Some(at_millis(10_000)));
     assert!(
         builder
@@ -191,13 +188,21 @@
     assert_eq!(builder.broken_promises(ALL), []);
     let mut builder = HistoryBuilder::valid();
     builder.add_evacuation("a", at_millis(4_500), Some(at_millis(10_000)));
-    assert_eq!(builder.broken_promises(ALL), [], "within the bound");
+    assert_eq!(
+        builder.broken_promises(ALL),
+        [],
+        "the arrivals are within the bound"
+    );
     let mut builder = HistoryBuilder::valid();
     builder.add_evacuation("a", at_millis(1_000), Some(at_millis(8_000)));
-    assert_eq!(builder.broken_promises(ALL), [], "taken back");
+    assert_eq!(
+        builder.broken_promises(ALL),
+        [],
+        "the evacuation was revoked before the arrivals"
+    );
 }
 
-/// A route that was added long ago is missing at a front; within the first seconds that may be.
+/// A front lacks an added route after the bound. That is allowed within the bound.
 #[test]
 fn check_late_config() {
     let mut builder = HistoryBuilder::valid();
@@ -212,7 +217,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::ConfigInForce]);
 }
 
-/// A route that was taken away long ago is still served.
+/// A route that was removed longer ago than the bound is still served.
 #[test]
 fn check_removed_route() {
     let mut builder = HistoryBuilder::valid();
@@ -221,7 +226,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::ConfigInForce]);
 }
 
-/// A front serves a new route and then, after a late word from a peer, does not know it.
+/// A process serves a new route and later answers that the route does not exist.
 #[test]
 fn check_config_regression() {
     let mut builder = HistoryBuilder::valid();
@@ -236,8 +241,8 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::ConfigKept]);
 }
 
-/// A front is asked to stop and closes a connection although the target's answer is coming. Where it
-/// is killed that may be.
+/// A front closes a connection although a target answers, both while it serves and while it stops.
+/// That is allowed if it was killed.
 #[test]
 fn check_cut_request() {
     let mut builder = HistoryBuilder::valid();
@@ -249,7 +254,7 @@
     assert_eq!(builder.broken_promises(ALL), []);
 }
 
-/// A process ends although nobody asked it to.
+/// A process ends without being stopped or killed.
 #[test]
 fn check_unrequested_exit() {
     let mut builder = HistoryBuilder::valid();
@@ -257,7 +262,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::ProcessLives]);
 }
 
-/// A service that fails gets more repeats than all fronts together may send.
+/// A service gets more repeats than the budget of all fronts together allows.
 #[test]
 fn check_excessive_repeats() {
     let mut builder = HistoryBuilder::valid();
@@ -269,7 +274,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::RepeatBudget]);
 }
 
-/// A target is told that it may work for longer than the caller waits.
+/// A target is told more time than the caller has left.
 #[test]
 fn check_excessive_time_left() {
     let mut builder = HistoryBuilder::valid();
@@ -277,7 +282,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::TimeLeft]);
 }
 
-/// A front keeps a caller waiting beyond its time. While the front stands still that may be.
+/// A request ends after the caller's timeout. That is allowed while the front is disrupted.
 #[test]
 fn check_late_answer() {
     let mut builder = HistoryBuilder::valid();
@@ -291,7 +296,7 @@
     assert_eq!(builder.broken_promises(ALL), []);
 }
 
-/// A caller leaves, and the front still sends its request to another target.
+/// A front sends an attempt to another target after the caller has disconnected.
 #[test]
 fn check_work_for_disconnected_caller() {
     let mut builder = HistoryBuilder::valid();
@@ -301,7 +306,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::CallerGone]);
 }
 
-/// All faults are over and the fronts still refuse.
+/// Fronts still refuse requests after all faults have ended.
 #[test]
 fn check_missing_recovery() {
     let mut builder = HistoryBuilder::valid();
@@ -314,7 +319,7 @@
             answer.proof = String::new();
         });
     }
-    // What is refused is sent nowhere.
+    // A refused request must not arrive at a target, which would break `NotRun`.
     let arrivals = &mut builder.history.arrivals;
     arrivals.retain(|arrival| !arrival.request_id.starts_with("last"));
     let broken = builder.broken_promises(ALL);
