--- a/alderhaven-proof/src/caller.rs
+++ b/alderhaven-proof/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: one query and its reply.
+//! The queries and replies of callers.
 
 use std::net::SocketAddr;
 
@@ -12,39 +12,39 @@
 use serde_json::{Value, json};
 use uuid::Uuid;
 
-/// The parameter of the proofs' templates.
+/// The name of the only parameter of the templates.
 pub const PARAMETER: &str = "key";
-/// The team of the proofs.
+/// The team that sends the queries.
 pub const TEAM: &str = "desk";
 
-/// A `CallerReply` is what a caller received.
+/// A reply that a caller received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerReply {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The body.
+    /// The JSON body: an answer or an error.
     pub body: Value,
 }
 
-/// A `CallerQuery` is a query of the proofs' templates.
+/// A query of one of the templates.
 #[derive(Clone, Debug, PartialEq, Eq, bon::Builder)]
 #[builder(on(String, into))]
 pub struct CallerQuery {
-    /// The template.
+    /// The name of the template.
     pub template: String,
-    /// The value of its parameter.
+    /// The value of the parameter.
     pub key: String,
-    /// The deadline in milliseconds; the template's without it.
+    /// The deadline in milliseconds; `None` for the template's.
     pub deadline_ms: Option<u64>,
-    /// The key of a request that must run at most once.
+    /// The idempotency key of a request that must run at most once.
     pub idempotency_key: Option<Uuid>,
 }
 
 impl CallerQuery {
-    /// Sends the query to an entry over a connection of its own.
+    /// Sends the query to an entry over a new connection.
     ///
     /// # Errors
-    /// Where no whole reply comes.
+    /// No whole reply with a JSON body arrives.
     pub async fn send(&self, entry: SocketAddr) -> Result<CallerReply> {
         let mut connection = HttpConnection::connect(entry).await?;
         let mut body = json!({ "team": TEAM, "parameters": { PARAMETER: self.key } });
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Gets the rows that an answer of a manifest's snapshot must hold over `shards`.
+    /// Returns the rows that an answer of the manifest's snapshot over `shards` must contain.
     #[must_use]
     pub fn expected_rows(&self, manifest: &SnapshotManifest, shards: &[u32]) -> Value {
         let parameters = self.parameters();
@@ -80,7 +80,7 @@
         json!(rows)
     }
 
-    /// Gets the canonical parameters, as they stand in the record of runs.
+    /// Returns the canonical parameters, as run records contain them.
     #[must_use]
     pub fn parameters(&self) -> String {
         json!({ PARAMETER: self.key }).to_string()
@@ -88,7 +88,7 @@
 }
 
 impl CallerReply {
-    /// Gets the outcome of an answer, or the code of an error.
+    /// Returns the outcome of an answer or the code of an error.
     #[must_use]
     pub fn outcome_or_code(&self) -> &str {
         self.body["outcome"]
@@ -97,13 +97,13 @@
             .unwrap_or("neither an answer nor an error")
     }
 
-    /// Returns true where the reply promises that nothing ran.
+    /// Returns true if the reply states that nothing ran.
     #[must_use]
     pub fn says_not_run(&self) -> bool {
         self.body["error"]["not_run"] == Value::Bool(true)
     }
 
-    /// Gets the shards that the answer says are missing.
+    /// Returns the numbers of the shards that the answer declares missing.
     #[must_use]
     pub fn missing_shards(&self) -> Vec<u64> {
         self.body["coverage"]["missing"]
--- a/alderhaven-proof/src/child_process.rs
+++ b/alderhaven-proof/src/child_process.rs
@@ -1,4 +1,4 @@
-//! A started process with its ready line, its log and the signals for it.
+//! A child process with its ready line, its log and signals to it.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -15,13 +15,13 @@
 use crate::condition;
 use crate::condition::CONDITION_TIMEOUT;
 
-/// The most log lines that are kept of a process.
+/// The most log lines that are kept per process; later lines are dropped.
 const MAX_LOG_LINES: usize = 10_000;
 
-/// The field that every line of a log has, and the ready line has not.
+/// A field that is in every log line but not in the ready line.
 const LOG_LINE_FIELD: &str = "\"time_ms\"";
 
-/// A `ChildProcess` is a process that the proof started; it is killed on drop.
+/// A child process, which is killed on drop.
 #[derive(Debug)]
 pub struct ChildProcess {
     name: String,
@@ -31,10 +31,12 @@
 }
 
 impl ChildProcess {
-    /// Starts a binary and waits for the JSON line that says it is ready.
+    /// Starts a binary and waits for the JSON line on stdout with which it reports that it is
+    /// ready.
     ///
     /// # Errors
-    /// Where it can't be started, ends or prints no ready line in time; the log is in the error.
+    /// The process can't be started, ends first or prints no ready line in time. The error contains
+    /// its log.
     pub fn start(name: &str, binary: &Path, arguments: &[String]) -> Result<Self> {
         let mut child = Command::new(binary)
             .args(arguments)
@@ -44,9 +46,15 @@
             .spawn()
             .wrap_err_with(|| format!("{name}: {} can't be started", binary.display()))?;
         let log = Arc::new(Mutex::new(Vec::new()));
-        let stderr = child.stderr.take().ok_or_else(|| eyre!("no stderr"))?;
+        let stderr = child
+            .stderr
+            .take()
+            .ok_or_else(|| eyre!("{name}: stderr is not piped"))?;
         collect_stderr(stderr, Arc::clone(&log));
-        let stdout = child.stdout.take().ok_or_else(|| eyre!("no stdout"))?;
+        let stdout = child
+            .stdout
+            .take()
+            .ok_or_else(|| eyre!("{name}: stdout is not piped"))?;
         let lines = collect_stdout(stdout, Arc::clone(&log));
         let mut process = Self {
             name: name.to_owned(),
@@ -63,22 +71,22 @@
         Ok(process)
     }
 
-    /// Gets the name.
+    /// Returns the name under which the process was started.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Gets the ready line.
+    /// Returns the parsed ready line.
     #[must_use]
     pub const fn ready_message(&self) -> &Value {
         &self.ready_message
     }
 
-    /// Gets an address of the ready line.
+    /// Returns an address from the ready line.
     ///
     /// # Errors
-    /// Where the line has no such address.
+    /// The ready line has no such field or its value is not an address.
     pub fn address(&self, field: &str) -> Result<SocketAddr> {
         let text = self.ready_message[field]
             .as_str()
@@ -86,29 +94,29 @@
         Ok(text.parse()?)
     }
 
-    /// Gets the log lines so far.
+    /// Returns the log lines so far, of stdout and stderr.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         self.lock_log().clone()
     }
 
-    /// Ends the process at once (SIGKILL), and waits until the system has closed its sockets.
+    /// Kills the process with SIGKILL and waits for its end, after which its sockets are closed.
     ///
     /// # Errors
-    /// Where the signal can't be sent.
+    /// The signal can't be sent.
     pub fn kill(&mut self) -> Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Freezes the process (SIGSTOP); its sockets stay open.
+    /// Suspends the process with SIGSTOP; its sockets stay open.
     ///
-    /// It returns once all threads stand still: the signal alone only asks for it, and a thread
-    /// could still take a message that the proof sends next.
+    /// Returns once all threads are stopped. Before that, a thread could still receive a message
+    /// that the test sends next.
     ///
     /// # Errors
-    /// Where the signal can't be sent, or the process ends instead.
+    /// The signal can't be sent, or the process ends instead.
     pub fn freeze(&self) -> Result<()> {
         self.signal(Signal::STOP)?;
         let id = Pid::from_child(&self.child);
@@ -116,30 +124,30 @@
         if status_change.is_some_and(|(_, status)| status.stopped()) {
             Ok(())
         } else {
-            Err(eyre!("{} ended before it was frozen", self.name))
+            Err(eyre!("{} ended before it was suspended", self.name))
         }
     }
 
-    /// Lets a frozen process go on (SIGCONT).
+    /// Resumes a suspended process with SIGCONT.
     ///
     /// # Errors
-    /// Where the signal can't be sent.
+    /// The signal can't be sent.
     pub fn resume(&self) -> Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Asks the process to stop (SIGTERM).
+    /// Requests a planned stop with SIGTERM.
     ///
     /// # Errors
-    /// Where the signal can't be sent.
+    /// The signal can't be sent.
     pub fn terminate(&self) -> Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Waits until the process has ended by itself.
+    /// Waits for the end of the process and returns its status.
     ///
     /// # Errors
-    /// Where it goes on beyond the limit.
+    /// The process has not ended in time.
     pub async fn await_exit(&mut self) -> Result<ExitStatus> {
         let what = format!("the end of {}", self.name);
         let child = &mut self.child;
@@ -147,7 +155,8 @@
     }
 
     fn signal(&self, signal: Signal) -> Result<()> {
-        // The child is not waited for before `kill` or `drop`, so its id is still its own.
+        // Only `kill`, `await_exit` and `drop` reap the child. Callers send no signal after that,
+        // so its id can't have been reused.
         rustix::process::kill_process(Pid::from_child(&self.child), signal)
             .wrap_err_with(|| format!("{}: {signal:?} can't be sent", self.name))
     }
@@ -159,20 +168,20 @@
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // A process that has ended already can't be killed again.
+        // Fails if the process has already ended.
         let _ended_before = self.child.kill();
         let _status = self.child.wait();
     }
 }
 
-/// Keeps the lines of the log, and hands on those that are not part of it: the ready line.
+/// Collects log lines from stdout, and sends the others, the ready line, to the returned receiver.
 fn collect_stdout(
     stdout: impl Read + Send + 'static,
     log: Arc<Mutex<Vec<String>>>,
 ) -> Receiver<String> {
     let (sender, lines) = mpsc::channel();
     thread::spawn(move || {
-        // The pipe is read to its end, so that the process never waits for a reader.
+        // The pipe is read to its end, so that the process never blocks on a full pipe.
         for line in BufReader::new(stdout).lines().map_while(Result::ok) {
             if line.contains(LOG_LINE_FIELD) {
                 append_log_line(&log, line);
--- a/alderhaven-proof/src/cluster.rs
+++ b/alderhaven-proof/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The running cluster of a proof: platform, targets, relays and entries as processes.
+//! A cluster under test: platform, targets, relays and entries as child processes.
 
 use std::net::SocketAddr;
 
@@ -18,25 +18,25 @@
 use crate::operator_view;
 use crate::scratch_directory::ScratchDirectory;
 
-/// The spans of a planned stop in a group, short so that a proof takes seconds.
+/// The durations of the phases of a planned stop in a group.
 const DRAIN_SPAN: &str = "300ms";
 
-/// A `ProofCluster` is a running cluster; dropping it ends all its processes.
+/// A running cluster. Dropping it kills all its processes.
 #[derive(Debug)]
 pub struct TestCluster {
-    /// The platform.
+    /// The process of the platform stand-in.
     pub platform: ChildProcess,
-    /// The target processes; each holds one target for every shard.
+    /// The target processes; each runs one target for every shard.
     pub targets: Vec<ChildProcess>,
-    /// The relays.
+    /// The relay processes, by number.
     pub relays: Vec<ChildProcess>,
-    /// The entries.
+    /// The entry processes, by number.
     pub entries: Vec<ChildProcess>,
-    /// The manifest that was published.
+    /// The manifest that was published at the start.
     pub manifest: SnapshotManifest,
     pub(crate) binaries: TestBinaries,
     pub(crate) files: ScratchDirectory,
-    /// The file that the platform was started with.
+    /// The path of the file with the platform's initial objects.
     pub(crate) objects_file: String,
     objects_revision: u64,
     is_group: bool,
@@ -44,10 +44,10 @@
 }
 
 impl TestCluster {
-    /// Starts all processes and waits until every entry has the configuration and its relays.
+    /// Starts all processes and waits until every entry has the whole configuration and all relays.
     ///
     /// # Errors
-    /// Where a process can't be started or is not ready in time.
+    /// A process can't be started or is not ready in time.
     pub async fn start(binaries: TestBinaries, options: &ClusterOptions) -> Result<Self> {
         let files = ScratchDirectory::new(&binaries.scratch_base)?;
         let layout = options.layout()?;
@@ -85,10 +85,10 @@
         Ok(cluster)
     }
 
-    /// Starts one more relay and gets its number.
+    /// Starts another relay and returns its number.
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// The relay can't be started.
     pub fn start_relay(&mut self) -> Result<usize> {
         let number = self.relays.len();
         let settings = self.node_settings(&format!("relay-{number}"))?;
@@ -97,10 +97,10 @@
         Ok(number)
     }
 
-    /// Starts one more entry and gets its number; it need not be ready.
+    /// Starts another entry and returns its number, without waiting until it is ready.
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// The entry can't be started.
     pub fn start_entry(&mut self) -> Result<usize> {
         let number = self.entries.len();
         let mut settings = self.node_settings(&format!("entry-{number}"))?;
@@ -127,7 +127,7 @@
     /// Waits until an entry has the whole configuration and exactly `relays` usable relays.
     ///
     /// # Errors
-    /// Where that does not come about in time.
+    /// The condition does not hold in time.
     pub async fn await_entry_ready(&self, number: usize, relays: usize) -> Result<()> {
         let operator = self.entries[number].address("operator")?;
         let revision = self.objects_revision;
@@ -142,18 +142,18 @@
         .await
     }
 
-    /// Gets the address of an entry for callers.
+    /// Returns the address of an entry for callers.
     ///
     /// # Errors
-    /// Where the entry told none.
+    /// The entry reported no address.
     pub fn entry_address(&self, number: usize) -> Result<SocketAddr> {
         self.entries[number].address("listen")
     }
 
-    /// Gets the runs of a query at one target process.
+    /// Returns the runs of a query at one target process.
     ///
     /// # Errors
-    /// Where the process can't be asked.
+    /// The process can't be queried.
     pub async fn runs_at(&self, process: usize, query: &CallerQuery) -> Result<Vec<RunRecord>> {
         let control = self.targets[process].address("control")?;
         let records: Vec<RunRecord> = operator_view::get_json(control, "/runs").await?;
@@ -164,10 +164,10 @@
             .collect())
     }
 
-    /// Gets the runs of a query at all target processes.
+    /// Returns the runs of a query at all target processes.
     ///
     /// # Errors
-    /// Where a process can't be asked.
+    /// A process can't be queried.
     pub async fn runs(&self, query: &CallerQuery) -> Result<Vec<RunRecord>> {
         let mut runs = Vec::new();
         for process in 0..self.targets.len() {
@@ -176,10 +176,10 @@
         Ok(runs)
     }
 
-    /// Waits until `count` runs of a query are known at one target process.
+    /// Waits until a target process has recorded at least `count` runs of a query.
     ///
     /// # Errors
-    /// Where that does not come about in time.
+    /// The condition does not hold in time.
     pub async fn await_runs_at(
         &self,
         process: usize,
@@ -193,10 +193,11 @@
         .await
     }
 
-    /// Gets what a relay says of its lanes: the target, and the attempts that are at it.
+    /// Returns the targets to which a relay has a lane, each with the number of attempts in flight
+    /// there.
     ///
     /// # Errors
-    /// Where the relay can't be asked.
+    /// The relay can't be queried.
     pub async fn lanes(&self, relay: usize) -> Result<Vec<(String, u64)>> {
         let operator = self.relays[relay].address("operator")?;
         let dump: Value = operator_view::get_json(operator, "/debug/dump").await?;
@@ -206,12 +207,12 @@
             .collect())
     }
 
-    /// Waits until a relay has attempts at targets, and gets its number.
+    /// Waits until a relay has attempts in flight, and returns its number.
     ///
     /// # Errors
-    /// Where that does not come about in time.
+    /// The condition does not hold in time.
     pub async fn await_busy_relay(&self) -> Result<usize> {
-        condition::until("a relay with attempts at targets", async || {
+        condition::until("a relay with attempts in flight", async || {
             for relay in 0..self.relays.len() {
                 let lanes = self.lanes(relay).await?;
                 if lanes.iter().any(|(_, in_flight)| *in_flight > 0) {
@@ -223,13 +224,13 @@
         .await
     }
 
-    /// Gets the rows that a query's answer must hold over `shards`.
+    /// Returns the rows that an answer over `shards` must contain.
     #[must_use]
     pub fn expected_rows(&self, query: &CallerQuery, shards: &[u32]) -> Value {
         query.expected_rows(&self.manifest, shards)
     }
 
-    /// Gets the numbers of all shards.
+    /// Returns the numbers of all shards.
     #[must_use]
     pub fn all_shards(&self) -> Vec<u32> {
         let shards = self.manifest.shards.iter();
@@ -266,7 +267,7 @@
     }
 }
 
-/// Starts the processes of one version.
+/// Starts the target processes of one index version.
 pub(crate) fn start_targets(
     binaries: &TestBinaries,
     files: &ScratchDirectory,
@@ -289,8 +290,8 @@
         .collect()
 }
 
-/// Gets the manifest that takes each shard's replicas from the processes of its placement, counted
-/// from the process `first`.
+/// Builds the manifest in which each shard's replicas are at the processes of its placement,
+/// numbered from the process `first`.
 pub(crate) fn build_manifest(
     targets: &[ChildProcess],
     first: usize,
@@ -303,14 +304,16 @@
         .map(|process| {
             let manifests = process.ready_message()["manifests"].clone();
             let mut manifests: Vec<SnapshotManifest> = serde_json::from_value(manifests)?;
-            manifests.pop().ok_or_eyre("no manifest")
+            manifests
+                .pop()
+                .ok_or_eyre("a target process reported no manifest")
         })
         .collect::<Result<_>>()?;
     let entry = |(shard, processes): (u32, &Vec<usize>)| -> Result<ShardEntry> {
         let replicas = processes.iter().map(|process| {
             let replica = &process_manifests[*process].shards[shard as usize].replicas[0];
             Ok(ReplicaEntry {
-                // Each process has a target of this name; the cluster needs a name for each.
+                // All processes use the same target names; within the cluster they must be unique.
                 target: layout.target_id(shard, u32::try_from(first + process)?)?,
                 ..replica.clone()
             })
--- a/alderhaven-proof/src/cluster_changes.rs
+++ b/alderhaven-proof/src/cluster_changes.rs
@@ -1,4 +1,5 @@
-//! Changes of a running cluster: more targets, a new manifest, a restarted platform.
+//! Changes to a running cluster: further target processes, a new manifest, a restart of the
+//! platform.
 
 use std::net::SocketAddr;
 
@@ -18,28 +19,28 @@
 use crate::platform_client::PlatformClient;
 
 impl TestCluster {
-    /// Gets the platform's calls.
+    /// Creates a client of the platform.
     ///
     /// # Errors
-    /// Where the platform told no address.
+    /// The platform reported no address.
     pub fn platform_client(&self) -> Result<PlatformClient> {
         Ok(PlatformClient::new(self.platform.address("address")?))
     }
 
-    /// Gets the operator addresses of all nodes.
+    /// Returns the operator addresses of all nodes, entries before relays.
     ///
     /// # Errors
-    /// Where a node told none.
+    /// A node reported no operator address.
     pub fn operator_addresses(&self) -> Result<Vec<SocketAddr>> {
         let nodes = self.entries.iter().chain(&self.relays);
         nodes.map(|node| node.address("operator")).collect()
     }
 
-    /// Starts target processes beside the ones that run, which hold another version, and gets the
-    /// manifest of the new ones alone; it is not published yet.
+    /// Starts additional target processes with another index version, and returns the unpublished
+    /// manifest of these processes alone.
     ///
     /// # Errors
-    /// Where a process can't be started.
+    /// A process can't be started.
     pub fn start_version(
         &mut self,
         options: &ClusterOptions,
@@ -52,10 +53,10 @@
         cluster::build_manifest(&self.targets, first, options, layout, snapshot)
     }
 
-    /// Publishes a manifest.
+    /// Writes a manifest to the platform, over the current one.
     ///
     /// # Errors
-    /// Where the platform refuses.
+    /// The platform can't be reached or refuses the write.
     pub async fn publish_manifest(&self, manifest: &SnapshotManifest) -> Result<StoreVersion> {
         let key = ObjectKey {
             kind: ObjectKind::Manifest,
@@ -65,13 +66,13 @@
         self.platform_client()?.put(&key, body).await
     }
 
-    /// Waits until all nodes have every change up to a version in force.
+    /// Waits until all nodes have applied every change up to a version.
     ///
     /// # Errors
-    /// Where that does not come about in time.
+    /// The condition does not hold in time.
     pub async fn await_in_force(&self, version: StoreVersion) -> Result<()> {
         let operators = self.operator_addresses()?;
-        condition::until(&format!("revision {version} everywhere"), async || {
+        condition::until(&format!("revision {version} at all nodes"), async || {
             for operator in &operators {
                 if operator_view::config_revision(*operator).await? < Some(version.0) {
                     return Ok(None);
@@ -82,10 +83,10 @@
         .await
     }
 
-    /// Waits until the dump of every node fulfils `probe`.
+    /// Waits until the debug dump of every node satisfies `probe`.
     ///
     /// # Errors
-    /// Where that does not come about in time.
+    /// The condition does not hold in time.
     pub async fn await_all_dumps(&self, what: &str, probe: impl Fn(&Value) -> bool) -> Result<()> {
         let operators = self.operator_addresses()?;
         condition::until(what, async || {
@@ -99,10 +100,11 @@
         .await
     }
 
-    /// Ends the platform and starts it again at its address, with what it held at its first start.
+    /// Kills the platform and restarts it at the same address with its initial objects, so that
+    /// later writes are lost.
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// The platform can't be started.
     pub fn restart_platform(&mut self) -> Result<()> {
         let address = self.platform.address("address")?;
         self.platform.kill()?;
@@ -118,15 +120,15 @@
         Ok(())
     }
 
-    /// Writes a file for the operators' tool and gets its path.
+    /// Writes a file for `alderctl` and returns its path.
     ///
     /// # Errors
-    /// Where it can't be written.
+    /// The file can't be written.
     pub fn write_file(&self, name: &str, content: &impl serde::Serialize) -> Result<String> {
         self.files.write_json(name, content)
     }
 
-    /// Gets the path of a file that is not there yet.
+    /// Returns a path in the scratch directory, where no file needs to exist.
     #[must_use]
     pub fn file_path(&self, name: &str) -> String {
         self.files.file_path(name)
--- a/alderhaven-proof/src/cluster_options.rs
+++ b/alderhaven-proof/src/cluster_options.rs
@@ -1,4 +1,4 @@
-//! What a proof's cluster is made of.
+//! The options of a cluster under test: its processes, templates and team.
 
 use std::path::PathBuf;
 
@@ -14,32 +14,32 @@
 
 use crate::caller::{PARAMETER, TEAM};
 
-/// The template that asks every shard and may be repeated.
+/// The idempotent template that queries every shard.
 pub const FAN_OUT_TEMPLATE: &str = "sweep";
-/// The template that asks one shard and must run at most once.
+/// The template that queries one shard and must run at most once.
 pub const RESERVATION_TEMPLATE: &str = "reserve";
-/// The service of all proofs.
+/// The service of all templates.
 pub const SERVICE: &str = "sample";
 
-/// A `ProofBinaries` says where the binaries are and where files may be written.
+/// The paths of the binaries under test and of the directory for files.
 #[derive(Clone, Debug)]
 pub struct TestBinaries {
-    /// The stand-ins.
+    /// The binary of the stand-ins, which runs the platform or targets.
     pub standin: PathBuf,
-    /// The relay.
+    /// The relay binary.
     pub relay: PathBuf,
-    /// The entry.
+    /// The entry binary.
     pub entry: PathBuf,
-    /// The operators' tool.
+    /// The binary of the operators' tool.
     pub alderctl: PathBuf,
-    /// The directory for settings files.
+    /// The directory under which scratch directories are created.
     pub scratch_base: PathBuf,
 }
 
-/// A `ClusterOptions` says which processes run and how slow the targets are.
+/// The number of processes, the placement of replicas and the service times of a cluster.
 #[derive(Clone, Debug, bon::Builder)]
 pub struct ClusterOptions {
-    /// For each shard the processes that hold its replicas, by number from 0.
+    /// For each shard, the numbers of the target processes with its replicas, from 0.
     #[builder(default = vec![vec![0, 1]; 4])]
     pub placement: Vec<Vec<usize>>,
     /// The number of relays.
@@ -48,41 +48,42 @@
     /// The number of entries.
     #[builder(default = 1)]
     pub entries: usize,
-    /// The mean run time at targets.
+    /// The mean service time of targets.
     #[builder(default = TimeSpan::from_millis(2))]
     pub run_time: TimeSpan,
-    /// The spread of run times; 0 makes all runs equally long.
+    /// The sigma of the service time's distribution; 0 makes all runs equally long.
     #[builder(default)]
     pub spread: f64,
-    /// The deadline of the templates.
+    /// The deadline of all templates.
     #[builder(default = TimeSpan::from_secs(20))]
     pub deadline: TimeSpan,
-    /// The silence after which an entry replaces its link to a relay; none for the entry's default,
-    /// zero for never.
+    /// The silence after which an entry replaces its link to a relay; `None` for the entry's
+    /// default, zero for never.
     pub link_silence: Option<TimeSpan>,
-    /// Whether the nodes form a group, in which entries find the relays by themselves.
+    /// Whether the nodes gossip, so that entries discover the relays instead of having their
+    /// addresses in the settings.
     #[builder(default)]
     pub is_group: bool,
 }
 
 impl ClusterOptions {
-    /// Gets the number of shards.
+    /// Returns the number of shards.
     #[must_use]
     pub const fn shards(&self) -> usize {
         self.placement.len()
     }
 
-    /// Gets the number of target processes.
+    /// Returns the number of target processes: one more than the highest number in the placement.
     #[must_use]
     pub fn target_processes(&self) -> usize {
         let highest = self.placement.iter().flatten().max();
         highest.map_or(0, |number| number + 1)
     }
 
-    /// Gets the layout of each target process: one target for every shard.
+    /// Builds the layout of each target process, with one target for every shard.
     ///
     /// # Errors
-    /// Where the service's name does not follow the rule for names.
+    /// The service name is invalid.
     pub fn layout(&self) -> Result<ServiceLayout> {
         Ok(ServiceLayout {
             service: SERVICE.parse()?,
@@ -97,10 +98,10 @@
         })
     }
 
-    /// Gets the templates of the proofs.
+    /// Builds the templates that the tests query.
     ///
     /// # Errors
-    /// Where a name does not follow the rule for names.
+    /// A name is invalid.
     pub fn templates(&self) -> Result<Vec<QueryTemplate>> {
         let by_key = ShardSelection::ByKeyHash {
             parameter: PARAMETER.to_owned(),
@@ -111,10 +112,10 @@
         ])
     }
 
-    /// Gets the team of the proofs.
+    /// Builds the policy of the team that sends the queries, without limits.
     ///
     /// # Errors
-    /// Where the name does not follow the rule for names.
+    /// The team name is invalid.
     pub fn team(&self) -> Result<TeamPolicy> {
         Ok(TeamPolicy {
             name: TEAM.parse()?,
--- a/alderhaven-proof/src/condition.rs
+++ b/alderhaven-proof/src/condition.rs
@@ -1,4 +1,4 @@
-//! Waiting on conditions in place of sleeping.
+//! Polling of conditions, in place of fixed sleeps.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use tokio::time;
 use tokio::time::Instant;
 
-/// The time within which every condition must come about; far above what a busy machine needs.
+/// The default timeout of conditions, generous enough for an overloaded machine.
 pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
-/// The pause between two looks.
+/// The pause between two probes.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until `probe` gives a value; an error of the probe counts as "not yet".
+/// Waits until `probe` returns a value. An error of the probe is retried.
 ///
 /// # Errors
-/// Where the limit passes; it names `what` and the last error.
+/// [`CONDITION_TIMEOUT`] passed. The error names `what` and the last error of the probe.
 pub async fn until<T>(what: &str, probe: impl AsyncFnMut() -> Result<Option<T>>) -> Result<T> {
     within(CONDITION_TIMEOUT, what, probe).await
 }
 
-/// Waits until `probe` gives a value, for a promise that names its own time.
+/// Waits until `probe` returns a value, for at most `timeout`.
 ///
 /// # Errors
-/// As for [`until`].
+/// `timeout` passed. The error names `what` and the last error of the probe.
 pub async fn within<T>(
     timeout: Duration,
     what: &str,
@@ -35,7 +35,7 @@
             Ok(Ok(Some(value))) => return Ok(value),
             Ok(Ok(None)) => {}
             Ok(Err(error)) => last_error = format!("{error:#}"),
-            Err(_) => bail!("{what}: not within {timeout:?}, and the last look hangs"),
+            Err(_) => bail!("{what}: not within {timeout:?}; the last probe did not return"),
         }
         if Instant::now() >= deadline {
             bail!("{what}: not within {timeout:?}; last error: {last_error}");
--- a/alderhaven-proof/src/lib.rs
+++ b/alderhaven-proof/src/lib.rs
@@ -1,7 +1,6 @@
-//! The harness of the end-to-end proofs: real processes on loopback, and faults by signal.
-//!
-//! A proof starts the binaries, waits on conditions that it polls, ends or freezes a process by the
-//! id of the child that it started, and judges what callers received. All children end with it.
+//! Harness of the end-to-end tests: starts the binaries on loopback, injects faults by signals to
+//! child processes, polls conditions and sends queries as callers do. All child processes end with
+//! the test.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-proof/src/operator_tool.rs
+++ b/alderhaven-proof/src/operator_tool.rs
@@ -1,4 +1,4 @@
-//! Runs of the operators' tool, `alderctl`.
+//! Runs of `alderctl`, the operators' tool.
 
 use std::process::Command;
 
@@ -9,20 +9,20 @@
 use crate::cluster::TestCluster;
 use crate::condition::CONDITION_TIMEOUT;
 
-/// A `ToolResult` is what a run of the tool left.
+/// The result of a run of `alderctl`.
 #[derive(Clone, Debug)]
 pub struct ToolResult {
-    /// The exit code.
+    /// The exit code; `None` if a signal ended the process.
     pub exit_code: Option<i32>,
-    /// The report.
+    /// The JSON report from stdout.
     pub report: Value,
 }
 
 impl TestCluster {
-    /// Runs the tool on behalf of an operator, with all nodes of the cluster.
+    /// Runs `alderctl` as the given operator, with the addresses of all nodes.
     ///
     /// # Errors
-    /// Where it can't be started, does not end in time or prints no report.
+    /// It can't be started, does not end in time or prints no valid report.
     pub async fn alderctl(&self, operator: &str, arguments: &[&str]) -> Result<ToolResult> {
         let mut command = Command::new(&self.binaries.alderctl);
         command.args(["--json", "--operator", operator]);
--- a/alderhaven-proof/src/operator_view.rs
+++ b/alderhaven-proof/src/operator_view.rs
@@ -1,4 +1,4 @@
-//! What operators see of a process: its status and its dump.
+//! Queries of a process's operator interface, such as its status and its debug dump.
 
 use std::net::SocketAddr;
 
@@ -9,42 +9,42 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Gets a JSON document from a process.
+/// Fetches a JSON document from a process.
 ///
 /// # Errors
-/// Where it can't be reached or answers otherwise than with 200 and JSON.
+/// The process can't be reached, or its answer is no success with the expected JSON.
 pub async fn get_json<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Result<T> {
     Ok(serde_json::from_str(&get_text(address, path).await?)?)
 }
 
-/// Gets a text from a process.
+/// Fetches a text from a process.
 ///
 /// # Errors
-/// Where it can't be reached or answers otherwise than with 200 and a text.
+/// The process can't be reached, or its answer is no success with UTF-8 text.
 pub async fn get_text(address: SocketAddr, path: &str) -> Result<String> {
     let mut connection = HttpConnection::connect(address).await?;
     let response = connection
         .send(Request::get(path).body(Full::default())?)
         .await?;
     if !response.status().is_success() {
-        bail!("{path}: status {}", response.status());
+        bail!("{path} got status {}", response.status());
     }
     Ok(String::from_utf8(response.into_body().to_vec())?)
 }
 
-/// Gets the revision of the configuration in force, none before the first.
+/// Fetches the revision of the configuration in force; `None` before the first.
 ///
 /// # Errors
-/// As for [`get`].
+/// As for [`get_json`].
 pub async fn config_revision(operator: SocketAddr) -> Result<Option<u64>> {
     let status: Value = get_json(operator, "/debug/status").await?;
     Ok(status["config"]["revision"].as_u64())
 }
 
-/// Gets the number of relays that an entry can use.
+/// Fetches the number of relays that an entry can use.
 ///
 /// # Errors
-/// As for [`get`].
+/// As for [`get_json`].
 pub async fn usable_relay_count(operator: SocketAddr) -> Result<usize> {
     let dump: Value = get_json(operator, "/debug/dump").await?;
     let relays = dump["relays"].as_array().map_or(&[][..], Vec::as_slice);
--- a/alderhaven-proof/src/platform_client.rs
+++ b/alderhaven-proof/src/platform_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's stand-in: writes, the host list and the fault switches.
+//! A client of the platform stand-in: object writes, the host list and fault injection.
 
 use std::net::SocketAddr;
 
@@ -14,23 +14,23 @@
 use http_body_util::Full;
 use uuid::Uuid;
 
-/// A `PlatformCaller` calls the platform, each call over a connection of its own.
+/// Calls the platform, with a new connection for each call.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformClient {
     address: SocketAddr,
 }
 
 impl PlatformClient {
-    /// Returns a caller of the platform at `address`.
+    /// Creates a client of the platform at `address`.
     #[must_use]
     pub const fn new(address: SocketAddr) -> Self {
         Self { address }
     }
 
-    /// Writes an object over whatever the store holds, and gets its version.
+    /// Writes an object over its current version, if any, and returns the new version.
     ///
     /// # Errors
-    /// Where the platform can't be reached, refuses, or another writer comes between.
+    /// The platform can't be reached or refuses, or another write came in between.
     pub async fn put(&self, key: &ObjectKey, body: String) -> Result<StoreVersion> {
         let path = format!("/objects/{}/{}", key.kind, key.name);
         let expected_version = match self.call(Method::GET, &path, 0, Vec::new()).await? {
@@ -41,25 +41,25 @@
             .call(Method::PUT, &path, expected_version, body.into_bytes())
             .await?;
         if status != StatusCode::OK {
-            bail!("{key}: status {status}");
+            bail!("the write of {key} got status {status}");
         }
         Ok(serde_json::from_slice::<StoredObject>(&body)?.version)
     }
 
-    /// Writes a line of the host list.
+    /// Writes an entry of the host list.
     ///
     /// # Errors
-    /// Where the platform can't be reached or refuses.
+    /// The platform can't be reached or refuses.
     pub async fn put_host(&self, host: &HostRecord) -> Result<()> {
         let path = format!("/hosts/{}", host.host);
         let body = serde_json::to_vec(host)?;
         self.call_expecting_ok(Method::PUT, &path, body).await
     }
 
-    /// Replaces the fault switches.
+    /// Replaces the injected faults.
     ///
     /// # Errors
-    /// Where the platform can't be reached or refuses.
+    /// The platform can't be reached or refuses.
     pub async fn set_faults(&self, faults: &PlatformFaults) -> Result<()> {
         let body = serde_json::to_vec(faults)?;
         self.call_expecting_ok(Method::POST, "/faults", body).await
@@ -68,7 +68,7 @@
     async fn call_expecting_ok(&self, method: Method, path: &str, body: Vec<u8>) -> Result<()> {
         match self.call(method, path, 0, body).await? {
             (StatusCode::OK, _) => Ok(()),
-            (status, _) => bail!("{path}: status {status}"),
+            (status, _) => bail!("{path} got status {status}"),
         }
     }
 
--- a/alderhaven-proof/src/scratch_directory.rs
+++ b/alderhaven-proof/src/scratch_directory.rs
@@ -1,4 +1,4 @@
-//! The settings files of a proof's processes.
+//! A temporary directory for the files of a test.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,20 +7,20 @@
 use eyre::Result;
 use serde::Serialize;
 
-/// The number of directories that this process has made.
+/// The number of directories that this process has created, which makes their names unique.
 static CREATED_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A `ScratchFiles` is a directory that is removed on drop.
+/// A directory that is removed on drop.
 #[derive(Debug)]
 pub struct ScratchDirectory {
     directory: PathBuf,
 }
 
 impl ScratchDirectory {
-    /// Makes an empty directory under `base`.
+    /// Creates a directory under `base` with a name unique to this process and call.
     ///
     /// # Errors
-    /// Where it can't be made.
+    /// The directory can't be created.
     pub fn new(base: &Path) -> Result<Self> {
         let number = CREATED_COUNT.fetch_add(1, Ordering::Relaxed);
         let directory = base.join(format!("proof-{}-{number}", process::id()));
@@ -28,18 +28,18 @@
         Ok(Self { directory })
     }
 
-    /// Gets the path of a file.
+    /// Returns the path of a file in the directory.
     #[must_use]
     pub fn file_path(&self, name: &str) -> String {
         self.directory.join(name).display().to_string()
     }
 
-    /// Writes a file as JSON, which YAML readers take, and gets its path.
+    /// Writes a file as JSON, which is valid YAML too, and returns its path.
     ///
-    /// The name may hold folders.
+    /// The name may contain directories, which are created.
     ///
     /// # Errors
-    /// Where it can't be written.
+    /// The file can't be written.
     pub fn write_json(&self, name: &str, content: &impl Serialize) -> Result<String> {
         let path = self.directory.join(name);
         fs::create_dir_all(path.parent().unwrap_or(&self.directory))?;
@@ -50,7 +50,7 @@
 
 impl Drop for ScratchDirectory {
     fn drop(&mut self) {
-        // What can't be removed is left in the build's own scratch directory.
+        // Files that can't be removed stay in the build's temporary directory.
         let _left = fs::remove_dir_all(&self.directory);
     }
 }
--- a/alderhaven-proof/tests/end_to_end/at_most_once.rs
+++ b/alderhaven-proof/tests/end_to_end/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Proofs that a non-idempotent request runs at most once, whichever entries it is sent through.
+//! Tests that a non-idempotent request runs at most once, through whichever entries it is sent.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::caller::{CallerQuery, CallerReply};
@@ -11,12 +11,12 @@
 
 use crate::support;
 
-/// The deadline of what is sent again: an entry that stands still is waited for that long.
+/// The deadline of resent requests, which wait that long for a suspended entry.
 const RESEND_DEADLINE_MS: u64 = 1_500;
-/// A run time within which the proof acts.
+/// A service time that is long enough to inject a fault during a run.
 const LONG_RUN_TIME: TimeSpan = TimeSpan::from_secs(1);
 
-/// Starts a cluster and a reservation through entry 0 that a target runs by now.
+/// Starts a cluster, sends a reservation through entry 0 and waits until a target runs it.
 async fn start_reservation() -> (TestCluster, CallerQuery, JoinHandle<Result<CallerReply>>) {
     let options = ClusterOptions::builder()
         .run_time(LONG_RUN_TIME)
@@ -40,8 +40,7 @@
     (cluster, reservation, pending_reply)
 }
 
-/// Sends the reservation again through entry 1, checks the answer's word and that there is no second
-/// run.
+/// Resends the reservation through entry 1, and checks the outcome and that there is no second run.
 async fn assert_resent_once(cluster: &TestCluster, reservation: &CallerQuery, expected: &str) {
     let resent = CallerQuery {
         deadline_ms: Some(RESEND_DEADLINE_MS),
@@ -62,9 +61,9 @@
     runs[0].shard.0
 }
 
-/// The entry dies while a target runs a caller's reservation. The caller sends it again through
-/// another entry with the same key, twice. The claim of the dead entry stands: the caller hears that
-/// the outcome is unknown, and the reservation is made once, not two or three times.
+/// The entry is killed while a target runs a reservation, which the caller resends twice through
+/// another entry with the same key. The dead entry's claim holds: the outcome is unknown, and there
+/// is one run.
 #[tokio::test(flavor = "multi_thread")]
 async fn at_most_once_resend_other_entry_after_kill() {
     let (mut cluster, reservation, pending_reply) = start_reservation().await;
@@ -75,9 +74,9 @@
     }
 }
 
-/// The entry stands still while a target runs a caller's reservation, and the caller sends it again
-/// through another entry with the same key: the outcome is unknown. Then the first entry goes on and
-/// answers, and what the caller sends once more gets that answer. The reservation is made once.
+/// The entry is suspended while a target runs a reservation, and the caller resends it through
+/// another entry with the same key: the outcome is unknown. After the first entry has resumed and
+/// answered, a further resend gets the same answer. There is one run.
 #[tokio::test(flavor = "multi_thread")]
 async fn at_most_once_freeze() {
     let (cluster, reservation, pending_reply) = start_reservation().await;
--- a/alderhaven-proof/tests/end_to_end/config.rs
+++ b/alderhaven-proof/tests/end_to_end/config.rs
@@ -1,4 +1,4 @@
-//! Proofs that an accepted configuration is in force everywhere and never reverts.
+//! Tests that an accepted configuration takes effect on all nodes and is never reverted.
 
 use alderhaven_core::template::{MergeRule, QueryTemplate};
 use alderhaven_proof::cluster::TestCluster;
@@ -9,19 +9,19 @@
 
 use crate::support;
 
-/// The template that the proofs publish.
+/// The name of the template that the tests publish.
 const PUBLISHED_TEMPLATE: &str = "published";
-/// The races of two operators.
+/// The number of races between two operators.
 const RACE_ROUNDS: usize = 4;
 
 async fn start() -> TestCluster {
     support::start_cluster(ClusterOptions::builder().entries(2).build()).await
 }
 
-/// Writes the template's file with a merge rule that keeps `limit` rows, and gets its path.
+/// Writes the template's file with a merge rule that keeps `limit` rows, and returns its path.
 fn write_template(cluster: &TestCluster, folder: &str, limit: usize) -> String {
     let templates = ClusterOptions::builder().build().templates().unwrap();
-    let sweep = templates
+    let fan_out_template = templates
         .into_iter()
         .find(|template| template.name.as_str() == FAN_OUT_TEMPLATE);
     let template = QueryTemplate {
@@ -31,13 +31,13 @@
             limit,
             ascending: false,
         },
-        ..sweep.unwrap()
+        ..fan_out_template.unwrap()
     };
     let name = format!("{folder}/templates/{PUBLISHED_TEMPLATE}.yaml");
     cluster.write_file(&name, &template).unwrap()
 }
 
-/// Checks that every entry answers the template with `limit` rows.
+/// Checks that every entry answers a query of the template with `limit` rows.
 async fn assert_in_force(cluster: &TestCluster, limit: usize) {
     for number in 0..cluster.entries.len() {
         let entry = cluster.entry_address(number).unwrap();
@@ -51,8 +51,8 @@
     }
 }
 
-/// An operator publishes a template and waits until it is in force. From that moment on every node
-/// must know it: a caller who is told to use it finds it at any entry, with its newest content.
+/// An operator publishes a template with `--wait`. When the command returns, every entry serves the
+/// newest version of the template.
 #[tokio::test(flavor = "multi_thread")]
 async fn config_published_is_in_force_on_all_nodes() {
     let cluster = start().await;
@@ -66,10 +66,9 @@
     }
 }
 
-/// Two operators have looked at the same content and publish their changes at the same moment. One
-/// wins; the other is told that it lost and to whom, and has overwritten nothing: on all nodes the
-/// winner's content is in force. Without the condition on the version the later write would win in
-/// silence.
+/// Two operators publish changes to the same version concurrently. One wins; the other gets a
+/// conflict that names the winner. All nodes apply the winner's content, so that the version check
+/// prevents a lost update.
 #[tokio::test(flavor = "multi_thread")]
 async fn config_operators_racing() {
     let cluster = start().await;
@@ -96,7 +95,7 @@
         let results = [ama.unwrap(), kofi.unwrap()];
         let codes = results.each_ref().map(|result| result.exit_code);
         let winner = codes.iter().position(|code| *code == Some(0));
-        let winner = winner.unwrap_or_else(|| panic!("{results:?}: nobody won"));
+        let winner = winner.unwrap_or_else(|| panic!("no publication succeeded: {results:?}"));
         let loser = &results[1 - winner];
         assert_eq!(loser.exit_code, Some(4), "{}", loser.report);
         let publication = &loser.report["publications"][0];
@@ -114,10 +113,9 @@
     }
 }
 
-/// The platform goes out of service, then comes back as it was days ago, without what was published
-/// since. Callers must notice nothing: the template that was in force stays in force on every node,
-/// through the outage and after it. The operator who publishes during the outage is told that it
-/// did not take effect, and the nodes report that the store went backwards.
+/// The platform is down, then restarts with older content. The published template stays in force on
+/// every node. A publication during the outage fails, and the nodes report that the store has
+/// regressed.
 #[tokio::test(flavor = "multi_thread")]
 async fn config_stays_through_outage_and_restart() {
     let mut cluster = start().await;
@@ -132,7 +130,10 @@
     let platform = cluster.platform_client().unwrap();
     platform.set_faults(&outage).await.unwrap();
     cluster
-        .await_all_dumps("the outage is seen", has_store_state("lost"))
+        .await_all_dumps(
+            "all nodes report the store as lost",
+            has_store_state("lost"),
+        )
         .await
         .unwrap();
     assert_in_force(&cluster, 3).await;
@@ -142,14 +143,17 @@
     assert_in_force(&cluster, 3).await;
     cluster.restart_platform().unwrap();
     cluster
-        .await_all_dumps("the step back is seen", has_store_state("backwards"))
+        .await_all_dumps(
+            "all nodes report that the store has regressed",
+            has_store_state("backwards"),
+        )
         .await
         .unwrap();
     assert_in_force(&cluster, 3).await;
-    // A node that has nothing yet takes what the platform holds; it serves that, not nothing.
+    // A new node has no configuration yet and serves the one of the platform.
     let number = cluster.start_entry().unwrap();
     let entry = cluster.entry_address(number).unwrap();
-    condition::until("the new entry answers", async || {
+    condition::until("a complete answer of the new entry", async || {
         let reply = support::build_query(FAN_OUT_TEMPLATE, "new")
             .send(entry)
             .await?;
--- a/alderhaven-proof/tests/end_to_end/coverage.rs
+++ b/alderhaven-proof/tests/end_to_end/coverage.rs
@@ -1,4 +1,4 @@
-//! Proofs that each answer states truly which shards it covers.
+//! Tests that each answer states correctly which shards it covers.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
@@ -6,18 +6,17 @@
 
 use crate::support;
 
-/// The run time at targets in proofs that act while a query runs.
+/// A service time that is long enough to inject a fault during a query.
 const LONG_RUN_TIME: TimeSpan = TimeSpan::from_millis(300);
 
-/// A caller sweeps all shards, and a host with one replica of each shard dies while it works on the
-/// query. The caller sees a complete answer all the same: the shards whose attempts were lost are
-/// asked again at their other replica. Without that the dead host's shards would be missing.
+/// A host with one replica of each shard is killed during a query. The answer is complete: attempts
+/// that were lost are repeated at the other replicas.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_replica_killed_mid_query() {
     let options = ClusterOptions::builder().run_time(LONG_RUN_TIME).build();
     let mut cluster = support::start_cluster(options).await;
     let entry = cluster.entry_address(0).unwrap();
-    // The replica of a shard is chosen at random: sweeps are sent until the dying host has a run.
+    // The replica of a shard is chosen at random; with four queries the host gets a run.
     let query = support::build_query(FAN_OUT_TEMPLATE, "killed");
     let pending_replies = tokio::spawn({
         let query = query.clone();
@@ -33,8 +32,8 @@
     }
 }
 
-/// A host with one replica of each shard is dead when queries come, and new connections to it are
-/// refused. Every caller sees a complete answer through the other replicas, query after query.
+/// A host with one replica of each shard is dead and refuses connections. Every answer is complete,
+/// from the other replicas.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_replica_refuses_connections() {
     let mut cluster = support::start_cluster(ClusterOptions::builder().build()).await;
@@ -49,9 +48,8 @@
     }
 }
 
-/// Both hosts that hold replicas of shard 2 die. Callers see a partial answer that names exactly
-/// shard 2 as missing and holds exactly the rows of the others. An answer that called itself
-/// complete would hide whatever shard 2 holds.
+/// Both hosts with replicas of shard 2 are killed. Answers are partial, declare exactly shard 2
+/// missing and contain exactly the rows of the other shards.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_all_replicas_killed() {
     let placement = vec![vec![0, 1], vec![0, 1], vec![2, 3], vec![0, 1]];
@@ -79,9 +77,9 @@
     }
 }
 
-/// A relay is killed while it holds attempts of a query. The entry loses the connection, can't know
-/// what the targets did, and asks the shards again through the other relay, since a sweep may be
-/// repeated. The caller sees a complete answer.
+/// A relay is killed while it has attempts of a query in flight. The entry can't know which of them
+/// ran, and repeats them through the other relay, since the query is idempotent. The answer is
+/// complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_relay_killed_mid_query() {
     let options = ClusterOptions::builder().run_time(LONG_RUN_TIME).build();
@@ -102,10 +100,10 @@
     }
 }
 
-/// A relay is frozen: its connections stay open and nothing comes back. The entry keeps its link, so
-/// that the relay's shards stay out of reach. Whatever an answer holds by its deadline, its coverage
-/// is true: it is partial, the rows are exactly those of the shards that it does not name as
-/// missing. Once the relay goes on, late replies join no later answer and answers are complete again.
+/// A relay is suspended, and the entry never replaces its silent link, so that the relay's shards
+/// are unreachable. Answers at the deadline declare exactly the shards missing whose rows they
+/// lack. After the relay has resumed, late replies get into no later answer, and answers are
+/// complete again.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_relay_frozen() {
     let deadline = TimeSpan::from_secs(1);
@@ -117,23 +115,26 @@
     let entry = cluster.entry_address(0).unwrap();
     let frozen_relay = support::relay_with_most_lanes(&cluster).await;
     cluster.relays[frozen_relay].freeze().unwrap();
-    condition::until("an answer without the frozen relay's shards", async || {
-        let query = support::build_query(FAN_OUT_TEMPLATE, "frozen");
-        let reply = query.send(entry).await?;
-        let missing = reply.missing_shards();
-        let covered: Vec<u32> = cluster
-            .all_shards()
-            .into_iter()
-            .filter(|shard| !missing.contains(&u64::from(*shard)))
-            .collect();
-        if reply.status.is_success() {
-            assert_eq!(reply.body["rows"], cluster.expected_rows(&query, &covered));
-            assert_eq!(reply.outcome_or_code() == "complete", missing.is_empty());
-        } else {
-            assert_eq!(missing.len(), 4, "{}", reply.body);
-        }
-        Ok((!missing.is_empty()).then_some(()))
-    })
+    condition::until(
+        "an answer without the suspended relay's shards",
+        async || {
+            let query = support::build_query(FAN_OUT_TEMPLATE, "frozen");
+            let reply = query.send(entry).await?;
+            let missing = reply.missing_shards();
+            let covered: Vec<u32> = cluster
+                .all_shards()
+                .into_iter()
+                .filter(|shard| !missing.contains(&u64::from(*shard)))
+                .collect();
+            if reply.status.is_success() {
+                assert_eq!(reply.body["rows"], cluster.expected_rows(&query, &covered));
+                assert_eq!(reply.outcome_or_code() == "complete", missing.is_empty());
+            } else {
+                assert_eq!(missing.len(), 4, "{}", reply.body);
+            }
+            Ok((!missing.is_empty()).then_some(()))
+        },
+    )
     .await
     .unwrap();
     cluster.relays[frozen_relay].resume().unwrap();
@@ -150,9 +151,8 @@
     .unwrap();
 }
 
-/// A relay is frozen in the middle of a query: its connections stay open and nothing comes back. The
-/// entry finds its link silent, asks the shards again through the other relay, and the caller gets
-/// the whole answer while the relay is still frozen.
+/// A relay is suspended. The entry detects that its link is silent, repeats the attempts through
+/// the other relay and gives a complete answer while the relay is still suspended.
 #[tokio::test(flavor = "multi_thread")]
 async fn coverage_relay_frozen_link_replaced() {
     let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
--- a/alderhaven-proof/tests/end_to_end/group.rs
+++ b/alderhaven-proof/tests/end_to_end/group.rs
@@ -1,4 +1,4 @@
-//! Proofs of what nodes learn from each other.
+//! Tests of membership and configuration in a group of nodes.
 
 use alderhaven_proof::cluster::TestCluster;
 use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
@@ -14,14 +14,13 @@
     support::start_cluster(options).await
 }
 
-/// Returns true where a dump says that a member is dead.
+/// Returns true if a debug dump shows a member as dead.
 fn is_dead(dump: &Value, name: &str) -> bool {
     let mut members = dump["members"].as_array().into_iter().flatten();
     members.any(|member| member["record"]["node"] == name && member["state"] == "dead")
 }
 
-/// A relay dies without a word. Callers see complete answers all along, and within seconds all
-/// others know it dead. Without the probes every query would go on trying it.
+/// A relay is killed. Answers stay complete, and all other nodes detect its death.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_killed_relay_marked_dead() {
     let mut cluster = start().await;
@@ -30,7 +29,7 @@
     cluster.relays[0].kill().unwrap();
     let operators = cluster.operator_addresses().unwrap();
     let others = [operators[0], operators[1], operators[3]];
-    condition::until("all others know the relay dead", async || {
+    condition::until("all other nodes show the relay as dead", async || {
         for entry in entries {
             let query = support::build_query(FAN_OUT_TEMPLATE, "killed");
             let reply = query.send(entry).await.unwrap();
@@ -50,9 +49,9 @@
     .unwrap();
 }
 
-/// An entry starts while the platform's store is out of service, and at first its peers don't answer
-/// either. Callers are told that it is unavailable, not that the template does not exist. Once its
-/// peers answer it serves queries from their configuration; the store is still out of service.
+/// An entry starts while the store is down and all peers are suspended. It answers "unavailable",
+/// not that the template does not exist. After the peers have resumed, it serves queries with their
+/// configuration while the store is still down.
 #[tokio::test(flavor = "multi_thread")]
 async fn config_started_while_store_is_down() {
     let mut cluster = start().await;
--- a/alderhaven-proof/tests/end_to_end/interface.rs
+++ b/alderhaven-proof/tests/end_to_end/interface.rs
@@ -1,4 +1,4 @@
-//! Proofs of what a caller and the log are told of one request.
+//! Tests of request ids in replies and in the log.
 
 use alderhaven_proof::cluster_options::{ClusterOptions, FAN_OUT_TEMPLATE};
 use alderhaven_proof::condition;
@@ -9,8 +9,8 @@
 
 use crate::support;
 
-/// A caller reports a refused request by the id of its reply. The operator finds exactly one line
-/// with that id in the log of the entry, and no lines of the many requests that were answered.
+/// A rejected request is logged exactly once, under the request id that the reply contains.
+/// Answered requests are not logged.
 #[tokio::test(flavor = "multi_thread")]
 async fn interface_refusal_is_logged_once() {
     let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
@@ -30,7 +30,7 @@
     let reply = connection.send(request).await.unwrap();
     assert_eq!(reply.status(), 400);
     assert_eq!(reply.headers()["x-request-id"], "reported-1");
-    let lines = condition::until("a line of the refused request", async || {
+    let lines = condition::until("a log line of the rejected request", async || {
         let log = cluster.entries[0].log();
         let lines = log.iter().map(|line| serde_json::from_str::<Value>(line));
         let lines: Vec<Value> = lines.collect::<Result<_, _>>()?;
--- a/alderhaven-proof/tests/end_to_end/leaving.rs
+++ b/alderhaven-proof/tests/end_to_end/leaving.rs
@@ -1,4 +1,5 @@
-//! Proofs that a leaving target gets no new work within 3 s, whoever says first that it leaves.
+//! Tests that a leaving target gets no new attempts after a time bound, whether the host list, an
+//! operator or the target itself reports first that it is leaving.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,18 +21,18 @@
 
 use crate::support;
 
-/// The time of the promise.
+/// The time within which all nodes must stop sending attempts to a leaving target.
 const LEAVING_BOUND: Duration = Duration::from_secs(3);
-/// The time within which a change is in force everywhere, and a target that stays used again.
+/// The timeout until a target is used, initially or again.
 const CONVERGENCE_BOUND: Duration = Duration::from_secs(9);
-/// The most queries of the load that goes on meanwhile.
+/// The most queries that the background load sends to each entry.
 const MAX_QUERIES: usize = 5_000;
-/// The queries at each entry that must not reach the target.
+/// The number of queries to each entry that must not reach the leaving target.
 const QUERIES_PER_ENTRY: usize = 40;
-/// The shard of the leaving target; its process is 0.
+/// The shard of the leaving target, which is in process 0.
 const LEAVING_SHARD: usize = 1;
 
-/// A `SteadyLoad` sends one sweep after another to an entry and checks that each is complete.
+/// Background load: sends sequential queries to each entry and checks that each answer is complete.
 struct SteadyLoad {
     stop: Arc<AtomicBool>,
     callers: Vec<tokio::task::JoinHandle<usize>>,
@@ -75,7 +76,7 @@
     (cluster, entries)
 }
 
-/// Gets the number of runs at the leaving target so far.
+/// Returns the number of runs at the leaving target so far.
 async fn target_run_count(cluster: &TestCluster) -> usize {
     let query = support::build_query(FAN_OUT_TEMPLATE, "steady");
     let runs = cluster.runs_at(0, &query).await.unwrap();
@@ -85,14 +86,14 @@
 }
 
 async fn await_more_runs(cluster: &TestCluster, more_than: usize) {
-    condition::within(CONVERGENCE_BOUND, "work at the target", async || {
+    condition::within(CONVERGENCE_BOUND, "a run at the target", async || {
         Ok((target_run_count(cluster).await > more_than).then_some(()))
     })
     .await
     .unwrap();
 }
 
-/// Returns true where a node's dump says that the target leaves and nothing is in its lane.
+/// Returns true if a node's debug dump shows the target as leaving and its lane as empty.
 fn is_drained(dump: &Value, target: &str) -> bool {
     let leaving = dump["leaving_targets"].as_array();
     let lane = &dump["lanes"][target];
@@ -100,13 +101,13 @@
     leaving.is_some_and(|names| names.contains(&json!(target))) && is_empty
 }
 
-/// Checks that within the promise all nodes leave the target alone, and that it gets no work from
-/// then on, while every query is answered completely by the other replica.
+/// Checks that all nodes drain the target within [`LEAVING_BOUND`], and that it gets no run after
+/// that while every answer is complete.
 async fn assert_no_new_work(cluster: &TestCluster, entries: &[SocketAddr], target: &str) {
     let operators = cluster.operator_addresses().unwrap();
     condition::within(
         LEAVING_BOUND,
-        "all nodes leave the target alone",
+        "all nodes have drained the target",
         async || {
             for operator in &operators {
                 let dump: Value = operator_view::get_json(*operator, "/debug/dump").await?;
@@ -129,12 +130,15 @@
             assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         }
     }
-    assert_eq!(target_run_count(cluster).await, before, "{target} got work");
+    assert_eq!(
+        target_run_count(cluster).await,
+        before,
+        "{target} got a run after it was drained"
+    );
 }
 
-/// A host is about to be taken away, and the platform's host list says so a second late. Callers at
-/// either entry see complete answers throughout, from the other replica, and the host runs nothing
-/// any more when it goes. With work still sent to it, that work would be cut.
+/// The host list reports a leaving target with a lag of one second. Answers stay complete, and the
+/// target gets no run after the bound. It is used again after the host list shows it as live.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_reported_by_host_list() {
     let (cluster, entries) = start().await;
@@ -157,7 +161,7 @@
     };
     platform.put_host(&leaving).await.unwrap();
     assert_no_new_work(&cluster, &entries, &target).await;
-    // The platform changes its mind, and the target is used again.
+    // The target is used again after the platform lists it as live.
     let live = HostRecord {
         state: HostState::Live,
         ..leaving
@@ -167,9 +171,8 @@
     load.stop().await;
 }
 
-/// An operator drains a target by `alderctl`, before any list knows of it, and ends the drain
-/// later. Callers see complete answers throughout; the target gets no work in between, and work
-/// again afterwards.
+/// An operator drains a target with `alderctl` and ends the drain later. Answers stay complete, and
+/// the target gets no run in between and runs again afterwards.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_published_by_operator() {
     let (cluster, entries) = start().await;
@@ -189,9 +192,9 @@
     load.stop().await;
 }
 
-/// A target is about to stop and says so in its replies, before any list or operator knows. Its
-/// refusals did not run, so callers see complete answers from the other replica, and from the first
-/// refusal on an entry leaves the target alone, though it would take work again at once.
+/// A target reports in its replies that it is draining, and refuses attempts without running them.
+/// Answers stay complete, and the entries send it no attempt after a refusal, although it accepts
+/// them again.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_reported_in_reply() {
     let (cluster, entries) = start().await;
@@ -217,7 +220,7 @@
     let version = cluster.publish_manifest(&manifest).await.unwrap();
     cluster.await_in_force(version).await.unwrap();
     let load = SteadyLoad::start(&entries);
-    condition::within(CONVERGENCE_BOUND, "work at the target", async || {
+    condition::within(CONVERGENCE_BOUND, "a run at the target", async || {
         Ok((!runs.records().is_empty()).then_some(()))
     })
     .await
@@ -230,7 +233,7 @@
     let operators = cluster.operator_addresses().unwrap();
     condition::within(
         LEAVING_BOUND,
-        "the entries leave the target alone",
+        "the entries have drained the target",
         async || {
             for operator in &operators[..entries.len()] {
                 let dump: Value = operator_view::get_json(*operator, "/debug/dump").await?;
@@ -254,6 +257,10 @@
             assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         }
     }
-    assert_eq!(runs.records().len(), before, "the target got work");
+    assert_eq!(
+        runs.records().len(),
+        before,
+        "the target got a run after it was drained"
+    );
     load.stop().await;
 }
--- a/alderhaven-proof/tests/end_to_end/main.rs
+++ b/alderhaven-proof/tests/end_to_end/main.rs
@@ -1,4 +1,4 @@
-//! End-to-end proofs of the promises over the separate binaries, one module a promise.
+//! End-to-end tests of the promises with the separate binaries, one module per promise or area.
 
 mod at_most_once;
 mod config;
--- a/alderhaven-proof/tests/end_to_end/not_run.rs
+++ b/alderhaven-proof/tests/end_to_end/not_run.rs
@@ -1,4 +1,4 @@
-//! Proofs that a request refused as "not run" did not run.
+//! Tests that a request refused as "not run" did not run.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::caller::CallerQuery;
@@ -9,8 +9,8 @@
 
 use crate::support;
 
-/// The platform is down. A reservation can't be claimed, so the caller hears that it did not run,
-/// and the targets have no run of it. A sweep needs no claim and is answered as before.
+/// The platform is down. A reservation can't be claimed: it is refused as not run, and targets have
+/// no run of it. An idempotent query needs no claim and is answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn not_run_platform_down() {
     let mut cluster = support::start_cluster(ClusterOptions::builder().build()).await;
@@ -23,16 +23,16 @@
         .build();
     let reply = reservation.send(entry).await.unwrap();
     assert!(reply.says_not_run(), "{}", reply.body);
-    let sweep = support::build_query(FAN_OUT_TEMPLATE, "platform-down");
-    let answer = sweep.send(entry).await.unwrap();
+    let fan_out_query = support::build_query(FAN_OUT_TEMPLATE, "platform-down");
+    let answer = fan_out_query.send(entry).await.unwrap();
     assert_eq!(answer.outcome_or_code(), "complete", "{}", answer.body);
-    // The sweep went the same way after the reservation: its runs are there, none of the other's.
-    assert!(!cluster.runs(&sweep).await.unwrap().is_empty());
+    // The later query has runs, so a run of the earlier reservation would be recorded too.
+    assert!(!cluster.runs(&fan_out_query).await.unwrap().is_empty());
     assert!(cluster.runs(&reservation).await.unwrap().is_empty());
 }
 
-/// An entry starts while the platform is down and knows no template. Callers hear at once that
-/// nothing ran, and the targets have no run.
+/// An entry starts while the platform is down and has no templates. A query is refused as not run,
+/// and targets have no run of it.
 #[tokio::test(flavor = "multi_thread")]
 async fn not_run_platform_down_at_start() {
     let mut cluster = support::start_cluster(ClusterOptions::builder().build()).await;
@@ -47,9 +47,8 @@
     assert!(cluster.runs(&query).await.unwrap().is_empty());
 }
 
-/// The only relay is killed while targets run a caller's query. Nothing came back, yet the targets
-/// ran it: the caller must not hear "not run". A later query finds no relay at all; it is refused as
-/// "not run", and the targets have no run of it.
+/// The only relay is killed while targets run a query. It fails, and is not refused as not run. A
+/// later query finds no relay: it is refused as not run, and targets have no run of it.
 #[tokio::test(flavor = "multi_thread")]
 async fn not_run_relay_killed_mid_query() {
     let options = ClusterOptions::builder()
--- a/alderhaven-proof/tests/end_to_end/own_answer.rs
+++ b/alderhaven-proof/tests/end_to_end/own_answer.rs
@@ -1,4 +1,4 @@
-//! Proofs that each caller receives the whole answer to its own request and no one else's.
+//! Tests that each caller receives the whole answer to its own request.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::caller::CallerQuery;
@@ -7,9 +7,9 @@
 
 use crate::support;
 
-/// Callers ask at once, with parameters of their own, over the same entry, relays and targets. Run
-/// times differ widely, so that replies come back crossed. Each caller sees exactly the rows of its
-/// own parameters: a reply is matched by its attempt, never by its place in line.
+/// Concurrent queries with different parameters share the entry, relays and targets. Service times
+/// vary, so that replies arrive out of order. Each answer has exactly the rows of its own
+/// parameters.
 #[tokio::test(flavor = "multi_thread")]
 async fn own_answer_crossed_callers() {
     let options = ClusterOptions::builder()
@@ -34,10 +34,8 @@
     }
 }
 
-/// The relays are frozen. A caller's deadline passes and its answer goes out without any shard. The
-/// relays go on, and what they now reply for the first caller comes in while the next caller's query
-/// runs over the same connections. The next caller sees its own rows alone: the late replies belong
-/// to attempts that are forgotten, and no attempt's id recurs.
+/// The relays are suspended until after a query's deadline. Their late replies arrive over the same
+/// connections during the next query, whose answer has only its own rows.
 #[tokio::test(flavor = "multi_thread")]
 async fn own_answer_after_late_replies() {
     let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
--- a/alderhaven-proof/tests/end_to_end/snapshot.rs
+++ b/alderhaven-proof/tests/end_to_end/snapshot.rs
@@ -1,4 +1,4 @@
-//! Proofs that each answer is of one snapshot.
+//! Tests that all rows of an answer are of one snapshot.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,22 +18,22 @@
 
 use crate::support;
 
-/// The callers at each entry.
+/// The number of concurrent callers at each entry.
 const CALLERS_PER_ENTRY: usize = 4;
-/// The most queries of a caller.
+/// The most queries that a caller sends.
 const MAX_QUERIES: usize = 5_000;
 
-/// The queries that wait for a manifest that is whole.
+/// The number of queries that wait for a complete manifest.
 const RESTARTED_QUERIES: usize = 12;
 
-/// Checks that an answer holds the rows of one snapshot over the shards that it covers, all of them
-/// where it calls itself complete.
+/// Checks that an answer contains exactly the rows of its snapshot over the shards that it covers,
+/// and that it is complete only if it covers all.
 fn assert_one_snapshot(query: &CallerQuery, reply: &CallerReply, manifests: &[SnapshotManifest]) {
     let snapshot = reply.body["snapshot"].as_u64().unwrap();
     let manifest = manifests
         .iter()
         .find(|manifest| manifest.snapshot == SnapshotId(snapshot))
-        .unwrap_or_else(|| panic!("snapshot {snapshot} was never published"));
+        .unwrap_or_else(|| panic!("snapshot {snapshot} is in no published manifest"));
     let missing = reply.missing_shards();
     let covered: Vec<u32> = manifest
         .shards
@@ -51,7 +51,7 @@
     );
 }
 
-/// Asks an entry one sweep after another until it is told to stop, and gets all replies.
+/// Sends sequential queries to an entry until `stop_flag` is set, and returns all replies.
 fn spawn_query_loop(
     entry: SocketAddr,
     caller: usize,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Waits until an entry answers a sweep completely for a snapshot.
+/// Waits until an entry gives a complete answer of a snapshot.
 async fn await_snapshot(entry: SocketAddr, manifests: &[SnapshotManifest], snapshot: u64) {
     condition::until(&format!("an answer of snapshot {snapshot}"), async || {
         let query = support::build_query(FAN_OUT_TEMPLATE, "which");
@@ -91,10 +91,9 @@
     .unwrap();
 }
 
-/// An index is published anew while callers sweep all shards through two entries. The hosts of the
-/// older version end in the middle of it, with attempts under way. A caller must never see rows of
-/// both versions in one answer, whichever shards were asked again, and never an older snapshot from
-/// an entry that has answered for the newer one.
+/// A new index version is published during queries through two entries, and the hosts of the older
+/// version are killed with attempts in flight. No answer mixes rows of both versions, and no entry
+/// answers a caller with the older snapshot after the newer one.
 #[tokio::test(flavor = "multi_thread")]
 async fn snapshot_published_while_queries_run() {
     let options = ClusterOptions::builder()
@@ -121,7 +120,7 @@
     let callers: Vec<_> = (0..2 * CALLERS_PER_ENTRY)
         .map(|caller| spawn_query_loop(entries[caller % 2], caller, Arc::clone(&stop_flag)))
         .collect();
-    condition::until("each caller's fourth sweep", async || {
+    condition::until("each caller's fourth query", async || {
         for caller in 0..callers.len() {
             let query = support::build_query(FAN_OUT_TEMPLATE, &format!("sweep-{caller}-3"));
             if cluster.runs(&query).await?.is_empty() {
@@ -132,7 +131,7 @@
     })
     .await
     .unwrap();
-    // The entries know the newer manifest while sweeps for the older one are still under way.
+    // The entries have the newer manifest while queries for the older one are still in flight.
     let version = cluster.publish_manifest(&manifests[1]).await.unwrap();
     cluster.await_in_force(version).await.unwrap();
     for target in &mut cluster.targets[..older_count] {
@@ -146,7 +145,7 @@
         let mut newest = 0;
         for (query, reply) in caller.await.unwrap() {
             if !reply.status.is_success() {
-                // All hosts of the pinned snapshot ended before or while they ran it.
+                // All hosts of the pinned snapshot were killed before or during the query.
                 assert!(
                     ["failed", "overloaded"].contains(&reply.outcome_or_code()),
                     "{}",
@@ -159,14 +158,12 @@
             assert!(snapshot >= newest, "{snapshot} after {newest}");
             newest = snapshot;
         }
-        assert_eq!(newest, 2, "the caller saw the newer snapshot");
+        assert_eq!(newest, 2, "the caller got an answer of the newer snapshot");
     }
 }
 
-/// A manifest is published whose versions some hosts don't hold (any more): half of the shards are
-/// found, half are gone. An answer from what is there would be of no snapshot that is whole. The
-/// query waits for a newer manifest, is run anew on it as a whole, and its answer holds rows of that
-/// one alone.
+/// A manifest is published for which the named hosts lack half of the shards. Queries wait for a
+/// newer manifest and are restarted on it for all shards, and answers have rows of that one alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn snapshot_incomplete_restarts_query() {
     let options = ClusterOptions::builder().build();
@@ -176,7 +173,7 @@
     let complete = cluster
         .start_version(&options, &layout, SnapshotId(3))
         .unwrap();
-    // Shards 0 and 1 are held in version 2; for 2 and 3 the manifest names hosts of version 1.
+    // Shards 0 and 1 are available in version 2; for 2 and 3 the manifest names hosts of version 1.
     let mut incomplete = SnapshotManifest {
         snapshot: SnapshotId(2),
         ..complete.clone()
@@ -193,8 +190,8 @@
         let queries = queries.clone();
         async move { future::join_all(queries.iter().map(|query| query.send(entry))).await }
     });
-    // The shards that are held have answered for the torn snapshot before the whole one is there.
-    condition::until("answers for the torn snapshot", async || {
+    // The available shards run for the incomplete snapshot before the complete one is published.
+    condition::until("runs for the incomplete snapshot", async || {
         for query in &queries {
             if cluster.runs(query).await?.len() < 2 {
                 return Ok(None);
@@ -223,17 +220,17 @@
         );
         repeats += shards.len() - ran.len();
     }
-    // On a busy machine an attempt may be late and hedged: a second run at another replica is that hedge.
+    // A late attempt is hedged, so that a shard may run a second time, at another replica.
     let hedges = metric_value(&cluster, "alderhaven_entry_hedges_total ").await;
     assert!(
         repeats <= hedges,
-        "{repeats} shards ran again for {hedges} hedges"
+        "{repeats} repeated runs, but only {hedges} hedges"
     );
     let restarts = metric_value(&cluster, "alderhaven_entry_snapshot_restarts_total ").await;
     assert_eq!(restarts, RESTARTED_QUERIES);
 }
 
-/// Gets a count of the first entry's metrics by the beginning of its line.
+/// Returns a counter from the metrics of the first entry. `name` is its line up to the value.
 async fn metric_value(cluster: &TestCluster, name: &str) -> usize {
     let operator = cluster.entries[0].address("operator").unwrap();
     let metrics = alderhaven_proof::operator_view::get_text(operator, "/metrics").await;
--- a/alderhaven-proof/tests/end_to_end/stops.rs
+++ b/alderhaven-proof/tests/end_to_end/stops.rs
@@ -1,4 +1,4 @@
-//! Proofs that a planned stop cuts no request.
+//! Tests that a planned stop of a node aborts no request.
 
 use std::net::SocketAddr;
 
@@ -20,9 +20,9 @@
 
 use crate::support;
 
-/// The callers whose queries are in flight when the stop is asked for.
+/// The number of callers with a query in flight when the stop is requested.
 const CALLERS: usize = 4;
-/// A run time above the time for which a stopping entry still takes requests.
+/// A service time longer than a stopping entry accepts requests.
 const LONG_RUN_TIME: TimeSpan = TimeSpan::from_secs(1);
 
 async fn start(run_time: TimeSpan, entries: usize) -> TestCluster {
@@ -34,7 +34,7 @@
     support::start_cluster(options).await
 }
 
-/// Asks over a connection that the caller keeps.
+/// Sends a query over an open connection.
 async fn send_over(connection: &mut HttpConnection, query: &CallerQuery) -> Result<CallerReply> {
     let body = json!({ "team": TEAM, "parameters": { PARAMETER: query.key } });
     let mut request = Request::post(format!("/v1/query/{}", query.template));
@@ -50,7 +50,7 @@
     })
 }
 
-/// Checks that the first reply of an entry that leaves says that the connection closes.
+/// Checks that the first reply of a leaving entry contains `connection: close`.
 async fn assert_connection_close(connection: &mut HttpConnection) {
     condition::until("a reply of the leaving entry", async || {
         let request = Request::get("/v1/health").body(Full::default())?;
@@ -68,7 +68,7 @@
     .unwrap();
 }
 
-/// Connects, uses the connection once, and asks over it from then on.
+/// Opens a connection and sends one health request over it.
 async fn open_kept_connection(entry: SocketAddr) -> HttpConnection {
     let mut connection = HttpConnection::connect(entry).await.unwrap();
     let request = Request::get("/v1/health").body(Full::default()).unwrap();
@@ -77,7 +77,7 @@
     connection
 }
 
-/// Sends one query of each caller at once and waits until targets run all of them.
+/// Sends one query per caller concurrently and waits until targets run all of them.
 async fn start_queries(
     cluster: &TestCluster,
     entry: SocketAddr,
@@ -115,16 +115,15 @@
         .collect()
 }
 
-/// An entry is restarted while callers wait for answers over kept connections. It vanishes from
-/// what the other entry tells callers, yet a caller that got its address before is still served.
-/// Every answer arrives whole, and only then does the process end. Ended at once, callers would find
-/// their connections closed and not know what ran. Replies from the signal on say that the
-/// connection closes: untold, a caller could send its next request just as that happens.
+/// An entry gets SIGTERM while queries are in flight over persistent connections. The other entry
+/// no longer lists it, but callers with its address are still served for some time. Its replies
+/// contain `connection: close`, so that no caller sends a request on a closing connection. All
+/// answers arrive whole before the process ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_entry_finishes_requests() {
     let mut cluster = start(LONG_RUN_TIME, 2).await;
     let [leaving, staying] = [0, 1].map(|number| cluster.entry_address(number).unwrap());
-    condition::until("both entries are named", async || {
+    condition::until("both entries are listed", async || {
         let listed = listed_entries(staying).await?;
         Ok((listed.contains(&leaving) && listed.contains(&staying)).then_some(()))
     })
@@ -132,10 +131,11 @@
     .unwrap();
     let mut idle_connection = open_kept_connection(leaving).await;
     let mut late_connection = open_kept_connection(leaving).await;
-    let sweep = |number| support::build_query(FAN_OUT_TEMPLATE, &format!("in-flight-{number}"));
-    let pending = start_queries(&cluster, leaving, sweep).await;
+    let fan_out_query =
+        |number| support::build_query(FAN_OUT_TEMPLATE, &format!("in-flight-{number}"));
+    let pending = start_queries(&cluster, leaving, fan_out_query).await;
     cluster.entries[0].terminate().unwrap();
-    condition::until("the leaving entry is not named", async || {
+    condition::until("the leaving entry is not listed", async || {
         Ok((!listed_entries(staying).await?.contains(&leaving)).then_some(()))
     })
     .await
@@ -154,10 +154,9 @@
     assert_complete(&cluster, &after, &reply);
 }
 
-/// One of two relays is restarted while it holds attempts of callers' reservations, which nobody may send a
-/// second time, and sweeps go on. Every answer is complete, the process ends by itself, and then the
-/// targets that it served get work through the other relay. A relay that ended at once would leave
-/// reservations of unknown outcome.
+/// One of two relays gets SIGTERM while it has attempts of non-idempotent reservations in flight
+/// and further queries are sent. Every answer is complete, each reservation has one run, and the
+/// process ends. Then the other relay serves the targets.
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_relay_finishes_attempts() {
     let mut cluster = start(LONG_RUN_TIME, 1).await;
@@ -196,12 +195,15 @@
     let after = support::build_query(FAN_OUT_TEMPLATE, "after");
     let reply = after.send(entry).await.unwrap();
     assert_complete(&cluster, &after, &reply);
-    condition::until("lanes to the targets handed over", async || {
-        let lanes = cluster.lanes(1 - leaving).await?;
-        let has_lane = |target| lanes.iter().any(|(known, _)| known == target);
-        let mut targets = lanes_before.iter().map(|(target, _)| target);
-        Ok(targets.all(has_lane).then_some(()))
-    })
+    condition::until(
+        "lanes of the other relay to all targets of the stopped one",
+        async || {
+            let lanes = cluster.lanes(1 - leaving).await?;
+            let has_lane = |target| lanes.iter().any(|(known, _)| known == target);
+            let mut targets = lanes_before.iter().map(|(target, _)| target);
+            Ok(targets.all(has_lane).then_some(()))
+        },
+    )
     .await
     .unwrap();
 }
--- a/alderhaven-proof/tests/end_to_end/support.rs
+++ b/alderhaven-proof/tests/end_to_end/support.rs
@@ -1,4 +1,4 @@
-//! What all proofs share.
+//! Helpers that several test modules share.
 
 use alderhaven_proof::caller::CallerQuery;
 use alderhaven_proof::cluster::TestCluster;
@@ -19,18 +19,18 @@
         .expect("the cluster starts")
 }
 
-/// Gets a query of a template.
+/// Builds a query of a template without an idempotency key.
 pub fn build_query(template: &str, key: &str) -> CallerQuery {
     CallerQuery::builder().template(template).key(key).build()
 }
 
-/// Sends sweeps until the relays have a lane to every target, and gets the relay with the most.
-///
-/// Which targets a relay has follows from the hash of its address, a free port: it may have none.
+/// Sends fan-out queries until the relays have a lane to every target, and returns the relay with
+/// the most lanes. The assignment depends on the relays' random ports, so that a relay may have
+/// none.
 pub async fn relay_with_most_lanes(cluster: &TestCluster) -> usize {
     let entry = cluster
         .entry_address(0)
-        .expect("the entry told its address");
+        .expect("the entry reported its address");
     let targets: usize = cluster
         .manifest
         .shards
@@ -48,5 +48,5 @@
         Ok(most.filter(|_| known == targets))
     })
     .await
-    .expect("every target is asked in time")
+    .expect("every target is queried in time")
 }
--- a/alderhaven-proof/tests/settings.rs
+++ b/alderhaven-proof/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Proofs that the binaries refuse wrong settings with exit code 2, and say what is wrong.
+//! Tests that the binaries reject invalid settings with exit code 2 and name the error.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 
 use alderhaven_proof::condition;
 
-/// The settings of an entry that are good.
+/// Valid settings of an entry, with the required keys alone.
 const VALID_ENTRY: &str = "\
 node: entry-1
 host: host-1
@@ -16,7 +16,7 @@
 peer_listen: 127.0.0.1:0
 platform: 127.0.0.1:1
 ";
-/// The settings of a relay that are good.
+/// Valid settings of a relay, with the required keys alone.
 const VALID_RELAY: &str = "\
 node: relay-1
 host: host-1
@@ -26,10 +26,10 @@
 platform: 127.0.0.1:1
 ";
 
-/// A `WrongLine` is what makes good settings wrong, and the parts that the error must name.
+/// A line that makes valid settings invalid, and the texts that the error must contain.
 type InvalidLine = (&'static str, &'static [&'static str]);
 
-/// What both binaries refuse.
+/// Lines that both binaries reject.
 const INVALID_FOR_BOTH: [InvalidLine; 13] = [
     ("colour: blue", &["colour", "expected one of node, host"]),
     ("limits:\n  bodi: 1KB", &["bodi", "expected one of"]),
@@ -56,7 +56,7 @@
     ("\u{1}", &["wrong.yaml"]),
 ];
 
-/// What an entry refuses.
+/// Lines that an entry rejects.
 const INVALID_FOR_ENTRY: [InvalidLine; 13] = [
     (
         "limits:\n  body: 12",
@@ -109,7 +109,7 @@
     ("relays: [10.0.0.1]", &["relays", "`10.0.0.1` is not a"]),
 ];
 
-/// What a relay refuses.
+/// Lines that a relay rejects.
 const INVALID_FOR_RELAY: [InvalidLine; 6] = [
     (
         "listen: 127.0.0.1:0",
@@ -137,14 +137,14 @@
     ),
 ];
 
-/// A `RunResult` is what an ended binary left.
+/// The exit code and output of a binary.
 struct ExitResult {
     exit_code: Option<i32>,
     stdout: String,
     stderr: String,
 }
 
-/// Runs a binary that must end by itself.
+/// Runs a binary until it exits. Kills it and panics if it does not exit in time.
 async fn run_to_exit(binary: &str, arguments: &[&str]) -> ExitResult {
     let mut child = Command::new(binary)
         .args(arguments)
@@ -158,7 +158,7 @@
         child.kill().unwrap();
     }
     let output = child.wait_with_output().unwrap();
-    exited.unwrap_or_else(|_| panic!("{binary} {arguments:?} goes on"));
+    exited.unwrap_or_else(|_| panic!("{binary} {arguments:?} did not exit"));
     ExitResult {
         exit_code: output.status.code(),
         stdout: String::from_utf8(output.stdout).unwrap(),
@@ -178,7 +178,7 @@
     for (line, parts) in invalid {
         let path = write_file(role, "wrong.yaml", &format!("{valid}{line}\n"));
         let path = path.to_str().unwrap();
-        // Checked only, and started: both refuse alike.
+        // Both a check and a start must reject the settings.
         for switches in [&["--check"][..], &[]] {
             let arguments = [&["--settings", path][..], switches].concat();
             let result = run_to_exit(binary, &arguments).await;
--- a/alderhaven-soak/src/front_process.rs
+++ b/alderhaven-soak/src/front_process.rs
@@ -131,7 +131,7 @@
         match command {
             FrontCommand::Stop => {
                 self.update_process_record(|process| {
-                    process.stop_requested_at = process.stop_requested_at.or(Some(now))
+                    process.stop_requested_at = process.stop_requested_at.or(Some(now));
                 });
                 let grace = TimeSpan::from_secs(self.settings.grace_s);
                 self.kill_at = self.kill_at.or(Some(now + grace));
--- a/alderhaven-soak/src/soak_report.rs
+++ b/alderhaven-soak/src/soak_report.rs
@@ -89,9 +89,9 @@
             let Violation {
                 promise,
                 subject,
-                observed: seen,
+                observed,
             } = violation;
-            write!(formatter, "\n  {promise:?} {subject}: {seen}")?;
+            write!(formatter, "\n  {promise:?} {subject}: {observed}")?;
         }
         if let Some(logs) = &self.logs {
             write!(formatter, "\n  logs: {logs}")?;
--- a/alderhaven-soak/src/soak_run.rs
+++ b/alderhaven-soak/src/soak_run.rs
@@ -248,7 +248,7 @@
                 self.send_command(index, FrontCommand::Kill);
             }),
             SoakFault::FreezeFront(index, span) => {
-                self.send_command(index, FrontCommand::Freeze(span))
+                self.send_command(index, FrontCommand::Freeze(span));
             }
             SoakFault::ReloadFront(index) => self.send_command(index, FrontCommand::Reload),
             SoakFault::StoreLink(index, mode, span) => self.disrupt_store_link(index, mode, span),
