--- a/alderhaven-soak/src/soak_plan.rs
+++ b/alderhaven-soak/src/soak_plan.rs
@@ -23,8 +23,8 @@
 const FAULT_DURATION_MS: std::ops::Range<u64> = 100..4_000;
 /// The range of evacuation durations; each exceeds the time after which the evacuation is checked.
 const EVACUATION_DURATION_MS: std::ops::Range<u64> = 5_600..9_000;
-/// The probability that the previous fault is injected again on the same subject before it has
-/// recovered.
+/// The probability that the previous fault is injected again on the same subject, often before it
+/// has recovered.
 const REPEAT_PROBABILITY: f64 = 0.2;
 
 /// The faults of a run, ordered by time.
