--- a/alderhaven-proof/src/operator_tool.rs
+++ b/alderhaven-proof/src/operator_tool.rs
@@ -1,4 +1,4 @@
-//! Runs of the operators' tool, `alderctl`.
+//! Runs of `alderctl`, the operators' tool.
 
 use std::process::Command;
 
@@ -9,30 +9,30 @@
 use crate::cluster::TestCluster;
 use crate::condition::CONDITION_TIMEOUT;
 
-/// A `ToolResult` is what a run of the tool left.
+/// The result of a run of `alderctl`.
 #[derive(Clone, Debug)]
 pub struct ToolResult {
-    /// The exit code.
+    /// The exit code; `None` if a signal ended the process.
     pub exit_code: Option<i32>,
-    /// The report.
+    /// The JSON report from stdout.
     pub report: Value,
 }
 
 impl TestCluster {
-    /// Runs the tool on behalf of an operator, with all nodes of the cluster.
+    /// Runs `alderctl` as the given operator, with the addresses of all nodes.
     ///
     /// # Errors
-    /// Where it can't be started, does not end in time or prints no report.
-    pub async fn alderctl(&self, operator: &str, words: &[&str]) -> Result<ToolResult> {
+    /// It can't be started, does not end in time or prints no valid report.
+    pub async fn alderctl(&self, operator: &str, arguments: &[&str]) -> Result<ToolResult> {
         let mut command = Command::new(&self.binaries.alderctl);
         command.args(["--json", "--operator", operator]);
         command.args(["--platform", &self.platform.address("address")?.to_string()]);
         for node in self.operator_addresses()? {
             command.args(["--node", &node.to_string()]);
         }
-        command.args(words);
-        let running = task::spawn_blocking(move || command.output());
-        let output = time::timeout(CONDITION_TIMEOUT, running).await???;
+        command.args(arguments);
+        let output_task = task::spawn_blocking(move || command.output());
+        let output = time::timeout(CONDITION_TIMEOUT, output_task).await???;
         let report = serde_json::from_slice(&output.stdout)
             .wrap_err_with(|| String::from_utf8_lossy(&output.stderr).into_owned())?;
         Ok(ToolResult {
--- a/alderhaven-proof/tests/end_to_end/own_answer.rs
+++ b/alderhaven-proof/tests/end_to_end/own_answer.rs
@@ -1,4 +1,4 @@
-//! Proofs that each caller receives the whole answer to its own request and no one else's.
+//! Tests that each caller receives the whole answer to its own request.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_proof::caller::CallerQuery;
@@ -7,9 +7,9 @@
 
 use crate::support;
 
-/// Callers ask at once, with parameters of their own, over the same entry, relays and targets. Run
-/// times differ widely, so that replies come back crossed. Each caller sees exactly the rows of its
-/// own parameters: a reply is matched by its attempt, never by its place in line.
+/// Concurrent queries with different parameters share the entry, relays and targets. Service times
+/// vary, so that replies arrive out of order. Each answer has exactly the rows of its own
+/// parameters.
 #[tokio::test(flavor = "multi_thread")]
 async fn own_answer_crossed_callers() {
     let options = ClusterOptions::builder()
@@ -34,34 +34,32 @@
     }
 }
 
-/// The relays are frozen. A caller's deadline passes and its answer goes out without any shard. The
-/// relays go on, and what they now reply for the first caller comes in while the next caller's query
-/// runs over the same connections. The next caller sees its own rows alone: the late replies belong
-/// to attempts that are forgotten, and no attempt's id recurs.
+/// The relays are suspended until after a query's deadline. Their late replies arrive over the same
+/// connections during the next query, whose answer has only its own rows.
 #[tokio::test(flavor = "multi_thread")]
 async fn own_answer_after_late_replies() {
     let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
     let entry = cluster.entry_address(0).unwrap();
-    let _warm = support::relay_with_most_lanes(&cluster).await;
+    let _relay = support::relay_with_most_lanes(&cluster).await;
     for round in 0..5 {
         for relay in &cluster.relays {
             relay.freeze().unwrap();
         }
-        let hasty = CallerQuery::builder()
+        let short_query = CallerQuery::builder()
             .template(FAN_OUT_TEMPLATE)
             .key(format!("hasty-{round}"))
             .deadline_ms(200)
             .build();
-        let reply = hasty.send(entry).await.unwrap();
+        let reply = short_query.send(entry).await.unwrap();
         assert_eq!(reply.outcome_or_code(), "failed", "{}", reply.body);
         assert_eq!(reply.missing_shards().len(), 4, "{}", reply.body);
         for relay in &cluster.relays {
             relay.resume().unwrap();
         }
-        let patient = support::build_query(FAN_OUT_TEMPLATE, &format!("patient-{round}"));
-        let reply = patient.send(entry).await.unwrap();
+        let next_query = support::build_query(FAN_OUT_TEMPLATE, &format!("patient-{round}"));
+        let reply = next_query.send(entry).await.unwrap();
         assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         let all = cluster.all_shards();
-        assert_eq!(reply.body["rows"], cluster.expected_rows(&patient, &all));
+        assert_eq!(reply.body["rows"], cluster.expected_rows(&next_query, &all));
     }
 }
--- a/alderhaven-proof/tests/end_to_end/snapshot.rs
+++ b/alderhaven-proof/tests/end_to_end/snapshot.rs
@@ -1,4 +1,4 @@
-//! Proofs that each answer is of one snapshot.
+//! Tests that all rows of an answer are of one snapshot.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,22 +18,22 @@
 
 use crate::support;
 
-/// The callers at each entry.
+/// The number of concurrent callers at each entry.
 const CALLERS_PER_ENTRY: usize = 4;
-/// The most queries of a caller.
+/// The most queries that a caller sends.
 const MAX_QUERIES: usize = 5_000;
 
-/// The queries that wait for a manifest that is whole.
+/// The number of queries that wait for a complete manifest.
 const RESTARTED_QUERIES: usize = 12;
 
-/// Checks that an answer holds the rows of one snapshot over the shards that it covers, all of them
-/// where it calls itself complete.
+/// Checks that an answer contains exactly the rows of its snapshot over the shards that it covers,
+/// and that it is complete only if it covers all.
 fn assert_one_snapshot(query: &CallerQuery, reply: &CallerReply, manifests: &[SnapshotManifest]) {
     let snapshot = reply.body["snapshot"].as_u64().unwrap();
     let manifest = manifests
         .iter()
         .find(|manifest| manifest.snapshot == SnapshotId(snapshot))
-        .unwrap_or_else(|| panic!("snapshot {snapshot} was never published"));
+        .unwrap_or_else(|| panic!("snapshot {snapshot} is in no published manifest"));
     let missing = reply.missing_shards();
     let covered: Vec<u32> = manifest
         .shards
@@ -51,15 +51,15 @@
     );
 }
 
-/// Asks an entry one sweep after another until it is told to stop, and gets all replies.
+/// Sends sequential queries to an entry until `stop_flag` is set, and returns all replies.
 fn spawn_query_loop(
     entry: SocketAddr,
     caller: usize,
-    stop: Arc<AtomicBool>,
+    stop_flag: Arc<AtomicBool>,
 ) -> JoinHandle<Vec<(CallerQuery, CallerReply)>> {
     tokio::spawn(async move {
         let mut replies = Vec::new();
-        while replies.len() < MAX_QUERIES && !stop.load(Ordering::Relaxed) {
+        while replies.len() < MAX_QUERIES && !stop_flag.load(Ordering::Relaxed) {
             let query = support::build_query(
                 FAN_OUT_TEMPLATE,
                 &format!("sweep-{caller}-{}", replies.len()),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Waits until an entry answers a sweep completely for a snapshot.
+/// Waits until an entry gives a complete answer of a snapshot.
 async fn await_snapshot(entry: SocketAddr, manifests: &[SnapshotManifest], snapshot: u64) {
     condition::until(&format!("an answer of snapshot {snapshot}"), async || {
         let query = support::build_query(FAN_OUT_TEMPLATE, "which");
@@ -91,10 +91,9 @@
     .unwrap();
 }
 
-/// An index is published anew while callers sweep all shards through two entries. The hosts of the
-/// older version end in the middle of it, with attempts under way. A caller must never see rows of
-/// both versions in one answer, whichever shards were asked again, and never an older snapshot from
-/// an entry that has answered for the newer one.
+/// A new index version is published during queries through two entries, and the hosts of the older
+/// version are killed with attempts in flight. No answer mixes rows of both versions, and no entry
+/// answers a caller with the older snapshot after the newer one.
 #[tokio::test(flavor = "multi_thread")]
 async fn snapshot_published_while_queries_run() {
     let options = ClusterOptions::builder()
@@ -104,12 +103,12 @@
         .deadline(TimeSpan::from_secs(3))
         .build();
     let mut cluster = support::start_cluster(options.clone()).await;
-    let older = cluster.targets.len();
+    let older_count = cluster.targets.len();
     let layout = layout_with_version(&options, 2);
-    let next = cluster
+    let newer_manifest = cluster
         .start_version(&options, &layout, SnapshotId(2))
         .unwrap();
-    let manifests = [cluster.manifest.clone(), next];
+    let manifests = [cluster.manifest.clone(), newer_manifest];
     let entries = [
         cluster.entry_address(0).unwrap(),
         cluster.entry_address(1).unwrap(),
@@ -117,11 +116,11 @@
     for entry in entries {
         await_snapshot(entry, &manifests, 1).await;
     }
-    let stop = Arc::new(AtomicBool::new(false));
+    let stop_flag = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..2 * CALLERS_PER_ENTRY)
-        .map(|caller| spawn_query_loop(entries[caller % 2], caller, Arc::clone(&stop)))
+        .map(|caller| spawn_query_loop(entries[caller % 2], caller, Arc::clone(&stop_flag)))
         .collect();
-    condition::until("each caller's fourth sweep", async || {
+    condition::until("each caller's fourth query", async || {
         for caller in 0..callers.len() {
             let query = support::build_query(FAN_OUT_TEMPLATE, &format!("sweep-{caller}-3"));
             if cluster.runs(&query).await?.is_empty() {
@@ -132,21 +131,21 @@
     })
     .await
     .unwrap();
-    // The entries know the newer manifest while sweeps for the older one are still under way.
+    // The entries have the newer manifest while queries for the older one are still in flight.
     let version = cluster.publish_manifest(&manifests[1]).await.unwrap();
     cluster.await_in_force(version).await.unwrap();
-    for target in &mut cluster.targets[..older] {
+    for target in &mut cluster.targets[..older_count] {
         target.kill().unwrap();
     }
     for entry in entries {
         await_snapshot(entry, &manifests, 2).await;
     }
-    stop.store(true, Ordering::Relaxed);
+    stop_flag.store(true, Ordering::Relaxed);
     for caller in callers {
         let mut newest = 0;
         for (query, reply) in caller.await.unwrap() {
             if !reply.status.is_success() {
-                // All hosts of the pinned snapshot ended before or while they ran it.
+                // All hosts of the pinned snapshot were killed before or during the query.
                 assert!(
                     ["failed", "overloaded"].contains(&reply.outcome_or_code()),
                     "{}",
@@ -159,42 +158,40 @@
             assert!(snapshot >= newest, "{snapshot} after {newest}");
             newest = snapshot;
         }
-        assert_eq!(newest, 2, "the caller saw the newer snapshot");
+        assert_eq!(newest, 2, "the caller got an answer of the newer snapshot");
     }
 }
 
-/// A manifest is published whose versions some hosts don't hold (any more): half of the shards are
-/// found, half are gone. An answer from what is there would be of no snapshot that is whole. The
-/// query waits for a newer manifest, is run anew on it as a whole, and its answer holds rows of that
-/// one alone.
+/// A manifest is published for which the named hosts lack half of the shards. Queries wait for a
+/// newer manifest and are restarted on it for all shards, and answers have rows of that one alone.
 #[tokio::test(flavor = "multi_thread")]
-async fn snapshot_gone_everywhere_restarts_whole() {
+async fn snapshot_incomplete_restarts_query() {
     let options = ClusterOptions::builder().build();
     let mut cluster = support::start_cluster(options.clone()).await;
     let entry = cluster.entry_address(0).unwrap();
     let layout = layout_with_version(&options, 2);
-    let whole = cluster
+    let complete = cluster
         .start_version(&options, &layout, SnapshotId(3))
         .unwrap();
-    // Shards 0 and 1 are held in version 2; for 2 and 3 the manifest names hosts of version 1.
-    let mut torn = SnapshotManifest {
+    // Shards 0 and 1 are available in version 2; for 2 and 3 the manifest names hosts of version 1.
+    let mut incomplete = SnapshotManifest {
         snapshot: SnapshotId(2),
-        ..whole.clone()
+        ..complete.clone()
     };
     for shard in [2, 3] {
-        torn.shards[shard].replicas = cluster.manifest.shards[shard].replicas.clone();
+        incomplete.shards[shard].replicas = cluster.manifest.shards[shard].replicas.clone();
     }
-    let version = cluster.publish_manifest(&torn).await.unwrap();
+    let version = cluster.publish_manifest(&incomplete).await.unwrap();
     cluster.await_in_force(version).await.unwrap();
     let queries: Vec<CallerQuery> = (0..RESTARTED_QUERIES)
         .map(|number| support::build_query(FAN_OUT_TEMPLATE, &format!("restarted-{number}")))
         .collect();
-    let asked = tokio::spawn({
+    let pending_replies = tokio::spawn({
         let queries = queries.clone();
         async move { future::join_all(queries.iter().map(|query| query.send(entry))).await }
     });
-    // The shards that are held have answered for the torn snapshot before the whole one is there.
-    condition::until("answers for the torn snapshot", async || {
+    // The available shards run for the incomplete snapshot before the complete one is published.
+    condition::until("runs for the incomplete snapshot", async || {
         for query in &queries {
             if cluster.runs(query).await?.len() < 2 {
                 return Ok(None);
@@ -204,17 +201,17 @@
     })
     .await
     .unwrap();
-    cluster.publish_manifest(&whole).await.unwrap();
-    let manifests = [whole];
+    cluster.publish_manifest(&complete).await.unwrap();
+    let manifests = [complete];
     let mut repeats = 0;
-    for (query, reply) in queries.iter().zip(asked.await.unwrap()) {
+    for (query, reply) in queries.iter().zip(pending_replies.await.unwrap()) {
         let reply = reply.unwrap();
         assert_eq!(reply.outcome_or_code(), "complete", "{}", reply.body);
         assert_eq!(reply.body["snapshot"], 3);
         assert_one_snapshot(query, &reply, &manifests);
         let runs = cluster.runs(query).await.unwrap();
-        let of_whole = runs.iter().filter(|run| run.snapshot == SnapshotId(3));
-        let shards: Vec<u32> = of_whole.map(|run| run.shard.0).collect();
+        let complete_runs = runs.iter().filter(|run| run.snapshot == SnapshotId(3));
+        let shards: Vec<u32> = complete_runs.map(|run| run.shard.0).collect();
         let ran: BTreeSet<u32> = shards.iter().copied().collect();
         assert_eq!(
             ran,
@@ -223,17 +220,17 @@
         );
         repeats += shards.len() - ran.len();
     }
-    // On a busy machine an attempt may be late and hedged: a second run at another replica is that hedge.
+    // A late attempt is hedged, so that a shard may run a second time, at another replica.
     let hedges = metric_value(&cluster, "alderhaven_entry_hedges_total ").await;
     assert!(
         repeats <= hedges,
-        "{repeats} shards ran again for {hedges} hedges"
+        "{repeats} repeated runs, but only {hedges} hedges"
     );
     let restarts = metric_value(&cluster, "alderhaven_entry_snapshot_restarts_total ").await;
     assert_eq!(restarts, RESTARTED_QUERIES);
 }
 
-/// Gets a count of the first entry's metrics by the beginning of its line.
+/// Returns a counter from the metrics of the first entry. `name` is its line up to the value.
 async fn metric_value(cluster: &TestCluster, name: &str) -> usize {
     let operator = cluster.entries[0].address("operator").unwrap();
     let metrics = alderhaven_proof::operator_view::get_text(operator, "/metrics").await;
--- a/alderhaven-soak/src/promises/answers.rs
+++ b/alderhaven-soak/src/promises/answers.rs
@@ -1,4 +1,4 @@
-//! Each caller its own whole answer, with true coverage.
+//! Checks that each caller gets the whole answer to its own request, with true coverage.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 use crate::soak_history::{AnswerRecord, RequestOutcome, RequestRecord};
 use crate::soak_workload::{MERGED_RECORDS, MIN_SHARD_SHARE, RequestKind, ShardSet};
 
-/// The status that a failing target answers with.
+/// The status with which a faulty target answers.
 const TARGET_FAILURE_STATUS: u16 = 500;
 
-/// Checks the answers of all requests.
+/// Checks the answers to all requests.
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let requests = index.history.requests.iter();
@@ -25,49 +25,56 @@
     let RequestOutcome::Answered(answer) = &end.outcome else {
         return None;
     };
-    let (promise, seen) = if !answer.is_success() {
+    let (promise, observed) = if !answer.is_success() {
         check_failure(request, answer)?
     } else if request.kind == RequestKind::FanOut {
-        let seen = check_merged(index, id, request, answer)?;
-        (PromiseKind::TrueCoverage, seen)
+        let observed = check_merged(index, id, request, answer)?;
+        (PromiseKind::TrueCoverage, observed)
     } else {
         (
             PromiseKind::OwnAnswer,
             check_forwarded(id, request, answer)?,
         )
     };
-    Some(Violation::new(promise, id, seen))
+    Some(Violation::new(promise, id, observed))
 }
 
 fn check_failure(request: &RequestRecord, answer: &AnswerRecord) -> Option<(PromiseKind, String)> {
     let status = answer.status;
-    let is_missing_mark = status == 404 && matches!(request.kind, RequestKind::VersionRoute(_));
-    if (300..500).contains(&status) && !answer.is_refusal && !is_missing_mark {
+    let is_missing_version_route =
+        status == 404 && matches!(request.kind, RequestKind::VersionRoute(_));
+    if (300..500).contains(&status) && !answer.is_refusal && !is_missing_version_route {
         return Some((
             PromiseKind::NotDenied,
             format!("{} got {status}", request.kind),
         ));
     }
-    let is_changed = !answer.proof.is_empty() && status != TARGET_FAILURE_STATUS;
-    is_changed.then(|| {
-        let seen = format!("a target's failure came as {status}");
-        (PromiseKind::OwnAnswer, seen)
+    let is_changed_failure = !answer.proof.is_empty() && status != TARGET_FAILURE_STATUS;
+    is_changed_failure.then(|| {
+        let observed = format!("a target's failure arrived as status {status}");
+        (PromiseKind::OwnAnswer, observed)
     })
 }
 
 fn check_forwarded(id: &str, request: &RequestRecord, answer: &AnswerRecord) -> Option<String> {
-    let Some((service, answered)) = shard_records::parse_proof(&answer.proof) else {
-        return Some(format!("a success with the digest `{}`", answer.proof));
+    let Some((service, answered_id)) = shard_records::parse_proof(&answer.proof) else {
+        return Some(format!(
+            "a success with the invalid digest `{}`",
+            answer.proof
+        ));
     };
-    if answered != id {
-        return Some(format!("the answer to {answered}"));
+    if answered_id != id {
+        return Some(format!("got the answer to {answered_id}"));
     }
     let allowed = request.kind.services(ShardSet::Old);
     if !allowed.iter().any(|name| name == service) {
-        return Some(format!("an answer of {service} to a {}", request.kind));
+        return Some(format!(
+            "got an answer of {service} to a {} request",
+            request.kind
+        ));
     }
     let is_whole = answer.body == shard_records::response_body(service, id);
-    (!is_whole).then(|| format!("another body than that of {service}"))
+    (!is_whole).then(|| format!("the body differs from that of {service}"))
 }
 
 fn check_merged(
@@ -81,35 +88,37 @@
         .map(|proof| shard_records::parse_proof(proof))
         .collect();
     let Some(parts) = parts else {
-        return Some(format!("no digest: {:?}", answer.part_proofs));
+        return Some(format!("an invalid digest in {:?}", answer.part_proofs));
     };
-    if let Some((service, foreign)) = parts.iter().find(|(_, answered)| *answered != id) {
-        return Some(format!("a part of {service} for {foreign}"));
+    if let Some((service, other_id)) = parts.iter().find(|(_, answered_id)| *answered_id != id) {
+        return Some(format!("the part of {service} is for {other_id}"));
     }
     let services: Vec<&str> = parts.iter().map(|(service, _)| *service).collect();
     let distinct: BTreeSet<&str> = services.iter().copied().collect();
     if distinct.len() != services.len() {
-        return Some(format!("a shard twice: {services:?}"));
+        return Some(format!("a duplicate shard in {services:?}"));
     }
-    let ended = request.end.as_ref()?.at;
-    let configs = index.configs_in_force(request.sent_at, ended, None);
-    let is_one_set = configs.iter().any(|config| {
+    let ended_at = request.end.as_ref()?.at;
+    let configs = index.configs_in_force(request.sent_at, ended_at, None);
+    let is_single_shard_set = configs.iter().any(|config| {
         let set = config.shards.services();
         let holds_all = distinct
             .iter()
             .all(|part| set.iter().any(|name| name == part));
         holds_all && set.len() == distinct.len() + answer.missing
     });
-    if !is_one_set {
+    if !is_single_shard_set {
         let missing = answer.missing;
         return Some(format!(
-            "no configuration's shards: {services:?} and {missing} missing"
+            "{services:?} and {missing} missing are the shards of no configuration"
         ));
     }
     let share = distinct.len() as f64 / (distinct.len() + answer.missing) as f64;
     if share < MIN_SHARD_SHARE {
-        return Some(format!("only {share:.2} of the shards"));
+        return Some(format!(
+            "covers only {share:.2} of the shards, not {MIN_SHARD_SHARE}"
+        ));
     }
     let is_greatest = answer.body == shard_records::greatest_records(&services, id, MERGED_RECORDS);
-    (!is_greatest).then(|| "other records than the greatest of the parts".to_owned())
+    (!is_greatest).then(|| "the records are not the greatest of the parts".to_owned())
 }
--- a/alderhaven-soak/src/promises/at_most_once.rs
+++ b/alderhaven-soak/src/promises/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Requests run as often as they may, and what did not run is called so.
+//! Checks that requests run as often as they may, that refused ones did not run, and that targets
+//! get only requests that callers sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +8,10 @@
 use crate::soak_history::{ArrivalRecord, DisruptionSubject, RequestOutcome, RequestRecord};
 use crate::soak_workload::MAX_TARGETS_PER_SHARD;
 
-/// Checks the requests that reached targets.
+/// Checks the arrivals, and the runs of each request.
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
-    let mut broken: Vec<Violation> = index
+    let mut violations: Vec<Violation> = index
         .history
         .arrivals
         .iter()
@@ -19,16 +20,16 @@
     for (id, request) in &index.history.requests {
         let runs = index.arrivals(id).iter().filter(|arrival| arrival.is_run);
         let runs: Vec<&ArrivalRecord> = runs.copied().collect();
-        broken.extend(check_runs(index, id, request, &runs));
+        violations.extend(check_runs(index, id, request, &runs));
     }
-    broken
+    violations
 }
 
 fn check_arrival(index: &HistoryIndex, arrival: &ArrivalRecord) -> Option<Violation> {
-    let seen = match index.request(arrival) {
+    let observed = match index.request(arrival) {
         None => format!("no caller sent `{}`", arrival.request_id),
         Some(request) if !is_unchanged(request, arrival) => format!(
-            "{} {} came as {} {}",
+            "{} {} arrived as {} {}",
             request.method, request.path, arrival.method, arrival.path
         ),
         Some(_) => return None,
@@ -36,7 +37,7 @@
     Some(Violation::new(
         PromiseKind::NothingInvented,
         &arrival.target,
-        seen,
+        observed,
     ))
 }
 
@@ -58,28 +59,28 @@
     violation.or_else(|| check_refusal(id, request, runs))
 }
 
-/// Checks that a request that may run once did.
+/// Checks that a non-idempotent request ran at most once.
 fn check_run_count(id: &str, runs: &[&ArrivalRecord]) -> Option<Violation> {
     if runs.len() < 2 {
         return None;
     }
     let targets: Vec<&str> = runs.iter().map(|run| run.target.as_str()).collect();
-    let seen = format!("ran on {targets:?}");
-    Some(Violation::new(PromiseKind::AtMostOnce, id, seen))
+    let observed = format!("ran on {targets:?}");
+    Some(Violation::new(PromiseKind::AtMostOnce, id, observed))
 }
 
-/// Checks that a request that was refused has not run, whatever its kind: its caller sends it again.
+/// Checks that a refused request has not run, idempotent or not, since its caller sends it again.
 fn check_refusal(id: &str, request: &RequestRecord, runs: &[&ArrivalRecord]) -> Option<Violation> {
     let RequestOutcome::Answered(answer) = &request.end.as_ref()?.outcome else {
         return None;
     };
     let run = runs.first().filter(|_| answer.is_refusal)?;
-    let seen = format!("got {} and ran on {}", answer.status, run.target);
-    Some(Violation::new(PromiseKind::NotRun, id, seen))
+    let observed = format!("got {} and ran on {}", answer.status, run.target);
+    Some(Violation::new(PromiseKind::NotRun, id, observed))
 }
 
-/// Checks that no shard ran the request on more targets than allowed; those that were disturbed may
-/// have been given up before.
+/// Checks that no shard ran the request on more targets than allowed. Targets that were disrupted
+/// don't count, since a front may have abandoned the attempt there.
 fn check_target_count(
     index: &HistoryIndex,
     id: &str,
@@ -92,9 +93,9 @@
             targets.entry(&run.service).or_default().insert(&run.target);
         }
     }
-    let spread = targets
+    let excess_targets = targets
         .values()
         .find(|targets| targets.len() > MAX_TARGETS_PER_SHARD)?;
-    let seen = format!("ran on {spread:?}");
-    Some(Violation::new(PromiseKind::AtMostOnce, id, seen))
+    let observed = format!("ran on {excess_targets:?}");
+    Some(Violation::new(PromiseKind::AtMostOnce, id, observed))
 }
--- a/alderhaven-soak/src/promises/repeat_budget.rs
+++ b/alderhaven-soak/src/promises/repeat_budget.rs
@@ -1,4 +1,4 @@
-//! All fronts together keep to the budget for repeats.
+//! Checks that the repeats of all fronts together stay within the budget.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,20 +8,20 @@
 use crate::promises::{PromiseKind, Violation};
 use crate::soak_workload::{RequestKind, ShardSet};
 
-/// The window of the budget.
+/// The length of the window over which repeats and requests are counted.
 const BUDGET_WINDOW: TimeSpan = TimeSpan::from_secs(10);
-/// The share of the requests for a service that it may get as repeats.
+/// The allowed repeats for a service as a share of the requests for it.
 const REPEAT_RATIO: f64 = 0.2;
-/// The repeats beyond that share in each window.
+/// The repeats that are allowed in each window in addition to that share.
 pub const FREE_REPEATS_PER_WINDOW: u64 = 30;
 
-/// Checks the arrivals at each service.
+/// Checks the repeated arrivals of requests at each service.
 #[must_use]
 pub fn check(index: &HistoryIndex) -> Vec<Violation> {
     let mut repeats: BTreeMap<&str, Vec<TimePoint>> = BTreeMap::new();
-    let mut known = BTreeSet::new();
+    let mut first_arrivals = BTreeSet::new();
     for arrival in &index.history.arrivals {
-        if !known.insert((&arrival.service, &arrival.request_id)) {
+        if !first_arrivals.insert((&arrival.service, &arrival.request_id)) {
             let times = repeats.entry(&arrival.service).or_default();
             times.push(arrival.at);
         }
@@ -40,20 +40,20 @@
         .filter(|request| may_use_service(request.kind, service))
         .map(|request| request.sent_at)
         .collect();
-    let over = times.iter().find_map(|end| {
+    let excess = times.iter().find_map(|end| {
         let from = history_index::time_before(*end, BUDGET_WINDOW);
         let count = count_within(times, from, *end);
         let allowed =
             max_window_requests(&sent, *end) as f64 * REPEAT_RATIO + FREE_REPEATS_PER_WINDOW as f64;
         (count as f64 > allowed).then_some((count, allowed))
     });
-    let (count, allowed) = over?;
-    let seen = format!("{count} repeats in a window, {allowed:.0} allowed");
-    Some(Violation::new(PromiseKind::RepeatBudget, service, seen))
+    let (count, allowed) = excess?;
+    let observed = format!("{count} repeats in a window, {allowed:.0} allowed");
+    Some(Violation::new(PromiseKind::RepeatBudget, service, observed))
 }
 
-/// Gets the most requests of the window that ends then, the one half a window earlier and the one
-/// before.
+/// Returns the most requests in any of three windows, which end at `end`, half a window before and
+/// a whole window before.
 fn max_window_requests(sent: &[TimePoint], end: TimePoint) -> usize {
     let ends = [0.0, 0.5, 1.0]
         .map(|windows| history_index::time_before(end, BUDGET_WINDOW.mul_f64(windows)));
--- a/alderhaven-soak/src/soak_caller.rs
+++ b/alderhaven-soak/src/soak_caller.rs
@@ -1,5 +1,5 @@
-//! A caller: it finds a front, keeps the connection until the front is gone, and sends one request
-//! after the other.
+//! A caller: finds a front through a directory, keeps one connection while it can be reused, and
+//! sends requests sequentially.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use crate::soak_history::{AnswerRecord, HistoryLog, RequestEnd, RequestOutcome, RequestRecord};
 use crate::soak_workload::{DOMAINS, RequestKind};
 
-/// How long a caller waits for a directory or a connection.
+/// The timeout of a directory query and of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pause after a directory or a front that could not be reached.
+/// The pause after a directory or a front that can't be reached.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(30);
-/// How much longer than it says a caller waits for an answer, so that late ones are seen.
+/// How long a caller waits beyond its announced timeout, so that late answers are recorded.
 const LATE_ANSWER_WAIT: TimeSpan = TimeSpan::from_millis(1_000);
-/// The share of the requests whose caller leaves early.
+/// The share of requests that the caller abandons early.
 const ABANDONED_SHARE: f64 = 0.03;
-/// The longest pause between two requests, in milliseconds.
+/// The upper bound of the pause between two requests.
 const MAX_THINK_TIME_MS: u64 = 40;
 
-/// A `SoakCaller` is one caller.
+/// A caller, which sends random requests and records them in the history.
 #[derive(Debug)]
 pub struct SoakCaller {
     number: usize,
@@ -39,7 +39,7 @@
 }
 
 impl SoakCaller {
-    /// Returns a caller that knows the directories of these fronts.
+    /// Creates a caller that looks up fronts in the directories of `fronts`.
     #[must_use]
     pub const fn new(
         number: usize,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends requests until it is dropped.
+    /// Sends requests until the future is dropped.
     pub async fn run(mut self) {
         loop {
             let connected = match self.open_connection.take() {
@@ -68,47 +68,47 @@
                 Some((front, connection)) => self.send_request(front, connection).await,
                 None => time::sleep(CONNECT_RETRY_DELAY).await,
             }
-            let think = Duration::from_millis(self.rng.random_range(0..MAX_THINK_TIME_MS));
-            time::sleep(think).await;
+            let think_time = Duration::from_millis(self.rng.random_range(0..MAX_THINK_TIME_MS));
+            time::sleep(think_time).await;
         }
     }
 
     async fn connect(&mut self) -> Option<(IpAddr, CallerConnection)> {
-        let asked = self.rng.random_range(0..self.fronts.len());
-        let directory = self.fronts[asked].directory_address();
+        let directory_index = self.rng.random_range(0..self.fronts.len());
+        let directory = self.fronts[directory_index].directory_address();
         let domain = DOMAINS[self.rng.random_range(0..DOMAINS.len())];
-        let found = caller_client::find_fronts(directory, domain);
-        let found = time::timeout(CONNECT_TIMEOUT, found).await.ok()??;
-        if found.is_empty() {
+        let fronts = caller_client::find_fronts(directory, domain);
+        let fronts = time::timeout(CONNECT_TIMEOUT, fronts).await.ok()??;
+        if fronts.is_empty() {
             return None;
         }
-        let front = found[self.rng.random_range(0..found.len())];
+        let front = fronts[self.rng.random_range(0..fronts.len())];
         let opened = time::timeout(CONNECT_TIMEOUT, CallerConnection::open(front));
         Some((front.ip(), opened.await.ok()??))
     }
 
-    /// Sends one request, and keeps the connection where it can be used again.
+    /// Sends one request and keeps the connection if it can be reused.
     async fn send_request(&mut self, front: IpAddr, mut connection: CallerConnection) {
         let kind = self.draw_kind();
         self.sent_count += 1;
         let request_id = format!("q{}x{}", self.number, self.sent_count);
         let request = self.start_request(&request_id, kind, front);
-        let most = (kind.timeout() + LATE_ANSWER_WAIT).as_duration();
-        let leaves = self.rng.random_bool(ABANDONED_SHARE);
-        let limit = if leaves {
+        let max_wait = (kind.timeout() + LATE_ANSWER_WAIT).as_duration();
+        let abandons = self.rng.random_bool(ABANDONED_SHARE);
+        let timeout = if abandons {
             Duration::from_millis(self.rng.random_range(1..60))
         } else {
-            most
+            max_wait
         };
-        let reply = time::timeout(limit, connection.send(&request)).await;
+        let reply = time::timeout(timeout, connection.send(&request)).await;
         let outcome = match &reply {
             Ok(Some(reply)) => RequestOutcome::Answered(answer_record(reply)),
             Ok(None) => RequestOutcome::Closed,
-            Err(_) if leaves => RequestOutcome::Abandoned,
+            Err(_) if abandons => RequestOutcome::Abandoned,
             Err(_) => RequestOutcome::Unanswered,
         };
-        let may_go_on = matches!(&reply, Ok(Some(reply)) if !reply.closes_connection());
-        if may_go_on {
+        let is_reusable = matches!(&reply, Ok(Some(reply)) if !reply.closes_connection());
+        if is_reusable {
             self.open_connection = Some((front, connection));
         } else {
             drop(connection);
@@ -132,10 +132,11 @@
         }
     }
 
-    /// Draws the route of a version that was accepted lately, or that was taken away lately.
+    /// Draws a version route of one of the three newest configurations, which the newest may have
+    /// removed.
     fn draw_version_route(&mut self) -> Option<u64> {
         let history = self.log.lock();
-        let mut marks: Vec<u64> = history
+        let mut versions: Vec<u64> = history
             .configs
             .iter()
             .rev()
@@ -143,12 +144,12 @@
             .flat_map(|config| config.version_routes.clone())
             .collect();
         drop(history);
-        marks.sort_unstable();
-        marks.dedup();
-        if marks.is_empty() {
+        versions.sort_unstable();
+        versions.dedup();
+        if versions.is_empty() {
             return None;
         }
-        Some(marks[self.rng.random_range(0..marks.len())])
+        Some(versions[self.rng.random_range(0..versions.len())])
     }
 
     fn start_request(&self, request_id: &str, kind: RequestKind, front: IpAddr) -> CallerRequest {
