--- a/alderhaven-entry/examples/claim_load.rs
+++ b/alderhaven-entry/examples/claim_load.rs
@@ -60,7 +60,7 @@
         tokio::time::sleep_until(due).await;
         let position = usize::try_from(number % entries).unwrap_or(0);
         let ledger = Arc::clone(&ledgers[position]);
-        claims.spawn(async move { claim(&ledger, clock, due).await });
+        claims.spawn(async move { timed_claim(&ledger, clock, due).await });
     }
     let mut latencies = Vec::new();
     let mut refused = 0;
@@ -92,8 +92,8 @@
         "bytes_per_write": ratio(bytes, tried),
         "bytes_per_second_an_entry": bytes as f64 / elapsed / entries as f64,
         "bytes_per_claim_held": held_bytes_per_claim(&store, granted),
-        "p50_ms": at_share(&latencies, 0.50), "p99_ms": at_share(&latencies, 0.99),
-        "max_ms": at_share(&latencies, 1.0),
+        "p50_ms": quantile_ms(&latencies, 0.50), "p99_ms": quantile_ms(&latencies, 0.99),
+        "max_ms": quantile_ms(&latencies, 1.0),
     });
     println!("{line}");
 }
@@ -105,7 +105,7 @@
         .unwrap_or(default)
 }
 
-async fn claim(
+async fn timed_claim(
     ledger: &ClaimLedger<FakeStore>,
     clock: ProcessClock,
     due: Instant,
@@ -134,7 +134,7 @@
     part as f64 / whole.max(1) as f64
 }
 
-fn at_share(sorted: &[Duration], share: f64) -> f64 {
+fn quantile_ms(sorted: &[Duration], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1) as f64;
     #[expect(
         clippy::cast_possible_truncation,
--- a/alderhaven-entry/src/admission_desk.rs
+++ b/alderhaven-entry/src/admission_controller.rs
@@ -20,46 +20,46 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time;
 
-use crate::admission_pass::AdmissionPass;
+use crate::admission_permit::AdmissionPermit;
 use crate::query_plan::QueryPlan;
 
-type DeskVerdict = Result<AdmitTicket, Refusal>;
+type AdmissionResult = Result<AdmitTicket, Refusal>;
 
 /// An `AdmissionDesk` admits the queries of one entry.
 #[derive(Debug)]
-pub struct AdmissionDesk {
+pub struct AdmissionController {
     clock: ProcessClock,
     next_id: AtomicU64,
-    state: Mutex<DeskState>,
+    state: Mutex<ControllerState>,
     /// Wakes the task that gives up on waiting queries, when the next such time may be earlier.
-    queued: Notify,
+    query_queued: Notify,
 }
 
 #[derive(Debug)]
-struct DeskState {
+struct ControllerState {
     gate: AdmissionGate,
-    waiters: HashMap<u64, oneshot::Sender<DeskVerdict>>,
+    waiters: HashMap<u64, oneshot::Sender<AdmissionResult>>,
 }
 
 /// Takes a waiting query out again where its caller goes away.
-struct WaitingPlace<'a> {
-    desk: &'a AdmissionDesk,
+struct QueuedQuery<'a> {
+    controller: &'a AdmissionController,
     request: AdmitRequest,
-    verdict: oneshot::Receiver<DeskVerdict>,
+    result: oneshot::Receiver<AdmissionResult>,
 }
 
-impl AdmissionDesk {
+impl AdmissionController {
     /// Returns a desk.
     #[must_use]
     pub fn new(policy: PolicyKind, options: AdmissionOptions, clock: ProcessClock) -> Self {
         Self {
             clock,
             next_id: AtomicU64::new(1),
-            state: Mutex::new(DeskState {
+            state: Mutex::new(ControllerState {
                 gate: AdmissionGate::new(policy, options, rand::random()),
                 waiters: HashMap::new(),
             }),
-            queued: Notify::new(),
+            query_queued: Notify::new(),
         }
     }
 
@@ -92,8 +92,8 @@
     ///
     /// # Errors
     /// The refusal: nothing ran, and it says when to come back.
-    pub async fn admit(self: &Arc<Self>, plan: &QueryPlan) -> Result<AdmissionPass, Refusal> {
-        let request = self.request(plan);
+    pub async fn admit(self: &Arc<Self>, plan: &QueryPlan) -> Result<AdmissionPermit, Refusal> {
+        let request = self.build_request(plan);
         let now = self.clock.now();
         // The waiter is there before the lock is given up: else another thread could decide on the
         // query in between, find nobody to tell, and its caller would wait for ever.
@@ -101,7 +101,7 @@
             let mut state = self.lock();
             match state.gate.offer(request.clone(), now) {
                 AdmitDecision::Admit(ticket) => {
-                    return Ok(AdmissionPass::new(Arc::clone(self), ticket));
+                    return Ok(AdmissionPermit::new(Arc::clone(self), ticket));
                 }
                 AdmitDecision::Refuse(refusal) => return Err(refusal),
                 AdmitDecision::Queue => {
@@ -111,8 +111,8 @@
                 }
             }
         };
-        let ticket = self.wait(request, verdict).await?;
-        Ok(AdmissionPass::new(Arc::clone(self), ticket))
+        let ticket = self.wait_for_result(request, verdict).await?;
+        Ok(AdmissionPermit::new(Arc::clone(self), ticket))
     }
 
     /// Gets the load of all services that `view` names, for the dump.
@@ -141,7 +141,7 @@
     }
 
     /// Gives up on waiting queries when their time has come, until the process ends.
-    pub async fn give_up_forever(self: Arc<Self>) {
+    pub async fn expire_queries_forever(self: Arc<Self>) {
         loop {
             let next = {
                 let mut state = self.lock();
@@ -153,57 +153,57 @@
                     let wake = time::Instant::from_std(self.clock.instant(point));
                     tokio::select! {
                         () = time::sleep_until(wake) => {}
-                        () = self.queued.notified() => {}
+                        () = self.query_queued.notified() => {}
                     }
                 }
-                None => self.queued.notified().await,
+                None => self.query_queued.notified().await,
             }
         }
     }
 
     /// Runs a change of the gate and then decides on what waits.
-    pub(crate) fn change(&self, change: impl FnOnce(&mut AdmissionGate, TimePoint)) {
+    pub(crate) fn update_gate(&self, change: impl FnOnce(&mut AdmissionGate, TimePoint)) {
         let now = self.clock.now();
         let mut state = self.lock();
         change(&mut state.gate, now);
         state.decide_ready(now);
     }
 
-    fn lock(&self) -> MutexGuard<'_, DeskState> {
+    fn lock(&self) -> MutexGuard<'_, ControllerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn request(&self, plan: &QueryPlan) -> AdmitRequest {
+    fn build_request(&self, plan: &QueryPlan) -> AdmitRequest {
         AdmitRequest {
             id: self.next_id.fetch_add(1, Ordering::Relaxed),
             team: plan.team.name.clone(),
             service: plan.template.service.clone(),
             template: plan.template.name.clone(),
             class: plan.template.class,
-            fan_out: u32::try_from(plan.positions.len()).unwrap_or(u32::MAX),
+            fan_out: u32::try_from(plan.shard_positions.len()).unwrap_or(u32::MAX),
             key: plan.fingerprint().leading_u64(),
-            deadline: self.clock.time_point(plan.expires()),
+            deadline: self.clock.time_point(plan.expires_at()),
         }
     }
 
-    async fn wait(
+    async fn wait_for_result(
         &self,
         request: AdmitRequest,
-        verdict: oneshot::Receiver<DeskVerdict>,
-    ) -> DeskVerdict {
-        let mut place = WaitingPlace {
-            desk: self,
+        verdict: oneshot::Receiver<AdmissionResult>,
+    ) -> AdmissionResult {
+        let mut place = QueuedQuery {
+            controller: self,
             request,
-            verdict,
+            result: verdict,
         };
-        self.queued.notify_one();
-        let verdict = (&mut place.verdict).await;
+        self.query_queued.notify_one();
+        let verdict = (&mut place.result).await;
         // A waiter is only dropped after it was answered.
-        verdict.unwrap_or_else(|_| Err(place.dropped()))
+        verdict.unwrap_or_else(|_| Err(place.dropped_refusal()))
     }
 }
 
-impl DeskState {
+impl ControllerState {
     /// Answers the waiting queries that are decided now.
     fn decide_ready(&mut self, now: TimePoint) {
         let mut unclaimed = Vec::new();
@@ -227,23 +227,23 @@
     }
 }
 
-impl WaitingPlace<'_> {
-    fn dropped(&self) -> Refusal {
+impl QueuedQuery<'_> {
+    fn dropped_refusal(&self) -> Refusal {
         Refusal {
             reason: RefusalReason::Overloaded,
-            retry_after: self.desk.clock.now().until(self.request.deadline),
+            retry_after: self.controller.clock.now().until(self.request.deadline),
         }
     }
 }
 
-impl Drop for WaitingPlace<'_> {
+impl Drop for QueuedQuery<'_> {
     fn drop(&mut self) {
-        let now = self.desk.clock.now();
-        let mut state = self.desk.lock();
+        let now = self.controller.clock.now();
+        let mut state = self.controller.lock();
         state.waiters.remove(&self.request.id);
         state.gate.cancel(&self.request.service, self.request.id);
         // The ticket may have been sent while the caller went away.
-        if let Ok(Ok(ticket)) = self.verdict.try_recv() {
+        if let Ok(Ok(ticket)) = self.result.try_recv() {
             state
                 .gate
                 .record_finished(&ticket, QueryReport::default(), now);
--- a/alderhaven-entry/src/admission_pass.rs
+++ b/alderhaven-entry/src/admission_permit.rs
@@ -8,7 +8,7 @@
 use alderhaven_policy::admit_decision::AdmitTicket;
 use alderhaven_policy::service_capacity::QueryReport;
 
-use crate::admission_desk::AdmissionDesk;
+use crate::admission_controller::AdmissionController;
 use crate::query_plan::QueryPlan;
 use crate::relay_link::LinkReply;
 
@@ -17,28 +17,28 @@
 /// It is given back when it is dropped: a caller that goes away drops its query at any point, and
 /// a place that was never given back would shrink the entry for good.
 #[derive(Debug)]
-pub struct AdmissionPass {
-    desk: Arc<AdmissionDesk>,
+pub struct AdmissionPermit {
+    controller: Arc<AdmissionController>,
     ticket: AdmitTicket,
-    queued: TimeSpan,
-    service: TimeSpan,
+    total_queue_wait: TimeSpan,
+    total_service_time: TimeSpan,
     attempts: u32,
-    ran: u32,
-    not_run: u32,
+    ran_attempts: u32,
+    not_run_attempts: u32,
 }
 
-impl AdmissionPass {
+impl AdmissionPermit {
     /// Returns the pass of a ticket.
     #[must_use]
-    pub const fn new(desk: Arc<AdmissionDesk>, ticket: AdmitTicket) -> Self {
+    pub const fn new(desk: Arc<AdmissionController>, ticket: AdmitTicket) -> Self {
         Self {
-            desk,
+            controller: desk,
             ticket,
-            queued: TimeSpan::ZERO,
-            service: TimeSpan::ZERO,
+            total_queue_wait: TimeSpan::ZERO,
+            total_service_time: TimeSpan::ZERO,
             attempts: 0,
-            ran: 0,
-            not_run: 0,
+            ran_attempts: 0,
+            not_run_attempts: 0,
         }
     }
 
@@ -51,50 +51,51 @@
     /// Gets the order of the query at all relays, in microseconds since the Unix epoch.
     #[must_use]
     pub fn order(&self, plan: &QueryPlan) -> u64 {
-        let arrived = self.desk.clock().time_point(plan.arrived);
+        let arrived = self.controller.clock().time_point(plan.arrived_at);
         plan.order + self.ticket.order_at.since(arrived).as_micros()
     }
 
     /// Returns true where queries wait for admission to the same service.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
-        self.desk.is_overloaded(&self.ticket.request.service)
+        self.controller.is_overloaded(&self.ticket.request.service)
     }
 
     /// Notes the end of one attempt.
-    pub fn note_reply(&mut self, reply: &LinkReply) {
+    pub fn record_reply(&mut self, reply: &LinkReply) {
         self.attempts += 1;
-        self.queued = self.queued + reply.queued;
+        self.total_queue_wait = self.total_queue_wait + reply.queue_wait;
         match reply.result.outcome {
             AttemptOutcome::NotRun(
                 NotRunReason::Shed | NotRunReason::Expired | NotRunReason::QueueFull,
-            ) => self.not_run += 1,
+            ) => self.not_run_attempts += 1,
             AttemptOutcome::NotRun(_) | AttemptOutcome::VersionGone => {}
             AttemptOutcome::Answered | AttemptOutcome::Failed | AttemptOutcome::Unknown => {
-                self.ran += 1;
-                self.service = self.service + reply.service;
+                self.ran_attempts += 1;
+                self.total_service_time = self.total_service_time + reply.service_time;
             }
         }
         let ticket = &mut self.ticket;
-        self.desk.change(|gate, _| gate.record_reply(ticket));
+        self.controller
+            .update_gate(|gate, _| gate.record_reply(ticket));
     }
 
     fn report(&self) -> QueryReport {
         QueryReport {
-            queue_wait: mean(self.queued, self.attempts),
-            service_time: mean(self.service, self.ran),
+            queue_wait: mean(self.total_queue_wait, self.attempts),
+            service_time: mean(self.total_service_time, self.ran_attempts),
             attempts: self.attempts,
-            not_run: self.not_run,
+            not_run: self.not_run_attempts,
         }
     }
 }
 
-impl Drop for AdmissionPass {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let report = self.report();
         let ticket = &self.ticket;
-        self.desk
-            .change(|gate, now| gate.record_finished(ticket, report, now));
+        self.controller
+            .update_gate(|gate, now| gate.record_finished(ticket, report, now));
     }
 }
 
--- a/alderhaven-entry/src/applied_config.rs
+++ b/alderhaven-entry/src/applied_config.rs
@@ -12,9 +12,9 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::admission_desk::AdmissionDesk;
+use crate::admission_controller::AdmissionController;
 use crate::relay_routes::RelayRoutes;
-use crate::replica_board::ReplicaBoard;
+use crate::replica_selector::ReplicaSelector;
 
 /// An `AppliedConfig` is the view that queries are planned on; its clones share it.
 ///
@@ -25,7 +25,7 @@
     view: Arc<ArcSwap<ConfigView>>,
     /// The revision up to which the view holds every change.
     revision: Arc<ArcSwapOption<StoreVersion>>,
-    changed: watch::Sender<u64>,
+    changes: watch::Sender<u64>,
 }
 
 /// A `ConfigApplier` hands each change of the configuration to the parts of the entry.
@@ -34,11 +34,11 @@
     /// The configuration in force.
     pub config: ConfigHandle,
     /// What admits queries.
-    pub desk: Arc<AdmissionDesk>,
+    pub admission: Arc<AdmissionController>,
     /// The routes through relays.
     pub routes: Arc<RelayRoutes>,
     /// What is known of the targets.
-    pub board: Arc<ReplicaBoard>,
+    pub selector: Arc<ReplicaSelector>,
     /// What queries read.
     pub applied: AppliedConfig,
 }
@@ -60,7 +60,7 @@
         Self {
             view: Arc::default(),
             revision: Arc::default(),
-            changed: watch::Sender::new(0),
+            changes: watch::Sender::new(0),
         }
     }
 }
@@ -74,8 +74,8 @@
 
     /// Gets a channel that changes with each change of the view.
     #[must_use]
-    pub fn changed(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
+        self.changes.subscribe()
     }
 
     /// Gets the follower's state as queries see it: the revision is one whose changes they see.
@@ -98,7 +98,7 @@
     fn publish(&self, view: Arc<ConfigView>, revision: Option<StoreVersion>) {
         self.view.store(view);
         self.revision.store(revision.map(Arc::new));
-        self.changed.send_modify(|count| *count += 1);
+        self.changes.send_modify(|count| *count += 1);
     }
 }
 
@@ -112,11 +112,11 @@
             // Read before the view, which then holds every change up to it.
             let revision = self.config.complete_revision();
             let view = self.config.view();
-            recent.take(&view, Instant::now());
-            let manifests = recent.all();
-            self.desk.apply(&view);
+            recent.update(&view, Instant::now());
+            let manifests = recent.current_first();
+            self.admission.apply(&view);
             self.routes.apply(&manifests);
-            self.board.apply(&manifests, &view);
+            self.selector.apply(&manifests, &view);
             self.applied.publish(view, revision);
             if changed.changed().await.is_err() {
                 return;
@@ -127,7 +127,7 @@
 
 impl RecentManifests {
     /// Takes over the manifests of a view; replaced ones stay for as long as a query may run.
-    fn take(&mut self, view: &ConfigView, now: Instant) {
+    fn update(&mut self, view: &ConfigView, now: Instant) {
         for recent in self.manifests.values_mut() {
             let manifest = &recent.manifest;
             let current = view.manifests.get(&manifest.service);
@@ -149,7 +149,7 @@
     }
 
     /// Gets all manifests, those in force first, so that what they say of a target counts.
-    fn all(&self) -> Vec<Arc<SnapshotManifest>> {
+    fn current_first(&self) -> Vec<Arc<SnapshotManifest>> {
         let mut recent: Vec<&RecentManifest> = self.manifests.values().collect();
         recent.sort_by_key(|recent| recent.replaced_at.is_some());
         recent
--- a/alderhaven-entry/src/caller_server.rs
+++ b/alderhaven-entry/src/caller_server.rs
@@ -30,7 +30,7 @@
 use tokio::time;
 use tokio_util::task::TaskTracker;
 
-use crate::admission_desk::AdmissionDesk;
+use crate::admission_controller::AdmissionController;
 use crate::answer::{ErrorAnswer, ErrorCode, QueryAnswer};
 use crate::applied_config::AppliedConfig;
 use crate::claimed_runner::ClaimedRunner;
@@ -43,17 +43,17 @@
 
 /// The room for a head beyond its limit, within which a head that is too large is told so in the
 /// common form; hyper itself refuses a larger one.
-const HEAD_ROOM: usize = 2;
+const HEAD_BUFFER_FACTOR: usize = 2;
 /// The connections beyond the limit that are told so at a time.
-const MAX_REFUSALS: usize = 64;
+const MAX_CONCURRENT_REFUSALS: usize = 64;
 /// The time that telling a caller so may take.
-const REFUSAL_TIME: Duration = Duration::from_secs(1);
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 /// The most bytes of a refused caller that are read, so that it gets its answer.
-const MAX_UNREAD: u64 = 64 << 10;
+const MAX_DISCARDED_BYTES: u64 = 64 << 10;
 /// When a refused caller may come back; it should go to another entry before.
-const REFUSAL_RETRY: TimeSpan = TimeSpan::from_secs(1);
+const REFUSED_CONNECTION_RETRY_AFTER: TimeSpan = TimeSpan::from_secs(1);
 /// The pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// The path below which templates are queried.
 const QUERY_PREFIX: &str = "/v1/query/";
 /// The path that says whether the entry serves.
@@ -61,7 +61,7 @@
 /// The path that says which entries to use.
 const ENTRIES_PATH: &str = "/v1/entries";
 /// The time after which a caller may ask a node again that does not know its configuration yet.
-const START_RETRY: TimeSpan = TimeSpan::from_millis(500);
+const NO_CONFIG_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(500);
 /// The header with the key of a non-idempotent request, a `UUIDv7`.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
@@ -75,11 +75,11 @@
     /// The configuration that queries are planned on.
     pub applied: AppliedConfig,
     /// What admits the queries.
-    pub desk: Arc<AdmissionDesk>,
+    pub admission: Arc<AdmissionController>,
     /// What runs the queries.
     pub runner: Arc<QueryRunner>,
     /// What runs the non-idempotent ones.
-    pub claims: Arc<ClaimedRunner<HttpStore>>,
+    pub claimed_runner: Arc<ClaimedRunner<HttpStore>>,
     /// What is counted.
     pub metrics: Arc<EntryMetrics>,
     /// The group of entries and relays.
@@ -98,7 +98,7 @@
 /// others are being refused: a caller that waited unseen could not go to another entry.
 pub async fn serve(listener: TcpListener, caller_service: Arc<CallerService>) {
     let permits = Arc::new(Semaphore::new(caller_service.limits.caller_connections));
-    let refusals = Arc::new(Semaphore::new(MAX_REFUSALS));
+    let refusals = Arc::new(Semaphore::new(MAX_CONCURRENT_REFUSALS));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -106,7 +106,7 @@
         };
         let Ok((stream, _)) = accepted else {
             // Out of file descriptors: later ones may be free again.
-            time::sleep(ACCEPT_PAUSE).await;
+            time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
@@ -121,7 +121,7 @@
         caller_service.metrics.refused_connections.inc();
         if let Ok(refusal) = Arc::clone(&refusals).try_acquire_owned() {
             tokio::spawn(async move {
-                let _ended = time::timeout(REFUSAL_TIME, refuse_connection(stream)).await;
+                let _ended = time::timeout(REFUSAL_TIMEOUT, refuse_connection(stream)).await;
                 drop(refusal);
             });
         }
@@ -131,7 +131,7 @@
 /// Tells a caller that there are too many connections.
 async fn refuse_connection(mut stream: TcpStream) -> io::Result<()> {
     let answer = ErrorAnswer::not_run(ErrorCode::Overloaded, "too many connections are open")
-        .with_retry_after(REFUSAL_RETRY);
+        .with_retry_after(REFUSED_CONNECTION_RETRY_AFTER);
     let status = answer.error.code.status();
     let body = serde_json::to_string(&answer).unwrap_or_default();
     let reply = format!(
@@ -143,7 +143,7 @@
     stream.shutdown().await?;
     // What the caller has sent is read: closing before would reset the connection, and the caller
     // could lose the answer.
-    let mut unread = stream.take(MAX_UNREAD);
+    let mut unread = stream.take(MAX_DISCARDED_BYTES);
     tokio::io::copy(&mut unread, &mut tokio::io::sink()).await?;
     Ok(())
 }
@@ -159,7 +159,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.read_timeout.as_duration())
-        .max_buf_size((HEAD_ROOM * limits.head.as_bytes()).max(8 << 10))
+        .max_buf_size((HEAD_BUFFER_FACTOR * limits.head.as_bytes()).max(8 << 10))
         .serve_connection(TokioIo::new(stream), answering);
     tokio::pin!(connection);
     // A malformed request is answered by hyper and ends this connection only.
@@ -177,7 +177,7 @@
     /// Answers a request; every reply carries the request's id.
     async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let _in_flight = self.stop.begin_request();
-        let mut record = RequestRecord::new(RequestId::of_request(request.headers()));
+        let mut record = RequestRecord::new(RequestId::from_headers(request.headers()));
         let mut response = match self.route(request, &mut record).await {
             Ok(response) => response,
             Err(error) => {
@@ -210,7 +210,7 @@
         let path = request.uri().path().to_owned();
         if let Some(template) = path.strip_prefix(QUERY_PREFIX) {
             check_method(&request, &Method::POST)?;
-            return self.query(template, request, record).await;
+            return self.answer_query(template, request, record).await;
         }
         if path == HEALTH_PATH {
             check_method(&request, &Method::GET)?;
@@ -228,7 +228,7 @@
         ))
     }
 
-    async fn query(
+    async fn answer_query(
         &self,
         template: &str,
         request: Request<Incoming>,
@@ -237,12 +237,12 @@
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
         let body = self.read_body(body).await?;
-        let query = QueryRequest::read(&body)?;
+        let query = QueryRequest::parse(&body)?;
         let view = self.applied.view();
         let token = bearer_token(&head.headers);
-        let plan = QueryPlan::make(&view, template, query, token, arrived)
-            .map_err(|error| self.explain_start(error, &view))?;
-        record.note_plan(&plan);
+        let plan = QueryPlan::build(&view, template, query, token, arrived)
+            .map_err(|error| self.explain_missing_config(error, &view))?;
+        record.record_plan(&plan);
         let class = plan.template.class;
         let key = if plan.template.idempotent {
             None
@@ -252,7 +252,7 @@
         self.metrics.in_flight.inc();
         let answer = match key {
             None => self.admit_and_run(&plan).await,
-            Some(key) => self.claims.answer(key, plan).await,
+            Some(key) => self.claimed_runner.answer(key, plan).await,
         };
         self.metrics.in_flight.dec();
         let outcome = answer
@@ -269,7 +269,11 @@
     /// then "there is no such template" would be untrue. It would also be for as long as the parts
     /// of the entry take over what has just been learnt, so the plan's view must be the one in force
     /// after the configuration was known to be complete.
-    fn explain_start(&self, error: ErrorAnswer, planned_on: &Arc<ConfigView>) -> ErrorAnswer {
+    fn explain_missing_config(
+        &self,
+        error: ErrorAnswer,
+        planned_on: &Arc<ConfigView>,
+    ) -> ErrorAnswer {
         if error.error.code != ErrorCode::NotFound {
             return error;
         }
@@ -278,12 +282,13 @@
             return error;
         }
         let message = "this entry does not know its configuration yet";
-        ErrorAnswer::not_run(ErrorCode::Unavailable, message).with_retry_after(START_RETRY)
+        ErrorAnswer::not_run(ErrorCode::Unavailable, message)
+            .with_retry_after(NO_CONFIG_RETRY_AFTER)
     }
 
     async fn admit_and_run(&self, plan: &QueryPlan) -> Result<QueryAnswer, ErrorAnswer> {
         self.runner.check_quarantine(plan)?;
-        let mut pass = self.desk.admit(plan).await.map_err(refused)?;
+        let mut pass = self.admission.admit(plan).await.map_err(refusal_answer)?;
         self.runner.run(plan, &mut pass).await
     }
 
@@ -312,7 +317,7 @@
     }
 }
 
-pub(crate) fn refused(refusal: Refusal) -> ErrorAnswer {
+pub(crate) fn refusal_answer(refusal: Refusal) -> ErrorAnswer {
     let message = match refusal.reason {
         RefusalReason::TeamRate => "the team's rate is used up",
         RefusalReason::TeamInFlight => "the team has as many queries in flight as it may",
--- a/alderhaven-entry/src/claim_ledger.rs
+++ b/alderhaven-entry/src/claim_ledger.rs
@@ -34,7 +34,7 @@
     options: ClaimOptions,
     state: Mutex<LedgerState>,
     /// Wakes the task that makes the calls.
-    changed: Notify,
+    work_added: Notify,
     metrics: ClaimMetrics,
 }
 
@@ -42,7 +42,7 @@
 struct LedgerState {
     batcher: ClaimBatcher,
     waiters: HashMap<ClaimTicket, oneshot::Sender<ClaimVerdict>>,
-    counted: ClaimCounts,
+    last_counts: ClaimCounts,
 }
 
 /// A `LedgerReport` is the ledger's state for the dump.
@@ -81,9 +81,9 @@
             state: Mutex::new(LedgerState {
                 batcher: ClaimBatcher::new(writer, options, rand::random(), clock.now()),
                 waiters: HashMap::new(),
-                counted: ClaimCounts::default(),
+                last_counts: ClaimCounts::default(),
             }),
-            changed: Notify::new(),
+            work_added: Notify::new(),
             metrics,
         }
     }
@@ -108,7 +108,7 @@
             let ticket = state.batcher.offer(key, fingerprint, deadline, now);
             state.waiters.insert(ticket, sender);
         }
-        self.changed.notify_one();
+        self.work_added.notify_one();
         // The sender goes unused only where the process ends.
         let verdict = verdict.await.unwrap_or(ClaimVerdict::Refused {
             reason: ClaimRefusal::StoreDown,
@@ -122,7 +122,7 @@
     pub fn release(&self, ticket: ClaimTicket) {
         self.lock().batcher.release(ticket);
         self.metrics.releases.inc();
-        self.changed.notify_one();
+        self.work_added.notify_one();
     }
 
     /// Gets the state for the dump.
@@ -140,9 +140,9 @@
     pub async fn run_forever(self: Arc<Self>) {
         let mut under_way = FuturesUnordered::new();
         loop {
-            let (calls, wake) = self.step();
+            let (calls, wake) = self.poll_batcher();
             for call in calls {
-                under_way.push(self.call(call));
+                under_way.push(self.call_store(call));
             }
             let wake = wake.map_or(Either::Left(futures::future::pending()), |point| {
                 let instant = time::Instant::from_std(self.clock.instant(point));
@@ -154,13 +154,13 @@
                     self.lock().batcher.handle_reply(slot, reply, now);
                 }
                 () = wake => {}
-                () = self.changed.notified() => {}
+                () = self.work_added.notified() => {}
             }
         }
     }
 
     /// Gets the calls that are to be made now, hands out verdicts, and says when to come again.
-    fn step(&self) -> (Vec<ClaimCall>, Option<TimePoint>) {
+    fn poll_batcher(&self) -> (Vec<ClaimCall>, Option<TimePoint>) {
         let now = self.clock.now();
         let mut state = self.lock();
         let mut calls = Vec::new();
@@ -178,12 +178,12 @@
             }
         }
         let counts = state.batcher.counts();
-        self.metrics.observe_counts(&state.counted, &counts);
-        state.counted = counts;
+        self.metrics.observe_counts(&state.last_counts, &counts);
+        state.last_counts = counts;
         (calls, state.batcher.next_wake(now))
     }
 
-    async fn call(&self, call: ClaimCall) -> (ClaimSlot, ClaimReply) {
+    async fn call_store(&self, call: ClaimCall) -> (ClaimSlot, ClaimReply) {
         let key = call.slot.object_key();
         let reply = match call.action {
             ClaimAction::Read => self.store.get(&key).await.map(ClaimReply::Bucket),
@@ -200,7 +200,7 @@
                 })
             }
         };
-        (call.slot, reply_of(reply))
+        (call.slot, to_claim_reply(reply))
     }
 
     fn lock(&self) -> MutexGuard<'_, LedgerState> {
@@ -208,7 +208,7 @@
     }
 }
 
-fn reply_of(reply: StoreResult<ClaimReply>) -> ClaimReply {
+fn to_claim_reply(reply: StoreResult<ClaimReply>) -> ClaimReply {
     match reply {
         Ok(reply) => reply,
         Err(StoreError::NotDone { retry_after, .. }) => ClaimReply::NotDone { retry_after },
--- a/alderhaven-entry/src/claim_metrics.rs
+++ b/alderhaven-entry/src/claim_metrics.rs
@@ -30,8 +30,8 @@
     store_writes: Counter,
     store_conflicts: Counter,
     lost_replies: Counter,
-    not_done: Counter,
-    broken: Counter,
+    refused_calls: Counter,
+    broken_buckets: Counter,
     /// The claims that were taken back because their request did not run.
     pub releases: Counter,
     /// The answers that were given again.
@@ -67,12 +67,12 @@
             (
                 "claim_calls_refused",
                 "Calls for claims that the store or the budget refused",
-                &self.not_done,
+                &self.refused_calls,
             ),
             (
                 "claim_broken_buckets",
                 "Buckets that can't be read or went backwards",
-                &self.broken,
+                &self.broken_buckets,
             ),
             (
                 "claim_releases",
@@ -115,7 +115,7 @@
             .inc_by(after.conflicts - before.conflicts);
         self.lost_replies
             .inc_by(after.lost_replies - before.lost_replies);
-        self.not_done.inc_by(after.not_done - before.not_done);
-        self.broken.inc_by(after.broken - before.broken);
+        self.refused_calls.inc_by(after.not_done - before.not_done);
+        self.broken_buckets.inc_by(after.broken - before.broken);
     }
 }
--- a/alderhaven-entry/src/claim_peers.rs
+++ b/alderhaven-entry/src/claim_peers.rs
@@ -22,7 +22,7 @@
 use crate::held_answers::{HeldAnswers, RunOutcome};
 
 /// The most queries under way in each direction; resends to another entry are rare.
-const MAX_QUERIES: usize = 256;
+const MAX_CONCURRENT_QUERIES: usize = 256;
 /// The longest that a query waits, whatever the other side asks for.
 const MAX_WAIT: TimeSpan = TimeSpan::from_secs(30);
 /// The time in which a connection is made; entries are a few milliseconds apart.
@@ -41,7 +41,7 @@
     pub const fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            permits: Semaphore::const_new(MAX_QUERIES),
+            permits: Semaphore::const_new(MAX_CONCURRENT_QUERIES),
         }
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Asks the entry at `holder` for an outcome; none where it can't be had in time.
-    pub async fn ask(
+    pub async fn fetch_outcome(
         &self,
         holder: SocketAddr,
         key: ClaimKey,
@@ -68,12 +68,12 @@
             fingerprint: fingerprint.to_string(),
             remaining_us: remaining.as_micros(),
         };
-        let asking = ask_at(holder, query);
+        let asking = send_query(holder, query);
         time::timeout(remaining.as_duration(), asking).await.ok()?
     }
 }
 
-async fn ask_at(holder: SocketAddr, query: ClaimQuery) -> Option<RunOutcome> {
+async fn send_query(holder: SocketAddr, query: ClaimQuery) -> Option<RunOutcome> {
     let connecting = TcpStream::connect(holder);
     let stream = time::timeout(CONNECT_TIMEOUT.as_duration(), connecting)
         .await
@@ -91,7 +91,7 @@
 
 /// Answers the queries of other entries until the process ends.
 pub async fn serve(listener: TcpListener, held: Arc<HeldAnswers>, clock: ProcessClock) {
-    let permits = Arc::new(Semaphore::new(MAX_QUERIES));
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_QUERIES));
     loop {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
@@ -101,14 +101,14 @@
         };
         let held = Arc::clone(&held);
         tokio::spawn(async move {
-            let answering = answer_one(stream, &held, clock);
+            let answering = answer_queries(stream, &held, clock);
             let _late = time::timeout(MAX_WAIT.as_duration(), answering).await;
             drop(permit);
         });
     }
 }
 
-async fn answer_one(stream: TcpStream, held: &HeldAnswers, clock: ProcessClock) {
+async fn answer_queries(stream: TcpStream, held: &HeldAnswers, clock: ProcessClock) {
     let Ok((sender, mut reader)) = connection::split(stream) else {
         return;
     };
@@ -116,7 +116,7 @@
         let PeerMessage::ClaimQuery(query) = message else {
             continue;
         };
-        let outcome = find(&query, held, clock).await.unwrap_or_default();
+        let outcome = find_outcome(&query, held, clock).await.unwrap_or_default();
         let answer = ClaimAnswer {
             outcome: outcome.into(),
         };
@@ -125,7 +125,11 @@
 }
 
 /// Gets the outcome as JSON, once it is there; none where it is not held.
-async fn find(query: &ClaimQuery, held: &HeldAnswers, clock: ProcessClock) -> Option<Vec<u8>> {
+async fn find_outcome(
+    query: &ClaimQuery,
+    held: &HeldAnswers,
+    clock: ProcessClock,
+) -> Option<Vec<u8>> {
     let key = query.key.parse().ok()?;
     let fingerprint = query.fingerprint.parse().ok()?;
     let mut outcome = held.find(key, fingerprint, clock.now())?;
--- a/alderhaven-entry/src/claimed_runner.rs
+++ b/alderhaven-entry/src/claimed_runner.rs
@@ -18,14 +18,14 @@
 use serde_json::{Value, json};
 use tokio::time;
 
-use crate::admission_desk::AdmissionDesk;
-use crate::admission_pass::AdmissionPass;
+use crate::admission_controller::AdmissionController;
+use crate::admission_permit::AdmissionPermit;
 use crate::answer::{ErrorAnswer, ErrorCode};
 use crate::caller_server;
 use crate::claim_ledger::ClaimLedger;
 use crate::claim_metrics::ClaimMetrics;
 use crate::claim_peers::ClaimPeers;
-use crate::held_answers::{HeldAnswers, HeldStart, OutcomeWatch, RunOutcome, RunningPlace};
+use crate::held_answers::{HeldAnswers, HeldLookup, OutcomeWatch, RunOutcome, RunningRequest};
 use crate::query_plan::QueryPlan;
 use crate::query_runner::QueryRunner;
 
@@ -36,7 +36,7 @@
     ledger: Arc<ClaimLedger<S>>,
     held: Arc<HeldAnswers>,
     peers: ClaimPeers,
-    desk: Arc<AdmissionDesk>,
+    admission: Arc<AdmissionController>,
     runner: Arc<QueryRunner>,
     config: ConfigHandle,
     clock: ProcessClock,
@@ -44,7 +44,7 @@
 }
 
 /// A `RunEnd` is the outcome of a request, and where it was dispatched.
-enum RunEnd {
+enum DispatchOutcome {
     Dispatched(RunOutcome),
     Learned(RunOutcome),
     NotDispatched(ErrorAnswer),
@@ -84,41 +84,43 @@
     /// The answer for the caller where the request was refused, or its outcome is not known.
     pub async fn answer(self: &Arc<Self>, key: ClaimKey, plan: QueryPlan) -> RunOutcome {
         let fingerprint = ClaimFingerprint::of(&plan.fingerprint(), &plan.team.name);
-        let expires = time::Instant::from_std(plan.expires());
+        let expires = time::Instant::from_std(plan.expires_at());
         match self.held.start(key, fingerprint, self.clock.now()) {
-            HeldStart::Conflict => Err(key_conflict()),
-            HeldStart::Known(outcome) => self.replay(outcome, expires).await,
-            HeldStart::New(place) => {
+            HeldLookup::Conflict => Err(key_conflict()),
+            HeldLookup::Known(outcome) => self.replay(outcome, expires).await,
+            HeldLookup::New(place) => {
                 let mut outcome = place.watch();
                 let runner = Arc::clone(self);
                 tokio::spawn(async move { runner.run(place, key, fingerprint, plan).await });
-                shown(&mut outcome).await
+                wait_for_outcome(&mut outcome).await
             }
         }
     }
 
     async fn replay(&self, mut outcome: OutcomeWatch, expires: time::Instant) -> RunOutcome {
-        let Ok(outcome) = time::timeout_at(expires, shown(&mut outcome)).await else {
-            return Err(unknown("the request still runs"));
+        let Ok(outcome) = time::timeout_at(expires, wait_for_outcome(&mut outcome)).await else {
+            return Err(unknown_answer("the request still runs"));
         };
         self.metrics.replays.inc();
-        replayed(outcome)
+        mark_replayed(outcome)
     }
 
     async fn run(
         &self,
-        place: RunningPlace,
+        place: RunningRequest,
         key: ClaimKey,
         fingerprint: ClaimFingerprint,
         plan: QueryPlan,
     ) {
         match self.admit_claim_run(key, fingerprint, &plan).await {
-            RunEnd::Dispatched(outcome) => place.hold(outcome, self.clock.now()),
-            RunEnd::Learned(outcome) => match replayed(outcome) {
-                Ok(answer) => place.hold(Ok(answer), self.clock.now()),
-                Err(error) => place.forget(Err(error)),
+            DispatchOutcome::Dispatched(outcome) => {
+                place.finish_and_hold(outcome, self.clock.now())
+            }
+            DispatchOutcome::Learned(outcome) => match mark_replayed(outcome) {
+                Ok(answer) => place.finish_and_hold(Ok(answer), self.clock.now()),
+                Err(error) => place.finish_and_remove(Err(error)),
             },
-            RunEnd::NotDispatched(error) => place.forget(Err(error)),
+            DispatchOutcome::NotDispatched(error) => place.finish_and_remove(Err(error)),
         }
     }
 
@@ -128,27 +130,29 @@
         key: ClaimKey,
         fingerprint: ClaimFingerprint,
         plan: &QueryPlan,
-    ) -> RunEnd {
-        if let Some(error) = self.refusal(&key) {
-            return RunEnd::NotDispatched(error);
+    ) -> DispatchOutcome {
+        if let Some(error) = self.key_refusal(&key) {
+            return DispatchOutcome::NotDispatched(error);
         }
-        let mut pass = match self.desk.admit(plan).await {
+        let mut pass = match self.admission.admit(plan).await {
             Ok(pass) => pass,
-            Err(refusal) => return RunEnd::NotDispatched(caller_server::refused(refusal)),
+            Err(refusal) => {
+                return DispatchOutcome::NotDispatched(caller_server::refusal_answer(refusal));
+            }
         };
-        let deadline = self.clock.time_point(plan.expires());
+        let deadline = self.clock.time_point(plan.expires_at());
         match self.ledger.claim(key, fingerprint, deadline).await {
             ClaimVerdict::Granted(ticket) => self.dispatch(ticket, plan, &mut pass).await,
             ClaimVerdict::Taken(holder) => {
                 drop(pass);
-                self.learn(&holder, key, fingerprint, plan).await
+                self.fetch_outcome(&holder, key, fingerprint, plan).await
             }
-            ClaimVerdict::Conflict => RunEnd::NotDispatched(key_conflict()),
-            ClaimVerdict::TooOld => RunEnd::NotDispatched(too_old()),
+            ClaimVerdict::Conflict => DispatchOutcome::NotDispatched(key_conflict()),
+            ClaimVerdict::TooOld => DispatchOutcome::NotDispatched(key_too_old()),
             ClaimVerdict::Refused {
                 reason,
                 retry_after,
-            } => RunEnd::NotDispatched(refused(reason, retry_after)),
+            } => DispatchOutcome::NotDispatched(refusal_answer(reason, retry_after)),
         }
     }
 
@@ -160,35 +164,40 @@
         &self,
         ticket: ClaimTicket,
         plan: &QueryPlan,
-        pass: &mut AdmissionPass,
-    ) -> RunEnd {
-        if self.clock.now() >= self.clock.time_point(plan.expires()) {
+        pass: &mut AdmissionPermit,
+    ) -> DispatchOutcome {
+        if self.clock.now() >= self.clock.time_point(plan.expires_at()) {
             self.ledger.release(ticket);
             let message = "the deadline had passed before the request could be sent";
-            return RunEnd::NotDispatched(ErrorAnswer::not_run(ErrorCode::Unavailable, message));
+            return DispatchOutcome::NotDispatched(ErrorAnswer::not_run(
+                ErrorCode::Unavailable,
+                message,
+            ));
         }
         match self.runner.run(plan, pass).await {
             Err(error) if error.error.not_run => {
                 self.ledger.release(ticket);
-                RunEnd::NotDispatched(error)
+                DispatchOutcome::NotDispatched(error)
             }
-            outcome => RunEnd::Dispatched(outcome),
+            outcome => DispatchOutcome::Dispatched(outcome),
         }
     }
 
     /// Gets the refusal of a key that is outside the window, and of any while the store's past is
     /// in doubt.
-    fn refusal(&self, key: &ClaimKey) -> Option<ErrorAnswer> {
+    fn key_refusal(&self, key: &ClaimKey) -> Option<ErrorAnswer> {
         if matches!(
             self.config.status().sync_state,
             StoreSyncState::Regressed { .. }
         ) {
             // A store that was restored from an older copy lacks claims that were granted.
-            return Some(unknown("the store went backwards; claims may be missing"));
+            return Some(unknown_answer(
+                "the store went backwards; claims may be missing",
+            ));
         }
-        match KeyAge::of(key, wall_millis()) {
+        match KeyAge::of(key, wall_clock_millis()) {
             KeyAge::Served => None,
-            KeyAge::TooOld => Some(too_old()),
+            KeyAge::TooOld => Some(key_too_old()),
             KeyAge::TooNew => Some(ErrorAnswer::not_run(
                 ErrorCode::BadRequest,
                 "the time in the idempotency key is too far ahead",
@@ -197,39 +206,41 @@
     }
 
     /// Asks the entry that claimed the key for the outcome.
-    async fn learn(
+    async fn fetch_outcome(
         &self,
         holder: &ClaimWriter,
         key: ClaimKey,
         fingerprint: ClaimFingerprint,
         plan: &QueryPlan,
-    ) -> RunEnd {
+    ) -> DispatchOutcome {
         let remaining = self
             .clock
             .now()
-            .until(self.clock.time_point(plan.expires()));
-        let asking = self.peers.ask(holder.address, key, fingerprint, remaining);
+            .until(self.clock.time_point(plan.expires_at()));
+        let asking = self
+            .peers
+            .fetch_outcome(holder.address, key, fingerprint, remaining);
         match asking.await {
             Some(outcome) => {
                 self.metrics.learned.inc();
-                RunEnd::Learned(outcome)
+                DispatchOutcome::Learned(outcome)
             }
-            None => RunEnd::NotDispatched(self.taken(&holder.node)),
+            None => DispatchOutcome::NotDispatched(self.taken_answer(&holder.node)),
         }
     }
 
-    fn taken(&self, holder: &NodeId) -> ErrorAnswer {
+    fn taken_answer(&self, holder: &NodeId) -> ErrorAnswer {
         let holder = if *holder == self.node {
             "this entry, which does not hold the answer any more".to_owned()
         } else {
             format!("entry {holder}, which does not tell the answer")
         };
-        unknown(format!("the key was claimed at {holder}"))
+        unknown_answer(format!("the key was claimed at {holder}"))
     }
 }
 
 /// Marks an outcome as the one of an earlier send.
-fn replayed(outcome: RunOutcome) -> RunOutcome {
+fn mark_replayed(outcome: RunOutcome) -> RunOutcome {
     match outcome {
         Ok(mut answer) => {
             answer.replayed = true;
@@ -243,23 +254,23 @@
 }
 
 /// Waits for the outcome of a request.
-async fn shown(outcome: &mut OutcomeWatch) -> RunOutcome {
+async fn wait_for_outcome(outcome: &mut OutcomeWatch) -> RunOutcome {
     match outcome.wait_for(Option::is_some).await {
         Ok(shown) => shown.as_ref().map_or_else(
-            || Err(unknown("the request has no outcome")),
+            || Err(unknown_answer("the request has no outcome")),
             |outcome| RunOutcome::clone(outcome),
         ),
-        Err(_) => Err(unknown("the request ended without an outcome")),
+        Err(_) => Err(unknown_answer("the request ended without an outcome")),
     }
 }
 
-fn unknown(message: impl Into<String>) -> ErrorAnswer {
+fn unknown_answer(message: impl Into<String>) -> ErrorAnswer {
     ErrorAnswer::may_have_run(ErrorCode::Unknown, message)
 }
 
 /// "Not run" would be a guess: the key may have run before the ledger forgot it.
-fn too_old() -> ErrorAnswer {
-    unknown("the idempotency key is too old: whether its request ran is not remembered")
+fn key_too_old() -> ErrorAnswer {
+    unknown_answer("the idempotency key is too old: whether its request ran is not remembered")
 }
 
 fn key_conflict() -> ErrorAnswer {
@@ -269,7 +280,7 @@
     )
 }
 
-fn refused(reason: ClaimRefusal, retry_after: TimeSpan) -> ErrorAnswer {
+fn refusal_answer(reason: ClaimRefusal, retry_after: TimeSpan) -> ErrorAnswer {
     let (code, message) = match reason {
         ClaimRefusal::StoreDown => (
             ErrorCode::Unavailable,
@@ -294,7 +305,7 @@
     ErrorAnswer::not_run(code, message).with_retry_after(spread)
 }
 
-fn wall_millis() -> u64 {
+fn wall_clock_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| TimeSpan::from(elapsed).as_millis())
--- a/alderhaven-entry/src/entry_directory.rs
+++ b/alderhaven-entry/src/entry_directory.rs
@@ -10,7 +10,7 @@
 use crate::answer::{ErrorAnswer, ErrorCode};
 
 /// The weight of an entry that knows of no other.
-const ONLY_WEIGHT: u32 = 1_000;
+const SOLE_ENTRY_WEIGHT: u32 = 1_000;
 
 /// An `EntryDirectory` answers which entries to use.
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
         group: &NodeGroup,
         query: Option<&str>,
     ) -> Result<DirectoryAnswer, ErrorAnswer> {
-        let domain = self.domain_of(query)?;
+        let domain = self.parse_domain(query)?;
         let members = group.members();
         let ttl_ms = self.options.ttl.as_millis();
         if members.is_empty() {
@@ -62,11 +62,11 @@
         EntryAddress {
             address: self.address,
             domain: self.domain.clone(),
-            weight: ONLY_WEIGHT,
+            weight: SOLE_ENTRY_WEIGHT,
         }
     }
 
-    fn domain_of(&self, query: Option<&str>) -> Result<FailureDomain, ErrorAnswer> {
+    fn parse_domain(&self, query: Option<&str>) -> Result<FailureDomain, ErrorAnswer> {
         let Some(query) = query.filter(|query| !query.is_empty()) else {
             return Ok(self.domain.clone());
         };
--- a/alderhaven-entry/src/group_follower.rs
+++ b/alderhaven-entry/src/group_follower.rs
@@ -8,7 +8,7 @@
 use alderhaven_policy::membership::member_record::MemberRole;
 use alderhaven_policy::subset::RelayCandidate;
 
-use crate::admission_desk::AdmissionDesk;
+use crate::admission_controller::AdmissionController;
 use crate::relay_routes::{KnownRelay, RelayRoutes};
 
 /// A `GroupFollower` keeps routes and admission in line with the group.
@@ -19,9 +19,9 @@
     /// The routes through relays.
     pub routes: Arc<RelayRoutes>,
     /// What admits queries.
-    pub desk: Arc<AdmissionDesk>,
+    pub admission: Arc<AdmissionController>,
     /// The relays that the settings name, used while the group names none.
-    pub named: Vec<KnownRelay>,
+    pub configured_relays: Vec<KnownRelay>,
 }
 
 impl GroupFollower {
@@ -42,7 +42,7 @@
             })
             .collect();
         if relays.is_empty() {
-            relays.clone_from(&self.named);
+            relays.clone_from(&self.configured_relays);
         }
         // The order does not depend on the order of news, so that equal groups choose alike.
         relays.sort_by(|one, other| one.candidate.node.cmp(&other.candidate.node));
@@ -52,7 +52,7 @@
             known => known,
         };
         self.routes.set_relays(relays);
-        self.desk
+        self.admission
             .set_entries(u32::try_from(entries).unwrap_or(u32::MAX));
     }
 
@@ -71,7 +71,7 @@
 
 /// Returns the relays that the settings name by address alone; their domains are not known.
 #[must_use]
-pub fn named_relays(addresses: &[SocketAddr], domain: &FailureDomain) -> Vec<KnownRelay> {
+pub fn configured_relays(addresses: &[SocketAddr], domain: &FailureDomain) -> Vec<KnownRelay> {
     addresses
         .iter()
         .filter_map(|address| {
--- a/alderhaven-entry/src/held_answers.rs
+++ b/alderhaven-entry/src/held_answers.rs
@@ -19,7 +19,7 @@
 use crate::claim_metrics::ClaimMetrics;
 
 /// The bytes that an entry of the memory takes besides the rows.
-const ENTRY_BYTES: usize = 512;
+const ENTRY_OVERHEAD_BYTES: usize = 512;
 
 /// A `RunOutcome` is what the caller of a request is answered.
 pub type RunOutcome = Result<QueryAnswer, ErrorAnswer>;
@@ -53,15 +53,15 @@
 #[derive(Debug)]
 struct FinishedEntry {
     key: ClaimKey,
-    at: TimePoint,
+    finished_at: TimePoint,
     bytes: usize,
 }
 
 /// A `HeldStart` says what the memory knows of a request that came in.
 #[derive(Debug)]
-pub enum HeldStart {
+pub enum HeldLookup {
     /// Nothing: the request is to be claimed and run.
-    New(RunningPlace),
+    New(RunningRequest),
     /// The request runs or is finished: its outcome is this.
     Known(OutcomeWatch),
     /// The key belongs to another request.
@@ -71,7 +71,7 @@
 /// A `RunningPlace` is the place of a request that runs; dropping it without an outcome tells those
 /// who wait that there is none.
 #[derive(Debug)]
-pub struct RunningPlace {
+pub struct RunningRequest {
     held: Arc<HeldAnswers>,
     key: ClaimKey,
     sender: watch::Sender<Option<Arc<RunOutcome>>>,
@@ -107,14 +107,14 @@
         key: ClaimKey,
         fingerprint: ClaimFingerprint,
         now: TimePoint,
-    ) -> HeldStart {
+    ) -> HeldLookup {
         let mut state = self.lock();
-        self.shrink(&mut state, now);
+        self.evict(&mut state, now);
         if let Some(entry) = state.entries.get(&key) {
             if entry.fingerprint == fingerprint {
-                return HeldStart::Known(entry.outcome.clone());
+                return HeldLookup::Known(entry.outcome.clone());
             }
-            return HeldStart::Conflict;
+            return HeldLookup::Conflict;
         }
         let (sender, outcome) = watch::channel(None);
         let entry = HeldEntry {
@@ -122,7 +122,7 @@
             outcome,
         };
         state.entries.insert(key, entry);
-        HeldStart::New(RunningPlace {
+        HeldLookup::New(RunningRequest {
             held: Arc::clone(self),
             key,
             sender,
@@ -139,7 +139,7 @@
         now: TimePoint,
     ) -> Option<OutcomeWatch> {
         let mut state = self.lock();
-        self.shrink(&mut state, now);
+        self.evict(&mut state, now);
         let entry = state.entries.get(&key)?;
         (entry.fingerprint == fingerprint).then(|| entry.outcome.clone())
     }
@@ -156,9 +156,9 @@
     }
 
     /// Drops what is over its time, and the oldest answers where there are too many bytes.
-    fn shrink(&self, state: &mut HeldState, now: TimePoint) {
+    fn evict(&self, state: &mut HeldState, now: TimePoint) {
         while let Some(oldest) = state.finished.front() {
-            let is_over = now.since(oldest.at) >= self.held_time;
+            let is_over = now.since(oldest.finished_at) >= self.held_time;
             if !is_over && state.bytes <= self.max_bytes.as_bytes() {
                 break;
             }
@@ -177,7 +177,7 @@
     }
 }
 
-impl RunningPlace {
+impl RunningRequest {
     /// Gets where the outcome will show.
     #[must_use]
     pub fn watch(&self) -> OutcomeWatch {
@@ -185,28 +185,33 @@
     }
 
     /// Gives the outcome of a request that was dispatched and may have run; it is held for resends.
-    pub fn hold(mut self, outcome: RunOutcome, now: TimePoint) {
+    pub fn finish_and_hold(mut self, outcome: RunOutcome, now: TimePoint) {
         self.is_finished = true;
-        let bytes = ENTRY_BYTES + outcome.as_ref().map_or(0, |answer| answer.rows.get().len());
+        let bytes =
+            ENTRY_OVERHEAD_BYTES + outcome.as_ref().map_or(0, |answer| answer.rows.get().len());
         let held = Arc::clone(&self.held);
         let mut state = held.lock();
         let (key, at) = (self.key, now);
-        state.finished.push_back(FinishedEntry { key, at, bytes });
+        state.finished.push_back(FinishedEntry {
+            key,
+            finished_at: at,
+            bytes,
+        });
         state.bytes += bytes;
-        held.shrink(&mut state, now);
+        held.evict(&mut state, now);
         drop(state);
         self.sender.send_replace(Some(Arc::new(outcome)));
     }
 
     /// Gives the outcome of a request that was not dispatched here; a resend begins anew.
-    pub fn forget(mut self, outcome: RunOutcome) {
+    pub fn finish_and_remove(mut self, outcome: RunOutcome) {
         self.is_finished = true;
         self.held.lock().entries.remove(&self.key);
         self.sender.send_replace(Some(Arc::new(outcome)));
     }
 }
 
-impl Drop for RunningPlace {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         if !self.is_finished {
             self.held.lock().entries.remove(&self.key);
--- a/alderhaven-entry/src/lib.rs
+++ b/alderhaven-entry/src/lib.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod admission_desk;
-pub mod admission_pass;
+pub mod admission_controller;
+pub mod admission_permit;
 pub mod answer;
 pub mod applied_config;
 pub mod caller_server;
@@ -14,15 +14,15 @@
 pub mod entry_directory;
 pub mod group_follower;
 pub mod held_answers;
+pub mod link_monitor;
 pub mod link_options;
-pub mod link_watch;
 pub mod metrics;
 pub mod node;
 pub mod query_plan;
 pub mod query_runner;
 pub mod relay_link;
 pub mod relay_routes;
-pub mod replica_board;
+pub mod replica_selector;
 pub mod request_record;
 pub mod running_query;
 pub mod settings;
--- a/alderhaven-entry/src/link_watch.rs
+++ b/alderhaven-entry/src/link_monitor.rs
@@ -13,19 +13,19 @@
 
 /// A `LinkWatch` sends pings on one connection and says when it is silent.
 #[derive(Debug)]
-pub struct LinkWatch {
+pub struct LinkMonitor {
     sender: FrameSender,
     options: LinkOptions,
-    ticks: Interval,
-    number: u64,
-    heard_at: Instant,
+    ping_interval: Interval,
+    last_ping_number: u64,
+    last_message_at: Instant,
     /// When the oldest ping since then was sent.
-    asked_at: Option<Instant>,
+    unanswered_ping_at: Option<Instant>,
     /// A relay of an earlier release does not know pings; its silence means nothing.
     answers_pings: bool,
 }
 
-impl LinkWatch {
+impl LinkMonitor {
     /// Returns the watch of a new connection.
     #[must_use]
     pub fn new(sender: FrameSender, options: LinkOptions) -> Self {
@@ -34,34 +34,34 @@
         Self {
             sender,
             options,
-            ticks,
-            number: 0,
-            heard_at: Instant::now(),
-            asked_at: None,
+            ping_interval: ticks,
+            last_ping_number: 0,
+            last_message_at: Instant::now(),
+            unanswered_ping_at: None,
             answers_pings: false,
         }
     }
 
     /// Notes what was heard: any frame shows that the link works.
-    pub fn heard(&mut self, message: Option<&PeerMessage>) {
-        self.heard_at = Instant::now();
-        self.asked_at = None;
+    pub fn record_message(&mut self, message: Option<&PeerMessage>) {
+        self.last_message_at = Instant::now();
+        self.unanswered_ping_at = None;
         self.answers_pings |= matches!(message, Some(PeerMessage::Pong(_)));
     }
 
     /// Sends pings until the link is silent; it may be dropped and called again.
-    pub async fn silence(&mut self) {
+    pub async fn wait_for_silence(&mut self) {
         loop {
-            self.ticks.tick().await;
+            self.ping_interval.tick().await;
             if self.is_silent() {
                 return;
             }
-            self.number += 1;
+            self.last_ping_number += 1;
             let ping = PingProbe {
-                number: self.number,
+                number: self.last_ping_number,
             };
             if self.sender.send(PeerMessage::Ping(ping)).is_ok() {
-                self.asked_at.get_or_insert_with(Instant::now);
+                self.unanswered_ping_at.get_or_insert_with(Instant::now);
             }
         }
     }
@@ -71,7 +71,9 @@
     /// The time counts from the ping, not from the last frame: this process may have been paused.
     fn is_silent(&self) -> bool {
         let limit = self.options.max_silence.as_duration();
-        let asked_long_ago = self.asked_at.is_some_and(|at| at.elapsed() >= limit);
+        let asked_long_ago = self
+            .unanswered_ping_at
+            .is_some_and(|at| at.elapsed() >= limit);
         !limit.is_zero() && self.answers_pings && asked_long_ago
     }
 }
--- a/alderhaven-entry/src/metrics.rs
+++ b/alderhaven-entry/src/metrics.rs
@@ -69,7 +69,7 @@
     /// The replies that belonged to no attempt under way.
     pub stray_replies: Counter,
     /// The queries that were refused because they crashed targets.
-    pub quarantined: Counter,
+    pub quarantined_queries: Counter,
     /// The links to relays that were replaced because they were silent.
     pub silent_links: Counter,
     /// The queries that were restarted on a newer snapshot.
@@ -104,7 +104,7 @@
             retries: Counter::default(),
             ejections: Counter::default(),
             stray_replies: Counter::default(),
-            quarantined: Counter::default(),
+            quarantined_queries: Counter::default(),
             silent_links: Counter::default(),
             snapshot_restarts: Counter::default(),
             claims: ClaimMetrics::default(),
@@ -137,7 +137,7 @@
             (
                 "quarantined_queries",
                 "Queries refused because they crashed targets",
-                &metrics.quarantined,
+                &metrics.quarantined_queries,
             ),
             (
                 "silent_links",
--- a/alderhaven-entry/src/node.rs
+++ b/alderhaven-entry/src/node.rs
@@ -25,7 +25,7 @@
 use tokio::time;
 use tokio_util::task::{AbortOnDropHandle, TaskTracker};
 
-use crate::admission_desk::AdmissionDesk;
+use crate::admission_controller::AdmissionController;
 use crate::applied_config::{AppliedConfig, ConfigApplier};
 use crate::caller_server;
 use crate::caller_server::CallerService;
@@ -41,11 +41,11 @@
 use crate::query_runner::{QueryRunner, RunnerParts};
 use crate::relay_link::LinkParts;
 use crate::relay_routes::RelayRoutes;
-use crate::replica_board::ReplicaBoard;
+use crate::replica_selector::ReplicaSelector;
 use crate::settings::EntrySettings;
 
 /// The time that the last answers have to be written out.
-const LAST_WRITES: Duration = Duration::from_secs(1);
+const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An `EntryNode` is a running entry; dropping it ends its tasks.
 #[derive(Debug)]
@@ -68,7 +68,7 @@
     /// The configuration that queries are planned on.
     pub applied: AppliedConfig,
     /// What admits queries.
-    pub desk: Arc<AdmissionDesk>,
+    pub admission: Arc<AdmissionController>,
     /// The routes through relays.
     pub routes: Arc<RelayRoutes>,
     /// The targets that get no new work.
@@ -76,7 +76,7 @@
     /// What is known of requests that crash targets.
     pub strikes: Arc<StrikeTracker>,
     /// What runs the non-idempotent requests.
-    pub claims: Arc<ClaimedRunner<HttpStore>>,
+    pub claimed_runner: Arc<ClaimedRunner<HttpStore>>,
     /// What is counted.
     pub metrics: Arc<EntryMetrics>,
     /// The group of entries and relays.
@@ -97,21 +97,21 @@
         let metrics = Arc::new(EntryMetrics::default());
         let watch = TargetWatch::default();
         let clock = ProcessClock::default();
-        let strikes = Arc::new(strike_board(&settings, clock));
+        let strikes = Arc::new(strike_tracker(&settings, clock));
         let routes = Arc::new(relay_routes(&settings, &strikes, &metrics));
-        let desk = Arc::new(admission_desk(&settings, clock));
-        let board = Arc::new(replica_board(&settings, clock));
+        let desk = Arc::new(admission_controller(&settings, clock));
+        let board = Arc::new(replica_selector(&settings, clock));
         let applied = AppliedConfig::default();
         let taking_over = ConfigApplier {
             config: config.clone(),
-            desk: Arc::clone(&desk),
+            admission: Arc::clone(&desk),
             routes: Arc::clone(&routes),
-            board: Arc::clone(&board),
+            selector: Arc::clone(&board),
             applied: applied.clone(),
         };
         let parts = RunnerParts {
             routes: Arc::clone(&routes),
-            board,
+            selector: board,
             watch: watch.clone(),
             strikes: Arc::clone(&strikes),
             config: applied.clone(),
@@ -136,19 +136,19 @@
             config: config.clone(),
             applied: applied.clone(),
             routes,
-            desk: Arc::clone(&desk),
+            admission: Arc::clone(&desk),
             watch: watch.clone(),
             strikes,
-            claims: Arc::clone(&claims),
+            claimed_runner: Arc::clone(&claims),
             metrics: Arc::clone(&metrics),
             group: group.clone(),
             stop: stop.clone(),
         });
         let service = CallerService {
             limits: settings.limits.clone(),
-            desk: Arc::clone(&desk),
+            admission: Arc::clone(&desk),
             runner,
-            claims,
+            claimed_runner: claims,
             config,
             applied,
             metrics,
@@ -163,13 +163,13 @@
             tokio::spawn(follower.follow()),
             tokio::spawn(stop.drive(settings.stop.clone(), group, move || requests.in_flight())),
             tokio::spawn(watch.follow(Arc::new(hosts), state.config.clone())),
-            tokio::spawn(Arc::clone(state.claims.ledger()).run_forever()),
+            tokio::spawn(Arc::clone(state.claimed_runner.ledger()).run_forever()),
             tokio::spawn(claim_peers::serve(
                 peer_listener,
-                Arc::clone(state.claims.held()),
+                Arc::clone(state.claimed_runner.held()),
                 clock,
             )),
-            tokio::spawn(Arc::clone(&desk).give_up_forever()),
+            tokio::spawn(Arc::clone(&desk).expire_queries_forever()),
             tokio::spawn(taking_over.follow()),
             tokio::spawn(caller_server::serve(listener, Arc::new(service))),
             tokio::spawn(operator_server::serve(
@@ -216,7 +216,7 @@
         let report = self.state.stop.stopped().await;
         self.connections.close();
         // The last answers are written out; a caller that does not read is not waited for longer.
-        let _written = time::timeout(LAST_WRITES, self.connections.wait()).await;
+        let _written = time::timeout(LAST_WRITE_TIMEOUT, self.connections.wait()).await;
         report
     }
 
@@ -233,7 +233,7 @@
     }
 }
 
-fn strike_board(settings: &EntrySettings, clock: ProcessClock) -> StrikeTracker {
+fn strike_tracker(settings: &EntrySettings, clock: ProcessClock) -> StrikeTracker {
     StrikeTracker::new(settings.policy, settings.quarantine.clone(), clock)
 }
 
@@ -289,15 +289,15 @@
                 json!({
                     "relay": link.address(),
                     "usable": link.is_usable(),
-                    "awaited": link.awaited_count(),
+                    "awaited": link.pending_count(),
                 })
             })
             .collect();
-        let loads = self.desk.loads(&self.config.view());
+        let loads = self.admission.loads(&self.config.view());
         json!({ "status": self.status(), "services": loads,
             "leaving_targets": *self.watch.leaving_names(), "relays": links,
             "quarantine": self.strikes.entries(),
-            "claims": self.claims.dump(), "members": &*self.group.members(),
+            "claims": self.claimed_runner.dump(), "members": &*self.group.members(),
             "group": self.group.snapshot() })
     }
 
@@ -320,7 +320,7 @@
 fn claimed_runner(
     settings: &EntrySettings,
     address: SocketAddr,
-    desk: &Arc<AdmissionDesk>,
+    desk: &Arc<AdmissionController>,
     runner: &Arc<QueryRunner>,
     config: &ConfigHandle,
 ) -> ClaimedRunner<HttpStore> {
@@ -344,7 +344,7 @@
         .ledger(Arc::new(ledger))
         .held(Arc::new(held))
         .peers(ClaimPeers::new(address))
-        .desk(Arc::clone(desk))
+        .admission(Arc::clone(desk))
         .runner(Arc::clone(runner))
         .config(config.clone())
         .clock(desk.clock())
@@ -356,22 +356,22 @@
     settings: &EntrySettings,
     group: &NodeGroup,
     routes: &Arc<RelayRoutes>,
-    desk: &Arc<AdmissionDesk>,
+    desk: &Arc<AdmissionController>,
 ) -> GroupFollower {
     GroupFollower {
         group: group.clone(),
         routes: Arc::clone(routes),
-        desk: Arc::clone(desk),
-        named: group_follower::named_relays(&settings.relays, &settings.domain),
+        admission: Arc::clone(desk),
+        configured_relays: group_follower::configured_relays(&settings.relays, &settings.domain),
     }
 }
 
-fn admission_desk(settings: &EntrySettings, clock: ProcessClock) -> AdmissionDesk {
-    AdmissionDesk::new(settings.policy, settings.admission.clone(), clock)
+fn admission_controller(settings: &EntrySettings, clock: ProcessClock) -> AdmissionController {
+    AdmissionController::new(settings.policy, settings.admission.clone(), clock)
 }
 
-fn replica_board(settings: &EntrySettings, clock: ProcessClock) -> ReplicaBoard {
-    ReplicaBoard::new(
+fn replica_selector(settings: &EntrySettings, clock: ProcessClock) -> ReplicaSelector {
+    ReplicaSelector::new(
         settings.policy,
         settings.choices.clone(),
         settings.domain.clone(),
--- a/alderhaven-entry/src/query_plan.rs
+++ b/alderhaven-entry/src/query_plan.rs
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// The answer for the caller, which names what is wrong and where.
-    pub fn read(body: &[u8]) -> Result<Self, ErrorAnswer> {
+    pub fn parse(body: &[u8]) -> Result<Self, ErrorAnswer> {
         let refused = |reason: String| {
             let message = format!("the body is refused: {reason}");
             ErrorAnswer::not_run(ErrorCode::BadRequest, message)
@@ -62,12 +62,12 @@
     /// The manifest that the query is pinned to.
     pub manifest: Arc<SnapshotManifest>,
     /// The positions of the asked shards in the manifest.
-    pub positions: Vec<usize>,
+    pub shard_positions: Vec<usize>,
     /// The order among queries of a class at all relays: the arrival in microseconds since the
     /// Unix epoch. Clocks of entries that differ favour one entry a little and cost no correctness.
     pub order: u64,
     /// When the request came in.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// The time within which the answer is of use.
     pub deadline: TimeSpan,
 }
@@ -78,7 +78,7 @@
     /// # Errors
     /// The answer for the caller: unknown template or team, wrong token, a parameter out of its
     /// bounds, or a service without a manifest. Nothing ran.
-    pub fn make(
+    pub fn build(
         view: &ConfigView,
         name: &str,
         request: QueryRequest,
@@ -110,9 +110,9 @@
             team,
             values,
             manifest,
-            positions,
+            shard_positions: positions,
             order: arrival_order(),
-            arrived,
+            arrived_at: arrived,
             deadline,
         })
     }
@@ -128,7 +128,7 @@
         let positions = manifest.select(&self.template.shards, &self.values)?;
         Ok(Self {
             manifest,
-            positions,
+            shard_positions: positions,
             ..self.clone()
         })
     }
@@ -141,8 +141,8 @@
 
     /// Gets the instant at which the answer is of no more use.
     #[must_use]
-    pub fn expires(&self) -> Instant {
-        self.arrived + self.deadline.as_duration()
+    pub fn expires_at(&self) -> Instant {
+        self.arrived_at + self.deadline.as_duration()
     }
 }
 
--- a/alderhaven-entry/src/query_runner.rs
+++ b/alderhaven-entry/src/query_runner.rs
@@ -8,13 +8,13 @@
 use alderhaven_store::target_watch::TargetWatch;
 use tokio::time;
 
-use crate::admission_pass::AdmissionPass;
+use crate::admission_permit::AdmissionPermit;
 use crate::answer::{ErrorAnswer, ErrorCode, QueryAnswer};
 use crate::applied_config::AppliedConfig;
 use crate::metrics::EntryMetrics;
 use crate::query_plan::QueryPlan;
 use crate::relay_routes::RelayRoutes;
-use crate::replica_board::ReplicaBoard;
+use crate::replica_selector::ReplicaSelector;
 use crate::running_query::RunningQuery;
 
 /// A `QueryRunner` runs queries through the relays.
@@ -25,7 +25,7 @@
     /// The routes through relays.
     pub(crate) routes: Arc<RelayRoutes>,
     /// What is known of the targets.
-    pub(crate) board: Arc<ReplicaBoard>,
+    pub(crate) selector: Arc<ReplicaSelector>,
     /// The targets that get no new work.
     pub(crate) watch: TargetWatch,
     /// What is known of requests that crash targets.
@@ -41,7 +41,7 @@
     /// The routes through relays.
     pub routes: Arc<RelayRoutes>,
     /// What is known of the targets.
-    pub board: Arc<ReplicaBoard>,
+    pub selector: Arc<ReplicaSelector>,
     /// The targets that get no new work.
     pub watch: TargetWatch,
     /// What is known of requests that crash targets.
@@ -60,7 +60,7 @@
             origin,
             next_sequence: AtomicU64::new(1),
             routes: parts.routes,
-            board: parts.board,
+            selector: parts.selector,
             watch: parts.watch,
             strikes: parts.strikes,
             metrics: parts.metrics,
@@ -89,7 +89,7 @@
     pub async fn run(
         &self,
         plan: &QueryPlan,
-        pass: &mut AdmissionPass,
+        pass: &mut AdmissionPermit,
     ) -> Result<QueryAnswer, ErrorAnswer> {
         // A strike may have come in while the query waited for its turn.
         self.check_quarantine(plan)?;
@@ -113,14 +113,14 @@
         let Some(wait) = self.strikes.refused_for(&plan.fingerprint()) else {
             return Ok(());
         };
-        self.metrics.quarantined.inc();
-        Err(quarantined(wait))
+        self.metrics.quarantined_queries.inc();
+        Err(quarantine_answer(wait))
     }
 
     /// Waits for a manifest that is newer than the plan's, until the plan's time is up.
     async fn newer_plan(&self, plan: &QueryPlan) -> Option<QueryPlan> {
-        let mut changed = self.config.changed();
-        let expires = time::Instant::from_std(plan.expires());
+        let mut changed = self.config.subscribe();
+        let expires = time::Instant::from_std(plan.expires_at());
         loop {
             let newer = self
                 .config
@@ -141,7 +141,7 @@
 }
 
 /// Returns the answer to a request that crashed targets and is refused for `wait`.
-pub(crate) fn quarantined(wait: TimeSpan) -> ErrorAnswer {
+pub(crate) fn quarantine_answer(wait: TimeSpan) -> ErrorAnswer {
     ErrorAnswer::not_run(
         ErrorCode::Quarantined,
         "the request crashed targets and is refused for a while",
--- a/alderhaven-entry/src/relay_link.rs
+++ b/alderhaven-entry/src/relay_link.rs
@@ -21,14 +21,14 @@
 use tokio::time;
 use tokio_util::task::AbortOnDropHandle;
 
+use crate::link_monitor::LinkMonitor;
 use crate::link_options::LinkOptions;
-use crate::link_watch::LinkWatch;
 
 /// The pause before a lost relay is tried again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 /// The time within which a relay that was silent answers a ping on a new connection: many times a
 /// round trip between failure domains (1 to 2 ms), and a quarter of the silence that led to it.
-const PROOF_TIMEOUT: Duration = Duration::from_millis(250);
+const FIRST_PONG_TIMEOUT: Duration = Duration::from_millis(250);
 /// The time within which a connection to a relay is made.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -40,11 +40,11 @@
     /// The result, not yet verified.
     pub result: AttemptResult,
     /// The time in the relay's queue.
-    pub queued: TimeSpan,
+    pub queue_wait: TimeSpan,
     /// The time at the target.
-    pub service: TimeSpan,
+    pub service_time: TimeSpan,
     /// The wait that a new attempt would have at the target.
-    pub wait: TimeSpan,
+    pub estimated_wait: TimeSpan,
     /// Whether the target ran the attempt.
     pub ran: bool,
     /// Whether the reply was lost on the way, which says nothing of the target.
@@ -63,7 +63,7 @@
 }
 
 /// A `ReplySink` takes the replies of one query.
-pub type ReplySink = mpsc::UnboundedSender<LinkReply>;
+pub type ReplySender = mpsc::UnboundedSender<LinkReply>;
 
 /// A `RelayLink` is the connection to one relay; it connects again by itself.
 #[derive(Debug)]
@@ -81,8 +81,8 @@
 #[derive(Debug, Default)]
 struct LinkState {
     sender: Option<FrameSender>,
-    leaving: bool,
-    awaited: HashMap<u64, ReplySink>,
+    is_leaving: bool,
+    pending: HashMap<u64, ReplySender>,
 }
 
 impl RelayLink {
@@ -108,26 +108,26 @@
     #[must_use]
     pub fn is_usable(&self) -> bool {
         let state = self.shared.lock();
-        state.sender.is_some() && !state.leaving
+        state.sender.is_some() && !state.is_leaving
     }
 
     /// Gets the number of attempts whose reply is awaited.
     #[must_use]
-    pub fn awaited_count(&self) -> usize {
-        self.shared.lock().awaited.len()
+    pub fn pending_count(&self) -> usize {
+        self.shared.lock().pending.len()
     }
 
     /// Sends the attempts of a query; each gets exactly one reply on `sink` unless it is forgotten.
     ///
     /// Returns false where the link is down: then no byte was sent and no reply comes.
     #[must_use]
-    pub fn scatter(&self, request: ScatterRequest, sink: &ReplySink) -> bool {
+    pub fn scatter(&self, request: ScatterRequest, sink: &ReplySender) -> bool {
         let mut state = self.shared.lock();
         let Some(sender) = state.sender.clone() else {
             return false;
         };
         for attempt in &request.attempts {
-            state.awaited.insert(attempt.sequence, sink.clone());
+            state.pending.insert(attempt.sequence, sink.clone());
         }
         let sequences: Vec<u64> = request
             .attempts
@@ -138,7 +138,7 @@
             return true;
         }
         for sequence in sequences {
-            state.awaited.remove(&sequence);
+            state.pending.remove(&sequence);
         }
         false
     }
@@ -147,7 +147,7 @@
     pub fn cancel(&self, origin: u64, attempts: Vec<CancelledAttempt>) {
         let mut state = self.shared.lock();
         for attempt in &attempts {
-            state.awaited.remove(&attempt.sequence);
+            state.pending.remove(&attempt.sequence);
         }
         if let Some(sender) = &state.sender {
             let cancel = CancelAttempts { origin, attempts };
@@ -161,12 +161,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn connected(&self, sender: FrameSender) {
-        self.replace(Some(sender));
+    fn set_connected(&self, sender: FrameSender) {
+        self.replace_connection(Some(sender));
     }
 
-    fn disconnected(&self) {
-        self.replace(None);
+    fn set_disconnected(&self) {
+        self.replace_connection(None);
     }
 
     /// Takes over a new connection, or none, and answers every attempt that was awaited on the
@@ -174,11 +174,11 @@
     ///
     /// A silent connection is replaced in one step, so that the retries of these attempts find the
     /// new one.
-    fn replace(&self, sender: Option<FrameSender>) {
+    fn replace_connection(&self, sender: Option<FrameSender>) {
         let mut state = self.lock();
         state.sender = sender;
-        state.leaving = false;
-        let awaited = std::mem::take(&mut state.awaited);
+        state.is_leaving = false;
+        let awaited = std::mem::take(&mut state.pending);
         drop(state);
         for (sequence, sink) in awaited {
             let _query_over = sink.send(LinkReply::relay_lost(sequence));
@@ -186,7 +186,7 @@
     }
 
     fn deliver(&self, reply: AttemptReply) {
-        let sink = self.lock().awaited.remove(&reply.sequence);
+        let sink = self.lock().pending.remove(&reply.sequence);
         // A reply that nobody awaits is late, doubled or of another life of this entry.
         if let Some(sink) = sink {
             let _query_over = sink.send(LinkReply::from(reply));
@@ -215,9 +215,9 @@
         Self {
             sequence,
             result: AttemptResult::without_rows(outcome),
-            queued: TimeSpan::ZERO,
-            service: TimeSpan::ZERO,
-            wait: TimeSpan::ZERO,
+            queue_wait: TimeSpan::ZERO,
+            service_time: TimeSpan::ZERO,
+            estimated_wait: TimeSpan::ZERO,
             ran,
             path_lost: true,
         }
@@ -234,9 +234,9 @@
                 version: IndexVersion(reply.version),
                 rows: reply.rows,
             },
-            queued: TimeSpan::from_micros(reply.queued_us),
-            service: TimeSpan::from_micros(reply.service_us),
-            wait: TimeSpan::from_micros(reply.wait_us),
+            queue_wait: TimeSpan::from_micros(reply.queued_us),
+            service_time: TimeSpan::from_micros(reply.service_us),
+            estimated_wait: TimeSpan::from_micros(reply.wait_us),
             ran: reply.ran,
             path_lost: reply.path_lost,
         }
@@ -249,7 +249,7 @@
     Closed,
     Silent,
     /// A connection made after a silent one did not prove that the relay is there.
-    Unproven,
+    Unresponsive,
 }
 
 async fn keep_connected(address: SocketAddr, shared: Arc<LinkShared>, parts: LinkParts) {
@@ -262,7 +262,7 @@
             Ok(Err(_)) | Err(_) => LinkEnd::Closed,
         };
         if end != LinkEnd::Silent {
-            shared.disconnected();
+            shared.set_disconnected();
             time::sleep(RECONNECT_PAUSE).await;
         }
     }
@@ -273,10 +273,11 @@
 /// A frozen relay shows as silence, like a lost path, and yet its operating system takes new
 /// connections. Without the proof the retries of what was lost would go to it again, until the
 /// retries of their shards are used up; with it they go to the next relay of their target.
-async fn is_proven(sender: &FrameSender, reader: &mut FrameReader) -> bool {
+async fn answers_ping(sender: &FrameSender, reader: &mut FrameReader) -> bool {
     let ping = PeerMessage::Ping(PingProbe { number: 0 });
     let answer = connection::next_message(reader);
-    sender.send(ping).is_ok() && matches!(time::timeout(PROOF_TIMEOUT, answer).await, Ok(Some(_)))
+    sender.send(ping).is_ok()
+        && matches!(time::timeout(FIRST_PONG_TIMEOUT, answer).await, Ok(Some(_)))
 }
 
 /// Takes what the relay sends until the connection ends or is silent.
@@ -289,26 +290,26 @@
     let Ok((sender, mut reader)) = connection::split(stream) else {
         return LinkEnd::Closed;
     };
-    if is_suspect && !is_proven(&sender, &mut reader).await {
-        return LinkEnd::Unproven;
+    if is_suspect && !answers_ping(&sender, &mut reader).await {
+        return LinkEnd::Unresponsive;
     }
     let _hears_of_strikes = parts.strikes.subscribe(sender.clone());
-    shared.connected(sender.clone());
-    let mut watch = LinkWatch::new(sender, parts.options);
+    shared.set_connected(sender.clone());
+    let mut watch = LinkMonitor::new(sender, parts.options);
     loop {
         let message = tokio::select! {
             message = connection::next_message(&mut reader) => message,
-            () = watch.silence() => {
+            () = watch.wait_for_silence() => {
                 parts.silent_links.inc();
                 return LinkEnd::Silent;
             }
         };
-        watch.heard(message.as_ref());
+        watch.record_message(message.as_ref());
         match message {
             Some(PeerMessage::Reply(reply)) => shared.deliver(reply),
             // It is passed on to all relays before the replies that come after it are taken.
             Some(PeerMessage::Strikes(notice)) => parts.strikes.merge(&notice),
-            Some(PeerMessage::Leaving(_)) => shared.lock().leaving = true,
+            Some(PeerMessage::Leaving(_)) => shared.lock().is_leaving = true,
             Some(
                 PeerMessage::Hello(_)
                 | PeerMessage::Scatter(_)
--- a/alderhaven-entry/src/relay_routes.rs
+++ b/alderhaven-entry/src/relay_routes.rs
@@ -32,12 +32,12 @@
     options: SubsetOptions,
     links: ArcSwap<Vec<Arc<RelayLink>>>,
     routes: ArcSwap<HashMap<TargetId, TargetLinks>>,
-    known: Mutex<KnownParts>,
+    inputs: Mutex<RoutingInputs>,
     parts: LinkParts,
 }
 
 #[derive(Debug, Default)]
-struct KnownParts {
+struct RoutingInputs {
     relays: Vec<KnownRelay>,
     targets: Vec<SubsetTarget>,
 }
@@ -50,14 +50,14 @@
             options: SubsetOptions::default(),
             links: ArcSwap::default(),
             routes: ArcSwap::default(),
-            known: Mutex::default(),
+            inputs: Mutex::default(),
             parts,
         }
     }
 
     /// Takes over the relays that take work; links to those that stay are kept.
     pub fn set_relays(&self, relays: Vec<KnownRelay>) {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut known = self.inputs.lock().unwrap_or_else(PoisonError::into_inner);
         if known.relays == relays {
             return;
         }
@@ -76,12 +76,12 @@
             .collect();
         known.relays = relays;
         self.links.store(Arc::new(links));
-        self.choose(&known);
+        self.choose_routes(&known);
     }
 
     /// Takes over the targets of manifests.
     pub fn apply(&self, manifests: &[Arc<SnapshotManifest>]) {
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut known = self.inputs.lock().unwrap_or_else(PoisonError::into_inner);
         known.targets = manifests
             .iter()
             .flat_map(|manifest| &manifest.shards)
@@ -91,7 +91,7 @@
                 max_connections: replica.connections,
             })
             .collect();
-        self.choose(&known);
+        self.choose_routes(&known);
     }
 
     /// Gets the links.
@@ -113,7 +113,7 @@
             .cloned()
     }
 
-    fn choose(&self, known: &KnownParts) {
+    fn choose_routes(&self, known: &RoutingInputs) {
         let candidates: Vec<RelayCandidate> = known
             .relays
             .iter()
--- a/alderhaven-entry/src/replica_board.rs
+++ b/alderhaven-entry/src/replica_selector.rs
@@ -23,7 +23,7 @@
 /// A `BoardOptions` holds the settings of the choices.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct BoardOptions {
+pub struct SelectorOptions {
     /// The choice of replicas.
     pub replicas: ReplicaOptions,
     /// The hedging.
@@ -34,7 +34,7 @@
 
 /// A `ReplicaBoard` is shared by all queries of an entry.
 #[derive(Debug)]
-pub struct ReplicaBoard {
+pub struct ReplicaSelector {
     clock: ProcessClock,
     domain: FailureDomain,
     chooser: ReplicaChooser,
@@ -43,12 +43,12 @@
     retries: Mutex<RetryBudget>,
 }
 
-impl ReplicaBoard {
+impl ReplicaSelector {
     /// Returns a board without targets.
     #[must_use]
     pub fn new(
         policy: PolicyKind,
-        options: BoardOptions,
+        options: SelectorOptions,
         domain: FailureDomain,
         clock: ProcessClock,
     ) -> Self {
@@ -70,7 +70,7 @@
             .flat_map(|entry| &entry.replicas)
             .map(|replica| TargetListing {
                 is_draining: view.drains.contains(replica.target.as_str()),
-                ..listing_of(replica)
+                ..target_listing(replica)
             });
         let table = ReplicaTable::build(&self.table.load(), listings, &self.domain);
         self.table.store(Arc::new(table));
@@ -92,13 +92,16 @@
     pub fn table_for(&self, plan: &QueryPlan) -> Arc<ReplicaTable> {
         let table = self.table();
         let replicas = || {
-            let entries = plan.positions.iter().map(|at| &plan.manifest.shards[*at]);
+            let entries = plan
+                .shard_positions
+                .iter()
+                .map(|at| &plan.manifest.shards[*at]);
             entries.flat_map(|entry| &entry.replicas)
         };
         if replicas().all(|replica| table.index_of(&replica.target).is_some()) {
             return table;
         }
-        let listings = replicas().map(listing_of);
+        let listings = replicas().map(target_listing);
         Arc::new(ReplicaTable::build(&table, listings, &self.domain))
     }
 
@@ -115,14 +118,14 @@
     }
 
     /// Notes first attempts, which earn hedges and retries.
-    pub fn note_sent(&self, attempts: u32) {
+    pub fn record_sent(&self, attempts: u32) {
         self.hedging().record_sent(attempts);
         self.retries().record_sent(attempts);
     }
 
     /// Gets the service time that is expected of any target, zero where nothing is known.
     #[must_use]
-    pub fn expected_service(&self, group: &HedgeGroup) -> TimeSpan {
+    pub fn expected_service_time(&self, group: &HedgeGroup) -> TimeSpan {
         self.hedging()
             .expected_service_time(group)
             .unwrap_or_default()
@@ -141,12 +144,12 @@
     }
 
     /// Notes whether a hedge was refused for want of a free slot.
-    pub fn note_hedge(&self, is_refused: bool) {
+    pub fn record_hedge_end(&self, is_refused: bool) {
         self.hedging().record_hedge_end(is_refused);
     }
 
     /// Notes the latency of an answered attempt and its time at the target.
-    pub fn note_answer(&self, group: &HedgeGroup, latency: TimeSpan, service: TimeSpan) {
+    pub fn record_answer(&self, group: &HedgeGroup, latency: TimeSpan, service: TimeSpan) {
         self.hedging().record_answer(group, latency, service);
     }
 
@@ -166,7 +169,7 @@
     }
 }
 
-fn listing_of(replica: &ReplicaEntry) -> TargetListing {
+fn target_listing(replica: &ReplicaEntry) -> TargetListing {
     TargetListing {
         target: replica.target.clone(),
         domain: replica.domain.clone(),
--- a/alderhaven-entry/src/request_record.rs
+++ b/alderhaven-entry/src/request_record.rs
@@ -17,7 +17,7 @@
 /// The header that carries a request's id, in requests and in replies.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 /// The longest id that is taken over from a caller, in bytes; longer ones would swell the log.
-pub const MAX_REQUEST_ID: usize = 64;
+pub const MAX_REQUEST_ID_BYTES: usize = 64;
 
 /// A `RequestId` names one request in its reply and in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -27,9 +27,9 @@
 impl RequestId {
     /// Gets the caller's own id where it is well-formed, else a new one.
     ///
-    /// Well-formed are 1 to [`MAX_REQUEST_ID`] ASCII letters, digits, `-`, `_` and `.`, given once.
+    /// Well-formed are 1 to [`MAX_REQUEST_ID_BYTES`] ASCII letters, digits, `-`, `_` and `.`, given once.
     #[must_use]
-    pub fn of_request(headers: &HeaderMap) -> Self {
+    pub fn from_headers(headers: &HeaderMap) -> Self {
         let mut given = headers.get_all(REQUEST_ID_HEADER).iter();
         let own = given.next().and_then(|value| value.to_str().ok());
         match (own, given.next()) {
@@ -53,7 +53,7 @@
 
 fn is_well_formed(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    (1..=MAX_REQUEST_ID).contains(&text.len()) && text.bytes().all(allowed)
+    (1..=MAX_REQUEST_ID_BYTES).contains(&text.len()) && text.bytes().all(allowed)
 }
 
 /// A `RequestRecord` is what the log says of a request, as far as it is known.
@@ -97,7 +97,7 @@
     }
 
     /// Takes over what a plan tells.
-    pub fn note_plan(&mut self, plan: &QueryPlan) {
+    pub fn record_plan(&mut self, plan: &QueryPlan) {
         self.template = Some(plan.template.name.clone());
         self.team = Some(plan.team.name.clone());
         self.class = Some(plan.template.class);
--- a/alderhaven-entry/src/running_query.rs
+++ b/alderhaven-entry/src/running_query.rs
@@ -21,27 +21,27 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time;
 
-use crate::admission_pass::AdmissionPass;
+use crate::admission_permit::AdmissionPermit;
 use crate::answer::{AnswerTiming, ErrorAnswer, ErrorCode, QueryAnswer};
 use crate::query_plan::QueryPlan;
 use crate::query_runner;
 use crate::query_runner::QueryRunner;
-use crate::relay_link::{LinkReply, RelayLink, ReplySink};
+use crate::relay_link::{LinkReply, RelayLink, ReplySender};
 use crate::suspect_trial::SuspectTrial;
 
-type Indexes = SmallVec<[TargetIndex; 4]>;
+type TargetIndexes = SmallVec<[TargetIndex; 4]>;
 
 /// A `RunningQuery` is one query between scatter and answer.
 pub(crate) struct RunningQuery<'a> {
     runner: &'a QueryRunner,
     plan: &'a QueryPlan,
-    pass: &'a mut AdmissionPass,
+    permit: &'a mut AdmissionPermit,
     group: HedgeGroup,
     table: Arc<ReplicaTable>,
-    expected: TimeSpan,
+    expected_service_time: TimeSpan,
     gather: QueryGather,
-    sink: ReplySink,
-    placed: HashMap<u64, PlacedAttempt>,
+    reply_sender: ReplySender,
+    open_attempts: HashMap<u64, OpenAttempt>,
     /// The attempts whose path was lost, so that their replicas may never have been asked.
     lost_paths: SmallVec<[u64; 4]>,
     slowest_target: TimeSpan,
@@ -49,23 +49,23 @@
 }
 
 /// A `PlacedAttempt` is an attempt whose end has not been heard of.
-struct PlacedAttempt {
+struct OpenAttempt {
     link: Arc<RelayLink>,
-    index: TargetIndex,
+    target_index: TargetIndex,
     sent_at: TimePoint,
     is_hedge: bool,
 }
 
 /// A `ChosenReplica` is where an attempt goes, and through which relay.
 struct ChosenReplica {
-    replica: usize,
-    index: TargetIndex,
+    replica_position: usize,
+    target_index: TargetIndex,
     link: Arc<RelayLink>,
 }
 
 /// The times at which a running query does something without a reply.
 struct QueryTimers {
-    expires: Instant,
+    expires_at: Instant,
     /// When a latency-first query answers with what it has.
     answer_by: Option<Instant>,
     /// When attempts that are still under way are hedged.
@@ -78,7 +78,7 @@
     pub(crate) async fn run(
         runner: &'a QueryRunner,
         plan: &'a QueryPlan,
-        pass: &'a mut AdmissionPass,
+        pass: &'a mut AdmissionPermit,
     ) -> Self {
         let (sink, replies) = mpsc::unbounded_channel();
         let group = HedgeGroup {
@@ -90,23 +90,23 @@
         let mut query = Self {
             runner,
             plan,
-            pass,
-            table: runner.board.table_for(plan),
-            expected: runner.board.expected_service(&group),
+            permit: pass,
+            table: runner.selector.table_for(plan),
+            expected_service_time: runner.selector.expected_service_time(&group),
             group,
-            gather: QueryGather::new(manifest, &plan.positions, is_idempotent),
-            sink,
-            placed: HashMap::with_capacity(plan.positions.len()),
+            gather: QueryGather::new(manifest, &plan.shard_positions, is_idempotent),
+            reply_sender: sink,
+            open_attempts: HashMap::with_capacity(plan.shard_positions.len()),
             lost_paths: SmallVec::new(),
             slowest_target: TimeSpan::ZERO,
             trial: SuspectTrial::default(),
         };
-        let slots: Vec<usize> = (0..plan.positions.len()).collect();
+        let slots: Vec<usize> = (0..plan.shard_positions.len()).collect();
         runner
-            .board
-            .note_sent(u32::try_from(slots.len()).unwrap_or(u32::MAX));
+            .selector
+            .record_sent(u32::try_from(slots.len()).unwrap_or(u32::MAX));
         query.scatter(&slots, false);
-        query.gather(replies).await;
+        query.gather_replies(replies).await;
         query
     }
 
@@ -115,31 +115,31 @@
     /// A shard without a replica to try is given up, but for a hedge, whose first attempt is still
     /// under way.
     fn scatter(&mut self, slots: &[usize], is_hedge: bool) {
-        let now = self.runner.board.clock().now();
+        let now = self.runner.selector.clock().now();
         let mut requests: HashMap<SocketAddr, (Arc<RelayLink>, ScatterRequest)> = HashMap::new();
         for slot in slots.iter().copied() {
-            let Some(chosen) = self.choose(slot, now) else {
+            let Some(chosen) = self.choose_replica(slot, now) else {
                 if !is_hedge {
                     let reason = self.gather.missing_reason(slot);
                     self.gather.give_up(slot, reason);
                 }
                 continue;
             };
-            let sequence = self.begin(slot, &chosen, is_hedge, now);
-            let attempt = self.attempt(slot, chosen.replica, sequence);
+            let sequence = self.begin_attempt(slot, &chosen, is_hedge, now);
+            let attempt = self.build_attempt(slot, chosen.replica_position, sequence);
             requests
                 .entry(chosen.link.address())
-                .or_insert_with(|| (chosen.link, self.request(is_hedge)))
+                .or_insert_with(|| (chosen.link, self.build_request(is_hedge)))
                 .1
                 .attempts
                 .push(attempt);
         }
         for (link, request) in requests.into_values() {
-            self.send(&link, request);
+            self.send_request(&link, request);
         }
     }
 
-    fn begin(
+    fn begin_attempt(
         &mut self,
         slot: usize,
         chosen: &ChosenReplica,
@@ -148,20 +148,21 @@
     ) -> u64 {
         let runner = self.runner;
         let sequence = runner.next_sequence();
-        self.gather.begin_attempt(slot, chosen.replica, sequence);
+        self.gather
+            .begin_attempt(slot, chosen.replica_position, sequence);
         runner
-            .board
+            .selector
             .chooser()
-            .record_sent(&self.table, chosen.index);
+            .record_sent(&self.table, chosen.target_index);
         runner.metrics.attempts.inc();
         if is_hedge {
             runner.metrics.hedges.inc();
         }
-        self.placed.insert(
+        self.open_attempts.insert(
             sequence,
-            PlacedAttempt {
+            OpenAttempt {
                 link: Arc::clone(&chosen.link),
-                index: chosen.index,
+                target_index: chosen.target_index,
                 sent_at: now,
                 is_hedge,
             },
@@ -169,21 +170,21 @@
         sequence
     }
 
-    fn send(&self, link: &RelayLink, request: ScatterRequest) {
+    fn send_request(&self, link: &RelayLink, request: ScatterRequest) {
         let sequences: Vec<u64> = request
             .attempts
             .iter()
             .map(|attempt| attempt.sequence)
             .collect();
-        if !link.scatter(request, &self.sink) {
+        if !link.scatter(request, &self.reply_sender) {
             for sequence in sequences {
-                let _always_open = self.sink.send(LinkReply::not_sent(sequence));
+                let _always_open = self.reply_sender.send(LinkReply::not_sent(sequence));
             }
         }
     }
 
     /// Chooses a replica that was not tried yet, and the relay to reach it through.
-    fn choose(&self, slot: usize, now: TimePoint) -> Option<ChosenReplica> {
+    fn choose_replica(&self, slot: usize, now: TimePoint) -> Option<ChosenReplica> {
         let entry = self.gather.shard_entry(slot);
         let usable: SmallVec<[(TargetIndex, usize, Arc<RelayLink>); 4]> = entry
             .replicas
@@ -196,19 +197,19 @@
                 Some((index, place, link))
             })
             .collect();
-        let indexes: Indexes = usable.iter().map(|(index, _, _)| *index).collect();
-        let chosen = self.runner.board.chooser().choose(
+        let indexes: TargetIndexes = usable.iter().map(|(index, _, _)| *index).collect();
+        let chosen = self.runner.selector.chooser().choose(
             &self.table,
             &indexes,
-            &self.tried(slot),
-            self.expected,
+            &self.excluded_replicas(slot),
+            self.expected_service_time,
             now,
             rand::random(),
         )?;
         let (index, replica, link) = usable.into_iter().find(|(index, _, _)| *index == chosen)?;
         Some(ChosenReplica {
-            replica,
-            index,
+            replica_position: replica,
+            target_index: index,
             link,
         })
     }
@@ -218,7 +219,7 @@
     /// One that merely had no free slot for a hedge has not been tried, and one whose path was lost
     /// is still there to be asked in another way: when a relay freezes, both replicas of a shard may
     /// be behind it.
-    fn tried(&self, slot: usize) -> Indexes {
+    fn excluded_replicas(&self, slot: usize) -> TargetIndexes {
         let no_slot = Some(AttemptOutcome::NotRun(NotRunReason::QueueFull));
         self.gather
             .attempts(slot)
@@ -233,17 +234,17 @@
             .collect()
     }
 
-    fn request(&self, is_hedge: bool) -> ScatterRequest {
+    fn build_request(&self, is_hedge: bool) -> ScatterRequest {
         let plan = self.plan;
-        let remaining = plan.expires().saturating_duration_since(Instant::now());
+        let remaining = plan.expires_at().saturating_duration_since(Instant::now());
         ScatterRequest {
             origin: self.runner.origin(),
             service: plan.template.service.to_string(),
             template: plan.template.name.to_string(),
             parameters: plan.parameters.clone(),
             snapshot: plan.manifest.snapshot.0,
-            class: u32::from(self.pass.class().rank()),
-            order: self.pass.order(plan),
+            class: u32::from(self.permit.class().rank()),
+            order: self.permit.order(plan),
             remaining_us: TimeSpan::from(remaining).as_micros(),
             idempotent: plan.template.idempotent,
             attempts: Vec::new(),
@@ -251,7 +252,7 @@
         }
     }
 
-    fn attempt(&self, slot: usize, replica: usize, sequence: u64) -> ScatterAttempt {
+    fn build_attempt(&self, slot: usize, replica: usize, sequence: u64) -> ScatterAttempt {
         let entry = self.gather.shard_entry(slot);
         let replica = &entry.replicas[replica];
         ScatterAttempt {
@@ -267,43 +268,43 @@
     }
 
     /// Takes replies until every shard is settled or the time is up.
-    async fn gather(&mut self, mut replies: UnboundedReceiver<LinkReply>) {
-        let mut timers = self.timers();
+    async fn gather_replies(&mut self, mut replies: UnboundedReceiver<LinkReply>) {
+        let mut timers = self.start_timers();
         while !self.gather.is_settled() && !self.needs_newer_snapshot() {
             tokio::select! {
                 reply = replies.recv() => {
                     if let Some(reply) = reply {
-                        self.take(reply);
+                        self.handle_reply(reply);
                     }
                 }
-                () = time::sleep_until(timers.next().into()) => self.wake(&mut timers),
+                () = time::sleep_until(timers.next_at().into()) => self.handle_timers(&mut timers),
             }
-            if timers.answer_by.is_none() && self.is_covered_enough() {
+            if timers.answer_by.is_none() && self.has_min_coverage() {
                 self.gather.give_up_open();
             }
         }
     }
 
-    fn timers(&self) -> QueryTimers {
+    fn start_timers(&self) -> QueryTimers {
         let plan = self.plan;
         let answer_by = match plan.template.preference {
             AnswerPreference::Coverage => None,
             AnswerPreference::Latency => plan.template.answer_by,
         };
         let is_idempotent = plan.template.idempotent;
-        let delay = self.runner.board.hedge_delay(&self.group, is_idempotent);
+        let delay = self.runner.selector.hedge_delay(&self.group, is_idempotent);
         QueryTimers {
-            expires: plan.expires(),
-            answer_by: answer_by.map(|span| plan.arrived + span.as_duration()),
+            expires_at: plan.expires_at(),
+            answer_by: answer_by.map(|span| plan.arrived_at + span.as_duration()),
             hedge_at: delay.map(|delay| Instant::now() + delay.as_duration()),
             hedge_delay: delay.unwrap_or_default(),
         }
     }
 
     /// Does what is due by the time.
-    fn wake(&mut self, timers: &mut QueryTimers) {
+    fn handle_timers(&mut self, timers: &mut QueryTimers) {
         let now = Instant::now();
-        if now >= timers.expires {
+        if now >= timers.expires_at {
             self.gather.give_up_open();
             return;
         }
@@ -311,7 +312,7 @@
             timers.answer_by = None;
         }
         if timers.hedge_at.is_some_and(|at| now >= at) {
-            self.hedge();
+            self.send_hedges();
             // A hedge that found no free slot is tried again after the same time.
             timers.hedge_at = Some(now + timers.hedge_delay.as_duration());
         }
@@ -320,16 +321,16 @@
     /// Sends second attempts for the shards whose only attempt is still under way.
     ///
     /// A request that may crash targets is not hedged: the second target would be lost needlessly.
-    fn hedge(&mut self) {
+    fn send_hedges(&mut self) {
         if self.runner.strikes.is_suspect(&self.plan.fingerprint()) {
             return;
         }
-        let is_overloaded = self.pass.is_overloaded();
-        let board = Arc::clone(&self.runner.board);
+        let is_overloaded = self.permit.is_overloaded();
+        let board = Arc::clone(&self.runner.selector);
         let late: Vec<usize> = self
             .gather
             .open_slots()
-            .filter(|slot| self.under_way_at(*slot) == 1 && self.has_untried(*slot))
+            .filter(|slot| self.attempts_in_flight(*slot) == 1 && self.has_untried_replica(*slot))
             .collect();
         let hedged: Vec<usize> = late
             .into_iter()
@@ -340,7 +341,7 @@
         }
     }
 
-    fn under_way_at(&self, slot: usize) -> usize {
+    fn attempts_in_flight(&self, slot: usize) -> usize {
         self.gather
             .attempts(slot)
             .iter()
@@ -348,11 +349,11 @@
             .count()
     }
 
-    fn has_untried(&self, slot: usize) -> bool {
-        self.tried(slot).len() < self.gather.shard_entry(slot).replicas.len()
+    fn has_untried_replica(&self, slot: usize) -> bool {
+        self.excluded_replicas(slot).len() < self.gather.shard_entry(slot).replicas.len()
     }
 
-    fn is_covered_enough(&self) -> bool {
+    fn has_min_coverage(&self) -> bool {
         let template = &self.plan.template;
         template.preference == AnswerPreference::Latency
             && template
@@ -365,10 +366,10 @@
         self.plan.template.idempotent && self.gather.is_version_gone()
     }
 
-    fn take(&mut self, reply: LinkReply) {
-        self.slowest_target = self.slowest_target.max(reply.service);
-        self.pass.note_reply(&reply);
-        self.note_ended(&reply);
+    fn handle_reply(&mut self, reply: LinkReply) {
+        self.slowest_target = self.slowest_target.max(reply.service_time);
+        self.permit.record_reply(&reply);
+        self.record_ended(&reply);
         if reply.path_lost {
             self.lost_paths.push(reply.sequence);
         }
@@ -377,49 +378,49 @@
                 slot,
                 outcome,
                 others_in_flight: false,
-            } => self.retry(slot, outcome),
+            } => self.retry_or_give_up(slot, outcome),
             GatherEvent::Ignored => {
                 self.runner.metrics.stray_replies.inc();
             }
-            GatherEvent::ShardAnswered { slot } => self.trial.answered(slot),
+            GatherEvent::ShardAnswered { slot } => self.trial.record_answer(slot),
             GatherEvent::AttemptEnded { .. } => {}
         }
-        self.end_trial();
+        self.resume_after_trial();
     }
 
     /// Goes on with the shards that waited for the trial of a suspect, once that is over.
     ///
     /// Where it was answered they are tried again at once. Where it cost another target the relays
     /// refuse them, and the next one is on trial until then.
-    fn end_trial(&mut self) {
+    fn resume_after_trial(&mut self) {
         let Some(slot) = self.trial.slot() else {
             return;
         };
-        if self.gather.is_open(slot) && self.under_way_at(slot) > 0 {
+        if self.gather.is_open(slot) && self.attempts_in_flight(slot) > 0 {
             return;
         }
-        for (slot, outcome) in self.trial.end() {
+        for (slot, outcome) in self.trial.finish() {
             if self.gather.is_open(slot) {
-                self.retry(slot, outcome);
+                self.retry_or_give_up(slot, outcome);
             }
         }
     }
 
     /// Learns from the end of an attempt.
-    fn note_ended(&mut self, reply: &LinkReply) {
-        let Some(placed) = self.placed.remove(&reply.sequence) else {
+    fn record_ended(&mut self, reply: &LinkReply) {
+        let Some(placed) = self.open_attempts.remove(&reply.sequence) else {
             return;
         };
-        let board = &self.runner.board;
+        let board = &self.runner.selector;
         let now = board.clock().now();
         let outcome = reply.result.outcome;
         if placed.is_hedge {
-            board.note_hedge(outcome == AttemptOutcome::NotRun(NotRunReason::QueueFull));
+            board.record_hedge_end(outcome == AttemptOutcome::NotRun(NotRunReason::QueueFull));
         }
         let sample = match outcome {
             AttemptOutcome::Answered => AttemptSample::Answered {
-                service: reply.service,
-                expected: self.expected,
+                service: reply.service_time,
+                expected: self.expected_service_time,
             },
             // What was lost on the way is not the target's failure.
             _ if reply.path_lost => AttemptSample::NotRun,
@@ -431,15 +432,16 @@
             AttemptOutcome::NotRun(_) | AttemptOutcome::VersionGone => AttemptSample::NotRun,
         };
         if outcome == AttemptOutcome::Answered {
-            board.note_answer(&self.group, now.since(placed.sent_at), reply.service);
+            board.record_answer(&self.group, now.since(placed.sent_at), reply.service_time);
         }
-        if let Some(entry) = self.table.get(placed.index) {
+        if let Some(entry) = self.table.get(placed.target_index) {
             if outcome == AttemptOutcome::NotRun(NotRunReason::Draining) {
                 self.runner.watch.record_draining_reply(&entry.target);
             }
-            let is_ejected = board
-                .chooser()
-                .record_finished(entry, sample, Some(reply.wait), now);
+            let is_ejected =
+                board
+                    .chooser()
+                    .record_finished(entry, sample, Some(reply.estimated_wait), now);
             if is_ejected {
                 self.runner.metrics.ejections.inc();
             }
@@ -447,16 +449,16 @@
     }
 
     /// Tries another replica where that can do no harm and there is time and budget for it.
-    fn retry(&mut self, slot: usize, outcome: AttemptOutcome) {
+    fn retry_or_give_up(&mut self, slot: usize, outcome: AttemptOutcome) {
         let strikes = &self.runner.strikes;
         let is_suspect =
             outcome == AttemptOutcome::Unknown && strikes.is_suspect(&self.plan.fingerprint());
-        if is_suspect && !self.trial.may_begin(slot, outcome) {
+        if is_suspect && !self.trial.try_begin(slot, outcome) {
             return;
         }
-        let tried = self.tried(slot).len();
+        let tried = self.excluded_replicas(slot).len();
         let retries = self.gather.attempts(slot).len().saturating_sub(1);
-        let board = &self.runner.board;
+        let board = &self.runner.selector;
         let decision = board.decide_retry(EndedAttempt {
             outcome,
             is_idempotent: self.plan.template.idempotent,
@@ -467,8 +469,8 @@
                 .replicas
                 .len()
                 .saturating_sub(tried),
-            expected_service_time: self.expected,
-            deadline: board.clock().time_point(self.plan.expires()),
+            expected_service_time: self.expected_service_time,
+            deadline: board.clock().time_point(self.plan.expires_at()),
         });
         match decision {
             RetryDecision::Retry => {
@@ -490,7 +492,7 @@
         let error = match outcome {
             QueryOutcome::Complete | QueryOutcome::Partial => None,
             QueryOutcome::Refused | QueryOutcome::Failed if quarantined.is_some() => {
-                let mut error = query_runner::quarantined(quarantined.unwrap_or_default());
+                let mut error = query_runner::quarantine_answer(quarantined.unwrap_or_default());
                 error.error.not_run = outcome == QueryOutcome::Refused;
                 Some(error)
             }
@@ -520,7 +522,7 @@
             coverage,
             snapshot: self.plan.manifest.snapshot,
             timing: AnswerTiming {
-                total_us: TimeSpan::from(self.plan.arrived.elapsed()).as_micros(),
+                total_us: TimeSpan::from(self.plan.arrived_at.elapsed()).as_micros(),
                 slowest_target_us: self.slowest_target.as_micros(),
                 attempts: self.gather.attempt_count(),
             },
@@ -529,22 +531,22 @@
     }
 
     /// Cancels the attempts under way and learns from how long they have taken.
-    fn cancel_under_way(&mut self) {
-        let now = self.runner.board.clock().now();
+    fn cancel_in_flight(&mut self) {
+        let now = self.runner.selector.clock().now();
         let mut by_link: HashMap<SocketAddr, (Arc<RelayLink>, Vec<CancelledAttempt>)> =
             HashMap::new();
-        for (sequence, placed) in self.placed.drain() {
-            let Some(entry) = self.table.get(placed.index) else {
+        for (sequence, placed) in self.open_attempts.drain() {
+            let Some(entry) = self.table.get(placed.target_index) else {
                 continue;
             };
             let waited = entry.stats.wait(now);
             let sample = AttemptSample::Unfinished {
                 elapsed: now.since(placed.sent_at).saturating_sub(waited),
-                expected: self.expected,
+                expected: self.expected_service_time,
             };
             let _never_ejects = self
                 .runner
-                .board
+                .selector
                 .chooser()
                 .record_finished(entry, sample, None, now);
             by_link
@@ -564,17 +566,17 @@
 
 impl QueryTimers {
     /// Gets the next time at which something is due.
-    fn next(&self) -> Instant {
+    fn next_at(&self) -> Instant {
         [self.answer_by, self.hedge_at]
             .into_iter()
             .flatten()
-            .fold(self.expires, Instant::min)
+            .fold(self.expires_at, Instant::min)
     }
 }
 
 impl Drop for RunningQuery<'_> {
     /// Cancels what is under way, also where the caller has gone away and dropped the query.
     fn drop(&mut self) {
-        self.cancel_under_way();
+        self.cancel_in_flight();
     }
 }
--- a/alderhaven-entry/src/settings.rs
+++ b/alderhaven-entry/src/settings.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::link_options::LinkOptions;
-use crate::replica_board::BoardOptions;
+use crate::replica_selector::SelectorOptions;
 
 /// The least and the greatest limit on a body.
 const BODY_RANGE: RangeInclusive<ByteSize> = ByteSize::from_kib(1)..=ByteSize::from_kib(1024);
@@ -29,7 +29,7 @@
 /// The most connections that may be allowed, as many as a process can have descriptors for.
 const MAX_CONNECTIONS: usize = 65_536;
 /// The most waiting queries that may be allowed; each holds a few kilobytes.
-const MAX_WAITING: usize = 65_536;
+const MAX_WAITING_QUERIES: usize = 65_536;
 /// The least and the greatest time that a setting may hold.
 const TIME_RANGE: RangeInclusive<TimeSpan> = TimeSpan::from_millis(1)..=TimeSpan::from_secs(60);
 
@@ -82,7 +82,7 @@
     pub stop: DrainOptions,
     /// The choices of replicas, hedges and retries.
     #[serde(default)]
-    pub choices: BoardOptions,
+    pub choices: SelectorOptions,
     /// The refusal of requests that crash targets.
     #[serde(default)]
     pub quarantine: QuarantineOptions,
@@ -181,7 +181,7 @@
         check.within(
             "admission.max_waiting",
             &admission.max_waiting,
-            &(1..=MAX_WAITING),
+            &(1..=MAX_WAITING_QUERIES),
         );
     }
 
--- a/alderhaven-entry/src/suspect_trial.rs
+++ b/alderhaven-entry/src/suspect_trial.rs
@@ -9,38 +9,38 @@
 /// A `SuspectTrial` holds back the retries of a suspect but for one.
 #[derive(Debug, Default)]
 pub struct SuspectTrial {
-    on_trial: Option<usize>,
+    trial_slot: Option<usize>,
     is_cleared: bool,
-    waiting: Vec<(usize, AttemptOutcome)>,
+    held_retries: Vec<(usize, AttemptOutcome)>,
 }
 
 impl SuspectTrial {
     /// Gets the slot of the shard that is on trial.
     #[must_use]
     pub const fn slot(&self) -> Option<usize> {
-        self.on_trial
+        self.trial_slot
     }
 
     /// Returns true where a slot's shard may be tried again now; otherwise it waits, with the
     /// outcome that it is to be retried for.
-    pub fn may_begin(&mut self, slot: usize, outcome: AttemptOutcome) -> bool {
-        let is_other = self.on_trial.is_some_and(|tried| tried != slot);
+    pub fn try_begin(&mut self, slot: usize, outcome: AttemptOutcome) -> bool {
+        let is_other = self.trial_slot.is_some_and(|tried| tried != slot);
         if is_other && !self.is_cleared {
-            self.waiting.push((slot, outcome));
+            self.held_retries.push((slot, outcome));
             return false;
         }
-        self.on_trial = Some(slot);
+        self.trial_slot = Some(slot);
         true
     }
 
     /// Notes that a slot's shard was answered: no further trial is needed where it was on trial.
-    pub fn answered(&mut self, slot: usize) {
-        self.is_cleared |= self.on_trial == Some(slot);
+    pub fn record_answer(&mut self, slot: usize) {
+        self.is_cleared |= self.trial_slot == Some(slot);
     }
 
     /// Ends the trial and gets the slots that waited for it.
-    pub fn end(&mut self) -> Vec<(usize, AttemptOutcome)> {
-        self.on_trial = None;
-        std::mem::take(&mut self.waiting)
+    pub fn finish(&mut self) -> Vec<(usize, AttemptOutcome)> {
+        self.trial_slot = None;
+        std::mem::take(&mut self.held_retries)
     }
 }
--- a/alderhaven-entry/tests/at_most_once/scenarios.rs
+++ b/alderhaven-entry/tests/at_most_once/scenarios.rs
@@ -6,7 +6,9 @@
 use futures::future;
 use http::StatusCode;
 
-use crate::small_system::{Answer, SmallSystem, fresh_key, key_at, request, wait_until};
+use crate::small_system::{
+    Answer, SmallSystem, build_request, fresh_key, key_with_time_offset, wait_until,
+};
 
 const ISBN: &str = "9780000000002";
 const OTHER_ISBN: &str = "9780000000019";
@@ -16,7 +18,7 @@
 }
 
 fn assert_unknown(answer: &Answer) {
-    assert_eq!(answer.code(), "unknown", "{answer:?}");
+    assert_eq!(answer.error_code(), "unknown", "{answer:?}");
     assert!(!answer.is_not_run(), "{answer:?}");
 }
 
@@ -31,7 +33,7 @@
     assert!(first.is_complete() && !first.is_replayed(), "{first:?}");
     assert_replayed(&second);
     assert_eq!(first.body["rows"], second.body["rows"]);
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -48,7 +50,7 @@
         assert_replayed(&again);
         assert_eq!(first.body["rows"], again.body["rows"]);
     }
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -63,7 +65,7 @@
     assert!(answers.iter().all(Answer::is_complete), "{answers:?}");
     let first = answers.iter().filter(|answer| !answer.is_replayed());
     assert_eq!(first.count(), 1, "{answers:?}");
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -77,10 +79,10 @@
     for entry in 0..2 {
         let answer = system.assign(entry, &key, OTHER_ISBN).await;
         assert_eq!(answer.status, StatusCode::CONFLICT);
-        assert_eq!(answer.code(), "key_conflict");
+        assert_eq!(answer.error_code(), "key_conflict");
         assert!(answer.is_not_run());
     }
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -90,14 +92,14 @@
 async fn at_most_once_reply_lost_after_the_write() {
     let system = SmallSystem::start().await;
     let key = fresh_key();
-    system.set_platform(PlatformFaults {
+    system.set_platform_faults(PlatformFaults {
         lose_write_replies: 1,
         ..PlatformFaults::default()
     });
     let first = system.assign(0, &key, ISBN).await;
     assert!(first.is_complete() && !first.is_replayed(), "{first:?}");
     assert_replayed(&system.assign(1, &key, ISBN).await);
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -107,7 +109,7 @@
 async fn at_most_once_write_late() {
     let system = SmallSystem::start().await;
     let key = fresh_key();
-    system.set_platform(PlatformFaults {
+    system.set_platform_faults(PlatformFaults {
         hold_writes: 1,
         ..PlatformFaults::default()
     });
@@ -118,7 +120,7 @@
     let fourth = system.assign(1, &key, ISBN).await;
     let answers = [first, second, third, fourth];
     assert!(answers.iter().any(Answer::is_complete), "{answers:?}");
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -127,23 +129,23 @@
 #[tokio::test]
 async fn at_most_once_caller_hangs_up() {
     let system = SmallSystem::start().await;
-    system.set_targets(TargetFaults {
+    system.set_target_faults(TargetFaults {
         slow_factor: 1_000.0,
         ..TargetFaults::default()
     });
     let key = fresh_key();
     let mut caller = HttpConnection::connect(system.address(0)).await.unwrap();
-    let mut call = Box::pin(caller.send(request("assign", Some(&key), ISBN)));
+    let mut call = Box::pin(caller.send(build_request("assign", Some(&key), ISBN)));
     tokio::select! {
         biased;
-        () = wait_until("the request runs", || system.runs() == 1) => {}
+        () = wait_until("the request runs", || system.run_count() == 1) => {}
         _ = &mut call => panic!("the run is over too soon"),
     }
     drop(call);
     drop(caller);
     let answer = system.assign(0, &key, ISBN).await;
     assert_replayed(&answer);
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -158,7 +160,7 @@
     for entry in 0..2 {
         assert_unknown(&system.assign(entry, &key, ISBN).await);
     }
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -172,10 +174,10 @@
     assert!(system.assign(0, &key, ISBN).await.is_complete());
     system.store.restore(older);
     let refused = system.assign(0, &fresh_key(), OTHER_ISBN).await;
-    assert_eq!(refused.code(), "unavailable", "{refused:?}");
+    assert_eq!(refused.error_code(), "unavailable", "{refused:?}");
     assert!(refused.is_not_run(), "{refused:?}");
     assert_replayed(&system.assign(0, &key, ISBN).await);
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -184,7 +186,7 @@
 #[tokio::test]
 async fn not_run_store_outage() {
     let system = SmallSystem::start().await;
-    system.set_platform(PlatformFaults {
+    system.set_platform_faults(PlatformFaults {
         outage: true,
         ..PlatformFaults::default()
     });
@@ -193,13 +195,13 @@
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(refused.is_not_run(), "{refused:?}");
     assert!(refused.body["error"]["retry_after_ms"].as_u64().is_some());
-    assert_eq!(system.runs(), 0);
+    assert_eq!(system.run_count(), 0);
     assert!(system.send(0, "look-up", None, ISBN).await.is_complete());
-    assert_eq!(system.runs(), 1);
-    system.set_platform(PlatformFaults::default());
+    assert_eq!(system.run_count(), 1);
+    system.set_platform_faults(PlatformFaults::default());
     let answer = system.assign(1, &key, ISBN).await;
     assert!(answer.is_complete(), "{answer:?}");
-    assert_eq!(system.runs(), 2);
+    assert_eq!(system.run_count(), 2);
     system.stop().await;
 }
 
@@ -208,20 +210,20 @@
 #[tokio::test]
 async fn not_run_shed_gives_the_key_back() {
     let system = SmallSystem::start().await;
-    system.set_targets(TargetFaults {
+    system.set_target_faults(TargetFaults {
         shedding: true,
         ..TargetFaults::default()
     });
     let key = fresh_key();
     let refused = system.assign(0, &key, ISBN).await;
     assert!(refused.is_not_run(), "{refused:?}");
-    assert_eq!(system.runs(), 0);
-    system.set_targets(TargetFaults::default());
+    assert_eq!(system.run_count(), 0);
+    system.set_target_faults(TargetFaults::default());
     system.wait_for_releases(0).await;
     let answer = system.assign(1, &key, ISBN).await;
     assert!(answer.is_complete() && !answer.is_replayed(), "{answer:?}");
     assert_replayed(&system.assign(0, &key, ISBN).await);
-    assert_eq!(system.runs(), 1);
+    assert_eq!(system.run_count(), 1);
     system.stop().await;
 }
 
@@ -231,13 +233,17 @@
 async fn not_run_keys_that_are_refused() {
     let system = SmallSystem::start().await;
     let random = uuid::Uuid::new_v4().to_string();
-    let ahead = key_at(10 * 60 * 1_000);
+    let ahead = key_with_time_offset(10 * 60 * 1_000);
     for key in [None, Some(random.as_str()), Some(ahead.as_str())] {
         let answer = system.send(0, "assign", key, ISBN).await;
         assert_eq!(answer.status, StatusCode::BAD_REQUEST);
         assert!(answer.is_not_run(), "{answer:?}");
     }
-    assert_unknown(&system.assign(0, &key_at(-60 * 60 * 1_000), ISBN).await);
-    assert_eq!(system.runs(), 0);
+    assert_unknown(
+        &system
+            .assign(0, &key_with_time_offset(-60 * 60 * 1_000), ISBN)
+            .await,
+    );
+    assert_eq!(system.run_count(), 0);
     system.stop().await;
 }
--- a/alderhaven-entry/tests/at_most_once/small_system.rs
+++ b/alderhaven-entry/tests/at_most_once/small_system.rs
@@ -30,9 +30,9 @@
 use tokio_util::sync::CancellationToken;
 
 /// The longest wait for a condition.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 /// The time between two looks at a condition.
-const LOOK_AGAIN: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 pub struct SmallSystem {
     pub store: FakeStore,
@@ -51,14 +51,14 @@
 }
 
 impl Answer {
-    fn read(response: &Response<Bytes>) -> Self {
+    fn parse(response: &Response<Bytes>) -> Self {
         Self {
             status: response.status(),
             body: serde_json::from_slice(response.body()).unwrap(),
         }
     }
 
-    pub fn code(&self) -> &str {
+    pub fn error_code(&self) -> &str {
         self.body["error"]["code"].as_str().unwrap_or("none")
     }
 
@@ -133,7 +133,7 @@
         );
         let mut changed = config.subscribe();
         while config.view().templates.len() < 2 || config.view().manifests.is_empty() {
-            tokio::time::timeout(PATIENCE, changed.changed())
+            tokio::time::timeout(CONDITION_TIMEOUT, changed.changed())
                 .await
                 .expect("the configuration comes")
                 .unwrap();
@@ -178,19 +178,22 @@
         isbn: &str,
     ) -> Answer {
         let mut caller = HttpConnection::connect(self.address(entry)).await.unwrap();
-        let response = caller.send(request(template, key, isbn)).await.unwrap();
-        Answer::read(&response)
+        let response = caller
+            .send(build_request(template, key, isbn))
+            .await
+            .unwrap();
+        Answer::parse(&response)
     }
 
-    pub fn runs(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         self.fleet.run_log().run_count()
     }
 
-    pub fn set_platform(&self, faults: PlatformFaults) {
+    pub fn set_platform_faults(&self, faults: PlatformFaults) {
         self.store.set_faults(faults);
     }
 
-    pub fn set_targets(&self, faults: TargetFaults) {
+    pub fn set_target_faults(&self, faults: TargetFaults) {
         for target in self.fleet.targets() {
             target.state().set_faults(faults);
         }
@@ -199,7 +202,7 @@
     /// Waits until an entry has no claim left to take back.
     pub async fn wait_for_releases(&self, entry: usize) {
         wait_until("claims are taken back", || {
-            let report = self.entry(entry).state().claims.ledger().report();
+            let report = self.entry(entry).state().claimed_runner.ledger().report();
             report.releases == 0 && report.waiting == 0
         })
         .await;
@@ -218,14 +221,14 @@
 pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let waiting = async {
         while !holds() {
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, waiting).await;
+    let waited = tokio::time::timeout(CONDITION_TIMEOUT, waiting).await;
     assert!(waited.is_ok(), "it never came that {what}");
 }
 
-pub fn request(template: &str, key: Option<&str>, isbn: &str) -> Request<Full<Bytes>> {
+pub fn build_request(template: &str, key: Option<&str>, isbn: &str) -> Request<Full<Bytes>> {
     let body = json!({ "team": "desk", "parameters": { "isbn": isbn } });
     let mut builder = Request::post(format!("/v1/query/{template}"));
     if let Some(key) = key {
@@ -236,7 +239,7 @@
 }
 
 /// Gets a key whose time is off by so many milliseconds.
-pub fn key_at(offset_millis: i64) -> String {
+pub fn key_with_time_offset(offset_millis: i64) -> String {
     let now: ClaimKey = fresh_key().parse().unwrap();
     let millis = now.millis().saturating_add_signed(offset_millis);
     ClaimKey::new(millis, [7; 10]).to_string()
@@ -245,9 +248,9 @@
 fn publish(store: &FakeStore, fleet: &TargetFleet) {
     for manifest in fleet.manifests(SnapshotId(1)) {
         let name = manifest.service.to_string();
-        put(store, ObjectKind::Manifest, &name, &json!(manifest));
+        put_object(store, ObjectKind::Manifest, &name, &json!(manifest));
     }
-    put(store, ObjectKind::Team, "desk", &json!({ "name": "desk" }));
+    put_object(store, ObjectKind::Team, "desk", &json!({ "name": "desk" }));
     for (name, idempotent) in [("assign", false), ("look-up", true)] {
         let template = json!({
             "name": name,
@@ -258,11 +261,11 @@
             "idempotent": idempotent,
             "deadline": "10s",
         });
-        put(store, ObjectKind::Template, name, &template);
+        put_object(store, ObjectKind::Template, name, &template);
     }
 }
 
-fn put(store: &FakeStore, kind: ObjectKind, name: &str, body: &Value) {
+fn put_object(store: &FakeStore, kind: ObjectKind, name: &str, body: &Value) {
     let name = name.to_owned();
     store.put(ObjectKey { kind, name }, Some(body.to_string()));
 }
--- a/alderhaven-entry/tests/caller_interface/connections.rs
+++ b/alderhaven-entry/tests/caller_interface/connections.rs
@@ -9,7 +9,7 @@
 use crate::support;
 
 /// The pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Callers hold as many connections as an entry takes, and another one comes. Left in the queue of
 /// the operating system it would hang unseen until others leave; it is told at once to go
@@ -40,7 +40,7 @@
         if entry.send(health).await.status == 200 {
             return;
         }
-        time::sleep(LOOK_PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
     panic!("the places that became free are not given again");
 }
--- a/alderhaven-entry/tests/caller_interface/request_log.rs
+++ b/alderhaven-entry/tests/caller_interface/request_log.rs
@@ -8,40 +8,40 @@
 use crate::support;
 
 /// The lines that were logged; the other tests of this process log too.
-static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
+static LOGGED_LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-struct KeptLog;
+struct CapturingLog;
 
-impl Log for KeptLog {
+impl Log for CapturingLog {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
 
     fn log(&self, record: &Record<'_>) {
         if record.target() == "alderhaven" {
-            LINES.lock().unwrap().push(record.args().to_string());
+            LOGGED_LINES.lock().unwrap().push(record.args().to_string());
         }
     }
 
     fn flush(&self) {}
 }
 
-fn lines_of(id: &str) -> Vec<Value> {
-    let lines = LINES.lock().unwrap();
+fn lines_of_request(id: &str) -> Vec<Value> {
+    let lines = LOGGED_LINES.lock().unwrap();
     let lines = lines.iter().map(|line| serde_json::from_str(line).unwrap());
     lines.filter(|line: &Value| line["request"] == id).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_carries_and_logs_request_id() {
-    log::set_logger(&KeptLog).unwrap();
+    log::set_logger(&CapturingLog).unwrap();
     log::set_max_level(LevelFilter::Info);
     let entry = support::start(json!({})).await;
     let good = r#"{"team":"desk","parameters":{"key":"secret"}}"#;
 
     let reply = entry.query("open", "x-request-id: own-1\r\n", "{").await;
     assert_eq!(reply.header("x-request-id"), Some("own-1"));
-    let [line] = lines_of("own-1").try_into().unwrap();
+    let [line] = lines_of_request("own-1").try_into().unwrap();
     assert_eq!(line["event"], "request_not_answered");
     assert_eq!(line["level"], "INFO");
     assert_eq!(
@@ -52,7 +52,7 @@
 
     let reply = entry.query("open", "x-request-id: own-2\r\n", good).await;
     assert_eq!(reply.header("x-request-id"), Some("own-2"));
-    let [line] = lines_of("own-2").try_into().unwrap();
+    let [line] = lines_of_request("own-2").try_into().unwrap();
     assert_eq!(
         (&line["code"], &line["class"]),
         (&json!("overloaded"), &json!("urgent"))
@@ -70,7 +70,7 @@
         (reply.status, reply.header("x-request-id")),
         (200, Some("own-3"))
     );
-    assert_eq!(lines_of("own-3"), Vec::<Value>::new());
+    assert_eq!(lines_of_request("own-3"), Vec::<Value>::new());
 
     let longest = "x".repeat(64);
     let reply = entry
@@ -95,6 +95,6 @@
             36,
             "`{id}` is replaced by a UUID, not by {made}"
         );
-        assert_eq!(lines_of(&made).len(), 1);
+        assert_eq!(lines_of_request(&made).len(), 1);
     }
 }
--- a/alderhaven-entry/tests/caller_interface/support.rs
+++ b/alderhaven-entry/tests/caller_interface/support.rs
@@ -19,7 +19,7 @@
 /// The token of the team `staff`.
 pub const TOKEN: &str = "staff-token";
 /// The time within which everything must come about; far above what a busy machine needs.
-const LIMIT: Duration = Duration::from_secs(30);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A `TestEntry` is a running entry without relays; what passes all checks is answered with 429.
 pub struct TestEntry {
@@ -56,8 +56,8 @@
     let node = EntryNode::start(serde_json::from_value(settings).unwrap(), config)
         .await
         .unwrap();
-    let mut changed = node.state().applied.changed();
-    time::timeout(LIMIT, async {
+    let mut changed = node.state().applied.subscribe();
+    time::timeout(REPLY_TIMEOUT, async {
         while node.state().applied.view().manifests.is_empty() {
             changed.changed().await.unwrap();
         }
@@ -126,7 +126,7 @@
 pub async fn exchange(stream: &mut TcpStream, bytes: &[u8]) -> RawReply {
     // An entry that has refused may read no further.
     let _refused_before = stream.write_all(bytes).await;
-    time::timeout(LIMIT, read_reply(stream))
+    time::timeout(REPLY_TIMEOUT, read_reply(stream))
         .await
         .expect("the reply comes in time")
 }
--- a/alderhaven-entry/tests/failures/quarantine.rs
+++ b/alderhaven-entry/tests/failures/quarantine.rs
@@ -3,12 +3,12 @@
 use alderhaven_store::operator_server::OperatorSource;
 use serde_json::json;
 
-use crate::system::{TestSystem, ask, metric, until};
+use crate::system::{TestSystem, metric, send_query, wait_until};
 
 /// The resends of the poisonous request, several through each entry.
-const RESENDS: usize = 9;
+const RESEND_COUNT: usize = 9;
 /// The harmless queries of each of the callers beside it.
-const HARMLESS: usize = 60;
+const HARMLESS_QUERY_COUNT: usize = 60;
 
 /// A caller sends a request that makes the process of its target die, gets no usable answer and
 /// sends it again through the next entry, while others go on with their work. Entries retry it at
@@ -21,8 +21,8 @@
         let entry = system.entries[caller % 3].caller_address();
         others.push(tokio::spawn(async move {
             let mut incomplete = Vec::new();
-            for round in 0..HARMLESS {
-                let answer = ask(entry, &format!("book-{caller}-{}", round % 7)).await;
+            for round in 0..HARMLESS_QUERY_COUNT {
+                let answer = send_query(entry, &format!("book-{caller}-{}", round % 7)).await;
                 if answer["outcome"] != "complete" {
                     incomplete.push(answer);
                 }
@@ -31,18 +31,21 @@
         }));
     }
     // The others' work is under way before the first crash.
-    until("first runs", || {
-        system.targets.iter().any(|target| target.runs() > 5)
+    wait_until("first runs", || {
+        system
+            .targets
+            .iter()
+            .any(|target| target.started_count() > 5)
     })
     .await;
     let mut last = json!(null);
-    for resend in 0..RESENDS {
-        last = system.ask(resend % 3, "poison").await;
+    for resend in 0..RESEND_COUNT {
+        last = system.query(resend % 3, "poison").await;
     }
     for other in others {
         assert_eq!(other.await.unwrap(), Vec::<serde_json::Value>::new());
     }
-    assert_eq!(system.dead_targets(), 2);
+    assert_eq!(system.dead_target_count(), 2);
     assert_eq!(last["error"]["code"], "quarantined", "{last}");
     assert_eq!(last["error"]["not_run"], true);
     assert!(last["error"]["retry_after_ms"].as_u64().unwrap() > 1000);
@@ -53,24 +56,24 @@
 }
 
 /// The shards of the service in the test of a query over all shards.
-const SHARDS: usize = 6;
+const SHARD_COUNT: usize = 6;
 
 /// A request that asks every shard kills a target of each before the first crash is known. If all
 /// lost shards were tried again at once, each would lose a second target, and each resend more.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn poison_over_all_shards_goes_no_further_than_one_wave() {
-    let system = TestSystem::start_sharded(SHARDS, 3, 2, &json!({})).await;
-    for round in 0..RESENDS {
-        let answer = system.ask(round % 2, "poison").await;
+    let system = TestSystem::start_sharded(SHARD_COUNT, 3, 2, &json!({})).await;
+    for round in 0..RESEND_COUNT {
+        let answer = system.query(round % 2, "poison").await;
         assert_eq!(answer["error"]["code"], "quarantined", "{answer}");
         assert_eq!(answer["error"]["not_run"], round > 0, "{answer}");
     }
     assert!(
-        system.dead_targets() <= SHARDS + 1,
+        system.dead_target_count() <= SHARD_COUNT + 1,
         "{}",
-        system.dead_targets()
+        system.dead_target_count()
     );
-    let answer = system.ask(0, "book").await;
+    let answer = system.query(0, "book").await;
     assert_eq!(answer["outcome"], "complete", "{answer}");
 }
 
@@ -82,18 +85,18 @@
     let system = TestSystem::start(4, 2, &json!({})).await;
     for kills in 1..=2 {
         let entry = system.entries[0].caller_address();
-        let asking = tokio::spawn(ask(entry, "slow-book"));
+        let asking = tokio::spawn(send_query(entry, "slow-book"));
         let busy = || {
             system
                 .targets
                 .iter()
-                .find(|target| target.running() > 0 && !target.is_dead())
+                .find(|target| target.running_count() > 0 && !target.is_dead())
         };
-        until("an attempt under way", || busy().is_some()).await;
-        busy().unwrap().kill();
+        wait_until("an attempt under way", || busy().is_some()).await;
+        busy().unwrap().crash();
         let answer = asking.await.unwrap();
         assert_eq!(answer["outcome"], "complete", "{answer}");
-        assert_eq!(system.dead_targets(), kills);
+        assert_eq!(system.dead_target_count(), kills);
     }
     let crashes: u64 = system
         .relays
@@ -107,7 +110,7 @@
         .sum();
     assert_eq!(crashes, 2);
     for entry in [0, 1, 0, 1] {
-        let answer = system.ask(entry, "slow-book").await;
+        let answer = system.query(entry, "slow-book").await;
         assert_eq!(answer["outcome"], "complete", "{answer}");
     }
 }
--- a/alderhaven-entry/tests/failures/silence.rs
+++ b/alderhaven-entry/tests/failures/silence.rs
@@ -10,7 +10,7 @@
 use tokio::io;
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::system::{TestSystem, ask, metric, until};
+use crate::system::{TestSystem, metric, send_query, wait_until};
 
 /// The path between a relay and its targets loses track of all kept connections. Attempts on them
 /// get no reply, and nothing says so. Callers used to wait for their deadline, and the targets
@@ -21,16 +21,16 @@
     let system = TestSystem::start(3, 1, &more).await;
     for round in 0..30 {
         assert_eq!(
-            system.ask(0, &format!("a-{round}")).await["outcome"],
+            system.query(0, &format!("a-{round}")).await["outcome"],
             "complete"
         );
     }
     for target in &system.targets {
-        target.silence();
+        target.silence_connections();
     }
     let mut longest_silence = 0;
     for round in 0..30 {
-        let answer = system.ask(0, &format!("b-{round}")).await;
+        let answer = system.query(0, &format!("b-{round}")).await;
         assert_eq!(answer["outcome"], "complete", "{answer}");
         let timing = |name: &str| answer["timing"][name].as_u64().unwrap();
         let elsewhere = timing("total_us") - timing("slowest_target_us");
@@ -44,7 +44,7 @@
     assert_eq!(metric(&relay, "alderhaven_relay_target_crashes_total"), 0);
     let entry = system.entries[0].state().metrics();
     assert_eq!(metric(&entry, "alderhaven_entry_ejections_total"), 0);
-    assert_eq!(system.dead_targets(), 0);
+    assert_eq!(system.dead_target_count(), 0);
 }
 
 /// The path from an entry to its relay loses track of the connection. The entry sends attempts
@@ -52,18 +52,19 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn silent_relay_link_is_replaced() {
     let mut system = TestSystem::start(2, 1, &json!({})).await;
-    let path = FrozenPath::start(system.relays[0].peer_address()).await;
+    let path = FreezableProxy::start(system.relays[0].peer_address()).await;
     // One failure would be enough to take a target out of use.
     let settings = json!({
         "links": { "ping_every": "20ms", "max_silence": "200ms" },
         "choices": { "replicas": { "eject_after": 1 } },
     });
     system.add_entry(1, &[path.address], &settings).await;
-    assert_eq!(system.ask(1, "before").await["outcome"], "complete");
+    assert_eq!(system.query(1, "before").await["outcome"], "complete");
     // The relay has answered a ping once its first answers are through.
     path.freeze();
     let entry = system.entries[1].caller_address();
-    let asking = (0..20).map(|round| async move { ask(entry, &format!("after-{round}")).await });
+    let asking =
+        (0..20).map(|round| async move { send_query(entry, &format!("after-{round}")).await });
     for answer in futures::future::join_all(asking).await {
         assert_eq!(answer["outcome"], "complete", "{answer}");
     }
@@ -73,19 +74,19 @@
         metric(&entry.metrics(), "alderhaven_entry_ejections_total"),
         0
     );
-    until("a link counted", || {
+    wait_until("a link counted", || {
         metric(&entry.metrics(), "alderhaven_entry_silent_links_total") == 1
     })
     .await;
 }
 
 /// A path to a relay that can lose track of the connections on it.
-struct FrozenPath {
+struct FreezableProxy {
     address: SocketAddr,
-    era: Arc<AtomicU64>,
+    generation: Arc<AtomicU64>,
 }
 
-impl FrozenPath {
+impl FreezableProxy {
     async fn start(relay: SocketAddr) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -94,19 +95,22 @@
         tokio::spawn(async move {
             while let Ok((entry, _)) = listener.accept().await {
                 let relay = TcpStream::connect(relay).await.unwrap();
-                tokio::spawn(carry(entry, relay, Arc::clone(&shared)));
+                tokio::spawn(forward_bytes(entry, relay, Arc::clone(&shared)));
             }
         });
-        Self { address, era }
+        Self {
+            address,
+            generation: era,
+        }
     }
 
     fn freeze(&self) {
-        self.era.fetch_add(1, Ordering::SeqCst);
+        self.generation.fetch_add(1, Ordering::SeqCst);
     }
 }
 
 /// Carries bytes both ways until the path is frozen, and then keeps both ends open.
-async fn carry(entry: TcpStream, relay: TcpStream, shared: Arc<AtomicU64>) {
+async fn forward_bytes(entry: TcpStream, relay: TcpStream, shared: Arc<AtomicU64>) {
     let era = shared.load(Ordering::SeqCst);
     let mut buffers = ([0_u8; 4096], [0_u8; 4096]);
     loop {
--- a/alderhaven-entry/tests/failures/system.rs
+++ b/alderhaven-entry/tests/failures/system.rs
@@ -18,7 +18,7 @@
 use crate::target::FakeTarget;
 
 /// The time within which a condition must come true; it fails the test, it measures nothing.
-const LIMIT: Duration = Duration::from_secs(20);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running system.
 pub struct TestSystem {
@@ -40,10 +40,10 @@
         for _ in 0..shards * replicas {
             targets.push(FakeTarget::start().await);
         }
-        let config = config(&targets, replicas);
+        let config = build_config(&targets, replicas);
         let mut relays = Vec::new();
         for number in 0..nodes {
-            let settings = settings("relay", number, &more["relay"]);
+            let settings = node_settings("relay", number, &more["relay"]);
             let settings = serde_json::from_value(settings).unwrap();
             relays.push(RelayNode::start(settings, config.clone()).await.unwrap());
         }
@@ -62,27 +62,27 @@
 
     /// Starts an entry and waits until it reaches its relays.
     pub async fn add_entry(&mut self, number: usize, relays: &[SocketAddr], more: &Value) {
-        let mut settings = settings("entry", number, more);
+        let mut settings = node_settings("entry", number, more);
         settings["listen"] = json!("127.0.0.1:0");
         settings["relays"] = json!(relays);
         let settings = serde_json::from_value(settings).unwrap();
-        let entry = EntryNode::start(settings, config(&self.targets, self.replicas)).await;
+        let entry = EntryNode::start(settings, build_config(&self.targets, self.replicas)).await;
         let entry = entry.unwrap();
-        until("links", || {
+        wait_until("links", || {
             let links = entry.state().routes.links();
             links.len() == relays.len() && links.iter().all(|link| link.is_usable())
         })
         .await;
-        until_complete(entry.caller_address()).await;
+        wait_until_complete(entry.caller_address()).await;
         self.entries.push(entry);
     }
 
     /// Sends a query through an entry and gets the body of the answer.
-    pub async fn ask(&self, entry: usize, name: &str) -> Value {
-        ask(self.entries[entry].caller_address(), name).await
+    pub async fn query(&self, entry: usize, name: &str) -> Value {
+        send_query(self.entries[entry].caller_address(), name).await
     }
 
-    pub fn dead_targets(&self) -> usize {
+    pub fn dead_target_count(&self) -> usize {
         self.targets
             .iter()
             .filter(|target| target.is_dead())
@@ -91,36 +91,38 @@
 }
 
 /// Sends a query and gets the body of the answer.
-pub async fn ask(entry: SocketAddr, name: &str) -> Value {
+pub async fn send_query(entry: SocketAddr, name: &str) -> Value {
     let body = json!({ "team": "desk", "parameters": { "name": name } }).to_string();
     let request = Request::post("/v1/query/lookup")
         .body(Full::new(Bytes::from(body)))
         .unwrap();
     let mut caller = HttpConnection::connect(entry).await.unwrap();
-    let answer = time::timeout(LIMIT, caller.send(request)).await.unwrap();
+    let answer = time::timeout(CONDITION_TIMEOUT, caller.send(request))
+        .await
+        .unwrap();
     serde_json::from_slice(answer.unwrap().body()).unwrap()
 }
 
 /// Asks until an answer is complete: the entry has taken over its configuration.
-async fn until_complete(entry: SocketAddr) {
+async fn wait_until_complete(entry: SocketAddr) {
     let waiting = async {
-        while ask(entry, "ready").await["outcome"] != "complete" {
+        while send_query(entry, "ready").await["outcome"] != "complete" {
             time::sleep(Duration::from_millis(1)).await;
         }
     };
-    time::timeout(LIMIT, waiting)
+    time::timeout(CONDITION_TIMEOUT, waiting)
         .await
         .expect("a complete answer");
 }
 
 /// Waits until a condition holds.
-pub async fn until(what: &str, holds: impl Fn() -> bool) {
+pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let waiting = async {
         while !holds() {
             time::sleep(Duration::from_millis(1)).await;
         }
     };
-    time::timeout(LIMIT, waiting)
+    time::timeout(CONDITION_TIMEOUT, waiting)
         .await
         .unwrap_or_else(|_| panic!("{what}"));
 }
@@ -134,7 +136,7 @@
         .unwrap_or_else(|| panic!("no metric {name} in {text}"))
 }
 
-fn settings(role: &str, number: usize, more: &Value) -> Value {
+fn node_settings(role: &str, number: usize, more: &Value) -> Value {
     let mut settings = json!({
         "node": format!("{role}-{number}"),
         "host": format!("host-{number}"),
@@ -150,7 +152,7 @@
     settings
 }
 
-fn config(targets: &[FakeTarget], replicas: usize) -> ConfigHandle {
+fn build_config(targets: &[FakeTarget], replicas: usize) -> ConfigHandle {
     let entry = |shard: usize, targets: &[FakeTarget]| {
         let replica = |(place, target): (usize, &FakeTarget)| {
             json!({
@@ -170,7 +172,7 @@
         .collect();
     let config = ConfigHandle::default();
     config.accept(vec![
-        object(
+        stored_object(
             "template/lookup",
             &json!({
                 "name": "lookup", "service": "stock",
@@ -179,8 +181,8 @@
                 "class": "ordinary", "preference": "coverage", "deadline": "5s",
             }),
         ),
-        object("team/desk", &json!({ "name": "desk", "weight": 1 })),
-        object(
+        stored_object("team/desk", &json!({ "name": "desk", "weight": 1 })),
+        stored_object(
             "manifest/stock",
             &json!({
                 "service": "stock", "snapshot": 1, "shards": shards,
@@ -191,7 +193,7 @@
     config
 }
 
-fn object(key: &str, body: &Value) -> StoredObject {
+fn stored_object(key: &str, body: &Value) -> StoredObject {
     StoredObject {
         key: key.parse().unwrap(),
         version: StoreVersion(1),
--- a/alderhaven-entry/tests/failures/target.rs
+++ b/alderhaven-entry/tests/failures/target.rs
@@ -29,11 +29,11 @@
 #[derive(Default)]
 struct FakeState {
     /// Ends the process: the listener and all connections at once.
-    death: CancellationToken,
+    crashed: CancellationToken,
     /// The connections made before the latest silence have a lower number.
-    era: AtomicU64,
-    runs: AtomicUsize,
-    running: AtomicUsize,
+    generation: AtomicU64,
+    started_count: AtomicUsize,
+    running_count: AtomicUsize,
 }
 
 impl FakeTarget {
@@ -41,61 +41,61 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         let state = Arc::new(FakeState::default());
-        tokio::spawn(run(listener, Arc::clone(&state)));
+        tokio::spawn(accept_connections(listener, Arc::clone(&state)));
         Self { address, state }
     }
 
     pub fn is_dead(&self) -> bool {
-        self.state.death.is_cancelled()
+        self.state.crashed.is_cancelled()
     }
 
     /// Makes all connections that exist now carry nothing any more, without an end.
-    pub fn silence(&self) {
-        self.state.era.fetch_add(1, Ordering::SeqCst);
+    pub fn silence_connections(&self) {
+        self.state.generation.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Ends the process.
-    pub fn kill(&self) {
-        self.state.death.cancel();
+    pub fn crash(&self) {
+        self.state.crashed.cancel();
     }
 
     /// Gets the number of attempts that run.
-    pub fn running(&self) -> usize {
-        self.state.running.load(Ordering::SeqCst)
+    pub fn running_count(&self) -> usize {
+        self.state.running_count.load(Ordering::SeqCst)
     }
 
     /// Gets the number of attempts that were begun.
-    pub fn runs(&self) -> usize {
-        self.state.runs.load(Ordering::SeqCst)
+    pub fn started_count(&self) -> usize {
+        self.state.started_count.load(Ordering::SeqCst)
     }
 }
 
 impl Drop for FakeTarget {
     fn drop(&mut self) {
-        self.state.death.cancel();
+        self.state.crashed.cancel();
     }
 }
 
-async fn run(listener: TcpListener, state: Arc<FakeState>) {
-    while let Some(stream) = accept_connection(&listener, &state.death).await {
-        let death = state.death.clone();
+async fn accept_connections(listener: TcpListener, state: Arc<FakeState>) {
+    while let Some(stream) = accept_connection(&listener, &state.crashed).await {
+        let death = state.crashed.clone();
         let connection = serve_one(stream, Arc::clone(&state));
         tokio::spawn(death.run_until_cancelled_owned(connection));
     }
 }
 
 async fn serve_one(stream: TcpStream, state: Arc<FakeState>) {
-    let era = state.era.load(Ordering::SeqCst);
-    let handler = move |request| answer(Arc::clone(&state), era, request);
+    let era = state.generation.load(Ordering::SeqCst);
+    let handler = move |request| handle_request(Arc::clone(&state), era, request);
     serve_connection(stream, handler, CancellationToken::new()).await;
 }
 
-async fn answer(
+async fn handle_request(
     state: Arc<FakeState>,
     era: u64,
     request: Request<Incoming>,
 ) -> Result<HttpReply, ConnectionAborted> {
-    if state.era.load(Ordering::SeqCst) != era {
+    if state.generation.load(Ordering::SeqCst) != era {
         future::pending::<()>().await;
     }
     let (head, body) = request.into_parts();
@@ -104,13 +104,13 @@
     }
     let body = read_body(body).await.map_err(|_| ConnectionAborted)?;
     let parameters = String::from_utf8_lossy(&body).into_owned();
-    state.runs.fetch_add(1, Ordering::SeqCst);
-    state.running.fetch_add(1, Ordering::SeqCst);
+    state.started_count.fetch_add(1, Ordering::SeqCst);
+    state.running_count.fetch_add(1, Ordering::SeqCst);
     let slow = if parameters.contains("slow") { 25 } else { 1 };
     tokio::time::sleep(SERVICE_TIME * slow).await;
-    state.running.fetch_sub(1, Ordering::SeqCst);
+    state.running_count.fetch_sub(1, Ordering::SeqCst);
     if parameters.contains("poison") {
-        state.death.cancel();
+        state.crashed.cancel();
         return Err(ConnectionAborted);
     }
     let mut reply = json_reply(StatusCode::OK, &[1, 2, 3]);
--- a/alderhaven-entry/tests/replica_board.rs
+++ b/alderhaven-entry/tests/replica_selector.rs
@@ -6,13 +6,13 @@
 use alderhaven_core::ids::StoreVersion;
 use alderhaven_core::process_clock::ProcessClock;
 use alderhaven_entry::query_plan::{QueryPlan, QueryRequest};
-use alderhaven_entry::replica_board::{BoardOptions, ReplicaBoard};
+use alderhaven_entry::replica_selector::{ReplicaSelector, SelectorOptions};
 use alderhaven_policy::config_registry::{ConfigRegistry, ConfigView};
 use alderhaven_policy::policy_kind::PolicyKind;
 use serde_json::{Value, json};
 
 /// Gets a view whose only shard has one replica.
-fn view_of(target: &str) -> ConfigView {
+fn view_with_target(target: &str) -> ConfigView {
     let replica = json!({ "target": target, "address": "127.0.0.1:1", "domain": "domain-1",
         "slots": 1, "connections": 1 });
     let objects = [
@@ -40,9 +40,9 @@
     registry.view()
 }
 
-fn plan_of(view: &ConfigView) -> QueryPlan {
-    let request = QueryRequest::read(br#"{"team":"desk"}"#).unwrap();
-    QueryPlan::make(view, "sweep", request, None, Instant::now()).unwrap()
+fn plan_query(view: &ConfigView) -> QueryPlan {
+    let request = QueryRequest::parse(br#"{"team":"desk"}"#).unwrap();
+    QueryPlan::build(view, "sweep", request, None, Instant::now()).unwrap()
 }
 
 /// A manifest names new targets. The view that queries are planned by has it a moment before the
@@ -52,22 +52,24 @@
 #[test]
 fn table_for_lists_targets_that_the_board_does_not() {
     let domain = "domain-1".parse().unwrap();
-    let board = ReplicaBoard::new(
+    let board = ReplicaSelector::new(
         PolicyKind::Current,
-        BoardOptions::default(),
+        SelectorOptions::default(),
         domain,
         ProcessClock::default(),
     );
-    let [older, newer] = ["sample-0-0", "sample-0-1"].map(view_of);
+    let [older, newer] = ["sample-0-0", "sample-0-1"].map(view_with_target);
     for view in [&older, &newer, &older] {
-        let target = plan_of(view).manifest.shards[0].replicas[0].target.clone();
-        let before = board.table_for(&plan_of(view));
+        let target = plan_query(view).manifest.shards[0].replicas[0]
+            .target
+            .clone();
+        let before = board.table_for(&plan_query(view));
         let index = before
             .index_of(&target)
             .expect("the table lists the target");
         let manifests: Vec<_> = view.manifests.values().cloned().collect();
         board.apply(&manifests, view);
-        let after = board.table_for(&plan_of(view));
+        let after = board.table_for(&plan_query(view));
         assert_eq!(after.index_of(&target), Some(index));
     }
 }
--- a/alderhaven-relay/src/crash_watch.rs
+++ b/alderhaven-relay/src/crash_watch.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct CrashIncident {
     /// The random number that names it.
-    pub number: u64,
+    pub id: u64,
     /// The attempts.
     pub attempts: SmallVec<[AttemptId; 4]>,
     /// Their requests and shards.
@@ -30,24 +30,29 @@
 
 impl CrashWatch {
     /// Notes an attempt that is sent to the target.
-    pub fn started(&mut self, id: AttemptId, fingerprint: RequestFingerprint, shard: ShardId) {
+    pub fn record_started(
+        &mut self,
+        id: AttemptId,
+        fingerprint: RequestFingerprint,
+        shard: ShardId,
+    ) {
         self.running.insert(id, (fingerprint, shard));
     }
 
     /// Notes that an attempt is over and was answered.
-    pub fn ended(&mut self, id: AttemptId) {
+    pub fn record_finished(&mut self, id: AttemptId) {
         self.running.remove(&id);
     }
 
     /// Gets the incident that an attempt's loss belongs to; `number` names a new one.
-    pub fn lost(&mut self, id: AttemptId, number: u64) -> CrashIncident {
+    pub fn record_loss(&mut self, id: AttemptId, number: u64) -> CrashIncident {
         if let Some(incident) = &self.incident
             && incident.attempts.contains(&id)
         {
             return incident.clone();
         }
         let incident = CrashIncident {
-            number,
+            id: number,
             attempts: self.running.keys().copied().collect(),
             in_flight: self.running.values().copied().collect(),
         };
--- a/alderhaven-relay/src/lane_options.rs
+++ b/alderhaven-relay/src/dispatch_options.rs
@@ -8,7 +8,7 @@
 
 /// A `LaneOptions` holds what all lanes of a relay have in common.
 #[derive(Clone, Debug, Default)]
-pub struct LaneOptions {
+pub struct DispatchOptions {
     /// The decisions to run.
     pub policy: PolicyKind,
     /// The settings of the queues.
--- a/alderhaven-relay/src/lane_table.rs
+++ b/alderhaven-relay/src/dispatcher_table.rs
@@ -16,39 +16,39 @@
 use tokio::time;
 use tokio::time::MissedTickBehavior;
 
-use crate::lane_options::LaneOptions;
+use crate::dispatch_options::DispatchOptions;
 use crate::metrics::AttemptCounters;
 use crate::target_connections::TargetConnections;
-use crate::target_lane::{LaneReport, LaneShared, TargetLane};
+use crate::target_dispatcher::{DispatcherContext, DispatcherReport, TargetDispatcher};
 
 /// The time between two looks for attempts whose time is up: little beside a deadline.
-const EXPIRY_TICK: Duration = Duration::from_millis(5);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The most targets that a relay has lanes to, over twice the 3,400 servers of the two-year size.
 pub const MAX_TARGETS: usize = 8192;
 
 /// A `TargetLanes` is the lanes of one target, mostly one.
-pub type TargetLanes = SmallVec<[Arc<TargetLane>; 1]>;
+pub type TargetDispatchers = SmallVec<[Arc<TargetDispatcher>; 1]>;
 
-type LaneMap = HashMap<TargetId, TargetLanes>;
+type DispatcherMap = HashMap<TargetId, TargetDispatchers>;
 
 /// A `LaneTable` finds the lane of a target; reads take no lock.
 #[derive(Debug)]
-pub struct LaneTable {
-    options: LaneOptions,
+pub struct DispatcherTable {
+    options: DispatchOptions,
     clock: ProcessClock,
     counters: AttemptCounters,
-    watch: TargetWatch,
+    target_watch: TargetWatch,
     strikes: Arc<StrikeTracker>,
-    lanes: ArcSwap<LaneMap>,
-    writing: Mutex<()>,
+    dispatchers: ArcSwap<DispatcherMap>,
+    write_lock: Mutex<()>,
 }
 
-impl LaneTable {
+impl DispatcherTable {
     /// Returns an empty table.
     #[must_use]
     pub fn new(
-        options: LaneOptions,
+        options: DispatchOptions,
         counters: AttemptCounters,
         watch: TargetWatch,
         strikes: Arc<StrikeTracker>,
@@ -58,10 +58,10 @@
             options,
             clock,
             counters,
-            watch,
+            target_watch: watch,
             strikes,
-            lanes: ArcSwap::default(),
-            writing: Mutex::new(()),
+            dispatchers: ArcSwap::default(),
+            write_lock: Mutex::new(()),
         }
     }
 
@@ -71,10 +71,10 @@
     /// once nothing is left in it. Returns none where the attempt's target or address can't be read,
     /// or where there are as many lanes as may be.
     #[must_use]
-    pub fn lane_for(&self, attempt: &ScatterAttempt) -> Option<Arc<TargetLane>> {
+    pub fn dispatcher_for(&self, attempt: &ScatterAttempt) -> Option<Arc<TargetDispatcher>> {
         let target: TargetId = attempt.target.parse().ok()?;
         let address: SocketAddr = attempt.address.parse().ok()?;
-        if let Some(lane) = find(&self.lanes.load(), &target, address) {
+        if let Some(lane) = find_dispatcher(&self.dispatchers.load(), &target, address) {
             return Some(lane);
         }
         // An entry of an earlier release does not name the domain; the target then stands alone.
@@ -83,14 +83,14 @@
             .parse()
             .or_else(|_| attempt.target.parse())
             .ok()?;
-        self.add(target, address, domain, attempt.slots)
+        self.add_dispatcher(target, address, domain, attempt.slots)
     }
 
     /// Makes the lane of a target ahead of its first attempt.
-    pub fn prepare(&self, replica: &ReplicaEntry) {
-        if find(&self.lanes.load(), &replica.target, replica.address).is_none() {
+    pub fn prepare_target(&self, replica: &ReplicaEntry) {
+        if find_dispatcher(&self.dispatchers.load(), &replica.target, replica.address).is_none() {
             let domain = replica.domain.clone();
-            self.add(
+            self.add_dispatcher(
                 replica.target.clone(),
                 replica.address,
                 domain,
@@ -101,21 +101,21 @@
 
     /// Gets the number of attempts that wait or are at targets.
     #[must_use]
-    pub fn unfinished(&self) -> usize {
-        self.lanes
+    pub fn unfinished_count(&self) -> usize {
+        self.dispatchers
             .load()
             .values()
             .flatten()
-            .map(|lane| lane.unfinished())
+            .map(|lane| lane.unfinished_count())
             .sum()
     }
 
     /// Gets the lanes of a target that has had attempts, one for each of its addresses.
     #[must_use]
-    pub fn lanes_of(&self, target: &str) -> TargetLanes {
+    pub fn dispatchers_of(&self, target: &str) -> TargetDispatchers {
         let target: Option<TargetId> = target.parse().ok();
         target
-            .and_then(|target| self.lanes.load().get(&target).cloned())
+            .and_then(|target| self.dispatchers.load().get(&target).cloned())
             .unwrap_or_default()
     }
 
@@ -136,20 +136,20 @@
     /// An attempt that has been given up on gets its answer within one tick, not when the target
     /// next frees a slot.
     pub async fn expire_forever(self: Arc<Self>) {
-        let mut ticks = time::interval(EXPIRY_TICK);
+        let mut ticks = time::interval(EXPIRY_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            for lane in self.lanes.load().values().flatten() {
-                lane.expire();
+            for lane in self.dispatchers.load().values().flatten() {
+                lane.expire_waiting();
             }
         }
     }
 
     /// Gets all lanes.
     #[must_use]
-    pub fn all(&self) -> Vec<(TargetId, Arc<TargetLane>)> {
-        self.lanes
+    pub fn all_dispatchers(&self) -> Vec<(TargetId, Arc<TargetDispatcher>)> {
+        self.dispatchers
             .load()
             .iter()
             .flat_map(|(target, lanes)| lanes.iter().map(|lane| (target.clone(), Arc::clone(lane))))
@@ -158,24 +158,27 @@
 
     /// Gets the state of all lanes for the dump.
     #[must_use]
-    pub fn reports(&self) -> HashMap<String, LaneReport> {
-        self.all()
+    pub fn reports(&self) -> HashMap<String, DispatcherReport> {
+        self.all_dispatchers()
             .into_iter()
             .map(|(target, lane)| (target.to_string(), lane.report()))
             .collect()
     }
 
-    fn add(
+    fn add_dispatcher(
         &self,
         target: TargetId,
         address: SocketAddr,
         domain: FailureDomain,
         slots: u32,
-    ) -> Option<Arc<TargetLane>> {
-        let _writing = self.writing.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut lanes = HashMap::clone(&self.lanes.load());
+    ) -> Option<Arc<TargetDispatcher>> {
+        let _writing = self
+            .write_lock
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let mut lanes = HashMap::clone(&self.dispatchers.load());
         // Another thread may have added the lane while this one waited.
-        if let Some(lane) = find(&lanes, &target, address) {
+        if let Some(lane) = find_dispatcher(&lanes, &target, address) {
             return Some(lane);
         }
         if lanes.len() >= MAX_TARGETS && !lanes.contains_key(&target) {
@@ -187,27 +190,31 @@
             self.options.health.clone(),
             self.clock,
         );
-        let shared = LaneShared {
+        let shared = DispatcherContext {
             target: target.clone(),
             domain,
             connections,
             clock: self.clock,
             counters: self.counters.clone(),
-            watch: self.watch.clone(),
+            target_watch: self.target_watch.clone(),
             strikes: Arc::clone(&self.strikes),
         };
-        let lane = Arc::new(TargetLane::new(shared, slots, &self.options));
+        let lane = Arc::new(TargetDispatcher::new(shared, slots, &self.options));
         let of_target = lanes.entry(target).or_default();
-        of_target.retain(|earlier| earlier.unfinished() > 0);
+        of_target.retain(|earlier| earlier.unfinished_count() > 0);
         of_target.push(Arc::clone(&lane));
         let warmed = Arc::clone(&lane);
-        tokio::spawn(async move { warmed.warm().await });
-        self.lanes.store(Arc::new(lanes));
+        tokio::spawn(async move { warmed.open_connections().await });
+        self.dispatchers.store(Arc::new(lanes));
         Some(lane)
     }
 }
 
-fn find(lanes: &LaneMap, target: &TargetId, address: SocketAddr) -> Option<Arc<TargetLane>> {
+fn find_dispatcher(
+    lanes: &DispatcherMap,
+    target: &TargetId,
+    address: SocketAddr,
+) -> Option<Arc<TargetDispatcher>> {
     let of_target = lanes.get(target)?;
     let found = of_target.iter().find(|lane| lane.address() == address);
     found.cloned()
--- a/alderhaven-relay/src/lib.rs
+++ b/alderhaven-relay/src/lib.rs
@@ -4,13 +4,13 @@
 
 pub mod connection_probe;
 pub mod crash_watch;
-pub mod lane_attempt;
-pub mod lane_options;
-pub mod lane_table;
+pub mod dispatch_options;
+pub mod dispatcher_table;
 pub mod metrics;
 pub mod node;
 pub mod peer_server;
+pub mod relay_attempt;
 pub mod settings;
 pub mod target_call;
 pub mod target_connections;
-pub mod target_lane;
+pub mod target_dispatcher;
--- a/alderhaven-relay/src/metrics.rs
+++ b/alderhaven-relay/src/metrics.rs
@@ -25,11 +25,11 @@
 /// An `AttemptCounters` counts attempts by their outcome; its clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptCounters {
-    counters: Family<AttemptLabels, Counter>,
+    by_outcome: Family<AttemptLabels, Counter>,
     /// The deaths of targets' processes with attempts in flight.
-    pub crashes: Counter,
+    pub target_crashes: Counter,
     /// The attempts whose connection was silent while a new one worked.
-    pub silent: Counter,
+    pub silent_connections: Counter,
 }
 
 /// A `RelayMetrics` counts what a relay does.
@@ -44,7 +44,7 @@
 
 impl AttemptCounters {
     /// Counts an attempt.
-    pub fn observe(&self, outcome: AttemptOutcome) {
+    pub fn record_outcome(&self, outcome: AttemptOutcome) {
         let outcome = match outcome {
             AttemptOutcome::Answered => OutcomeLabel::Answered,
             AttemptOutcome::NotRun(_) => OutcomeLabel::NotRun,
@@ -52,7 +52,7 @@
             AttemptOutcome::VersionGone => OutcomeLabel::VersionGone,
             AttemptOutcome::Unknown => OutcomeLabel::Unknown,
         };
-        self.counters
+        self.by_outcome
             .get_or_create(&AttemptLabels { outcome })
             .inc();
     }
@@ -65,17 +65,17 @@
         registry.register(
             "attempts",
             "Attempts at targets by outcome",
-            attempts.counters.clone(),
+            attempts.by_outcome.clone(),
         );
         registry.register(
             "target_crashes",
             "Deaths of targets' processes with attempts in flight",
-            attempts.crashes.clone(),
+            attempts.target_crashes.clone(),
         );
         registry.register(
             "silent_connections",
             "Attempts whose connection was silent while a new one worked",
-            attempts.silent.clone(),
+            attempts.silent_connections.clone(),
         );
         let refused_connections = Counter::default();
         registry.register(
--- a/alderhaven-relay/src/node.rs
+++ b/alderhaven-relay/src/node.rs
@@ -26,13 +26,13 @@
 use tokio::time;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::lane_table::LaneTable;
+use crate::dispatcher_table::DispatcherTable;
 use crate::metrics::RelayMetrics;
 use crate::peer_server;
 use crate::settings::RelaySettings;
 
 /// The time that the last replies have to be written out.
-const LAST_WRITES: Duration = Duration::from_millis(200);
+const REPLY_FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// A `RelayNode` is a running relay; dropping it ends its tasks.
 #[derive(Debug)]
@@ -52,9 +52,9 @@
     /// The configuration in force.
     pub config: ConfigHandle,
     /// The lanes to targets.
-    pub table: Arc<LaneTable>,
+    pub table: Arc<DispatcherTable>,
     /// The targets that get no new work.
-    pub watch: TargetWatch,
+    pub target_watch: TargetWatch,
     /// What is counted.
     pub metrics: RelayMetrics,
     /// The group of entries and relays.
@@ -82,8 +82,8 @@
             settings.quarantine.clone(),
             clock,
         ));
-        let table = Arc::new(LaneTable::new(
-            settings.lane_options(),
+        let table = Arc::new(DispatcherTable::new(
+            settings.dispatch_options(),
             metrics.attempts.clone(),
             watch.clone(),
             strikes,
@@ -96,18 +96,17 @@
             node: settings.node.clone(),
             config,
             table: Arc::clone(&table),
-            watch: watch.clone(),
+            target_watch: watch.clone(),
             metrics,
             group: group.clone(),
             stop: stop.clone(),
         });
         let lanes = Arc::clone(&table);
         let tasks = [
-            tokio::spawn(prepare_lanes(Arc::clone(&state))),
-            tokio::spawn(
-                stop.clone()
-                    .drive(settings.stop.clone(), group, move || lanes.unfinished()),
-            ),
+            tokio::spawn(prepare_dispatchers(Arc::clone(&state))),
+            tokio::spawn(stop.clone().drive(settings.stop.clone(), group, move || {
+                lanes.unfinished_count()
+            })),
             tokio::spawn(watch.clone().follow(Arc::new(hosts), state.config.clone())),
             tokio::spawn(Arc::clone(&table).expire_forever()),
             tokio::spawn(peer_server::serve(
@@ -159,7 +158,7 @@
     pub async fn stopped(&self) -> StopReport {
         let report = self.state.stop.stopped().await;
         // The last replies are in the senders' queues; they are written out within this time.
-        time::sleep(LAST_WRITES).await;
+        time::sleep(REPLY_FLUSH_TIME).await;
         report
     }
 
@@ -208,7 +207,7 @@
     }
 
     fn dump(&self) -> Value {
-        json!({ "status": self.status(), "lanes": self.table.reports(), "leaving_targets": *self.watch.leaving_names(),
+        json!({ "status": self.status(), "lanes": self.table.reports(), "leaving_targets": *self.target_watch.leaving_names(),
             "quarantine": self.table.strikes().entries(),
             "members": &*self.group.members(), "group": self.group.snapshot() })
     }
@@ -218,7 +217,7 @@
             "node": self.node,
             "role": "relay",
             "state": self.stop.state(),
-            "in_flight": self.table.unfinished(),
+            "in_flight": self.table.unfinished_count(),
             "config": self.config.status(),
         })
     }
@@ -243,13 +242,13 @@
 /// Makes the lanes, with their connections, of the targets that this relay is the first for.
 ///
 /// A new connection costs up to 6 ms, which the first queries after a hand-over would else pay.
-async fn prepare_lanes(state: Arc<RelayState>) {
+async fn prepare_dispatchers(state: Arc<RelayState>) {
     let mut config_changed = state.config.subscribe();
     let mut group_changed = state.group.subscribe();
     loop {
         config_changed.borrow_and_update();
         group_changed.borrow_and_update();
-        prepare_own(&state);
+        prepare_primary_targets(&state);
         let ended = tokio::select! {
             changed = config_changed.changed() => changed.is_err(),
             changed = group_changed.changed() => changed.is_err(),
@@ -260,7 +259,7 @@
     }
 }
 
-fn prepare_own(state: &RelayState) {
+fn prepare_primary_targets(state: &RelayState) {
     let candidates: Vec<RelayCandidate> = state
         .group
         .working_members(MemberRole::Relay)
@@ -287,7 +286,7 @@
     let subsets = RelaySubsets::choose(&targets, &candidates, &SubsetOptions::default());
     for replica in replicas {
         if subsets.relays_of(&replica.target).first() == Some(&state.node) {
-            state.table.prepare(replica);
+            state.table.prepare_target(replica);
         }
     }
 }
--- a/alderhaven-relay/src/peer_server.rs
+++ b/alderhaven-relay/src/peer_server.rs
@@ -21,17 +21,17 @@
 use tokio::sync::Semaphore;
 use tokio::time;
 
-use crate::lane_attempt::LaneAttempt;
-use crate::lane_table::LaneTable;
+use crate::dispatcher_table::DispatcherTable;
+use crate::relay_attempt::RelayAttempt;
 
 /// The pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// The longest remaining time that an entry may claim; it bounds how long an attempt is held.
 const MAX_REMAINING: TimeSpan = TimeSpan::from_secs(60);
 
 /// The silence after which the connection of an entry that sends pings is closed; entries give up a
 /// silent connection within seconds.
-const ENTRY_SILENCE: Duration = Duration::from_secs(10);
+const ENTRY_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Accepts connections from entries until the process ends.
 ///
@@ -39,7 +39,7 @@
 /// queue would hold a link that looks open and send attempts into it.
 pub async fn serve(
     listener: TcpListener,
-    table: Arc<LaneTable>,
+    table: Arc<DispatcherTable>,
     stop: StopHandle,
     connection_limit: usize,
     refused: Counter,
@@ -48,7 +48,7 @@
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Out of file descriptors: later ones may be free again.
-            time::sleep(ACCEPT_PAUSE).await;
+            time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
@@ -66,7 +66,7 @@
 
 /// Serves one entry. When the relay leaves, the entry is told on this connection at once, so that
 /// it sends elsewhere before gossip has reached it; attempts that are on their way are still run.
-async fn serve_entry(stream: TcpStream, table: &LaneTable, stop: &StopHandle) {
+async fn serve_entry(stream: TcpStream, table: &DispatcherTable, stop: &StopHandle) {
     let Ok((sender, mut reader)) = connection::split(stream) else {
         return;
     };
@@ -77,10 +77,10 @@
     let mut is_told = false;
     loop {
         tokio::select! {
-            message = next_message(&mut reader, has_pinged) => match message {
+            message = next_entry_message(&mut reader, has_pinged) => match message {
                 Some(message) => {
                     has_pinged |= matches!(message, PeerMessage::Ping(_));
-                    handle(table, &sender, message);
+                    handle_message(table, &sender, message);
                 }
                 None => return,
             },
@@ -94,19 +94,19 @@
 
 /// Reads the next message; one that sends pings and then nothing has a connection that is silent,
 /// which it has replaced by now.
-async fn next_message(reader: &mut FrameReader, has_pinged: bool) -> Option<PeerMessage> {
+async fn next_entry_message(reader: &mut FrameReader, has_pinged: bool) -> Option<PeerMessage> {
     if !has_pinged {
         return connection::next_message(reader).await;
     }
-    time::timeout(ENTRY_SILENCE, connection::next_message(reader))
+    time::timeout(ENTRY_SILENCE_TIMEOUT, connection::next_message(reader))
         .await
         .ok()
         .flatten()
 }
 
-fn handle(table: &LaneTable, sender: &FrameSender, message: PeerMessage) {
+fn handle_message(table: &DispatcherTable, sender: &FrameSender, message: PeerMessage) {
     match message {
-        PeerMessage::Scatter(request) => scatter(table, sender, &request),
+        PeerMessage::Scatter(request) => offer_attempts(table, sender, &request),
         PeerMessage::Cancel(cancel) => cancel_attempts(table, &cancel),
         PeerMessage::Strikes(notice) => table.strikes().merge(&notice),
         PeerMessage::Ping(ping) => {
@@ -125,27 +125,27 @@
     }
 }
 
-fn scatter(table: &LaneTable, sender: &FrameSender, request: &ScatterRequest) {
+fn offer_attempts(table: &DispatcherTable, sender: &FrameSender, request: &ScatterRequest) {
     let arrived = table.clock().now();
     let remaining = TimeSpan::from_micros(request.remaining_us).min(MAX_REMAINING);
     let class = QueryClass::from_rank(u8::try_from(request.class).unwrap_or(u8::MAX));
     let template: Option<TemplateName> = request.template.parse().ok();
     let fingerprint = RequestFingerprint::of_canonical(&request.template, &request.parameters);
     for attempt in &request.attempts {
-        let (Some(lane), Some(template)) = (table.lane_for(attempt), template.clone()) else {
-            refuse(sender, attempt.sequence);
+        let (Some(lane), Some(template)) = (table.dispatcher_for(attempt), template.clone()) else {
+            reply_no_route(sender, attempt.sequence);
             continue;
         };
-        lane.offer(LaneAttempt {
+        lane.offer(RelayAttempt {
             request: target_request(request, attempt),
             template,
             fingerprint,
             is_idempotent: request.idempotent,
             class,
             order: request.order,
-            hedge: request.is_hedge,
+            is_hedge: request.is_hedge,
             deadline: arrived + remaining,
-            arrived,
+            arrived_at: arrived,
             reply_to: sender.clone(),
         });
     }
@@ -167,7 +167,7 @@
     }
 }
 
-fn refuse(sender: &FrameSender, sequence: u64) {
+fn reply_no_route(sender: &FrameSender, sequence: u64) {
     let reply = AttemptReply {
         sequence,
         status: ReplyStatus::from(AttemptOutcome::NotRun(NotRunReason::NoRoute)).into(),
@@ -176,9 +176,9 @@
     let _entry_gone = sender.send(PeerMessage::Reply(reply));
 }
 
-fn cancel_attempts(table: &LaneTable, cancel: &CancelAttempts) {
+fn cancel_attempts(table: &DispatcherTable, cancel: &CancelAttempts) {
     for attempt in &cancel.attempts {
-        for lane in table.lanes_of(&attempt.target) {
+        for lane in table.dispatchers_of(&attempt.target) {
             lane.cancel(AttemptId {
                 origin: cancel.origin,
                 sequence: attempt.sequence,
--- a/alderhaven-relay/src/lane_attempt.rs
+++ b/alderhaven-relay/src/relay_attempt.rs
@@ -11,7 +11,7 @@
 
 /// A `LaneAttempt` is one attempt that a lane has taken.
 #[derive(Debug)]
-pub struct LaneAttempt {
+pub struct RelayAttempt {
     /// What is asked of the target; its remaining time is set when it is sent.
     pub request: TargetRequest,
     /// The template, by which service times are remembered.
@@ -25,16 +25,16 @@
     /// The order within the class, the same at all relays of the query.
     pub order: u64,
     /// Whether the attempt is a hedge, which runs only where a slot is free.
-    pub hedge: bool,
+    pub is_hedge: bool,
     /// The time after which the answer is of no use.
     pub deadline: TimePoint,
     /// When the attempt came in.
-    pub arrived: TimePoint,
+    pub arrived_at: TimePoint,
     /// Where the reply goes.
     pub reply_to: FrameSender,
 }
 
-impl LaneAttempt {
+impl RelayAttempt {
     /// Gets the attempt's id.
     #[must_use]
     pub const fn id(&self) -> AttemptId {
@@ -43,14 +43,14 @@
 
     /// Gets the attempt as the queue orders it.
     #[must_use]
-    pub fn job(&self) -> QueueJob {
+    pub fn queue_job(&self) -> QueueJob {
         QueueJob {
             id: self.id(),
             class: self.class,
             order: self.order,
             template: self.template.clone(),
             deadline: self.deadline,
-            is_hedge: self.hedge,
+            is_hedge: self.is_hedge,
         }
     }
 
@@ -62,7 +62,7 @@
 
     /// Gets the remaining time at `now`.
     #[must_use]
-    pub const fn remaining(&self, now: TimePoint) -> TimeSpan {
+    pub const fn remaining_time(&self, now: TimePoint) -> TimeSpan {
         now.until(self.deadline)
     }
 }
--- a/alderhaven-relay/src/settings.rs
+++ b/alderhaven-relay/src/settings.rs
@@ -18,12 +18,12 @@
 use alderhaven_policy::target_limit::TargetLimitOptions;
 use serde::{Deserialize, Serialize};
 
-use crate::lane_options::LaneOptions;
+use crate::dispatch_options::DispatchOptions;
 
 /// The most connections that may be allowed, as many as a process can have descriptors for.
-const MAX_CONNECTIONS: usize = 65_536;
+const MAX_PEER_CONNECTIONS: usize = 65_536;
 /// The most waiting attempts a target that may be allowed; each holds about a kilobyte.
-const MAX_JOBS: usize = 65_536;
+const MAX_QUEUED_JOBS: usize = 65_536;
 /// The least and the greatest time that a setting may hold.
 const TIME_RANGE: RangeInclusive<TimeSpan> = TimeSpan::from_millis(1)..=TimeSpan::from_secs(60);
 
@@ -92,8 +92,8 @@
 impl RelaySettings {
     /// Gets the settings of the lanes.
     #[must_use]
-    pub fn lane_options(&self) -> LaneOptions {
-        LaneOptions {
+    pub fn dispatch_options(&self) -> DispatchOptions {
+        DispatchOptions {
             policy: self.policy,
             queue: self.queue.clone(),
             limit: self.limit.clone(),
@@ -122,7 +122,7 @@
         check.within(
             "limits.peer_connections",
             &self.limits.peer_connections,
-            &(1..=MAX_CONNECTIONS),
+            &(1..=MAX_PEER_CONNECTIONS),
         );
         check.within(
             "limits.connect_timeout",
@@ -130,7 +130,11 @@
             &TIME_RANGE,
         );
         check.within("queue.max_wait", &self.queue.max_wait, &TIME_RANGE);
-        check.within("queue.max_jobs", &self.queue.max_jobs, &(1..=MAX_JOBS));
+        check.within(
+            "queue.max_jobs",
+            &self.queue.max_jobs,
+            &(1..=MAX_QUEUED_JOBS),
+        );
         check.within(
             "queue.aged_every",
             &self.queue.aged_start_interval,
--- a/alderhaven-relay/src/target_call.rs
+++ b/alderhaven-relay/src/target_call.rs
@@ -17,7 +17,7 @@
 
 /// A `CallVerdict` is what a call of a target came to.
 #[derive(Debug)]
-pub struct CallVerdict {
+pub struct CallResult {
     /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
     /// The rows, where the target answered.
@@ -27,11 +27,11 @@
     /// Whether the target says that it drains.
     pub is_draining: bool,
     /// How the connection was lost before the reply was whole, where it was.
-    pub loss: Option<ConnectionLoss>,
+    pub connection_loss: Option<ConnectionLoss>,
     /// When the attempt was sent once more, where it was; its time at the target counts from then.
     pub resent_at: Option<TimePoint>,
     /// Whether that was because its first connection was silent.
-    pub found_silence: bool,
+    pub found_silent_connection: bool,
 }
 
 /// A `ConnectionLoss` is how an attempt lost its connection.
@@ -45,14 +45,14 @@
 
 /// A `CallPace` is how long an attempt may take before its silence is looked into.
 #[derive(Clone, Copy, Debug)]
-pub struct CallPace {
+pub struct CallOptions {
     /// The mean time of such attempts at the target.
-    pub expected: TimeSpan,
+    pub expected_service_time: TimeSpan,
     /// Whether the attempt may be repeated, so that it is ended where its connection is silent.
     pub is_idempotent: bool,
 }
 
-impl CallVerdict {
+impl CallResult {
     /// Returns a verdict without a reply of the target.
     #[must_use]
     pub const fn without_reply(outcome: AttemptOutcome) -> Self {
@@ -61,16 +61,16 @@
             rows: Bytes::new(),
             free_slots: None,
             is_draining: false,
-            loss: None,
+            connection_loss: None,
             resent_at: None,
-            found_silence: false,
+            found_silent_connection: false,
         }
     }
 
-    const fn lost(loss: ConnectionLoss) -> Self {
+    const fn with_loss(loss: ConnectionLoss) -> Self {
         let mut verdict = Self::without_reply(AttemptOutcome::Unknown);
-        verdict.loss = Some(loss);
-        verdict.found_silence = matches!(loss, ConnectionLoss::Silent);
+        verdict.connection_loss = Some(loss);
+        verdict.found_silent_connection = matches!(loss, ConnectionLoss::Silent);
         verdict
     }
 
@@ -80,9 +80,9 @@
             rows,
             free_slots: target_dialect::free_slots(headers),
             is_draining: target_dialect::is_draining(headers),
-            loss: None,
+            connection_loss: None,
             resent_at: None,
-            found_silence: false,
+            found_silent_connection: false,
         }
     }
 }
@@ -100,8 +100,8 @@
 struct SentCall {
     outcome: SendOutcome,
     sender: TargetSender,
-    is_kept: bool,
-    sent: TimePoint,
+    is_reused: bool,
+    sent_at: TimePoint,
 }
 
 /// Runs an attempt at its target.
@@ -109,22 +109,22 @@
 /// A kept connection may have been closed by the target while it was idle. Nothing of the request
 /// was written then, so it is sent once more on a new connection. So is one that may be repeated
 /// where the kept connection turned out to be silent.
-pub async fn run(
+pub async fn run_attempt(
     connections: &TargetConnections,
     authority: &str,
     request: &TargetRequest,
-    pace: CallPace,
-) -> CallVerdict {
-    let not_sent = CallVerdict::without_reply(AttemptOutcome::NotRun(NotRunReason::NotSent));
+    pace: CallOptions,
+) -> CallResult {
+    let not_sent = CallResult::without_reply(AttemptOutcome::NotRun(NotRunReason::NotSent));
     let Ok(kept) = connections.take().await else {
         return not_sent;
     };
-    let call = send(connections, kept, authority, request, pace).await;
+    let call = send_attempt(connections, kept, authority, request, pace).await;
     let on_failure = match call.outcome {
         SendOutcome::NotSent => not_sent,
-        SendOutcome::Lost(ConnectionLoss::Silent) => CallVerdict::lost(ConnectionLoss::Silent),
+        SendOutcome::Lost(ConnectionLoss::Silent) => CallResult::with_loss(ConnectionLoss::Silent),
         SendOutcome::Replied(_) | SendOutcome::Lost(ConnectionLoss::Closed) => {
-            return finish(connections, request, call).await;
+            return read_reply(connections, request, call).await;
         }
     };
     // Boxed, since it is rare: else each attempt's own future would be of its size.
@@ -143,27 +143,31 @@
     connections: &TargetConnections,
     authority: &str,
     request: &TargetRequest,
-    pace: CallPace,
-    on_failure: CallVerdict,
-) -> CallVerdict {
+    pace: CallOptions,
+    on_failure: CallResult,
+) -> CallResult {
     let resent_at = connections.clock().now();
     let Ok(new) = connections.connect().await else {
         return on_failure;
     };
-    let call = send(connections, new, authority, request, pace).await;
+    let call = send_attempt(connections, new, authority, request, pace).await;
     if matches!(call.outcome, SendOutcome::NotSent) {
         return on_failure;
     }
-    let mut verdict = finish(connections, request, call).await;
+    let mut verdict = read_reply(connections, request, call).await;
     verdict.resent_at = Some(resent_at);
-    verdict.found_silence = on_failure.loss.is_some();
+    verdict.found_silent_connection = on_failure.connection_loss.is_some();
     verdict
 }
 
 /// Asks a target to drop an attempt whose answer is no longer wanted.
 ///
 /// It goes over a connection of its own: closing the attempt's connection would cost a new one.
-pub async fn cancel(connections: &TargetConnections, authority: &str, request: &TargetRequest) {
+pub async fn cancel_attempt(
+    connections: &TargetConnections,
+    authority: &str,
+    request: &TargetRequest,
+) {
     let Ok(TakenConnection { mut sender, .. }) = connections.take().await else {
         return;
     };
@@ -181,32 +185,32 @@
     }
 }
 
-async fn send(
+async fn send_attempt(
     connections: &TargetConnections,
     taken: TakenConnection,
     authority: &str,
     request: &TargetRequest,
-    pace: CallPace,
+    pace: CallOptions,
 ) -> SentCall {
     let mut sender = taken.sender;
     let sent = connections.clock().now();
     let outcome = match request.to_http(authority) {
         Ok(message) => {
             let idle_before = taken.idle_for.unwrap_or_default();
-            let replying = reply_of(&mut sender, message);
-            watch(connections, replying, pace, idle_before, sent).await
+            let replying = send_and_receive(&mut sender, message);
+            await_reply_or_silence(connections, replying, pace, idle_before, sent).await
         }
         Err(_) => SendOutcome::NotSent,
     };
     SentCall {
         outcome,
         sender,
-        is_kept: taken.idle_for.is_some(),
-        sent,
+        is_reused: taken.idle_for.is_some(),
+        sent_at: sent,
     }
 }
 
-async fn reply_of(sender: &mut TargetSender, message: Request<Full<Bytes>>) -> SendOutcome {
+async fn send_and_receive(sender: &mut TargetSender, message: Request<Full<Bytes>>) -> SendOutcome {
     match sender.try_send_request(message).await {
         Ok(response) => SendOutcome::Replied(response),
         // hyper hands a request back only where no byte of it was written; without that proof the
@@ -219,22 +223,22 @@
 }
 
 /// Waits for the reply, and looks into its silence where it takes unusually long.
-async fn watch(
+async fn await_reply_or_silence(
     connections: &TargetConnections,
     replying: impl Future<Output = SendOutcome>,
-    pace: CallPace,
+    pace: CallOptions,
     idle_before: TimeSpan,
     sent: TimePoint,
 ) -> SendOutcome {
     tokio::pin!(replying);
-    let Some(bound) = connections.silence_bound(pace.expected) else {
+    let Some(bound) = connections.silence_bound(pace.expected_service_time) else {
         return replying.await;
     };
     let mut pause = bound;
     loop {
         let looking = async {
             time::sleep(pause.as_duration()).await;
-            Box::pin(connections.is_silent(idle_before, sent)).await
+            Box::pin(connections.probe_for_silence(idle_before, sent)).await
         };
         let is_silent = tokio::select! {
             biased;
@@ -249,34 +253,34 @@
     }
 }
 
-async fn finish(
+async fn read_reply(
     connections: &TargetConnections,
     request: &TargetRequest,
     call: SentCall,
-) -> CallVerdict {
+) -> CallResult {
     let response = match call.outcome {
         SendOutcome::Replied(response) => response,
         SendOutcome::NotSent => {
-            return CallVerdict::without_reply(AttemptOutcome::NotRun(NotRunReason::NotSent));
+            return CallResult::without_reply(AttemptOutcome::NotRun(NotRunReason::NotSent));
         }
-        SendOutcome::Lost(loss) => return CallVerdict::lost(loss),
+        SendOutcome::Lost(loss) => return CallResult::with_loss(loss),
     };
-    connections.note_replied(call.is_kept, call.sent);
+    connections.record_reply(call.is_reused, call.sent_at);
     let (head, body) = response.into_parts();
     let judged = request.classify_reply(head.status, &head.headers);
     match Limited::new(body, MAX_REPLY_BYTES).collect().await {
         Ok(rows) => {
             connections.give_back(call.sender);
-            CallVerdict::with_reply(judged, &head.headers, rows.to_bytes())
+            CallResult::with_reply(judged, &head.headers, rows.to_bytes())
         }
         // A truncated answer is no answer, though the target ran the attempt. The connection is
         // dropped: its next bytes could belong to this answer.
         Err(_) if judged == AttemptOutcome::Answered => {
             let mut verdict =
-                CallVerdict::with_reply(AttemptOutcome::Unknown, &head.headers, Bytes::new());
-            verdict.loss = Some(ConnectionLoss::Closed);
+                CallResult::with_reply(AttemptOutcome::Unknown, &head.headers, Bytes::new());
+            verdict.connection_loss = Some(ConnectionLoss::Closed);
             verdict
         }
-        Err(_) => CallVerdict::with_reply(judged, &head.headers, Bytes::new()),
+        Err(_) => CallResult::with_reply(judged, &head.headers, Bytes::new()),
     }
 }
