--- a/alderhaven-relay/src/target_connections.rs
+++ b/alderhaven-relay/src/target_connections.rs
@@ -21,9 +21,9 @@
 use crate::connection_probe;
 
 /// How often a target that closes new connections is asked whether its process still runs.
-const DEATH_LOOKS: usize = 20;
+const MAX_CRASH_PROBES: usize = 20;
 /// The pause between two of those; a process that ends closes all it has within milliseconds.
-const DEATH_PAUSE: Duration = Duration::from_millis(5);
+const CRASH_PROBE_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A `TargetSender` is one connection that can carry one request at a time.
 pub type TargetSender = SendRequest<Full<Bytes>>;
@@ -52,25 +52,25 @@
     connect_timeout: TimeSpan,
     clock: ProcessClock,
     idle: Mutex<Vec<IdleConnection>>,
-    health: Mutex<PathHealth>,
+    path_health: Mutex<PathHealth>,
     /// Held while a probe is under way, so that there is one at a time.
-    probing: tokio::sync::Mutex<Option<ProbeResult>>,
+    last_probe: tokio::sync::Mutex<Option<ProbeResult>>,
 }
 
 #[derive(Debug)]
 struct IdleConnection {
     sender: TargetSender,
-    since: TimePoint,
+    idle_since: TimePoint,
 }
 
 #[derive(Debug)]
 struct PathHealth {
     health: ConnectionHealth,
     /// When the latest attempt of those that were answered had been sent.
-    answered_sent: Option<TimePoint>,
-    probe_began: TimePoint,
-    replaced: u64,
-    probes: u64,
+    last_answered_sent: Option<TimePoint>,
+    probe_started_at: TimePoint,
+    replaced_count: u64,
+    probe_count: u64,
 }
 
 /// A `PathReport` is what is believed of a target's connections, for the dump.
@@ -86,14 +86,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ProbeResult {
-    ended: TimePoint,
+    ended_at: TimePoint,
     is_answered: bool,
 }
 
 /// Ends a probe as silent where its attempt no longer waits for it.
 struct ProbeGuard<'a> {
     connections: &'a TargetConnections,
-    is_over: bool,
+    is_finished: bool,
 }
 
 impl TargetConnections {
@@ -110,14 +110,14 @@
             connect_timeout,
             clock,
             idle: Mutex::new(Vec::new()),
-            health: Mutex::new(PathHealth {
+            path_health: Mutex::new(PathHealth {
                 health: ConnectionHealth::new(options),
-                answered_sent: None,
-                probe_began: TimePoint::START,
-                replaced: 0,
-                probes: 0,
+                last_answered_sent: None,
+                probe_started_at: TimePoint::START,
+                replaced_count: 0,
+                probe_count: 0,
             }),
-            probing: tokio::sync::Mutex::new(None),
+            last_probe: tokio::sync::Mutex::new(None),
         }
     }
 
@@ -136,17 +136,17 @@
     /// Gets the number of idle connections.
     #[must_use]
     pub fn idle_count(&self) -> usize {
-        self.idle().len()
+        self.lock_idle().len()
     }
 
     /// Gets what is believed of the connections.
     #[must_use]
     pub fn report(&self) -> PathReport {
-        let path = self.path();
+        let path = self.lock_path();
         PathReport {
             state: path.health.state(),
-            probes: path.probes,
-            replaced: path.replaced,
+            probes: path.probe_count,
+            replaced: path.replaced_count,
         }
     }
 
@@ -155,14 +155,14 @@
     /// # Errors
     /// An error of the operating system, or a time-out: no byte of a request was sent.
     pub async fn take(&self) -> io::Result<TakenConnection> {
-        while self.path().health.may_reuse() {
-            let Some(kept) = self.idle().pop() else {
+        while self.lock_path().health.may_reuse() {
+            let Some(kept) = self.lock_idle().pop() else {
                 break;
             };
             if kept.sender.is_ready() {
                 return Ok(TakenConnection {
                     sender: kept.sender,
-                    idle_for: Some(self.clock.now().since(kept.since)),
+                    idle_for: Some(self.clock.now().since(kept.idle_since)),
                 });
             }
         }
@@ -175,7 +175,10 @@
     pub fn give_back(&self, sender: TargetSender) {
         if !sender.is_closed() {
             let since = self.clock.now();
-            self.idle().push(IdleConnection { sender, since });
+            self.lock_idle().push(IdleConnection {
+                sender,
+                idle_since: since,
+            });
         }
     }
 
@@ -201,13 +204,13 @@
     }
 
     /// Notes that an attempt that was sent at `sent` was answered.
-    pub fn note_replied(&self, is_kept: bool, sent: TimePoint) {
-        let mut path = self.path();
-        path.answered_sent = path.answered_sent.max(Some(sent));
+    pub fn record_reply(&self, is_kept: bool, sent: TimePoint) {
+        let mut path = self.lock_path();
+        path.last_answered_sent = path.last_answered_sent.max(Some(sent));
         if !path.health.may_reuse() {
             drop(path);
             // A reply on a new connection says of the old ones what a probe's reply says.
-            self.note(if is_kept {
+            self.apply_event(if is_kept {
                 HealthEvent::Replied
             } else {
                 HealthEvent::ProbeAnswered
@@ -218,20 +221,20 @@
     /// Gets the silence after which an attempt should lead to a probe.
     #[must_use]
     pub fn silence_bound(&self, expected: TimeSpan) -> Option<TimeSpan> {
-        self.path().health.silence_bound(expected)
+        self.lock_path().health.silence_bound(expected)
     }
 
     /// Looks into the silence of an attempt; returns true where its connection is silent and the
     /// target is not to blame.
-    pub async fn is_silent(&self, idle_before: TimeSpan, sent: TimePoint) -> bool {
+    pub async fn probe_for_silence(&self, idle_before: TimeSpan, sent: TimePoint) -> bool {
         if !self.probe().await {
             return false;
         }
-        let path = self.path();
+        let path = self.lock_path();
         path.health.is_silent(&SilentAttempt {
             idle_before,
             sent,
-            last_answered_sent: path.answered_sent,
+            last_answered_sent: path.last_answered_sent,
         })
     }
 
@@ -243,12 +246,17 @@
     /// that counts as no answer yet.
     pub async fn is_process_dead(&self) -> bool {
         let asked = self.clock.now();
-        let limit = self.path().health.options().probe_timeout.as_duration();
-        for _ in 0..DEATH_LOOKS {
+        let limit = self
+            .lock_path()
+            .health
+            .options()
+            .probe_timeout
+            .as_duration();
+        for _ in 0..MAX_CRASH_PROBES {
             match time::timeout(limit, connection_probe::send(self)).await {
                 Ok(Ok(())) => return self.are_all_closed(asked),
                 Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => return true,
-                Ok(Err(_)) => time::sleep(DEATH_PAUSE).await,
+                Ok(Err(_)) => time::sleep(CRASH_PROBE_INTERVAL).await,
                 Err(_) => return false,
             }
         }
@@ -257,26 +265,29 @@
 
     /// Returns true where there were other connections at `point` and all are closed now.
     fn are_all_closed(&self, point: TimePoint) -> bool {
-        let idle = self.idle();
-        let mut others = idle.iter().filter(|kept| kept.since <= point).peekable();
+        let idle = self.lock_idle();
+        let mut others = idle
+            .iter()
+            .filter(|kept| kept.idle_since <= point)
+            .peekable();
         others.peek().is_some() && others.all(|kept| kept.sender.is_closed())
     }
 
     /// Sends a probe, or waits for the one under way; returns true where it is answered.
     async fn probe(&self) -> bool {
         let asked = self.clock.now();
-        let mut last = self.probing.lock().await;
+        let mut last = self.last_probe.lock().await;
         if let Some(result) = *last
-            && result.ended >= asked
+            && result.ended_at >= asked
         {
             return result.is_answered;
         }
-        self.note(HealthEvent::Silent);
+        self.apply_event(HealthEvent::Silent);
         let mut guard = ProbeGuard {
             connections: self,
-            is_over: false,
+            is_finished: false,
         };
-        let limit = self.path().health.options().probe_timeout;
+        let limit = self.lock_path().health.options().probe_timeout;
         let probed = time::timeout(limit.as_duration(), connection_probe::send(self)).await;
         let event = match probed {
             Ok(Ok(())) => HealthEvent::ProbeAnswered,
@@ -285,48 +296,50 @@
             }
             Ok(Err(_)) | Err(_) => HealthEvent::ProbeSilent,
         };
-        guard.is_over = true;
-        self.note(event);
+        guard.is_finished = true;
+        self.apply_event(event);
         let is_answered = event == HealthEvent::ProbeAnswered;
         *last = Some(ProbeResult {
-            ended: self.clock.now(),
+            ended_at: self.clock.now(),
             is_answered,
         });
         is_answered
     }
 
     /// Applies an event and does what follows from it.
-    fn note(&self, event: HealthEvent) {
-        let mut path = self.path();
+    fn apply_event(&self, event: HealthEvent) {
+        let mut path = self.lock_path();
         match path.health.handle(event) {
             HealthAction::Nothing => {}
             HealthAction::Probe => {
-                path.probe_began = self.clock.now();
-                path.probes += 1;
+                path.probe_started_at = self.clock.now();
+                path.probe_count += 1;
             }
             HealthAction::ReplaceIdle => {
-                let began = path.probe_began;
-                let mut idle = self.idle();
+                let began = path.probe_started_at;
+                let mut idle = self.lock_idle();
                 let before = idle.len();
-                idle.retain(|kept| kept.since >= began);
-                path.replaced += (before - idle.len()) as u64;
+                idle.retain(|kept| kept.idle_since >= began);
+                path.replaced_count += (before - idle.len()) as u64;
             }
         }
     }
 
-    fn idle(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
+    fn lock_idle(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn path(&self) -> MutexGuard<'_, PathHealth> {
-        self.health.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_path(&self) -> MutexGuard<'_, PathHealth> {
+        self.path_health
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Drop for ProbeGuard<'_> {
     fn drop(&mut self) {
-        if !self.is_over {
-            self.connections.note(HealthEvent::ProbeSilent);
+        if !self.is_finished {
+            self.connections.apply_event(HealthEvent::ProbeSilent);
         }
     }
 }
--- a/alderhaven-relay/src/target_lane.rs
+++ b/alderhaven-relay/src/target_dispatcher.rs
@@ -21,26 +21,26 @@
 use tokio::time;
 
 use crate::crash_watch::CrashWatch;
-use crate::lane_attempt::LaneAttempt;
-use crate::lane_options::LaneOptions;
+use crate::dispatch_options::DispatchOptions;
 use crate::metrics::AttemptCounters;
+use crate::relay_attempt::RelayAttempt;
 use crate::target_call;
-use crate::target_call::{CallPace, CallVerdict, ConnectionLoss};
+use crate::target_call::{CallOptions, CallResult, ConnectionLoss};
 use crate::target_connections::{PathReport, TargetConnections};
 
 /// A `TargetLane` orders and runs the attempts at one target.
 #[derive(Debug)]
-pub struct TargetLane {
-    shared: LaneShared,
+pub struct TargetDispatcher {
+    context: DispatcherContext,
     authority: String,
-    state: Mutex<LaneState>,
+    state: Mutex<DispatcherState>,
     /// The number of waiting attempts, readable without the lock.
-    waiting: AtomicUsize,
+    waiting_count: AtomicUsize,
 }
 
 /// A `LaneShared` is what a lane is given by its relay.
 #[derive(Debug)]
-pub struct LaneShared {
+pub struct DispatcherContext {
     /// The target.
     pub target: TargetId,
     /// The target's failure domain.
@@ -52,28 +52,28 @@
     /// The counts of attempts.
     pub counters: AttemptCounters,
     /// The targets that get no new work.
-    pub watch: TargetWatch,
+    pub target_watch: TargetWatch,
     /// What is known of requests that crash targets.
     pub strikes: Arc<StrikeTracker>,
 }
 
 #[derive(Debug)]
-struct LaneState {
+struct DispatcherState {
     queue: RelayQueue,
     limit: TargetLimit,
     slots: u32,
-    waiting: HashMap<AttemptId, LaneAttempt>,
+    waiting: HashMap<AttemptId, RelayAttempt>,
     running: HashMap<AttemptId, Arc<Notify>>,
     /// A suspect that has a slot and waits until nothing else runs at the target.
-    held: Option<ReadyAttempt>,
+    held_suspect: Option<ReadyAttempt>,
     /// Whether a suspect runs, with which nothing else is started.
-    is_reserved: bool,
-    crash: CrashWatch,
+    is_suspect_running: bool,
+    crash_watch: CrashWatch,
 }
 
 /// A `LaneReport` is the state of a lane for the dump.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct LaneReport {
+pub struct DispatcherReport {
     /// The target's address.
     pub address: String,
     /// The attempts that wait.
@@ -93,63 +93,63 @@
 /// What becomes of the attempt that is next.
 enum NextAttempt {
     Run(ReadyAttempt),
-    Refuse(LaneAttempt, NotRunReason),
+    Refuse(RelayAttempt, NotRunReason),
 }
 
 /// An attempt that was given a slot, with the means to cancel it.
 #[derive(Debug)]
 struct ReadyAttempt {
-    attempt: LaneAttempt,
+    attempt: RelayAttempt,
     cancelled: Arc<Notify>,
-    waited: TimeSpan,
-    expected: TimeSpan,
+    time_waited: TimeSpan,
+    expected_service_time: TimeSpan,
 }
 
-impl TargetLane {
+impl TargetDispatcher {
     /// Returns a lane to a target with this many declared slots.
     #[must_use]
-    pub fn new(shared: LaneShared, slots: u32, options: &LaneOptions) -> Self {
+    pub fn new(shared: DispatcherContext, slots: u32, options: &DispatchOptions) -> Self {
         let slots = slots.clamp(1, MAX_SLOTS);
         Self {
             authority: shared.connections.address().to_string(),
-            shared,
-            state: Mutex::new(LaneState {
+            context: shared,
+            state: Mutex::new(DispatcherState {
                 queue: RelayQueue::new(options.policy, options.queue.clone()),
                 limit: TargetLimit::new(options.policy, options.limit.clone(), slots),
                 slots,
                 waiting: HashMap::new(),
                 running: HashMap::new(),
-                held: None,
-                is_reserved: false,
-                crash: CrashWatch::default(),
+                held_suspect: None,
+                is_suspect_running: false,
+                crash_watch: CrashWatch::default(),
             }),
-            waiting: AtomicUsize::new(0),
+            waiting_count: AtomicUsize::new(0),
         }
     }
 
     /// Gets the target's address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
-        self.shared.connections.address()
+        self.context.connections.address()
     }
 
     /// Takes an attempt: it is run, queued or refused at once.
-    pub fn offer(self: &Arc<Self>, attempt: LaneAttempt) {
-        let now = self.shared.clock.now();
+    pub fn offer(self: &Arc<Self>, attempt: RelayAttempt) {
+        let now = self.context.clock.now();
         let mut state = self.lock();
         let refusal = if self.is_leaving() {
             Some(self.leaving_reason())
-        } else if self.is_refused(&attempt) {
+        } else if self.is_quarantined(&attempt) {
             Some(NotRunReason::Quarantined)
         } else {
             let slots = state.limit.limit(now);
-            match state.queue.offer(attempt.job(), now, slots) {
+            match state.queue.offer(attempt.queue_job(), now, slots) {
                 OfferOutcome::Queued => None,
                 OfferOutcome::Refused(reason) => Some(reason),
             }
         };
         if let Some(reason) = refusal {
-            let wait = state.wait_of(&attempt, now);
+            let wait = state.estimated_wait(&attempt, now);
             drop(state);
             self.answer_not_run(&attempt, reason, wait);
             return;
@@ -166,7 +166,7 @@
             cancelled.notify_one();
             return;
         }
-        if let Some(held) = state.take_held(id, self.shared.clock.now()) {
+        if let Some(held) = state.take_held_suspect(id, self.context.clock.now()) {
             drop(state);
             self.answer_not_run(&held, NotRunReason::Cancelled, TimeSpan::ZERO);
             self.run_ready();
@@ -182,54 +182,56 @@
     }
 
     /// Answers the waiting attempts whose time is up.
-    pub fn expire(self: &Arc<Self>) {
-        if self.waiting.load(Ordering::Relaxed) > 0 {
+    pub fn expire_waiting(self: &Arc<Self>) {
+        if self.waiting_count.load(Ordering::Relaxed) > 0 {
             self.run_ready();
         }
     }
 
     /// Makes connections ahead of the first attempts, as many as the target has slots.
-    pub async fn warm(&self) {
+    pub async fn open_connections(&self) {
         let slots = self.lock().slots as usize;
-        while self.shared.connections.idle_count() < slots {
-            let Ok(new) = self.shared.connections.connect().await else {
+        while self.context.connections.idle_count() < slots {
+            let Ok(new) = self.context.connections.connect().await else {
                 return;
             };
-            self.shared.connections.give_back(new.sender);
+            self.context.connections.give_back(new.sender);
         }
     }
 
     /// Gets the number of attempts that wait or are at the target.
     #[must_use]
-    pub fn unfinished(&self) -> usize {
+    pub fn unfinished_count(&self) -> usize {
         let state = self.lock();
         state.queue.waiting_count() + state.queue.running_count()
     }
 
     /// Gets the lane's state for the dump.
     #[must_use]
-    pub fn report(&self) -> LaneReport {
-        let now = self.shared.clock.now();
+    pub fn report(&self) -> DispatcherReport {
+        let now = self.context.clock.now();
         let state = self.lock();
-        LaneReport {
+        DispatcherReport {
             address: self.authority.clone(),
             queued: state.queue.waiting_count(),
             in_flight: state.queue.running_count(),
             limit: state.limit.limit(now),
-            idle_connections: self.shared.connections.idle_count(),
-            path: self.shared.connections.report(),
+            idle_connections: self.context.connections.idle_count(),
+            path: self.context.connections.report(),
             draining: self.is_leaving(),
         }
     }
 
     /// Returns true where the target leaves: by its own word, the host list's or an operator's.
     fn is_leaving(&self) -> bool {
-        self.shared.watch.is_leaving(self.shared.target.as_str())
+        self.context
+            .target_watch
+            .is_leaving(self.context.target.as_str())
     }
 
     /// Returns true where the request is refused because it crashed targets.
-    fn is_refused(&self, attempt: &LaneAttempt) -> bool {
-        self.shared
+    fn is_quarantined(&self, attempt: &RelayAttempt) -> bool {
+        self.context
             .strikes
             .refused_for(&attempt.fingerprint)
             .is_some()
@@ -241,27 +243,31 @@
     /// here and use up its retries. What the host list or an operator says an entry hears itself,
     /// also when it is taken back: passed on as the target's word it would be held on to.
     fn leaving_reason(&self) -> NotRunReason {
-        if self.shared.watch.has_reported_drain(&self.shared.target) {
+        if self
+            .context
+            .target_watch
+            .has_reported_drain(&self.context.target)
+        {
             NotRunReason::Draining
         } else {
             NotRunReason::NoRoute
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, LaneState> {
+    fn lock(&self) -> MutexGuard<'_, DispatcherState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Starts queued attempts while the limit allows it and answers those that were dropped.
     fn run_ready(self: &Arc<Self>) {
-        let now = self.shared.clock.now();
+        let now = self.context.clock.now();
         let mut state = self.lock();
         let mut ready = Vec::new();
         if self.is_leaving() {
             state.queue.drop_all(self.leaving_reason());
         }
         let mut refused = Vec::new();
-        while let Some(next) = state.start_next(now, &self.shared.strikes) {
+        while let Some(next) = state.start_next(now, &self.context.strikes) {
             match next {
                 NextAttempt::Run(attempt) => ready.push(attempt),
                 NextAttempt::Refuse(attempt, reason) => refused.push((attempt, reason)),
@@ -271,9 +277,9 @@
         dropped.append(&mut refused);
         let waits: Vec<TimeSpan> = dropped
             .iter()
-            .map(|(attempt, _)| state.wait_of(attempt, now))
+            .map(|(attempt, _)| state.estimated_wait(attempt, now))
             .collect();
-        self.waiting
+        self.waiting_count
             .store(state.queue.waiting_count(), Ordering::Relaxed);
         drop(state);
         for ((attempt, reason), wait) in dropped.into_iter().zip(waits) {
@@ -282,49 +288,50 @@
         for attempt in ready {
             let lane = Arc::clone(self);
             tokio::spawn(async move {
-                lane.run(attempt).await;
+                lane.run_attempt(attempt).await;
                 lane.run_ready();
             });
         }
     }
 
-    async fn run(&self, mut ready: ReadyAttempt) {
-        let started = self.shared.clock.now();
+    async fn run_attempt(&self, mut ready: ReadyAttempt) {
+        let started = self.context.clock.now();
         let attempt = &mut ready.attempt;
-        attempt.request.remaining = attempt.remaining(started);
-        let pace = CallPace {
-            expected: ready.expected,
+        attempt.request.remaining = attempt.remaining_time(started);
+        let pace = CallOptions {
+            expected_service_time: ready.expected_service_time,
             is_idempotent: attempt.is_idempotent,
         };
         let verdict = self.call_target(attempt, pace, &ready.cancelled).await;
-        self.shared.counters.observe(verdict.outcome);
-        self.look_for_crash(attempt, &verdict).await;
-        let now = self.shared.clock.now();
+        self.context.counters.record_outcome(verdict.outcome);
+        self.detect_crash(attempt, &verdict).await;
+        let now = self.context.clock.now();
         let service = now.since(verdict.resent_at.unwrap_or(started));
-        let wait = self.note_finished(attempt, &verdict, service, ready.expected, now);
+        let wait =
+            self.record_finished(attempt, &verdict, service, ready.expected_service_time, now);
         let reply = AttemptReply {
             sequence: attempt.id().sequence,
             status: ReplyStatus::from(verdict.outcome).into(),
             rows: verdict.rows,
             snapshot: attempt.request.snapshot.0,
             version: attempt.request.version.0,
-            queued_us: ready.waited.as_micros(),
+            queued_us: ready.time_waited.as_micros(),
             service_us: service.as_micros(),
             wait_us: wait.as_micros(),
             ran: !query_gather::is_not_run(verdict.outcome),
-            path_lost: verdict.loss == Some(ConnectionLoss::Silent),
+            path_lost: verdict.connection_loss == Some(ConnectionLoss::Silent),
         };
         attempt.reply(reply);
     }
 
     /// Tells everyone of a crash where the target's process died with the attempt in flight, before
     /// the attempt is answered and retried.
-    async fn look_for_crash(&self, attempt: &LaneAttempt, verdict: &CallVerdict) {
-        let shared = &self.shared;
-        if verdict.found_silence {
-            shared.counters.silent.inc();
+    async fn detect_crash(&self, attempt: &RelayAttempt, verdict: &CallResult) {
+        let shared = &self.context;
+        if verdict.found_silent_connection {
+            shared.counters.silent_connections.inc();
         }
-        match verdict.loss {
+        match verdict.connection_loss {
             Some(ConnectionLoss::Closed) => {}
             Some(ConnectionLoss::Silent) => return,
             None => {
@@ -335,59 +342,62 @@
                 return;
             }
         }
-        let incident = self.lock().crash.lost(attempt.id(), rand::random());
+        let incident = self
+            .lock()
+            .crash_watch
+            .record_loss(attempt.id(), rand::random());
         if !Box::pin(shared.connections.is_process_dead()).await {
             return;
         }
         let is_new = shared.strikes.record_crash(&TargetCrash {
-            id: incident.number,
+            id: incident.id,
             target: shared.target.clone(),
             domain: shared.domain.clone(),
             in_flight: incident.in_flight,
         });
         if is_new {
-            shared.counters.crashes.inc();
+            shared.counters.target_crashes.inc();
         }
     }
 
     /// Calls the target until it replies or the attempt's time is up.
     async fn call_target(
         &self,
-        attempt: &LaneAttempt,
-        pace: CallPace,
+        attempt: &RelayAttempt,
+        pace: CallOptions,
         cancelled: &Notify,
-    ) -> CallVerdict {
-        let connections = &self.shared.connections;
-        let call = target_call::run(connections, &self.authority, &attempt.request, pace);
-        let deadline = self.shared.clock.instant(attempt.deadline);
+    ) -> CallResult {
+        let connections = &self.context.connections;
+        let call = target_call::run_attempt(connections, &self.authority, &attempt.request, pace);
+        let deadline = self.context.clock.instant(attempt.deadline);
         let bounded = time::timeout_at(deadline.into(), call);
         tokio::pin!(bounded);
         let replied = tokio::select! {
             replied = &mut bounded => replied,
             () = cancelled.notified() => {
                 // The target is asked to drop the attempt; its slot is free once it has replied.
-                let connections = &self.shared.connections;
-                Box::pin(target_call::cancel(connections, &self.authority, &attempt.request)).await;
+                let connections = &self.context.connections;
+                Box::pin(target_call::cancel_attempt(connections, &self.authority, &attempt.request)).await;
                 bounded.await
             }
         };
-        replied.unwrap_or_else(|_| CallVerdict::without_reply(AttemptOutcome::Unknown))
+        replied.unwrap_or_else(|_| CallResult::without_reply(AttemptOutcome::Unknown))
     }
 
     /// Frees the attempt's slot, learns from its verdict and returns the wait of the next one.
-    fn note_finished(
+    fn record_finished(
         &self,
-        attempt: &LaneAttempt,
-        verdict: &CallVerdict,
+        attempt: &RelayAttempt,
+        verdict: &CallResult,
         service: TimeSpan,
         expected: TimeSpan,
         now: TimePoint,
     ) -> TimeSpan {
         let mut state = self.lock();
         state.running.remove(&attempt.id());
-        state.crash.ended(attempt.id());
+        state.crash_watch.record_finished(attempt.id());
         if state.running.is_empty() {
-            state.is_reserved = false;
+            state.is_suspect_running = false;
         }
         let has_run = verdict.outcome == AttemptOutcome::Answered;
         let measured = has_run.then_some(service);
@@ -409,72 +419,83 @@
             state.limit.record_report(used, now);
         }
         if verdict.is_draining {
-            self.shared.watch.record_draining_reply(&self.shared.target);
+            self.context
+                .target_watch
+                .record_draining_reply(&self.context.target);
             state.queue.drop_all(NotRunReason::Draining);
         }
-        state.wait_of(attempt, now)
+        state.estimated_wait(attempt, now)
     }
 
     /// Answers an attempt that certainly did not run.
-    fn answer_not_run(&self, attempt: &LaneAttempt, reason: NotRunReason, wait: TimeSpan) {
+    fn answer_not_run(&self, attempt: &RelayAttempt, reason: NotRunReason, wait: TimeSpan) {
         let outcome = AttemptOutcome::NotRun(reason);
-        self.shared.counters.observe(outcome);
+        self.context.counters.record_outcome(outcome);
         attempt.reply(AttemptReply {
             sequence: attempt.id().sequence,
             status: ReplyStatus::from(outcome).into(),
-            queued_us: self.shared.clock.now().since(attempt.arrived).as_micros(),
+            queued_us: self
+                .context
+                .clock
+                .now()
+                .since(attempt.arrived_at)
+                .as_micros(),
             wait_us: wait.as_micros(),
             ..AttemptReply::default()
         });
     }
 }
 
-impl LaneState {
+impl DispatcherState {
     /// Gives a slot to the next attempt, if one is free.
     ///
     /// A suspect runs with nothing else at the target: if that crashes, the cause is known, and the
     /// requests that were beside it at the first crash are cleared by their answers. What runs is
     /// awaited, and nothing is started meanwhile.
     fn start_next(&mut self, now: TimePoint, strikes: &StrikeTracker) -> Option<NextAttempt> {
-        if self.is_reserved {
+        if self.is_suspect_running {
             return None;
         }
-        if self.held.is_some() {
-            return self.start_held(now, strikes);
+        if self.held_suspect.is_some() {
+            return self.start_held_suspect(now, strikes);
         }
         let slots = self.limit.in_flight() + self.limit.free_slots(now);
         let started = self.queue.start_next(now, slots)?;
         let attempt = self.waiting.remove(&started.job.id)?;
         self.limit.record_sent();
         let ready = ReadyAttempt {
-            expected: self.queue.expected_service_time(&attempt.template),
+            expected_service_time: self.queue.expected_service_time(&attempt.template),
             attempt,
             cancelled: Arc::new(Notify::new()),
-            waited: started.waited,
+            time_waited: started.waited,
         };
         if strikes.refused_for(&ready.attempt.fingerprint).is_some() {
             return Some(self.refuse(ready, NotRunReason::Quarantined, now));
         }
         if strikes.is_suspect(&ready.attempt.fingerprint) {
-            self.held = Some(ready);
-            return self.start_held(now, strikes);
+            self.held_suspect = Some(ready);
+            return self.start_held_suspect(now, strikes);
         }
         Some(self.start(ready))
     }
 
     /// Starts the held suspect where nothing else runs any more.
-    fn start_held(&mut self, now: TimePoint, strikes: &StrikeTracker) -> Option<NextAttempt> {
+    fn start_held_suspect(
+        &mut self,
+        now: TimePoint,
+        strikes: &StrikeTracker,
+    ) -> Option<NextAttempt> {
         if !self.running.is_empty() {
             return None;
         }
-        let held = self.held.take()?;
+        let held = self.held_suspect.take()?;
         if strikes.refused_for(&held.attempt.fingerprint).is_some() {
             return Some(self.refuse(held, NotRunReason::Quarantined, now));
         }
         if held.attempt.deadline <= now {
             return Some(self.refuse(held, NotRunReason::Expired, now));
         }
-        self.is_reserved = true;
+        self.is_suspect_running = true;
         Some(self.start(held))
     }
 
@@ -482,8 +503,8 @@
         let attempt = &ready.attempt;
         self.running
             .insert(attempt.id(), Arc::clone(&ready.cancelled));
-        self.crash
-            .started(attempt.id(), attempt.fingerprint, attempt.request.shard);
+        self.crash_watch
+            .record_started(attempt.id(), attempt.fingerprint, attempt.request.shard);
         NextAttempt::Run(ready)
     }
 
@@ -496,15 +517,15 @@
     }
 
     /// Takes the held suspect out where it is the named attempt.
-    fn take_held(&mut self, id: AttemptId, now: TimePoint) -> Option<LaneAttempt> {
-        let held = self.held.take_if(|held| held.attempt.id() == id)?;
+    fn take_held_suspect(&mut self, id: AttemptId, now: TimePoint) -> Option<RelayAttempt> {
+        let held = self.held_suspect.take_if(|held| held.attempt.id() == id)?;
         match self.refuse(held, NotRunReason::Cancelled, now) {
             NextAttempt::Run(ready) => Some(ready.attempt),
             NextAttempt::Refuse(attempt, _) => Some(attempt),
         }
     }
 
-    fn take_dropped(&mut self) -> Vec<(LaneAttempt, NotRunReason)> {
+    fn take_dropped(&mut self) -> Vec<(RelayAttempt, NotRunReason)> {
         self.queue
             .take_dropped()
             .into_iter()
@@ -512,7 +533,7 @@
             .collect()
     }
 
-    fn wait_of(&self, attempt: &LaneAttempt, now: TimePoint) -> TimeSpan {
+    fn estimated_wait(&self, attempt: &RelayAttempt, now: TimePoint) -> TimeSpan {
         self.queue
             .estimated_wait(attempt.class, now, self.limit.limit(now))
     }
--- a/alderhaven-relay/tests/peer_frames.rs
+++ b/alderhaven-relay/tests/peer_frames.rs
@@ -27,9 +27,9 @@
 use tokio_util::sync::CancellationToken;
 
 /// The time within which everything must come about; far above what a busy machine needs.
-const LIMIT: Duration = Duration::from_secs(30);
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 /// An address where nothing listens.
-const NOWHERE: &str = "127.0.0.1:1";
+const UNREACHABLE_ADDRESS: &str = "127.0.0.1:1";
 
 /// A `PeerLink` is one connection of an entry.
 struct PeerLink {
@@ -38,7 +38,7 @@
 }
 
 async fn start_relay(peer_connections: usize) -> RelayNode {
-    let platform: SocketAddr = NOWHERE.parse().unwrap();
+    let platform: SocketAddr = UNREACHABLE_ADDRESS.parse().unwrap();
     let store = Arc::new(HttpStore::new(platform, HttpStoreOptions::default()));
     let config = ConfigFollower::start(store, FollowerOptions::default(), CancellationToken::new());
     let settings = json!({
@@ -73,7 +73,7 @@
         .unwrap()
 }
 
-fn scatter(sequence: u64, address: &impl ToString) -> ScatterRequest {
+fn scatter_request(sequence: u64, address: &impl ToString) -> ScatterRequest {
     ScatterRequest {
         origin: 7,
         service: "sample".to_owned(),
@@ -106,11 +106,14 @@
     }
 
     /// Sends an attempt and gets its reply.
-    async fn ask(&mut self, request: ScatterRequest) -> AttemptReply {
+    async fn send_and_receive(&mut self, request: ScatterRequest) -> AttemptReply {
         let sequence = request.attempts[0].sequence;
         self.sender.send(PeerMessage::Scatter(request)).unwrap();
         let next = connection::next_message(&mut self.reader);
-        match time::timeout(LIMIT, next).await.expect("a reply comes") {
+        match time::timeout(WAIT_LIMIT, next)
+            .await
+            .expect("a reply comes")
+        {
             Some(PeerMessage::Reply(reply)) => {
                 assert_eq!(reply.sequence, sequence);
                 reply
@@ -120,7 +123,7 @@
     }
 
     async fn assert_answered(&mut self, request: ScatterRequest) {
-        let reply = self.ask(request).await;
+        let reply = self.send_and_receive(request).await;
         assert_eq!(reply.status(), ReplyStatus::Answered, "{reply:?}");
         assert!(!reply.rows.is_empty());
     }
@@ -132,12 +135,12 @@
     // The relay may close the connection before it has taken all bytes.
     let _closed_before = stream.write_all(bytes).await;
     let mut reply = Vec::new();
-    let ended = time::timeout(LIMIT, stream.read_to_end(&mut reply)).await;
+    let ended = time::timeout(WAIT_LIMIT, stream.read_to_end(&mut reply)).await;
     let _end_or_reset = ended.expect("the relay closes the connection");
     assert_eq!(reply, b"", "nothing is answered to {bytes:?}");
 }
 
-fn frame(body: &[u8]) -> Vec<u8> {
+fn encode_frame(body: &[u8]) -> Vec<u8> {
     let length = u32::try_from(body.len()).unwrap().to_be_bytes();
     [&length, body].concat()
 }
@@ -150,20 +153,21 @@
     let target = start_target().await;
     let relay = start_relay(8).await;
     let mut link = PeerLink::open(&relay).await;
-    link.assert_answered(scatter(1, &target.address())).await;
+    link.assert_answered(scatter_request(1, &target.address()))
+        .await;
     let too_long = u32::try_from(MAX_FRAME_BYTES + 1).unwrap().to_be_bytes();
     let malformed = [
         b"GET / HTTP/1.1\r\nhost: relay\r\n\r\n".to_vec(),
         vec![0xff; 4096],
         too_long.to_vec(),
         // A length beyond the frame's end, a wire type that does not exist, a text that is no UTF-8.
-        frame(&[0x12, 0x7f, 0x00]),
-        frame(&[0x17]),
-        frame(&[0x12, 0x03, 0x12, 0x01, 0xff]),
+        encode_frame(&[0x12, 0x7f, 0x00]),
+        encode_frame(&[0x17]),
+        encode_frame(&[0x12, 0x03, 0x12, 0x01, 0xff]),
     ];
     for (sequence, bytes) in (2..).zip(malformed) {
         send_until_closed(&relay, &bytes).await;
-        link.assert_answered(scatter(sequence, &target.address()))
+        link.assert_answered(scatter_request(sequence, &target.address()))
             .await;
     }
 }
@@ -182,11 +186,12 @@
         &[0x0a, 0x02, 0x78, 0x05],
     ];
     for body in unknown {
-        stream.write_all(&frame(body)).await.unwrap();
+        stream.write_all(&encode_frame(body)).await.unwrap();
     }
     let (sender, reader) = connection::split(stream).unwrap();
     let mut link = PeerLink { sender, reader };
-    link.assert_answered(scatter(1, &target.address())).await;
+    link.assert_answered(scatter_request(1, &target.address()))
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -195,26 +200,26 @@
     let relay = start_relay(8).await;
     let mut link = PeerLink::open(&relay).await;
     let mut unreadable = [
-        scatter(1, &"nowhere"),
-        scatter(2, &target.address()),
-        scatter(3, &target.address()),
+        scatter_request(1, &"nowhere"),
+        scatter_request(2, &target.address()),
+        scatter_request(3, &target.address()),
     ];
     unreadable[1].attempts[0].target = "Not A Target".to_owned();
     unreadable[2].template = String::new();
     for request in unreadable {
-        let reply = link.ask(request).await;
+        let reply = link.send_and_receive(request).await;
         assert_eq!(reply.status(), ReplyStatus::NoRoute, "{reply:?}");
     }
-    let mut absurd = scatter(4, &target.address());
+    let mut absurd = scatter_request(4, &target.address());
     absurd.remaining_us = u64::MAX;
     absurd.class = u32::MAX;
     absurd.order = u64::MAX;
     absurd.attempts[0].slots = u32::MAX;
     absurd.attempts[0].connections = 0;
     link.assert_answered(absurd).await;
-    let mut expired = scatter(5, &target.address());
+    let mut expired = scatter_request(5, &target.address());
     expired.remaining_us = 0;
-    let reply = link.ask(expired).await;
+    let reply = link.send_and_receive(expired).await;
     assert_eq!(reply.status(), ReplyStatus::Expired, "{reply:?}");
     let unknown = |sequence, target: &str| CancelledAttempt {
         sequence,
@@ -225,7 +230,8 @@
         attempts: vec![unknown(1, "sample-0-0"), unknown(2, "none"), unknown(3, "")],
     };
     link.sender.send(PeerMessage::Cancel(cancel)).unwrap();
-    link.assert_answered(scatter(6, &target.address())).await;
+    link.assert_answered(scatter_request(6, &target.address()))
+        .await;
 }
 
 /// More entries connect than the relay takes. Left in the queue of the operating system, their
@@ -236,12 +242,14 @@
     let target = start_target().await;
     let relay = start_relay(1).await;
     let mut link = PeerLink::open(&relay).await;
-    link.assert_answered(scatter(1, &target.address())).await;
+    link.assert_answered(scatter_request(1, &target.address()))
+        .await;
     for _ in 0..3 {
         send_until_closed(&relay, b"").await;
     }
     assert_eq!(relay.state().metrics.refused_connections.get(), 3);
-    link.assert_answered(scatter(2, &target.address())).await;
+    link.assert_answered(scatter_request(2, &target.address()))
+        .await;
 }
 
 /// A target is started anew on another port, under its own name, and a new manifest tells its
@@ -252,10 +260,12 @@
     let relay = start_relay(8).await;
     let mut link = PeerLink::open(&relay).await;
     let first = start_target().await;
-    link.assert_answered(scatter(1, &first.address())).await;
+    link.assert_answered(scatter_request(1, &first.address()))
+        .await;
     let second = start_target().await;
-    link.assert_answered(scatter(2, &second.address())).await;
-    let lanes = relay.state().table.all();
+    link.assert_answered(scatter_request(2, &second.address()))
+        .await;
+    let lanes = relay.state().table.all_dispatchers();
     let addresses: Vec<SocketAddr> = lanes.iter().map(|(_, lane)| lane.address()).collect();
     assert_eq!(addresses, [second.address()]);
 }
