--- a/alderhaven-proof/tests/end_to_end/coverage.rs
+++ b/alderhaven-proof/tests/end_to_end/coverage.rs
@@ -16,7 +16,8 @@
     let options = ClusterOptions::builder().run_time(LONG_RUN_TIME).build();
     let mut cluster = support::start_cluster(options).await;
     let entry = cluster.entry_address(0).unwrap();
-    // The replica of a shard is chosen at random; with four queries the host gets a run.
+    // The replica of a shard is chosen at random; with four queries the host is almost certain to
+    // get a run.
     let query = support::build_query(FAN_OUT_TEMPLATE, "killed");
     let pending_replies = tokio::spawn({
         let query = query.clone();
--- a/alderhaven-soak/src/main.rs
+++ b/alderhaven-soak/src/main.rs
@@ -114,9 +114,9 @@
         bail!("--fronts must be from 1 to {MAX_FRONTS}");
     }
     let runner = SeedRunner::new(arguments.front, arguments.logs, arguments.json)?;
-    let mut all_kept = true;
+    let mut all_passed = true;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
-        all_kept &= runner.run(
+        all_passed &= runner.run(
             &SeedCase {
                 seed,
                 seconds: arguments.seconds,
@@ -127,7 +127,7 @@
             EvacuationMode::Seeded,
         )?;
     }
-    Ok(all_kept)
+    Ok(all_passed)
 }
 
 fn replay(arguments: ReplayArgs) -> Result<bool> {
@@ -138,11 +138,11 @@
     if cases.is_empty() {
         bail!("cases.yaml has no such seed");
     }
-    let mut all_kept = true;
+    let mut all_passed = true;
     for case in &cases {
-        all_kept &= runner.run(case, EvacuationMode::None)?;
+        all_passed &= runner.run(case, EvacuationMode::None)?;
     }
-    Ok(all_kept)
+    Ok(all_passed)
 }
 
 /// Whether a run evacuates failure domains. Regression seeds were recorded without evacuations.
--- a/alderhaven-soak/src/promises/stops.rs
+++ b/alderhaven-soak/src/promises/stops.rs
@@ -58,7 +58,7 @@
         Violation::new(
             PromiseKind::ProcessLives,
             &front,
-            "the process ended without a signal",
+            "the process ended without being stopped or killed",
         )
     })
 }
