--- a/alderhaven-quickstart/src/query_run.rs
+++ b/alderhaven-quickstart/src/query_run.rs
@@ -26,7 +26,7 @@
 /// The queries of a run and the concurrency with which they are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunOptions {
-    /// The number of queries, at most [`MAX_CONCURRENT_QUERIES`].
+    /// The number of queries, at most [`MAX_QUERIES`].
     pub queries: usize,
     /// The seed of the choice of templates and parameters.
     pub seed: u64,
