--- a/alderhaven-relay/src/crash_watch.rs
+++ b/alderhaven-relay/src/crash_watch.rs
@@ -32,27 +32,27 @@
     /// Notes an attempt that is sent to the target.
     pub fn record_started(
         &mut self,
-        id: AttemptId,
+        attempt: AttemptId,
         fingerprint: RequestFingerprint,
         shard: ShardId,
     ) {
-        self.running.insert(id, (fingerprint, shard));
+        self.running.insert(attempt, (fingerprint, shard));
     }
 
     /// Notes that an attempt is over and was answered.
-    pub fn record_finished(&mut self, id: AttemptId) {
-        self.running.remove(&id);
+    pub fn record_finished(&mut self, attempt: AttemptId) {
+        self.running.remove(&attempt);
     }
 
     /// Gets the incident that an attempt's loss belongs to; `number` names a new one.
-    pub fn record_loss(&mut self, id: AttemptId, number: u64) -> CrashIncident {
+    pub fn record_loss(&mut self, attempt: AttemptId, incident_id: u64) -> CrashIncident {
         if let Some(incident) = &self.incident
-            && incident.attempts.contains(&id)
+            && incident.attempts.contains(&attempt)
         {
             return incident.clone();
         }
         let incident = CrashIncident {
-            id: number,
+            id: incident_id,
             attempts: self.running.keys().copied().collect(),
             in_flight: self.running.values().copied().collect(),
         };
--- a/alderhaven-relay/src/dispatcher_table.rs
+++ b/alderhaven-relay/src/dispatcher_table.rs
@@ -50,7 +50,7 @@
     pub fn new(
         options: DispatchOptions,
         counters: AttemptCounters,
-        watch: TargetWatch,
+        target_watch: TargetWatch,
         strikes: Arc<StrikeTracker>,
         clock: ProcessClock,
     ) -> Self {
@@ -58,7 +58,7 @@
             options,
             clock,
             counters,
-            target_watch: watch,
+            target_watch,
             strikes,
             dispatchers: ArcSwap::default(),
             write_lock: Mutex::new(()),
@@ -74,8 +74,8 @@
     pub fn dispatcher_for(&self, attempt: &ScatterAttempt) -> Option<Arc<TargetDispatcher>> {
         let target: TargetId = attempt.target.parse().ok()?;
         let address: SocketAddr = attempt.address.parse().ok()?;
-        if let Some(lane) = find_dispatcher(&self.dispatchers.load(), &target, address) {
-            return Some(lane);
+        if let Some(dispatcher) = find_dispatcher(&self.dispatchers.load(), &target, address) {
+            return Some(dispatcher);
         }
         // An entry of an earlier release does not name the domain; the target then stands alone.
         let domain = attempt
@@ -106,7 +106,7 @@
             .load()
             .values()
             .flatten()
-            .map(|lane| lane.unfinished_count())
+            .map(|dispatcher| dispatcher.unfinished_count())
             .sum()
     }
 
@@ -140,8 +140,8 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            for lane in self.dispatchers.load().values().flatten() {
-                lane.expire_waiting();
+            for dispatcher in self.dispatchers.load().values().flatten() {
+                dispatcher.expire_waiting();
             }
         }
     }
@@ -152,7 +152,7 @@
         self.dispatchers
             .load()
             .iter()
-            .flat_map(|(target, lanes)| lanes.iter().map(|lane| (target.clone(), Arc::clone(lane))))
+            .flat_map(|(target, items)| items.iter().map(|item| (target.clone(), Arc::clone(item))))
             .collect()
     }
 
@@ -161,7 +161,7 @@
     pub fn reports(&self) -> HashMap<String, DispatcherReport> {
         self.all_dispatchers()
             .into_iter()
-            .map(|(target, lane)| (target.to_string(), lane.report()))
+            .map(|(target, dispatcher)| (target.to_string(), dispatcher.report()))
             .collect()
     }
 
@@ -172,16 +172,16 @@
         domain: FailureDomain,
         slots: u32,
     ) -> Option<Arc<TargetDispatcher>> {
-        let _writing = self
+        let _write_guard = self
             .write_lock
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let mut lanes = HashMap::clone(&self.dispatchers.load());
+        let mut dispatchers = HashMap::clone(&self.dispatchers.load());
         // Another thread may have added the lane while this one waited.
-        if let Some(lane) = find_dispatcher(&lanes, &target, address) {
-            return Some(lane);
+        if let Some(dispatcher) = find_dispatcher(&dispatchers, &target, address) {
+            return Some(dispatcher);
         }
-        if lanes.len() >= MAX_TARGETS && !lanes.contains_key(&target) {
+        if dispatchers.len() >= MAX_TARGETS && !dispatchers.contains_key(&target) {
             return None;
         }
         let connections = TargetConnections::new(
@@ -190,7 +190,7 @@
             self.options.health.clone(),
             self.clock,
         );
-        let shared = DispatcherContext {
+        let context = DispatcherContext {
             target: target.clone(),
             domain,
             connections,
@@ -199,23 +199,25 @@
             target_watch: self.target_watch.clone(),
             strikes: Arc::clone(&self.strikes),
         };
-        let lane = Arc::new(TargetDispatcher::new(shared, slots, &self.options));
-        let of_target = lanes.entry(target).or_default();
-        of_target.retain(|earlier| earlier.unfinished_count() > 0);
-        of_target.push(Arc::clone(&lane));
-        let warmed = Arc::clone(&lane);
-        tokio::spawn(async move { warmed.open_connections().await });
-        self.dispatchers.store(Arc::new(lanes));
-        Some(lane)
+        let dispatcher = Arc::new(TargetDispatcher::new(context, slots, &self.options));
+        let target_dispatchers = dispatchers.entry(target).or_default();
+        target_dispatchers.retain(|earlier| earlier.unfinished_count() > 0);
+        target_dispatchers.push(Arc::clone(&dispatcher));
+        let new_dispatcher = Arc::clone(&dispatcher);
+        tokio::spawn(async move { new_dispatcher.open_connections().await });
+        self.dispatchers.store(Arc::new(dispatchers));
+        Some(dispatcher)
     }
 }
 
 fn find_dispatcher(
-    lanes: &DispatcherMap,
+    dispatchers: &DispatcherMap,
     target: &TargetId,
     address: SocketAddr,
 ) -> Option<Arc<TargetDispatcher>> {
-    let of_target = lanes.get(target)?;
-    let found = of_target.iter().find(|lane| lane.address() == address);
-    found.cloned()
+    let target_dispatchers = dispatchers.get(target)?;
+    let dispatcher = target_dispatchers
+        .iter()
+        .find(|dispatcher| dispatcher.address() == address);
+    dispatcher.cloned()
 }
--- a/alderhaven-relay/src/node.rs
+++ b/alderhaven-relay/src/node.rs
@@ -74,7 +74,7 @@
         let operator_listener = TcpListener::bind(settings.operator_listen).await?;
         let operator_address = operator_listener.local_addr()?;
         let metrics = RelayMetrics::default();
-        let watch = TargetWatch::default();
+        let target_watch = TargetWatch::default();
         let hosts = HttpHosts::new(settings.platform, ClientOptions::default());
         let clock = ProcessClock::default();
         let strikes = Arc::new(StrikeTracker::new(
@@ -85,36 +85,40 @@
         let table = Arc::new(DispatcherTable::new(
             settings.dispatch_options(),
             metrics.attempts.clone(),
-            watch.clone(),
+            target_watch.clone(),
             strikes,
             clock,
         ));
-        let refused = metrics.refused_connections.clone();
+        let refused_connections = metrics.refused_connections.clone();
         let group = NodeGroup::start(group_options(&settings, peer_address), &config).await?;
         let stop = StopHandle::default();
         let state = Arc::new(RelayState {
             node: settings.node.clone(),
             config,
             table: Arc::clone(&table),
-            target_watch: watch.clone(),
+            target_watch: target_watch.clone(),
             metrics,
             group: group.clone(),
             stop: stop.clone(),
         });
-        let lanes = Arc::clone(&table);
+        let drained_table = Arc::clone(&table);
         let tasks = [
             tokio::spawn(prepare_dispatchers(Arc::clone(&state))),
             tokio::spawn(stop.clone().drive(settings.stop.clone(), group, move || {
-                lanes.unfinished_count()
+                drained_table.unfinished_count()
             })),
-            tokio::spawn(watch.clone().follow(Arc::new(hosts), state.config.clone())),
+            tokio::spawn(
+                target_watch
+                    .clone()
+                    .follow(Arc::new(hosts), state.config.clone()),
+            ),
             tokio::spawn(Arc::clone(&table).expire_forever()),
             tokio::spawn(peer_server::serve(
                 listener,
                 table,
                 stop,
                 settings.limits.peer_connections,
-                refused,
+                refused_connections,
             )),
             tokio::spawn(operator_server::serve(
                 operator_listener,
@@ -249,11 +253,11 @@
         config_changed.borrow_and_update();
         group_changed.borrow_and_update();
         prepare_primary_targets(&state);
-        let ended = tokio::select! {
+        let has_closed = tokio::select! {
             changed = config_changed.changed() => changed.is_err(),
             changed = group_changed.changed() => changed.is_err(),
         };
-        if ended {
+        if has_closed {
             return;
         }
     }
--- a/alderhaven-relay/src/peer_server.rs
+++ b/alderhaven-relay/src/peer_server.rs
@@ -42,7 +42,7 @@
     table: Arc<DispatcherTable>,
     stop: StopHandle,
     connection_limit: usize,
-    refused: Counter,
+    refused_connections: Counter,
 ) {
     let permits = Arc::new(Semaphore::new(connection_limit));
     loop {
@@ -52,7 +52,7 @@
             continue;
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
-            refused.inc();
+            refused_connections.inc();
             continue;
         };
         let table = Arc::clone(&table);
@@ -70,11 +70,11 @@
     let Ok((sender, mut reader)) = connection::split(stream) else {
         return;
     };
-    let _hears_of_strikes = table.strikes().subscribe(sender.clone());
+    let _strike_subscription = table.strikes().subscribe(sender.clone());
     let mut has_pinged = false;
     let leaving = stop.leaving();
     tokio::pin!(leaving);
-    let mut is_told = false;
+    let mut is_notified = false;
     loop {
         tokio::select! {
             message = next_entry_message(&mut reader, has_pinged) => match message {
@@ -84,8 +84,8 @@
                 }
                 None => return,
             },
-            () = &mut leaving, if !is_told => {
-                is_told = true;
+            () = &mut leaving, if !is_notified => {
+                is_notified = true;
                 let _entry_gone = sender.send(PeerMessage::Leaving(LeavingNotice {}));
             }
         }
@@ -126,17 +126,18 @@
 }
 
 fn offer_attempts(table: &DispatcherTable, sender: &FrameSender, request: &ScatterRequest) {
-    let arrived = table.clock().now();
-    let remaining = TimeSpan::from_micros(request.remaining_us).min(MAX_REMAINING);
+    let arrived_at = table.clock().now();
+    let remaining_time = TimeSpan::from_micros(request.remaining_us).min(MAX_REMAINING);
     let class = QueryClass::from_rank(u8::try_from(request.class).unwrap_or(u8::MAX));
     let template: Option<TemplateName> = request.template.parse().ok();
     let fingerprint = RequestFingerprint::of_canonical(&request.template, &request.parameters);
     for attempt in &request.attempts {
-        let (Some(lane), Some(template)) = (table.dispatcher_for(attempt), template.clone()) else {
+        let (Some(dispatcher), Some(template)) = (table.dispatcher_for(attempt), template.clone())
+        else {
             reply_no_route(sender, attempt.sequence);
             continue;
         };
-        lane.offer(RelayAttempt {
+        dispatcher.offer(RelayAttempt {
             request: target_request(request, attempt),
             template,
             fingerprint,
@@ -144,8 +145,8 @@
             class,
             order: request.order,
             is_hedge: request.is_hedge,
-            deadline: arrived + remaining,
-            arrived_at: arrived,
+            deadline: arrived_at + remaining_time,
+            arrived_at,
             reply_to: sender.clone(),
         });
     }
@@ -178,8 +179,8 @@
 
 fn cancel_attempts(table: &DispatcherTable, cancel: &CancelAttempts) {
     for attempt in &cancel.attempts {
-        for lane in table.dispatchers_of(&attempt.target) {
-            lane.cancel(AttemptId {
+        for dispatcher in table.dispatchers_of(&attempt.target) {
+            dispatcher.cancel(AttemptId {
                 origin: cancel.origin,
                 sequence: attempt.sequence,
             });
--- a/alderhaven-relay/src/target_call.rs
+++ b/alderhaven-relay/src/target_call.rs
@@ -68,10 +68,10 @@
     }
 
     const fn with_loss(loss: ConnectionLoss) -> Self {
-        let mut verdict = Self::without_reply(AttemptOutcome::Unknown);
-        verdict.connection_loss = Some(loss);
-        verdict.found_silent_connection = matches!(loss, ConnectionLoss::Silent);
-        verdict
+        let mut result = Self::without_reply(AttemptOutcome::Unknown);
+        result.connection_loss = Some(loss);
+        result.found_silent_connection = matches!(loss, ConnectionLoss::Silent);
+        result
     }
 
     fn with_reply(outcome: AttemptOutcome, headers: &HeaderMap, rows: Bytes) -> Self {
@@ -113,13 +113,13 @@
     connections: &TargetConnections,
     authority: &str,
     request: &TargetRequest,
-    pace: CallOptions,
+    options: CallOptions,
 ) -> CallResult {
     let not_sent = CallResult::without_reply(AttemptOutcome::NotRun(NotRunReason::NotSent));
-    let Ok(kept) = connections.take().await else {
+    let Ok(connection) = connections.take().await else {
         return not_sent;
     };
-    let call = send_attempt(connections, kept, authority, request, pace).await;
+    let call = send_attempt(connections, connection, authority, request, options).await;
     let on_failure = match call.outcome {
         SendOutcome::NotSent => not_sent,
         SendOutcome::Lost(ConnectionLoss::Silent) => CallResult::with_loss(ConnectionLoss::Silent),
@@ -132,7 +132,7 @@
         connections,
         authority,
         request,
-        pace,
+        options,
         on_failure,
     ))
     .await
@@ -143,21 +143,21 @@
     connections: &TargetConnections,
     authority: &str,
     request: &TargetRequest,
-    pace: CallOptions,
+    options: CallOptions,
     on_failure: CallResult,
 ) -> CallResult {
     let resent_at = connections.clock().now();
     let Ok(new) = connections.connect().await else {
         return on_failure;
     };
-    let call = send_attempt(connections, new, authority, request, pace).await;
+    let call = send_attempt(connections, new, authority, request, options).await;
     if matches!(call.outcome, SendOutcome::NotSent) {
         return on_failure;
     }
-    let mut verdict = read_reply(connections, request, call).await;
-    verdict.resent_at = Some(resent_at);
-    verdict.found_silent_connection = on_failure.connection_loss.is_some();
-    verdict
+    let mut result = read_reply(connections, request, call).await;
+    result.resent_at = Some(resent_at);
+    result.found_silent_connection = on_failure.connection_loss.is_some();
+    result
 }
 
 /// Asks a target to drop an attempt whose answer is no longer wanted.
@@ -187,26 +187,26 @@
 
 async fn send_attempt(
     connections: &TargetConnections,
-    taken: TakenConnection,
+    connection: TakenConnection,
     authority: &str,
     request: &TargetRequest,
-    pace: CallOptions,
+    options: CallOptions,
 ) -> SentCall {
-    let mut sender = taken.sender;
-    let sent = connections.clock().now();
+    let mut sender = connection.sender;
+    let sent_at = connections.clock().now();
     let outcome = match request.to_http(authority) {
         Ok(message) => {
-            let idle_before = taken.idle_for.unwrap_or_default();
-            let replying = send_and_receive(&mut sender, message);
-            await_reply_or_silence(connections, replying, pace, idle_before, sent).await
+            let idle_before = connection.idle_for.unwrap_or_default();
+            let reply = send_and_receive(&mut sender, message);
+            await_reply_or_silence(connections, reply, options, idle_before, sent_at).await
         }
         Err(_) => SendOutcome::NotSent,
     };
     SentCall {
         outcome,
         sender,
-        is_reused: taken.idle_for.is_some(),
-        sent_at: sent,
+        is_reused: connection.idle_for.is_some(),
+        sent_at,
     }
 }
 
@@ -225,31 +225,31 @@
 /// Waits for the reply, and looks into its silence where it takes unusually long.
 async fn await_reply_or_silence(
     connections: &TargetConnections,
-    replying: impl Future<Output = SendOutcome>,
-    pace: CallOptions,
+    reply: impl Future<Output = SendOutcome>,
+    options: CallOptions,
     idle_before: TimeSpan,
-    sent: TimePoint,
+    sent_at: TimePoint,
 ) -> SendOutcome {
-    tokio::pin!(replying);
-    let Some(bound) = connections.silence_bound(pace.expected_service_time) else {
-        return replying.await;
+    tokio::pin!(reply);
+    let Some(silence_bound) = connections.silence_bound(options.expected_service_time) else {
+        return reply.await;
     };
-    let mut pause = bound;
+    let mut check_delay = silence_bound;
     loop {
-        let looking = async {
-            time::sleep(pause.as_duration()).await;
-            Box::pin(connections.probe_for_silence(idle_before, sent)).await
+        let silence_check = async {
+            time::sleep(check_delay.as_duration()).await;
+            Box::pin(connections.probe_for_silence(idle_before, sent_at)).await
         };
         let is_silent = tokio::select! {
             biased;
-            outcome = &mut replying => return outcome,
-            is_silent = looking => is_silent,
+            outcome = &mut reply => return outcome,
+            is_silent = silence_check => is_silent,
         };
-        if is_silent && pace.is_idempotent {
+        if is_silent && options.is_idempotent {
             return SendOutcome::Lost(ConnectionLoss::Silent);
         }
         // A target that is slow as a whole is asked more and more rarely.
-        pause = pause.mul_f64(2.0);
+        check_delay = check_delay.mul_f64(2.0);
     }
 }
 
@@ -267,20 +267,20 @@
     };
     connections.record_reply(call.is_reused, call.sent_at);
     let (head, body) = response.into_parts();
-    let judged = request.classify_reply(head.status, &head.headers);
+    let outcome = request.classify_reply(head.status, &head.headers);
     match Limited::new(body, MAX_REPLY_BYTES).collect().await {
         Ok(rows) => {
             connections.give_back(call.sender);
-            CallResult::with_reply(judged, &head.headers, rows.to_bytes())
+            CallResult::with_reply(outcome, &head.headers, rows.to_bytes())
         }
         // A truncated answer is no answer, though the target ran the attempt. The connection is
         // dropped: its next bytes could belong to this answer.
-        Err(_) if judged == AttemptOutcome::Answered => {
-            let mut verdict =
+        Err(_) if outcome == AttemptOutcome::Answered => {
+            let mut result =
                 CallResult::with_reply(AttemptOutcome::Unknown, &head.headers, Bytes::new());
-            verdict.connection_loss = Some(ConnectionLoss::Closed);
-            verdict
+            result.connection_loss = Some(ConnectionLoss::Closed);
+            result
         }
-        Err(_) => CallResult::with_reply(judged, &head.headers, Bytes::new()),
+        Err(_) => CallResult::with_reply(outcome, &head.headers, Bytes::new()),
     }
 }
--- a/alderhaven-relay/src/target_connections.rs
+++ b/alderhaven-relay/src/target_connections.rs
@@ -156,13 +156,13 @@
     /// An error of the operating system, or a time-out: no byte of a request was sent.
     pub async fn take(&self) -> io::Result<TakenConnection> {
         while self.lock_path().health.may_reuse() {
-            let Some(kept) = self.lock_idle().pop() else {
+            let Some(connection) = self.lock_idle().pop() else {
                 break;
             };
-            if kept.sender.is_ready() {
+            if connection.sender.is_ready() {
                 return Ok(TakenConnection {
-                    sender: kept.sender,
-                    idle_for: Some(self.clock.now().since(kept.idle_since)),
+                    sender: connection.sender,
+                    idle_for: Some(self.clock.now().since(connection.idle_since)),
                 });
             }
         }
@@ -174,11 +174,8 @@
     /// Gives back a connection whose last request was answered in full.
     pub fn give_back(&self, sender: TargetSender) {
         if !sender.is_closed() {
-            let since = self.clock.now();
-            self.lock_idle().push(IdleConnection {
-                sender,
-                idle_since: since,
-            });
+            let idle_since = self.clock.now();
+            self.lock_idle().push(IdleConnection { sender, idle_since });
         }
     }
 
@@ -204,13 +201,13 @@
     }
 
     /// Notes that an attempt that was sent at `sent` was answered.
-    pub fn record_reply(&self, is_kept: bool, sent: TimePoint) {
+    pub fn record_reply(&self, is_reused: bool, sent_at: TimePoint) {
         let mut path = self.lock_path();
-        path.last_answered_sent = path.last_answered_sent.max(Some(sent));
+        path.last_answered_sent = path.last_answered_sent.max(Some(sent_at));
         if !path.health.may_reuse() {
             drop(path);
             // A reply on a new connection says of the old ones what a probe's reply says.
-            self.apply_event(if is_kept {
+            self.apply_event(if is_reused {
                 HealthEvent::Replied
             } else {
                 HealthEvent::ProbeAnswered
@@ -220,20 +217,20 @@
 
     /// Gets the silence after which an attempt should lead to a probe.
     #[must_use]
-    pub fn silence_bound(&self, expected: TimeSpan) -> Option<TimeSpan> {
-        self.lock_path().health.silence_bound(expected)
+    pub fn silence_bound(&self, expected_service_time: TimeSpan) -> Option<TimeSpan> {
+        self.lock_path().health.silence_bound(expected_service_time)
     }
 
     /// Looks into the silence of an attempt; returns true where its connection is silent and the
     /// target is not to blame.
-    pub async fn probe_for_silence(&self, idle_before: TimeSpan, sent: TimePoint) -> bool {
+    pub async fn probe_for_silence(&self, idle_before: TimeSpan, sent_at: TimePoint) -> bool {
         if !self.probe().await {
             return false;
         }
         let path = self.lock_path();
         path.health.is_silent(&SilentAttempt {
             idle_before,
-            sent,
+            sent: sent_at,
             last_answered_sent: path.last_answered_sent,
         })
     }
@@ -245,16 +242,16 @@
     /// connections went with the old one. A dying process may accept a connection and close it, so
     /// that counts as no answer yet.
     pub async fn is_process_dead(&self) -> bool {
-        let asked = self.clock.now();
-        let limit = self
+        let started_at = self.clock.now();
+        let timeout = self
             .lock_path()
             .health
             .options()
             .probe_timeout
             .as_duration();
         for _ in 0..MAX_CRASH_PROBES {
-            match time::timeout(limit, connection_probe::send(self)).await {
-                Ok(Ok(())) => return self.are_all_closed(asked),
+            match time::timeout(timeout, connection_probe::send(self)).await {
+                Ok(Ok(())) => return self.are_all_closed(started_at),
                 Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => return true,
                 Ok(Err(_)) => time::sleep(CRASH_PROBE_INTERVAL).await,
                 Err(_) => return false,
@@ -264,21 +261,21 @@
     }
 
     /// Returns true where there were other connections at `point` and all are closed now.
-    fn are_all_closed(&self, point: TimePoint) -> bool {
+    fn are_all_closed(&self, opened_by: TimePoint) -> bool {
         let idle = self.lock_idle();
         let mut others = idle
             .iter()
-            .filter(|kept| kept.idle_since <= point)
+            .filter(|connection| connection.idle_since <= opened_by)
             .peekable();
-        others.peek().is_some() && others.all(|kept| kept.sender.is_closed())
+        others.peek().is_some() && others.all(|connection| connection.sender.is_closed())
     }
 
     /// Sends a probe, or waits for the one under way; returns true where it is answered.
     async fn probe(&self) -> bool {
-        let asked = self.clock.now();
-        let mut last = self.last_probe.lock().await;
-        if let Some(result) = *last
-            && result.ended_at >= asked
+        let started_at = self.clock.now();
+        let mut last_result = self.last_probe.lock().await;
+        if let Some(result) = *last_result
+            && result.ended_at >= started_at
         {
             return result.is_answered;
         }
@@ -287,9 +284,9 @@
             connections: self,
             is_finished: false,
         };
-        let limit = self.lock_path().health.options().probe_timeout;
-        let probed = time::timeout(limit.as_duration(), connection_probe::send(self)).await;
-        let event = match probed {
+        let timeout = self.lock_path().health.options().probe_timeout;
+        let result = time::timeout(timeout.as_duration(), connection_probe::send(self)).await;
+        let event = match result {
             Ok(Ok(())) => HealthEvent::ProbeAnswered,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 HealthEvent::ProbeRefused
@@ -299,7 +296,7 @@
         guard.is_finished = true;
         self.apply_event(event);
         let is_answered = event == HealthEvent::ProbeAnswered;
-        *last = Some(ProbeResult {
+        *last_result = Some(ProbeResult {
             ended_at: self.clock.now(),
             is_answered,
         });
@@ -316,11 +313,11 @@
                 path.probe_count += 1;
             }
             HealthAction::ReplaceIdle => {
-                let began = path.probe_started_at;
+                let probe_started_at = path.probe_started_at;
                 let mut idle = self.lock_idle();
-                let before = idle.len();
-                idle.retain(|kept| kept.idle_since >= began);
-                path.replaced_count += (before - idle.len()) as u64;
+                let count_before = idle.len();
+                idle.retain(|connection| connection.idle_since >= probe_started_at);
+                path.replaced_count += (count_before - idle.len()) as u64;
             }
         }
     }
--- a/alderhaven-relay/src/target_dispatcher.rs
+++ b/alderhaven-relay/src/target_dispatcher.rs
@@ -108,11 +108,11 @@
 impl TargetDispatcher {
     /// Returns a lane to a target with this many declared slots.
     #[must_use]
-    pub fn new(shared: DispatcherContext, slots: u32, options: &DispatchOptions) -> Self {
+    pub fn new(context: DispatcherContext, slots: u32, options: &DispatchOptions) -> Self {
         let slots = slots.clamp(1, MAX_SLOTS);
         Self {
-            authority: shared.connections.address().to_string(),
-            context: shared,
+            authority: context.connections.address().to_string(),
+            context,
             state: Mutex::new(DispatcherState {
                 queue: RelayQueue::new(options.policy, options.queue.clone()),
                 limit: TargetLimit::new(options.policy, options.limit.clone(), slots),
@@ -286,58 +286,63 @@
             self.answer_not_run(&attempt, reason, wait);
         }
         for attempt in ready {
-            let lane = Arc::clone(self);
+            let dispatcher = Arc::clone(self);
             tokio::spawn(async move {
-                lane.run_attempt(attempt).await;
-                lane.run_ready();
+                dispatcher.run_attempt(attempt).await;
+                dispatcher.run_ready();
             });
         }
     }
 
     async fn run_attempt(&self, mut ready: ReadyAttempt) {
-        let started = self.context.clock.now();
+        let started_at = self.context.clock.now();
         let attempt = &mut ready.attempt;
-        attempt.request.remaining = attempt.remaining_time(started);
-        let pace = CallOptions {
+        attempt.request.remaining = attempt.remaining_time(started_at);
+        let options = CallOptions {
             expected_service_time: ready.expected_service_time,
             is_idempotent: attempt.is_idempotent,
         };
-        let verdict = self.call_target(attempt, pace, &ready.cancelled).await;
-        self.context.counters.record_outcome(verdict.outcome);
-        self.detect_crash(attempt, &verdict).await;
+        let result = self.call_target(attempt, options, &ready.cancelled).await;
+        self.context.counters.record_outcome(result.outcome);
+        self.detect_crash(attempt, &result).await;
         let now = self.context.clock.now();
-        let service = now.since(verdict.resent_at.unwrap_or(started));
-        let wait =
-            self.record_finished(attempt, &verdict, service, ready.expected_service_time, now);
+        let service_time = now.since(result.resent_at.unwrap_or(started_at));
+        let wait = self.record_finished(
+            attempt,
+            &result,
+            service_time,
+            ready.expected_service_time,
+            now,
+        );
         let reply = AttemptReply {
             sequence: attempt.id().sequence,
-            status: ReplyStatus::from(verdict.outcome).into(),
-            rows: verdict.rows,
+            status: ReplyStatus::from(result.outcome).into(),
+            rows: result.rows,
             snapshot: attempt.request.snapshot.0,
             version: attempt.request.version.0,
             queued_us: ready.time_waited.as_micros(),
-            service_us: service.as_micros(),
+            service_us: service_time.as_micros(),
             wait_us: wait.as_micros(),
-            ran: !query_gather::is_not_run(verdict.outcome),
-            path_lost: verdict.connection_loss == Some(ConnectionLoss::Silent),
+            ran: !query_gather::is_not_run(result.outcome),
+            path_lost: result.connection_loss == Some(ConnectionLoss::Silent),
         };
         attempt.reply(reply);
     }
 
     /// Tells everyone of a crash where the target's process died with the attempt in flight, before
     /// the attempt is answered and retried.
-    async fn detect_crash(&self, attempt: &RelayAttempt, verdict: &CallResult) {
-        let shared = &self.context;
-        if verdict.found_silent_connection {
-            shared.counters.silent_connections.inc();
+    async fn detect_crash(&self, attempt: &RelayAttempt, result: &CallResult) {
+        let context = &self.context;
+        if result.found_silent_connection {
+            context.counters.silent_connections.inc();
         }
-        match verdict.connection_loss {
+        match result.connection_loss {
             Some(ConnectionLoss::Closed) => {}
             Some(ConnectionLoss::Silent) => return,
             None => {
-                if verdict.outcome == AttemptOutcome::Answered {
-                    let answered = attempt.request.shard;
-                    shared.strikes.record_answer(&attempt.fingerprint, answered);
+                if result.outcome == AttemptOutcome::Answered {
+                    let shard = attempt.request.shard;
+                    context.strikes.record_answer(&attempt.fingerprint, shard);
                 }
                 return;
             }
@@ -346,17 +351,17 @@
             .lock()
             .crash_watch
             .record_loss(attempt.id(), rand::random());
-        if !Box::pin(shared.connections.is_process_dead()).await {
+        if !Box::pin(context.connections.is_process_dead()).await {
             return;
         }
-        let is_new = shared.strikes.record_crash(&TargetCrash {
+        let is_new = context.strikes.record_crash(&TargetCrash {
             id: incident.id,
-            target: shared.target.clone(),
-            domain: shared.domain.clone(),
+            target: context.target.clone(),
+            domain: context.domain.clone(),
             in_flight: incident.in_flight,
         });
         if is_new {
-            shared.counters.target_crashes.inc();
+            context.counters.target_crashes.inc();
         }
     }
 
@@ -364,21 +369,22 @@
     async fn call_target(
         &self,
         attempt: &RelayAttempt,
-        pace: CallOptions,
+        options: CallOptions,
         cancelled: &Notify,
     ) -> CallResult {
         let connections = &self.context.connections;
-        let call = target_call::run_attempt(connections, &self.authority, &attempt.request, pace);
+        let call =
+            target_call::run_attempt(connections, &self.authority, &attempt.request, options);
         let deadline = self.context.clock.instant(attempt.deadline);
-        let bounded = time::timeout_at(deadline.into(), call);
-        tokio::pin!(bounded);
+        let bounded_call = time::timeout_at(deadline.into(), call);
+        tokio::pin!(bounded_call);
         let replied = tokio::select! {
-            replied = &mut bounded => replied,
+            replied = &mut bounded_call => replied,
             () = cancelled.notified() => {
                 // The target is asked to drop the attempt; its slot is free once it has replied.
                 let connections = &self.context.connections;
                 Box::pin(target_call::cancel_attempt(connections, &self.authority, &attempt.request)).await;
-                bounded.await
+                bounded_call.await
             }
         };
         replied.unwrap_or_else(|_| CallResult::without_reply(AttemptOutcome::Unknown))
@@ -388,9 +394,9 @@
     fn record_finished(
         &self,
         attempt: &RelayAttempt,
-        verdict: &CallResult,
-        service: TimeSpan,
-        expected: TimeSpan,
+        result: &CallResult,
+        service_time: TimeSpan,
+        expected_service_time: TimeSpan,
         now: TimePoint,
     ) -> TimeSpan {
         let mut state = self.lock();
@@ -399,13 +405,15 @@
         if state.running.is_empty() {
             state.is_suspect_running = false;
         }
-        let has_run = verdict.outcome == AttemptOutcome::Answered;
-        let measured = has_run.then_some(service);
-        state.queue.record_finished(attempt.id(), measured, now);
-        let signal = match verdict.outcome {
+        let is_answered = result.outcome == AttemptOutcome::Answered;
+        let measured_time = is_answered.then_some(service_time);
+        state
+            .queue
+            .record_finished(attempt.id(), measured_time, now);
+        let signal = match result.outcome {
             AttemptOutcome::Answered => AttemptSignal::Ran {
-                service_time: service,
-                expected_service_time: expected,
+                service_time,
+                expected_service_time,
             },
             AttemptOutcome::NotRun(NotRunReason::Shed) => AttemptSignal::Shed,
             AttemptOutcome::NotRun(_)
@@ -414,11 +422,11 @@
             | AttemptOutcome::Unknown => AttemptSignal::Uninformative,
         };
         state.limit.record_finished(signal, now);
-        if let Some(free) = verdict.free_slots {
+        if let Some(free) = result.free_slots {
             let used = state.slots.saturating_sub(free);
             state.limit.record_report(used, now);
         }
-        if verdict.is_draining {
+        if result.is_draining {
             self.context
                 .target_watch
                 .record_draining_reply(&self.context.target);
--- a/alderhaven-relay/tests/peer_frames.rs
+++ b/alderhaven-relay/tests/peer_frames.rs
@@ -149,7 +149,7 @@
 /// system. Its connection is closed. Had the relay ended, or waited for a frame of gigabytes, all
 /// entries would lose it; the one that is connected sees nothing of it.
 #[tokio::test(flavor = "multi_thread")]
-async fn serve_outlives_malformed_frames() {
+async fn serve_survives_malformed_frames() {
     let target = start_target().await;
     let relay = start_relay(8).await;
     let mut link = PeerLink::open(&relay).await;
@@ -175,7 +175,7 @@
 /// A newer entry sends a message that this relay does not know. It is passed over, and the attempts
 /// after it on the same connection are answered.
 #[tokio::test(flavor = "multi_thread")]
-async fn serve_passes_over_unknown_messages() {
+async fn serve_ignores_unknown_messages() {
     let target = start_target().await;
     let relay = start_relay(8).await;
     let mut stream = TcpStream::connect(relay.peer_address()).await.unwrap();
@@ -195,28 +195,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn scatter_survives_absurd_values() {
+async fn offer_attempts_survives_out_of_range_values() {
     let target = start_target().await;
     let relay = start_relay(8).await;
     let mut link = PeerLink::open(&relay).await;
-    let mut unreadable = [
+    let mut unroutable = [
         scatter_request(1, &"nowhere"),
         scatter_request(2, &target.address()),
         scatter_request(3, &target.address()),
     ];
-    unreadable[1].attempts[0].target = "Not A Target".to_owned();
-    unreadable[2].template = String::new();
-    for request in unreadable {
+    unroutable[1].attempts[0].target = "Not A Target".to_owned();
+    unroutable[2].template = String::new();
+    for request in unroutable {
         let reply = link.send_and_receive(request).await;
         assert_eq!(reply.status(), ReplyStatus::NoRoute, "{reply:?}");
     }
-    let mut absurd = scatter_request(4, &target.address());
-    absurd.remaining_us = u64::MAX;
-    absurd.class = u32::MAX;
-    absurd.order = u64::MAX;
-    absurd.attempts[0].slots = u32::MAX;
-    absurd.attempts[0].connections = 0;
-    link.assert_answered(absurd).await;
+    let mut out_of_range = scatter_request(4, &target.address());
+    out_of_range.remaining_us = u64::MAX;
+    out_of_range.class = u32::MAX;
+    out_of_range.order = u64::MAX;
+    out_of_range.attempts[0].slots = u32::MAX;
+    out_of_range.attempts[0].connections = 0;
+    link.assert_answered(out_of_range).await;
     let mut expired = scatter_request(5, &target.address());
     expired.remaining_us = 0;
     let reply = link.send_and_receive(expired).await;
@@ -256,7 +256,7 @@
 /// address. A relay that kept to the first address would send every attempt to a port where nothing
 /// listens, until it is restarted itself.
 #[tokio::test(flavor = "multi_thread")]
-async fn lane_for_follows_a_target_to_its_new_address() {
+async fn dispatcher_for_follows_a_target_to_its_new_address() {
     let relay = start_relay(8).await;
     let mut link = PeerLink::open(&relay).await;
     let first = start_target().await;
@@ -265,7 +265,10 @@
     let second = start_target().await;
     link.assert_answered(scatter_request(2, &second.address()))
         .await;
-    let lanes = relay.state().table.all_dispatchers();
-    let addresses: Vec<SocketAddr> = lanes.iter().map(|(_, lane)| lane.address()).collect();
+    let dispatchers = relay.state().table.all_dispatchers();
+    let addresses: Vec<SocketAddr> = dispatchers
+        .iter()
+        .map(|(_, dispatcher)| dispatcher.address())
+        .collect();
     assert_eq!(addresses, [second.address()]);
 }
