--- a/alderhaven-relay/src/connection_probe.rs
+++ b/alderhaven-relay/src/connection_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of a target: a new connection with a request that costs the target next to nothing.
+//! Probe of a target: a cheap request on a new connection.
 
 use std::io;
 
@@ -10,13 +10,13 @@
 
 use crate::target_connections::TargetConnections;
 
-/// Asks the target, on a new connection, to drop an attempt that it does not know.
+/// Asks the target, on a new connection, to cancel an attempt that does not exist.
 ///
-/// Any reply shows that the target's process runs and that its path is whole. The connection is
-/// kept where it was answered.
+/// Any reply shows that the target's process runs and that the network path works. After a reply
+/// the connection is kept for attempts.
 ///
 /// # Errors
-/// An error of the operating system or of the connection.
+/// Returns an I/O error if the connection can't be opened or fails before the reply is complete.
 pub async fn send(connections: &TargetConnections) -> io::Result<()> {
     let mut sender = connections.connect().await?.sender;
     let attempt = AttemptId {
--- a/alderhaven-relay/src/crash_watch.rs
+++ b/alderhaven-relay/src/crash_watch.rs
@@ -1,4 +1,4 @@
-//! What was in flight at a target at the moment that it was lost.
+//! Tracking of the attempts that are in flight at a target when it crashes.
 
 use std::collections::HashMap;
 
@@ -6,30 +6,30 @@
 use alderhaven_core::ids::{AttemptId, ShardId};
 use smallvec::SmallVec;
 
-/// A `CrashWatch` knows the attempts at one target.
+/// Attempts in flight at one target, and its latest crash incident.
 ///
-/// All attempts at a target lose their connections at about the same time when its process dies.
-/// The first loss fixes what was in flight, and the losses of those attempts belong to it, so that
-/// the last one to be noticed does not look as if it had been alone.
+/// When a target's process crashes, all attempts there lose their connections at about the same
+/// time. The first loss records every attempt in flight, and later losses of those attempts belong
+/// to the same incident. Otherwise the last one would seem to have run alone.
 #[derive(Debug, Default)]
 pub struct CrashWatch {
     running: HashMap<AttemptId, (RequestFingerprint, ShardId)>,
     incident: Option<CrashIncident>,
 }
 
-/// A `CrashIncident` is one loss of a target, with everything that was in flight.
+/// One loss of a target, with the attempts that were in flight.
 #[derive(Clone, Debug)]
 pub struct CrashIncident {
-    /// The random number that names it.
+    /// Random number that identifies the incident to other processes.
     pub id: u64,
-    /// The attempts.
+    /// Attempts that were in flight.
     pub attempts: SmallVec<[AttemptId; 4]>,
-    /// Their requests and shards.
+    /// Request and shard of each of those attempts.
     pub in_flight: SmallVec<[(RequestFingerprint, ShardId); 4]>,
 }
 
 impl CrashWatch {
-    /// Notes an attempt that is sent to the target.
+    /// Adds an attempt that is sent to the target.
     pub fn record_started(
         &mut self,
         attempt: AttemptId,
@@ -39,12 +39,12 @@
         self.running.insert(attempt, (fingerprint, shard));
     }
 
-    /// Notes that an attempt is over and was answered.
+    /// Removes an attempt that has ended, whatever its outcome.
     pub fn record_finished(&mut self, attempt: AttemptId) {
         self.running.remove(&attempt);
     }
 
-    /// Gets the incident that an attempt's loss belongs to; `number` names a new one.
+    /// Returns the incident that an attempt's loss belongs to; a new one gets `incident_id`.
     pub fn record_loss(&mut self, attempt: AttemptId, incident_id: u64) -> CrashIncident {
         if let Some(incident) = &self.incident
             && incident.attempts.contains(&attempt)
--- a/alderhaven-relay/src/dispatch_options.rs
+++ b/alderhaven-relay/src/dispatch_options.rs
@@ -1,4 +1,4 @@
-//! The settings of the lanes to targets.
+//! Settings of the dispatchers to targets.
 
 use alderhaven_core::time::TimeSpan;
 use alderhaven_policy::connection_health::HealthOptions;
@@ -6,17 +6,17 @@
 use alderhaven_policy::relay_queue::RelayQueueOptions;
 use alderhaven_policy::target_limit::TargetLimitOptions;
 
-/// A `LaneOptions` holds what all lanes of a relay have in common.
+/// Settings that all dispatchers of a relay share.
 #[derive(Clone, Debug, Default)]
 pub struct DispatchOptions {
-    /// The decisions to run.
+    /// Whether the current policy decides, or the baseline for comparison.
     pub policy: PolicyKind,
-    /// The settings of the queues.
+    /// Settings of each target's queue.
     pub queue: RelayQueueOptions,
-    /// The settings of the limits.
+    /// Settings of each target's concurrency limit.
     pub limit: TargetLimitOptions,
-    /// The look-out for silent connections.
+    /// Detection of silent connections.
     pub health: HealthOptions,
-    /// The time within which a connection to a target is made.
+    /// Longest time to open a connection to a target.
     pub connect_timeout: TimeSpan,
 }
--- a/alderhaven-relay/src/dispatcher_table.rs
+++ b/alderhaven-relay/src/dispatcher_table.rs
@@ -1,4 +1,4 @@
-//! The lanes of a relay by target.
+//! Dispatchers of a relay by target.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,18 +21,18 @@
 use crate::target_connections::TargetConnections;
 use crate::target_dispatcher::{DispatcherContext, DispatcherReport, TargetDispatcher};
 
-/// The time between two looks for attempts whose time is up: little beside a deadline.
+/// Time between two checks for expired attempts; short in comparison with deadlines.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The most targets that a relay has lanes to, over twice the 3,400 servers of the two-year size.
+/// Largest number of targets with dispatchers at a relay.
 pub const MAX_TARGETS: usize = 8192;
 
-/// A `TargetLanes` is the lanes of one target, mostly one.
+/// Dispatchers of one target, one per address; usually a single one.
 pub type TargetDispatchers = SmallVec<[Arc<TargetDispatcher>; 1]>;
 
 type DispatcherMap = HashMap<TargetId, TargetDispatchers>;
 
-/// A `LaneTable` finds the lane of a target; reads take no lock.
+/// Finds the dispatcher of a target without taking a lock; additions are serialized.
 #[derive(Debug)]
 pub struct DispatcherTable {
     options: DispatchOptions,
@@ -45,7 +45,7 @@
 }
 
 impl DispatcherTable {
-    /// Returns an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(
         options: DispatchOptions,
@@ -65,11 +65,11 @@
         }
     }
 
-    /// Gets the lane for an attempt, or makes it from what the attempt says of its target.
+    /// Returns the dispatcher for an attempt; creates it from the attempt's fields if needed.
     ///
-    /// A target that has come back at another address gets a lane of its own there; the old one goes
-    /// once nothing is left in it. Returns none where the attempt's target or address can't be read,
-    /// or where there are as many lanes as may be.
+    /// A target at a new address gets a new dispatcher; those of its earlier addresses that have no
+    /// unfinished attempts are removed then. Returns `None` if the target or its address is invalid,
+    /// or if the table is full.
     #[must_use]
     pub fn dispatcher_for(&self, attempt: &ScatterAttempt) -> Option<Arc<TargetDispatcher>> {
         let target: TargetId = attempt.target.parse().ok()?;
@@ -77,7 +77,7 @@
         if let Some(dispatcher) = find_dispatcher(&self.dispatchers.load(), &target, address) {
             return Some(dispatcher);
         }
-        // An entry of an earlier release does not name the domain; the target then stands alone.
+        // Entries of earlier releases send no domain; the target is then a domain of its own.
         let domain = attempt
             .domain
             .parse()
@@ -86,7 +86,7 @@
         self.add_dispatcher(target, address, domain, attempt.slots)
     }
 
-    /// Makes the lane of a target ahead of its first attempt.
+    /// Creates the dispatcher of a target before its first attempt.
     pub fn prepare_target(&self, replica: &ReplicaEntry) {
         if find_dispatcher(&self.dispatchers.load(), &replica.target, replica.address).is_none() {
             let domain = replica.domain.clone();
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Gets the number of attempts that wait or are at targets.
+    /// Returns the number of attempts that wait or run, over all dispatchers.
     #[must_use]
     pub fn unfinished_count(&self) -> usize {
         self.dispatchers
@@ -110,7 +110,7 @@
             .sum()
     }
 
-    /// Gets the lanes of a target that has had attempts, one for each of its addresses.
+    /// Returns the dispatchers of a target, one per address; empty if the target is unknown.
     #[must_use]
     pub fn dispatchers_of(&self, target: &str) -> TargetDispatchers {
         let target: Option<TargetId> = target.parse().ok();
@@ -119,22 +119,22 @@
             .unwrap_or_default()
     }
 
-    /// Gets what is known of requests that crash targets.
+    /// Returns the quarantine of requests that crash targets.
     #[must_use]
     pub const fn strikes(&self) -> &Arc<StrikeTracker> {
         &self.strikes
     }
 
-    /// Gets the clock that all lanes share.
+    /// Returns the clock that all dispatchers share.
     #[must_use]
     pub const fn clock(&self) -> ProcessClock {
         self.clock
     }
 
-    /// Answers, in all lanes, the waiting attempts whose time is up, until the process ends.
+    /// Answers the waiting attempts that have expired, at a fixed interval, until the task is
+    /// dropped.
     ///
-    /// An attempt that has been given up on gets its answer within one tick, not when the target
-    /// next frees a slot.
+    /// Without it, an expired attempt would be answered only when the target next frees a slot.
     pub async fn expire_forever(self: Arc<Self>) {
         let mut ticks = time::interval(EXPIRY_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Gets all lanes.
+    /// Returns all dispatchers, each with its target's id.
     #[must_use]
     pub fn all_dispatchers(&self) -> Vec<(TargetId, Arc<TargetDispatcher>)> {
         self.dispatchers
@@ -156,7 +156,7 @@
             .collect()
     }
 
-    /// Gets the state of all lanes for the dump.
+    /// Returns the state of all dispatchers for the dump, by target.
     #[must_use]
     pub fn reports(&self) -> HashMap<String, DispatcherReport> {
         self.all_dispatchers()
@@ -177,7 +177,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let mut dispatchers = HashMap::clone(&self.dispatchers.load());
-        // Another thread may have added the lane while this one waited.
+        // Another thread may have added the dispatcher while this one waited for the lock.
         if let Some(dispatcher) = find_dispatcher(&dispatchers, &target, address) {
             return Some(dispatcher);
         }
--- a/alderhaven-relay/src/lib.rs
+++ b/alderhaven-relay/src/lib.rs
@@ -1,4 +1,6 @@
-//! The relay: it holds the connections to targets, with one queue and one limit a target.
+//! Relay: keeps the connections to targets and runs the attempts of entries there.
+//!
+//! Each target has its own queue and its own concurrency limit.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-relay/src/main.rs
+++ b/alderhaven-relay/src/main.rs
@@ -1,4 +1,4 @@
-//! The alder-relay binary: one relay on one host.
+//! The `alder-relay` binary, which runs one relay process.
 
 use std::process::ExitCode;
 
--- a/alderhaven-relay/src/metrics.rs
+++ b/alderhaven-relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a relay.
+//! Metrics of a relay.
 
 use alderhaven_core::outcome::AttemptOutcome;
 use prometheus_client::encoding::text;
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// An `AttemptLabels` is the label set of an attempt's metrics; it is closed.
+/// Labels of the attempts' metrics, with a fixed set of values.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct AttemptLabels {
     outcome: OutcomeLabel,
@@ -22,28 +22,28 @@
     Unknown,
 }
 
-/// An `AttemptCounters` counts attempts by their outcome; its clones share the counts.
+/// Counters of attempts; clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptCounters {
     by_outcome: Family<AttemptLabels, Counter>,
-    /// The deaths of targets' processes with attempts in flight.
+    /// Crashes of targets with attempts in flight.
     pub target_crashes: Counter,
-    /// The attempts whose connection was silent while a new one worked.
+    /// Attempts whose connection was silent while a new one worked.
     pub silent_connections: Counter,
 }
 
-/// A `RelayMetrics` counts what a relay does.
+/// All metrics of a relay and the registry that encodes them.
 #[derive(Debug)]
 pub struct RelayMetrics {
     registry: Registry,
-    /// The attempts by outcome.
+    /// Counters of the attempts at targets.
     pub attempts: AttemptCounters,
-    /// The connections from entries that were refused because as many were open as may be.
+    /// Connections from entries that were refused because the limit was reached.
     pub refused_connections: Counter,
 }
 
 impl AttemptCounters {
-    /// Counts an attempt.
+    /// Counts an attempt by its outcome.
     pub fn record_outcome(&self, outcome: AttemptOutcome) {
         let outcome = match outcome {
             AttemptOutcome::Answered => OutcomeLabel::Answered,
@@ -92,11 +92,11 @@
 }
 
 impl RelayMetrics {
-    /// Gets the metrics in the `OpenMetrics` text form.
+    /// Returns the metrics in the `OpenMetrics` text format.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut body = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _written = text::encode(&mut body, &self.registry);
         body
     }
--- a/alderhaven-relay/src/node.rs
+++ b/alderhaven-relay/src/node.rs
@@ -1,4 +1,4 @@
-//! The relay as a whole: what it starts and what it answers operators.
+//! A relay process: its servers and background tasks, and its state for operators.
 
 use std::io;
 use std::net::SocketAddr;
@@ -31,10 +31,10 @@
 use crate::peer_server;
 use crate::settings::RelaySettings;
 
-/// The time that the last replies have to be written out.
+/// Time to write the last replies before the process ends.
 const REPLY_FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// A `RelayNode` is a running relay; dropping it ends its tasks.
+/// A running relay; dropping it aborts its tasks.
 #[derive(Debug)]
 pub struct RelayNode {
     settings: RelaySettings,
@@ -44,30 +44,30 @@
     _tasks: [AbortOnDropHandle<()>; 6],
 }
 
-/// A `RelayState` is what the parts of a relay share, as operators see it.
+/// State that the tasks of a relay share and that operators can read.
 #[derive(Debug)]
 pub struct RelayState {
-    /// The relay's own id.
+    /// Id of the relay.
     pub node: NodeId,
-    /// The configuration in force.
+    /// Configuration in force.
     pub config: ConfigHandle,
-    /// The lanes to targets.
+    /// Dispatchers to targets.
     pub table: Arc<DispatcherTable>,
-    /// The targets that get no new work.
+    /// Targets that get no new work.
     pub target_watch: TargetWatch,
-    /// What is counted.
+    /// Metrics of the relay.
     pub metrics: RelayMetrics,
-    /// The group of entries and relays.
+    /// Group of entries and relays.
     pub group: NodeGroup,
-    /// The planned stop.
+    /// Handle of the graceful shutdown.
     pub stop: StopHandle,
 }
 
 impl RelayNode {
-    /// Starts a relay on the current runtime; `config` is kept up to date by the caller.
+    /// Starts a relay on the current runtime; the caller keeps `config` up to date.
     ///
     /// # Errors
-    /// An error of the operating system where an address can't be bound.
+    /// Returns an I/O error if an address can't be bound.
     pub async fn start(settings: RelaySettings, config: ConfigHandle) -> io::Result<Self> {
         let listener = TcpListener::bind(settings.peer_listen).await?;
         let peer_address = listener.local_addr()?;
@@ -134,45 +134,44 @@
         })
     }
 
-    /// Gets the address for other processes of the system.
+    /// Returns the bound address for other processes of the system.
     #[must_use]
     pub const fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Gets the address for operators.
+    /// Returns the bound address for operators.
     #[must_use]
     pub const fn operator_address(&self) -> SocketAddr {
         self.operator_address
     }
 
-    /// Gets the address for gossip, none where the relay takes no part in a group.
+    /// Returns the bound gossip address; `None` if the relay is not part of a group.
     #[must_use]
     pub fn gossip_address(&self) -> Option<SocketAddr> {
         self.state.group.gossip_address()
     }
 
-    /// Asks for the planned stop; a second time, to end at once.
+    /// Requests a graceful shutdown; a second call ends the relay immediately.
     pub fn request_stop(&self) {
         self.state.stop.request_stop();
     }
 
-    /// Waits until the relay may end: all attempts are answered, or the report says how many were
-    /// cut.
+    /// Waits for the end of the shutdown and returns its report, which counts the aborted attempts.
     pub async fn stopped(&self) -> StopReport {
         let report = self.state.stop.stopped().await;
-        // The last replies are in the senders' queues; they are written out within this time.
+        // The last replies are still in the send queues of the connections.
         time::sleep(REPLY_FLUSH_TIME).await;
         report
     }
 
-    /// Gets the settings in force.
+    /// Returns the settings that the relay was started with.
     #[must_use]
     pub const fn settings(&self) -> &RelaySettings {
         &self.settings
     }
 
-    /// Gets what the parts of the relay share.
+    /// Returns the state that the tasks share.
     #[must_use]
     pub const fn state(&self) -> &Arc<RelayState> {
         &self.state
@@ -243,9 +242,10 @@
         .build()
 }
 
-/// Makes the lanes, with their connections, of the targets that this relay is the first for.
+/// Creates the dispatchers, with their connections, of the targets whose primary relay this is.
 ///
-/// A new connection costs up to 6 ms, which the first queries after a hand-over would else pay.
+/// Runs again after each change of the configuration or the group. Without it, the first queries
+/// after a change of the primary relay would wait for new connections.
 async fn prepare_dispatchers(state: Arc<RelayState>) {
     let mut config_changed = state.config.subscribe();
     let mut group_changed = state.group.subscribe();
--- a/alderhaven-relay/src/peer_server.rs
+++ b/alderhaven-relay/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! The relay's side of the connections from entries.
+//! Server for the connections from entries: takes their attempts, cancellations and crash strikes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,19 +24,19 @@
 use crate::dispatcher_table::DispatcherTable;
 use crate::relay_attempt::RelayAttempt;
 
-/// The pause after a connection could not be accepted.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// The longest remaining time that an entry may claim; it bounds how long an attempt is held.
+/// Upper limit on the remaining time of an attempt; it bounds how long the relay holds it.
 const MAX_REMAINING: TimeSpan = TimeSpan::from_secs(60);
 
-/// The silence after which the connection of an entry that sends pings is closed; entries give up a
-/// silent connection within seconds.
+/// Silence after which the connection of an entry that sends pings is closed. An entry replaces a
+/// silent connection earlier than that.
 const ENTRY_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts connections from entries until the process ends.
+/// Accepts connections from entries until the task is dropped.
 ///
-/// A connection beyond the limit is closed at once: an entry that waited in the operating system's
-/// queue would hold a link that looks open and send attempts into it.
+/// A connection above the limit is closed at once. If it stayed in the operating system's accept
+/// queue, it would look open to the entry, which would send attempts on it.
 pub async fn serve(
     listener: TcpListener,
     table: Arc<DispatcherTable>,
@@ -47,7 +47,7 @@
     let permits = Arc::new(Semaphore::new(connection_limit));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors: later ones may be free again.
+            // Usually out of file descriptors, which may become free.
             time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
@@ -64,8 +64,10 @@
     }
 }
 
-/// Serves one entry. When the relay leaves, the entry is told on this connection at once, so that
-/// it sends elsewhere before gossip has reached it; attempts that are on their way are still run.
+/// Serves one entry until its connection ends.
+///
+/// When the relay starts to leave, the entry is notified on this connection, so that it uses other
+/// relays before gossip reaches it. Attempts that still arrive are run.
 async fn serve_entry(stream: TcpStream, table: &DispatcherTable, stop: &StopHandle) {
     let Ok((sender, mut reader)) = connection::split(stream) else {
         return;
@@ -92,8 +94,8 @@
     }
 }
 
-/// Reads the next message; one that sends pings and then nothing has a connection that is silent,
-/// which it has replaced by now.
+/// Reads the next message. Returns `None` at the end of the connection, or if an entry that has
+/// sent pings is silent for [`ENTRY_SILENCE_TIMEOUT`].
 async fn next_entry_message(reader: &mut FrameReader, has_pinged: bool) -> Option<PeerMessage> {
     if !has_pinged {
         return connection::next_message(reader).await;
--- a/alderhaven-relay/src/relay_attempt.rs
+++ b/alderhaven-relay/src/relay_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt on its way through a lane.
+//! One attempt from its arrival at the relay to its reply.
 
 use alderhaven_core::class::QueryClass;
 use alderhaven_core::fingerprint::RequestFingerprint;
@@ -9,39 +9,39 @@
 use alderhaven_policy::relay_queue::QueueJob;
 use alderhaven_store::target_dialect::TargetRequest;
 
-/// A `LaneAttempt` is one attempt that a lane has taken.
+/// An attempt that an entry asked the relay to run.
 #[derive(Debug)]
 pub struct RelayAttempt {
-    /// What is asked of the target; its remaining time is set when it is sent.
+    /// Request to the target; its remaining time is set when it is sent.
     pub request: TargetRequest,
-    /// The template, by which service times are remembered.
+    /// Query template, by which service times are recorded.
     pub template: TemplateName,
-    /// The fingerprint of template and parameters.
+    /// Fingerprint of the template and the parameters.
     pub fingerprint: RequestFingerprint,
-    /// Whether the query may be repeated without harm.
+    /// Whether the query may safely be repeated.
     pub is_idempotent: bool,
-    /// The class of the query.
+    /// Class of the query.
     pub class: QueryClass,
-    /// The order within the class, the same at all relays of the query.
+    /// Order within the class, lower first; the same at all relays of the query.
     pub order: u64,
-    /// Whether the attempt is a hedge, which runs only where a slot is free.
+    /// Whether the attempt is a hedge, which runs only if a slot is free.
     pub is_hedge: bool,
-    /// The time after which the answer is of no use.
+    /// Time after which the answer is of no use.
     pub deadline: TimePoint,
-    /// When the attempt came in.
+    /// Arrival of the attempt at the relay.
     pub arrived_at: TimePoint,
-    /// Where the reply goes.
+    /// Connection of the entry that gets the reply.
     pub reply_to: FrameSender,
 }
 
 impl RelayAttempt {
-    /// Gets the attempt's id.
+    /// Returns the attempt's id.
     #[must_use]
     pub const fn id(&self) -> AttemptId {
         self.request.attempt
     }
 
-    /// Gets the attempt as the queue orders it.
+    /// Returns the job that stands for the attempt in the queue.
     #[must_use]
     pub fn queue_job(&self) -> QueueJob {
         QueueJob {
@@ -54,13 +54,12 @@
         }
     }
 
-    /// Sends the attempt's reply.
+    /// Sends the reply to the entry; if its connection is closed, the reply is dropped.
     pub fn reply(&self, reply: AttemptReply) {
-        // Where the entry's connection is gone nobody waits for the reply.
         let _entry_gone = self.reply_to.send(PeerMessage::Reply(reply));
     }
 
-    /// Gets the remaining time at `now`.
+    /// Returns the time from `now` until the deadline.
     #[must_use]
     pub const fn remaining_time(&self, now: TimePoint) -> TimeSpan {
         now.until(self.deadline)
--- a/alderhaven-relay/src/settings.rs
+++ b/alderhaven-relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a relay.
+//! Settings of a relay and the check of their values.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -20,77 +20,77 @@
 
 use crate::dispatch_options::DispatchOptions;
 
-/// The most connections that may be allowed, as many as a process can have descriptors for.
+/// Upper limit of `limits.peer_connections`; each connection holds a file descriptor.
 const MAX_PEER_CONNECTIONS: usize = 65_536;
-/// The most waiting attempts a target that may be allowed; each holds about a kilobyte.
+/// Upper limit of `queue.max_jobs`, which bounds the memory of a target's queue.
 const MAX_QUEUED_JOBS: usize = 65_536;
-/// The least and the greatest time that a setting may hold.
+/// Range of the time settings.
 const TIME_RANGE: RangeInclusive<TimeSpan> = TimeSpan::from_millis(1)..=TimeSpan::from_secs(60);
 
-/// A `RelaySettings` is the content of a relay's settings file.
+/// Contents of a relay's settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
-    /// The relay's own id.
+    /// Identifies the relay across restarts.
     pub node: NodeId,
-    /// The host that the relay runs on.
+    /// Host that the relay runs on.
     pub host: HostId,
-    /// The failure domain of the host.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// The address for other processes of the system; port 0 takes a free one.
+    /// Listen address for other processes of the system; port 0 selects a free port.
     #[serde(deserialize_with = "settings::address")]
     pub peer_listen: SocketAddr,
-    /// The address for operators (metrics, dump).
+    /// Listen address for operators: metrics, state dump, status and shutdown.
     #[serde(deserialize_with = "settings::address")]
     pub operator_listen: SocketAddr,
-    /// The platform's object API and host list.
+    /// Address of the platform's object API and host list.
     #[serde(deserialize_with = "settings::address")]
     pub platform: SocketAddr,
-    /// The address for gossip and exchange with the other processes; without it the relay takes no
-    /// part in the group.
+    /// Address for gossip (UDP) and exchange (TCP). Without it, the relay does not join the group.
     #[serde(default)]
     pub gossip_listen: Option<SocketAddr>,
-    /// The gossip addresses of peers to learn from at the start.
+    /// Gossip addresses of members to join through.
     #[serde(default, deserialize_with = "settings::addresses")]
     pub seeds: Vec<SocketAddr>,
-    /// The limits.
+    /// Limits on the connections.
     #[serde(default)]
     pub limits: RelayLimits,
-    /// The planned stop.
+    /// Time spans of the graceful shutdown.
     #[serde(default = "default_stop")]
     pub stop: DrainOptions,
-    /// The queues before targets.
+    /// Queues of the targets.
     #[serde(default)]
     pub queue: RelayQueueOptions,
-    /// The limits of attempts at a time.
+    /// Concurrency limits of the targets.
     #[serde(default)]
     pub limit: TargetLimitOptions,
-    /// The refusal of requests that crash targets.
+    /// Quarantine of requests that crash targets.
     #[serde(default)]
     pub quarantine: QuarantineOptions,
-    /// The look-out for silent connections.
+    /// Detection of silent connections.
     #[serde(default)]
     pub health: HealthOptions,
-    /// The decisions to run; `baseline` is for comparisons only.
+    /// Policy that decides; `baseline` is for comparisons only.
     #[serde(default)]
     pub policy: PolicyKind,
-    /// The least severe level that is logged.
+    /// Least severe level that is logged.
     #[serde(default = "default_log_level")]
     pub log_level: log::LevelFilter,
 }
 
-/// A `RelayLimits` bounds what others can make the relay hold.
+/// Limits on the relay's connections.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayLimits {
-    /// The most connections from entries.
+    /// Maximum number of connections from entries.
     pub peer_connections: usize,
-    /// The time within which a connection to a target is made.
+    /// Longest time to open a connection to a target.
     pub connect_timeout: TimeSpan,
 }
 
 impl RelaySettings {
-    /// Gets the settings of the lanes.
+    /// Returns the settings of the dispatchers; the baseline policy does not detect silent
+    /// connections.
     #[must_use]
     pub fn dispatch_options(&self) -> DispatchOptions {
         DispatchOptions {
@@ -180,7 +180,8 @@
     log::LevelFilter::Info
 }
 
-/// No answer names a relay, so it is not kept up for one.
+/// Returns the default shutdown of a relay, which does not wait for cached answers to expire: no
+/// answer to a caller names a relay.
 fn default_stop() -> DrainOptions {
     DrainOptions {
         directory_lifetime: TimeSpan::ZERO,
--- a/alderhaven-relay/src/target_call.rs
+++ b/alderhaven-relay/src/target_call.rs
@@ -1,4 +1,8 @@
-//! One call of a target over HTTP, and what can be said of it afterwards.
+//! One attempt at a target over HTTP.
+//!
+//! The result tells whether the target ran the attempt, did not run it or may have run it. An
+//! attempt is sent a second time only if no byte of it was written, or if it is idempotent and its
+//! connection was silent.
 
 use alderhaven_core::outcome::{AttemptOutcome, NotRunReason};
 use alderhaven_core::time::{TimePoint, TimeSpan};
@@ -12,48 +16,48 @@
 
 use crate::target_connections::{TakenConnection, TargetConnections, TargetSender};
 
-/// The largest reply that is read from a target, in bytes; it must fit into one frame.
+/// Largest reply that is read from a target; it has to fit into one frame to the entry.
 const MAX_REPLY_BYTES: usize = 4 << 20;
 
-/// A `CallVerdict` is what a call of a target came to.
+/// Result of one attempt at a target.
 #[derive(Debug)]
 pub struct CallResult {
-    /// The outcome of the attempt.
+    /// Whether the target ran the attempt, and with which outcome.
     pub outcome: AttemptOutcome,
-    /// The rows, where the target answered.
+    /// Rows of the answer; empty unless the target answered.
     pub rows: Bytes,
-    /// The free slots that the target reports.
+    /// Number of free slots that the target reports.
     pub free_slots: Option<u32>,
-    /// Whether the target says that it drains.
+    /// Whether the target reports that it is draining.
     pub is_draining: bool,
-    /// How the connection was lost before the reply was whole, where it was.
+    /// How the connection was lost before the reply was complete, if it was.
     pub connection_loss: Option<ConnectionLoss>,
-    /// When the attempt was sent once more, where it was; its time at the target counts from then.
+    /// When the attempt was sent a second time, if it was; its service time counts from then.
     pub resent_at: Option<TimePoint>,
-    /// Whether that was because its first connection was silent.
+    /// Whether the first connection of the attempt turned out to be silent.
     pub found_silent_connection: bool,
 }
 
-/// A `ConnectionLoss` is how an attempt lost its connection.
+/// How an attempt lost its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionLoss {
-    /// The connection was closed: the path was cut or the target's process died.
+    /// The connection was closed: the network path failed or the target's process crashed.
     Closed,
-    /// The connection is silent while a new one works: the target is not to blame.
+    /// The connection is silent while a new one works, so the target is not at fault.
     Silent,
 }
 
-/// A `CallPace` is how long an attempt may take before its silence is looked into.
+/// How to treat an attempt whose reply is late.
 #[derive(Clone, Copy, Debug)]
 pub struct CallOptions {
-    /// The mean time of such attempts at the target.
+    /// Mean service time of the template at the target; a much longer silence leads to a probe.
     pub expected_service_time: TimeSpan,
-    /// Whether the attempt may be repeated, so that it is ended where its connection is silent.
+    /// Whether the attempt may be repeated, and so ended early if its connection is silent.
     pub is_idempotent: bool,
 }
 
 impl CallResult {
-    /// Returns a verdict without a reply of the target.
+    /// Creates the result of an attempt without a reply from the target.
     #[must_use]
     pub const fn without_reply(outcome: AttemptOutcome) -> Self {
         Self {
@@ -87,16 +91,16 @@
     }
 }
 
-/// What sending a request came to.
+/// What followed sending a request.
 enum SendOutcome {
     Replied(Response<Incoming>),
-    /// No byte was written, and the request came back.
+    /// No byte of the request was written.
     NotSent,
-    /// Bytes were written and no reply came: the target may have run the attempt.
+    /// Bytes may have been written and no reply came: the target may have run the attempt.
     Lost(ConnectionLoss),
 }
 
-/// A call whose request is on its connection.
+/// An attempt after it was sent, with its connection.
 struct SentCall {
     outcome: SendOutcome,
     sender: TargetSender,
@@ -104,11 +108,11 @@
     sent_at: TimePoint,
 }
 
-/// Runs an attempt at its target.
+/// Runs an attempt at its target, on an idle connection if there is one.
 ///
-/// A kept connection may have been closed by the target while it was idle. Nothing of the request
-/// was written then, so it is sent once more on a new connection. So is one that may be repeated
-/// where the kept connection turned out to be silent.
+/// The target may close a connection while it is idle. Then no byte of the request was written, and
+/// it is sent again on a new connection. An idempotent request is also sent again if its connection
+/// turned out to be silent.
 pub async fn run_attempt(
     connections: &TargetConnections,
     authority: &str,
@@ -127,7 +131,7 @@
             return read_reply(connections, request, call).await;
         }
     };
-    // Boxed, since it is rare: else each attempt's own future would be of its size.
+    // Boxed because it is rare: otherwise the future of every attempt would be larger.
     Box::pin(send_again(
         connections,
         authority,
@@ -138,7 +142,7 @@
     .await
 }
 
-/// Sends an attempt once more, on a new connection; `on_failure` is what can be said without that.
+/// Sends an attempt again, on a new connection; returns `on_failure` if it can't be sent.
 async fn send_again(
     connections: &TargetConnections,
     authority: &str,
@@ -160,9 +164,9 @@
     result
 }
 
-/// Asks a target to drop an attempt whose answer is no longer wanted.
+/// Asks a target to cancel an attempt; errors are ignored.
 ///
-/// It goes over a connection of its own: closing the attempt's connection would cost a new one.
+/// The request uses a second connection, so that the attempt's connection stays usable.
 pub async fn cancel_attempt(
     connections: &TargetConnections,
     authority: &str,
@@ -213,8 +217,8 @@
 async fn send_and_receive(sender: &mut TargetSender, message: Request<Full<Bytes>>) -> SendOutcome {
     match sender.try_send_request(message).await {
         Ok(response) => SendOutcome::Replied(response),
-        // hyper hands a request back only where no byte of it was written; without that proof the
-        // target may have run it.
+        // hyper returns the request only if no byte of it was written; otherwise the target may
+        // have run it.
         Err(mut error) => match error.take_message() {
             Some(_) => SendOutcome::NotSent,
             None => SendOutcome::Lost(ConnectionLoss::Closed),
@@ -222,7 +226,7 @@
     }
 }
 
-/// Waits for the reply, and looks into its silence where it takes unusually long.
+/// Waits for the reply, and probes the target each time the reply is unusually late.
 async fn await_reply_or_silence(
     connections: &TargetConnections,
     reply: impl Future<Output = SendOutcome>,
@@ -248,7 +252,7 @@
         if is_silent && options.is_idempotent {
             return SendOutcome::Lost(ConnectionLoss::Silent);
         }
-        // A target that is slow as a whole is asked more and more rarely.
+        // Backs off, so that a target that is only slow gets few probes.
         check_delay = check_delay.mul_f64(2.0);
     }
 }
@@ -273,8 +277,8 @@
             connections.give_back(call.sender);
             CallResult::with_reply(outcome, &head.headers, rows.to_bytes())
         }
-        // A truncated answer is no answer, though the target ran the attempt. The connection is
-        // dropped: its next bytes could belong to this answer.
+        // A truncated answer is of no use, although the target ran the attempt. The connection is
+        // dropped, because its next bytes could belong to this answer.
         Err(_) if outcome == AttemptOutcome::Answered => {
             let mut result =
                 CallResult::with_reply(AttemptOutcome::Unknown, &head.headers, Bytes::new());
--- a/alderhaven-relay/src/target_connections.rs
+++ b/alderhaven-relay/src/target_connections.rs
@@ -1,4 +1,4 @@
-//! The kept connections to one target, and how far they are trusted.
+//! Pool of connections to one target, with the detection of silent ones and of crashes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,32 +20,32 @@
 
 use crate::connection_probe;
 
-/// How often a target that closes new connections is asked whether its process still runs.
+/// Largest number of probes to a target that closes each new connection.
 const MAX_CRASH_PROBES: usize = 20;
-/// The pause between two of those; a process that ends closes all it has within milliseconds.
+/// Delay between two of those probes; a process that exits closes its sockets within milliseconds.
 const CRASH_PROBE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A `TargetSender` is one connection that can carry one request at a time.
+/// HTTP/1 connection that carries one request at a time.
 pub type TargetSender = SendRequest<Full<Bytes>>;
 
-/// A `TakenConnection` is a connection that was taken for one request.
+/// A connection that was taken from the pool for one request.
 #[derive(Debug)]
 pub struct TakenConnection {
-    /// The connection.
+    /// Sends the request on the connection.
     pub sender: TargetSender,
-    /// How long it had been idle; none where it is new.
+    /// Time for which the connection was idle; `None` if it is new.
     pub idle_for: Option<TimeSpan>,
 }
 
-/// A `TargetConnections` keeps connections to one target open between attempts.
+/// Connections to one target that are kept open between attempts.
 ///
-/// A new connection costs up to 6 ms (the brief's table), more than many a query takes at the
-/// target, so a connection that has answered is kept. One whose attempt was not answered is never
-/// given back: a late answer on it would be read as the answer to the next attempt.
+/// Opening a connection can take longer than a query, so a connection is reused after a complete
+/// reply. One whose attempt got no reply is dropped: a late reply would be read as the reply to the
+/// next attempt.
 ///
-/// A path that lost track of old connections shows as silence on all that were idle then. While a
-/// probe looks into a silence no kept connection is taken, and once it is answered the ones that
-/// were idle before it are closed, so that no further attempt waits on them.
+/// A network path that loses the state of old connections makes all idle ones silent. While a probe
+/// is in flight, no idle connection is used. Once the probe is answered, those idle since before it
+/// are closed, so that no further attempt waits on them.
 #[derive(Debug)]
 pub struct TargetConnections {
     address: SocketAddr,
@@ -53,7 +53,7 @@
     clock: ProcessClock,
     idle: Mutex<Vec<IdleConnection>>,
     path_health: Mutex<PathHealth>,
-    /// Held while a probe is under way, so that there is one at a time.
+    /// Locked while a probe is in flight, so that there is one at a time.
     last_probe: tokio::sync::Mutex<Option<ProbeResult>>,
 }
 
@@ -66,21 +66,21 @@
 #[derive(Debug)]
 struct PathHealth {
     health: ConnectionHealth,
-    /// When the latest attempt of those that were answered had been sent.
+    /// Send time of the latest attempt that was answered.
     last_answered_sent: Option<TimePoint>,
     probe_started_at: TimePoint,
     replaced_count: u64,
     probe_count: u64,
 }
 
-/// A `PathReport` is what is believed of a target's connections, for the dump.
+/// State of a target's connections, for the dump.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct PathReport {
-    /// The state.
+    /// Assumed state of the connections.
     pub state: HealthState,
-    /// The probes that were sent.
+    /// Number of probes that were sent.
     pub probes: u64,
-    /// The connections that were closed as silent.
+    /// Number of idle connections that were closed as silent.
     pub replaced: u64,
 }
 
@@ -90,14 +90,14 @@
     is_answered: bool,
 }
 
-/// Ends a probe as silent where its attempt no longer waits for it.
+/// Ends a probe as silent if its future is dropped before the probe ends.
 struct ProbeGuard<'a> {
     connections: &'a TargetConnections,
     is_finished: bool,
 }
 
 impl TargetConnections {
-    /// Returns an empty set of connections to `address`.
+    /// Creates an empty pool for the target at `address`.
     #[must_use]
     pub fn new(
         address: SocketAddr,
@@ -121,25 +121,25 @@
         }
     }
 
-    /// Gets the target's address.
+    /// Returns the target's address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gets the clock by which idle times are counted.
+    /// Returns the clock of idle times and send times.
     #[must_use]
     pub const fn clock(&self) -> ProcessClock {
         self.clock
     }
 
-    /// Gets the number of idle connections.
+    /// Returns the number of idle connections.
     #[must_use]
     pub fn idle_count(&self) -> usize {
         self.lock_idle().len()
     }
 
-    /// Gets what is believed of the connections.
+    /// Returns the state of the connections for the dump.
     #[must_use]
     pub fn report(&self) -> PathReport {
         let path = self.lock_path();
@@ -150,10 +150,10 @@
         }
     }
 
-    /// Takes an idle connection that is trusted, or makes a new one.
+    /// Takes an idle connection if they are trusted, or opens a new one.
     ///
     /// # Errors
-    /// An error of the operating system, or a time-out: no byte of a request was sent.
+    /// Returns an I/O error if no connection can be opened in time; no byte of a request was sent.
     pub async fn take(&self) -> io::Result<TakenConnection> {
         while self.lock_path().health.may_reuse() {
             let Some(connection) = self.lock_idle().pop() else {
@@ -166,12 +166,12 @@
                 });
             }
         }
-        // Boxed, as all that is rare in an attempt: the attempt's own future is moved and allocated
-        // for each one, and its size is that of its largest branch.
+        // Boxed because it is rare: the future of an attempt is moved and allocated each time, and
+        // it is as large as its largest branch.
         Box::pin(self.connect()).await
     }
 
-    /// Gives back a connection whose last request was answered in full.
+    /// Returns a connection to the pool after a complete reply.
     pub fn give_back(&self, sender: TargetSender) {
         if !sender.is_closed() {
             let idle_since = self.clock.now();
@@ -179,10 +179,10 @@
         }
     }
 
-    /// Makes a new connection.
+    /// Opens a new connection.
     ///
     /// # Errors
-    /// An error of the operating system, or a time-out.
+    /// Returns an I/O error if the connection can't be opened within the connect timeout.
     pub async fn connect(&self) -> io::Result<TakenConnection> {
         let connecting = TcpStream::connect(self.address);
         let stream = time::timeout(self.connect_timeout.as_duration(), connecting).await??;
@@ -191,7 +191,7 @@
             .await
             .map_err(io::Error::other)?;
         tokio::spawn(async move {
-            // An error of the connection reaches the attempt on it through its sender.
+            // An error reaches the attempt on this connection through its sender.
             let _ended = connection.await;
         });
         Ok(TakenConnection {
@@ -200,13 +200,13 @@
         })
     }
 
-    /// Notes that an attempt that was sent at `sent` was answered.
+    /// Records that an attempt sent at `sent_at` was answered.
     pub fn record_reply(&self, is_reused: bool, sent_at: TimePoint) {
         let mut path = self.lock_path();
         path.last_answered_sent = path.last_answered_sent.max(Some(sent_at));
         if !path.health.may_reuse() {
             drop(path);
-            // A reply on a new connection says of the old ones what a probe's reply says.
+            // A reply on a new connection proves the same as an answered probe.
             self.apply_event(if is_reused {
                 HealthEvent::Replied
             } else {
@@ -215,14 +215,15 @@
         }
     }
 
-    /// Gets the silence after which an attempt should lead to a probe.
+    /// Returns the time without a reply after which an attempt leads to a probe, or `None` if
+    /// disabled.
     #[must_use]
     pub fn silence_bound(&self, expected_service_time: TimeSpan) -> Option<TimeSpan> {
         self.lock_path().health.silence_bound(expected_service_time)
     }
 
-    /// Looks into the silence of an attempt; returns true where its connection is silent and the
-    /// target is not to blame.
+    /// Probes the target for an attempt without a reply; returns true if the attempt's connection
+    /// is lost and the target is not at fault.
     pub async fn probe_for_silence(&self, idle_before: TimeSpan, sent_at: TimePoint) -> bool {
         if !self.probe().await {
             return false;
@@ -235,12 +236,12 @@
         })
     }
 
-    /// Returns true where the target's process has died, seen after a connection to it was lost.
+    /// Probes, after a connection was lost, whether the target's process has crashed.
     ///
-    /// A path that is cut leaves the process alive: a new connection works, or gets no answer at
-    /// all. Where a new one works, the process may have been started anew at once; then all other
-    /// connections went with the old one. A dying process may accept a connection and close it, so
-    /// that counts as no answer yet.
+    /// It has if a new connection is refused, or if one works while all older idle ones are closed:
+    /// then the process was restarted. If only the network path failed, a new connection works
+    /// beside the older ones or gets no reply. A process that is exiting may accept a connection
+    /// and close it, so the probe is repeated after such a result.
     pub async fn is_process_dead(&self) -> bool {
         let started_at = self.clock.now();
         let timeout = self
@@ -260,7 +261,8 @@
         false
     }
 
-    /// Returns true where there were other connections at `point` and all are closed now.
+    /// Returns true if there are idle connections from `opened_by` or before, and all of them are
+    /// closed.
     fn are_all_closed(&self, opened_by: TimePoint) -> bool {
         let idle = self.lock_idle();
         let mut others = idle
@@ -270,7 +272,7 @@
         others.peek().is_some() && others.all(|connection| connection.sender.is_closed())
     }
 
-    /// Sends a probe, or waits for the one under way; returns true where it is answered.
+    /// Sends a probe, or waits for the one in flight; returns true if it is answered.
     async fn probe(&self) -> bool {
         let started_at = self.clock.now();
         let mut last_result = self.last_probe.lock().await;
@@ -303,7 +305,7 @@
         is_answered
     }
 
-    /// Applies an event and does what follows from it.
+    /// Applies an event and takes the action that follows from it.
     fn apply_event(&self, event: HealthEvent) {
         let mut path = self.lock_path();
         match path.health.handle(event) {
--- a/alderhaven-relay/src/target_dispatcher.rs
+++ b/alderhaven-relay/src/target_dispatcher.rs
@@ -1,4 +1,8 @@
-//! The lane to one target: its queue, its limit and the attempts that run there.
+//! Dispatcher of the attempts at one target.
+//!
+//! Attempts wait in the target's queue and start while its concurrency limit allows. Refused and
+//! dropped attempts are answered as not run. A request that is suspected of crashing targets runs
+//! alone, so that a crash has one possible cause.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,32 +32,32 @@
 use crate::target_call::{CallOptions, CallResult, ConnectionLoss};
 use crate::target_connections::{PathReport, TargetConnections};
 
-/// A `TargetLane` orders and runs the attempts at one target.
+/// Queues the attempts at one target, runs them and answers them.
 #[derive(Debug)]
 pub struct TargetDispatcher {
     context: DispatcherContext,
     authority: String,
     state: Mutex<DispatcherState>,
-    /// The number of waiting attempts, readable without the lock.
+    /// Number of waiting attempts, readable without the lock.
     waiting_count: AtomicUsize,
 }
 
-/// A `LaneShared` is what a lane is given by its relay.
+/// The target of a dispatcher, and the relay's parts that it uses.
 #[derive(Debug)]
 pub struct DispatcherContext {
-    /// The target.
+    /// Id of the target.
     pub target: TargetId,
-    /// The target's failure domain.
+    /// Failure domain of the target.
     pub domain: FailureDomain,
-    /// The connections to the target.
+    /// Pool of connections to the target.
     pub connections: TargetConnections,
-    /// The clock of all lanes.
+    /// Clock that all dispatchers share.
     pub clock: ProcessClock,
-    /// The counts of attempts.
+    /// Counters that all dispatchers share.
     pub counters: AttemptCounters,
-    /// The targets that get no new work.
+    /// Targets that get no new work.
     pub target_watch: TargetWatch,
-    /// What is known of requests that crash targets.
+    /// Quarantine of requests that crash targets.
     pub strikes: Arc<StrikeTracker>,
 }
 
@@ -64,39 +68,39 @@
     slots: u32,
     waiting: HashMap<AttemptId, RelayAttempt>,
     running: HashMap<AttemptId, Arc<Notify>>,
-    /// A suspect that has a slot and waits until nothing else runs at the target.
+    /// A suspected request that has a slot and waits until nothing else runs at the target.
     held_suspect: Option<ReadyAttempt>,
-    /// Whether a suspect runs, with which nothing else is started.
+    /// Whether a suspected request runs; nothing else starts meanwhile.
     is_suspect_running: bool,
     crash_watch: CrashWatch,
 }
 
-/// A `LaneReport` is the state of a lane for the dump.
+/// State of a dispatcher for the dump.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct DispatcherReport {
-    /// The target's address.
+    /// Address of the target.
     pub address: String,
-    /// The attempts that wait.
+    /// Number of waiting attempts.
     pub queued: usize,
-    /// The attempts at the target.
+    /// Number of attempts that hold a slot.
     pub in_flight: usize,
-    /// The most attempts at the target at a time, as adapted.
+    /// Current concurrency limit.
     pub limit: u32,
-    /// The idle connections.
+    /// Number of idle connections.
     pub idle_connections: usize,
-    /// What is believed of the connections.
+    /// State of the connections.
     pub path: PathReport,
     /// Whether the target gets no new work.
     pub draining: bool,
 }
 
-/// What becomes of the attempt that is next.
+/// The next attempt to run or to refuse.
 enum NextAttempt {
     Run(ReadyAttempt),
     Refuse(RelayAttempt, NotRunReason),
 }
 
-/// An attempt that was given a slot, with the means to cancel it.
+/// An attempt that was given a slot.
 #[derive(Debug)]
 struct ReadyAttempt {
     attempt: RelayAttempt,
@@ -106,7 +110,7 @@
 }
 
 impl TargetDispatcher {
-    /// Returns a lane to a target with this many declared slots.
+    /// Creates a dispatcher to a target that declares `slots` slots.
     #[must_use]
     pub fn new(context: DispatcherContext, slots: u32, options: &DispatchOptions) -> Self {
         let slots = slots.clamp(1, MAX_SLOTS);
@@ -127,13 +131,13 @@
         }
     }
 
-    /// Gets the target's address.
+    /// Returns the target's address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.context.connections.address()
     }
 
-    /// Takes an attempt: it is run, queued or refused at once.
+    /// Accepts or refuses an attempt; an accepted one runs at once or is queued.
     pub fn offer(self: &Arc<Self>, attempt: RelayAttempt) {
         let now = self.context.clock.now();
         let mut state = self.lock();
@@ -159,7 +163,7 @@
         self.run_ready();
     }
 
-    /// Drops an attempt whose answer is no longer wanted; one at the target is cancelled there.
+    /// Cancels an attempt: at the target if it runs, else in the queue. Unknown ids are ignored.
     pub fn cancel(self: &Arc<Self>, id: AttemptId) {
         let mut state = self.lock();
         if let Some(cancelled) = state.running.get(&id) {
@@ -181,14 +185,15 @@
         }
     }
 
-    /// Answers the waiting attempts whose time is up.
+    /// Answers the waiting attempts that have expired.
     pub fn expire_waiting(self: &Arc<Self>) {
         if self.waiting_count.load(Ordering::Relaxed) > 0 {
             self.run_ready();
         }
     }
 
-    /// Makes connections ahead of the first attempts, as many as the target has slots.
+    /// Opens connections before the first attempts, one per slot of the target; stops at the first
+    /// error.
     pub async fn open_connections(&self) {
         let slots = self.lock().slots as usize;
         while self.context.connections.idle_count() < slots {
@@ -199,14 +204,14 @@
         }
     }
 
-    /// Gets the number of attempts that wait or are at the target.
+    /// Returns the number of attempts that wait or run.
     #[must_use]
     pub fn unfinished_count(&self) -> usize {
         let state = self.lock();
         state.queue.waiting_count() + state.queue.running_count()
     }
 
-    /// Gets the lane's state for the dump.
+    /// Returns the state for the dump.
     #[must_use]
     pub fn report(&self) -> DispatcherReport {
         let now = self.context.clock.now();
@@ -222,14 +227,14 @@
         }
     }
 
-    /// Returns true where the target leaves: by its own word, the host list's or an operator's.
+    /// Returns true if the target is leaving by its own report, the host list or a published drain.
     fn is_leaving(&self) -> bool {
         self.context
             .target_watch
             .is_leaving(self.context.target.as_str())
     }
 
-    /// Returns true where the request is refused because it crashed targets.
+    /// Returns true if the request is refused because it crashed targets.
     fn is_quarantined(&self, attempt: &RelayAttempt) -> bool {
         self.context
             .strikes
@@ -237,11 +242,11 @@
             .is_some()
     }
 
-    /// Gets the reason with which attempts at a leaving target are refused.
+    /// Returns the reason for refusing attempts at a leaving target.
     ///
-    /// The target's own word is passed on, or each entry would go on to send a part of its attempts
-    /// here and use up its retries. What the host list or an operator says an entry hears itself,
-    /// also when it is taken back: passed on as the target's word it would be held on to.
+    /// The target's own report is passed on: entries don't see it, and would keep sending attempts
+    /// and spend their retries. Entries follow the host list and published drains themselves. Those
+    /// may be withdrawn, so they are not passed on as the target's report, which entries keep.
     fn leaving_reason(&self) -> NotRunReason {
         if self
             .context
@@ -258,7 +263,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts queued attempts while the limit allows it and answers those that were dropped.
+    /// Starts queued attempts while the limit allows, and answers those that were dropped.
     fn run_ready(self: &Arc<Self>) {
         let now = self.context.clock.now();
         let mut state = self.lock();
@@ -329,8 +334,8 @@
         attempt.reply(reply);
     }
 
-    /// Tells everyone of a crash where the target's process died with the attempt in flight, before
-    /// the attempt is answered and retried.
+    /// Broadcasts a crash if the target's process crashed with the attempt in flight, before the
+    /// reply to the entry, so that a retry arrives after the strikes. An answer clears strikes.
     async fn detect_crash(&self, attempt: &RelayAttempt, result: &CallResult) {
         let context = &self.context;
         if result.found_silent_connection {
@@ -365,7 +370,7 @@
         }
     }
 
-    /// Calls the target until it replies or the attempt's time is up.
+    /// Sends the attempt and waits until the target replies or the deadline passes.
     async fn call_target(
         &self,
         attempt: &RelayAttempt,
@@ -381,7 +386,7 @@
         let replied = tokio::select! {
             replied = &mut bounded_call => replied,
             () = cancelled.notified() => {
-                // The target is asked to drop the attempt; its slot is free once it has replied.
+                // The slot stays in use until the target replies or the deadline passes.
                 let connections = &self.context.connections;
                 Box::pin(target_call::cancel_attempt(connections, &self.authority, &attempt.request)).await;
                 bounded_call.await
@@ -390,7 +395,8 @@
         replied.unwrap_or_else(|_| CallResult::without_reply(AttemptOutcome::Unknown))
     }
 
-    /// Frees the attempt's slot, learns from its verdict and returns the wait of the next one.
+    /// Frees the attempt's slot, updates the estimates from its result and returns the estimated wait
+    /// of a new attempt of its class.
     fn record_finished(
         &self,
         attempt: &RelayAttempt,
@@ -435,7 +441,7 @@
         state.estimated_wait(attempt, now)
     }
 
-    /// Answers an attempt that certainly did not run.
+    /// Answers an attempt that did not run.
     fn answer_not_run(&self, attempt: &RelayAttempt, reason: NotRunReason, wait: TimeSpan) {
         let outcome = AttemptOutcome::NotRun(reason);
         self.context.counters.record_outcome(outcome);
@@ -457,9 +463,9 @@
 impl DispatcherState {
     /// Gives a slot to the next attempt, if one is free.
     ///
-    /// A suspect runs with nothing else at the target: if that crashes, the cause is known, and the
-    /// requests that were beside it at the first crash are cleared by their answers. What runs is
-    /// awaited, and nothing is started meanwhile.
+    /// A suspected request runs alone. If the target crashes again, the cause is known; if the
+    /// target answers, the request is cleared. It waits for the running attempts, and nothing else
+    /// starts meanwhile.
     fn start_next(&mut self, now: TimePoint, strikes: &StrikeTracker) -> Option<NextAttempt> {
         if self.is_suspect_running {
             return None;
@@ -487,7 +493,7 @@
         Some(self.start(ready))
     }
 
-    /// Starts the held suspect where nothing else runs any more.
+    /// Starts the held suspect once nothing else runs.
     fn start_held_suspect(
         &mut self,
         now: TimePoint,
@@ -516,7 +522,7 @@
         NextAttempt::Run(ready)
     }
 
-    /// Gives back the slot of an attempt that will not run.
+    /// Frees the slot of an attempt that will not run.
     fn refuse(&mut self, ready: ReadyAttempt, reason: NotRunReason, now: TimePoint) -> NextAttempt {
         self.queue.record_finished(ready.attempt.id(), None, now);
         self.limit
@@ -524,7 +530,7 @@
         NextAttempt::Refuse(ready.attempt, reason)
     }
 
-    /// Takes the held suspect out where it is the named attempt.
+    /// Removes the held suspect if it is the attempt `id`.
     fn take_held_suspect(&mut self, id: AttemptId, now: TimePoint) -> Option<RelayAttempt> {
         let held = self.held_suspect.take_if(|held| held.attempt.id() == id)?;
         match self.refuse(held, NotRunReason::Cancelled, now) {
--- a/alderhaven-relay/tests/peer_frames.rs
+++ b/alderhaven-relay/tests/peer_frames.rs
@@ -1,4 +1,4 @@
-//! Tests of what a relay does with the bytes of its peers, good and bad.
+//! Tests of a relay against valid, malformed and unknown messages on its peer port.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,12 +26,12 @@
 use tokio::time;
 use tokio_util::sync::CancellationToken;
 
-/// The time within which everything must come about; far above what a busy machine needs.
+/// Longest wait for a reply or a closed connection.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
-/// An address where nothing listens.
+/// Address on which nothing listens.
 const UNREACHABLE_ADDRESS: &str = "127.0.0.1:1";
 
-/// A `PeerLink` is one connection of an entry.
+/// Connection of an entry to the relay.
 struct PeerLink {
     sender: FrameSender,
     reader: FrameReader,
@@ -105,20 +105,20 @@
         Self { sender, reader }
     }
 
-    /// Sends an attempt and gets its reply.
+    /// Sends an attempt and returns its reply.
     async fn send_and_receive(&mut self, request: ScatterRequest) -> AttemptReply {
         let sequence = request.attempts[0].sequence;
         self.sender.send(PeerMessage::Scatter(request)).unwrap();
         let next = connection::next_message(&mut self.reader);
         match time::timeout(WAIT_LIMIT, next)
             .await
-            .expect("a reply comes")
+            .expect("no reply from the relay in time")
         {
             Some(PeerMessage::Reply(reply)) => {
                 assert_eq!(reply.sequence, sequence);
                 reply
             }
-            other => panic!("{other:?} is no reply"),
+            other => panic!("expected a reply, received {other:?}"),
         }
     }
 
@@ -129,15 +129,15 @@
     }
 }
 
-/// Sends bytes on a connection of their own and waits until the relay has closed it.
+/// Sends bytes on a new connection and waits until the relay closes it without a reply.
 async fn send_until_closed(relay: &RelayNode, bytes: &[u8]) {
     let mut stream = TcpStream::connect(relay.peer_address()).await.unwrap();
-    // The relay may close the connection before it has taken all bytes.
+    // The relay may close the connection before it has read all bytes.
     let _closed_before = stream.write_all(bytes).await;
     let mut reply = Vec::new();
     let ended = time::timeout(WAIT_LIMIT, stream.read_to_end(&mut reply)).await;
-    let _end_or_reset = ended.expect("the relay closes the connection");
-    assert_eq!(reply, b"", "nothing is answered to {bytes:?}");
+    let _end_or_reset = ended.expect("the relay did not close the connection in time");
+    assert_eq!(reply, b"", "the relay replied to {bytes:?}");
 }
 
 fn encode_frame(body: &[u8]) -> Vec<u8> {
@@ -145,9 +145,8 @@
     [&length, body].concat()
 }
 
-/// Something that is no entry connects to the relay: a scanner, a browser, a process of another
-/// system. Its connection is closed. Had the relay ended, or waited for a frame of gigabytes, all
-/// entries would lose it; the one that is connected sees nothing of it.
+/// Guards against malformed input that ends the relay, makes it wait for a huge frame or disturbs
+/// other connections. Only the connection of the sender is closed.
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_survives_malformed_frames() {
     let target = start_target().await;
@@ -160,7 +159,7 @@
         b"GET / HTTP/1.1\r\nhost: relay\r\n\r\n".to_vec(),
         vec![0xff; 4096],
         too_long.to_vec(),
-        // A length beyond the frame's end, a wire type that does not exist, a text that is no UTF-8.
+        // A field longer than its frame, an invalid wire type and a string that is not UTF-8.
         encode_frame(&[0x12, 0x7f, 0x00]),
         encode_frame(&[0x17]),
         encode_frame(&[0x12, 0x03, 0x12, 0x01, 0xff]),
@@ -172,14 +171,14 @@
     }
 }
 
-/// A newer entry sends a message that this relay does not know. It is passed over, and the attempts
-/// after it on the same connection are answered.
+/// Guards against a relay that closes the connection of a newer entry because of an unknown message.
+/// The message is ignored, and later attempts on the same connection are answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_ignores_unknown_messages() {
     let target = start_target().await;
     let relay = start_relay(8).await;
     let mut stream = TcpStream::connect(relay.peer_address()).await.unwrap();
-    // An empty frame, then field 100 with two bytes, then an unknown field of a known message.
+    // An empty frame, an unknown message type and an unknown field in a known message.
     let unknown: [&[u8]; 3] = [
         &[],
         &[0xa2, 0x06, 0x02, 0x61, 0x62],
@@ -234,9 +233,8 @@
         .await;
 }
 
-/// More entries connect than the relay takes. Left in the queue of the operating system, their
-/// links would look open and swallow attempts until the deadline; they are closed at once, and the
-/// entry that is connected goes on.
+/// Guards against connections above the limit that stay in the accept queue: they would look open,
+/// and attempts sent on them would wait until their deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_closes_connections_beyond_limit() {
     let target = start_target().await;
@@ -252,9 +250,8 @@
         .await;
 }
 
-/// A target is started anew on another port, under its own name, and a new manifest tells its
-/// address. A relay that kept to the first address would send every attempt to a port where nothing
-/// listens, until it is restarted itself.
+/// Guards against a relay that keeps sending attempts to the old address of a target that has been
+/// restarted on another port.
 #[tokio::test(flavor = "multi_thread")]
 async fn dispatcher_for_follows_a_target_to_its_new_address() {
     let relay = start_relay(8).await;
