--- a/alderhaven-relay/src/dispatcher_table.rs
+++ b/alderhaven-relay/src/dispatcher_table.rs
@@ -68,8 +68,8 @@
     /// Returns the dispatcher for an attempt; creates it from the attempt's fields if needed.
     ///
     /// A target at a new address gets a new dispatcher; those of its earlier addresses that have no
-    /// unfinished attempts are removed then. Returns `None` if the target or its address is invalid,
-    /// or if the table is full.
+    /// unfinished attempts are removed then. Returns `None` if the target or its address is
+    /// invalid, or if the table is full.
     #[must_use]
     pub fn dispatcher_for(&self, attempt: &ScatterAttempt) -> Option<Arc<TargetDispatcher>> {
         let target: TargetId = attempt.target.parse().ok()?;
--- a/alderhaven-relay/src/target_dispatcher.rs
+++ b/alderhaven-relay/src/target_dispatcher.rs
@@ -395,8 +395,8 @@
         replied.unwrap_or_else(|_| CallResult::without_reply(AttemptOutcome::Unknown))
     }
 
-    /// Frees the attempt's slot, updates the estimates from its result and returns the estimated wait
-    /// of a new attempt of its class.
+    /// Frees the attempt's slot, updates the estimates from its result and returns the estimated
+    /// wait of a new attempt of its class.
     fn record_finished(
         &self,
         attempt: &RelayAttempt,
--- a/alderhaven-relay/tests/peer_frames.rs
+++ b/alderhaven-relay/tests/peer_frames.rs
@@ -171,8 +171,8 @@
     }
 }
 
-/// Guards against a relay that closes the connection of a newer entry because of an unknown message.
-/// The message is ignored, and later attempts on the same connection are answered.
+/// Guards against a relay that closes the connection of a newer entry because of an unknown
+/// message. The message is ignored, and later attempts on the same connection are answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_ignores_unknown_messages() {
     let target = start_target().await;
