--- a/alderhaven-relay/src/dispatcher_table.rs
+++ b/alderhaven-relay/src/dispatcher_table.rs
@@ -1,4 +1,4 @@
-//! The lanes of a relay by target.
+//! Dispatchers of a relay by target.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,18 +21,18 @@
 use crate::target_connections::TargetConnections;
 use crate::target_dispatcher::{DispatcherContext, DispatcherReport, TargetDispatcher};
 
-/// The time between two looks for attempts whose time is up: little beside a deadline.
+/// Time between two checks for expired attempts; short in comparison with deadlines.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The most targets that a relay has lanes to, over twice the 3,400 servers of the two-year size.
+/// Largest number of targets with dispatchers at a relay.
 pub const MAX_TARGETS: usize = 8192;
 
-/// A `TargetLanes` is the lanes of one target, mostly one.
+/// Dispatchers of one target, one per address; usually a single one.
 pub type TargetDispatchers = SmallVec<[Arc<TargetDispatcher>; 1]>;
 
 type DispatcherMap = HashMap<TargetId, TargetDispatchers>;
 
-/// A `LaneTable` finds the lane of a target; reads take no lock.
+/// Finds the dispatcher of a target without taking a lock; additions are serialized.
 #[derive(Debug)]
 pub struct DispatcherTable {
     options: DispatchOptions,
@@ -45,12 +45,12 @@
 }
 
 impl DispatcherTable {
-    /// Returns an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(
         options: DispatchOptions,
         counters: AttemptCounters,
-        watch: TargetWatch,
+        target_watch: TargetWatch,
         strikes: Arc<StrikeTracker>,
         clock: ProcessClock,
     ) -> Self {
@@ -58,26 +58,26 @@
             options,
             clock,
             counters,
-            target_watch: watch,
+            target_watch,
             strikes,
             dispatchers: ArcSwap::default(),
             write_lock: Mutex::new(()),
         }
     }
 
-    /// Gets the lane for an attempt, or makes it from what the attempt says of its target.
+    /// Returns the dispatcher for an attempt; creates it from the attempt's fields if needed.
     ///
-    /// A target that has come back at another address gets a lane of its own there; the old one goes
-    /// once nothing is left in it. Returns none where the attempt's target or address can't be read,
-    /// or where there are as many lanes as may be.
+    /// A target at a new address gets a new dispatcher; those of its earlier addresses that have no
+    /// unfinished attempts are removed then. Returns `None` if the target or its address is
+    /// invalid, or if the table is full.
     #[must_use]
     pub fn dispatcher_for(&self, attempt: &ScatterAttempt) -> Option<Arc<TargetDispatcher>> {
         let target: TargetId = attempt.target.parse().ok()?;
         let address: SocketAddr = attempt.address.parse().ok()?;
-        if let Some(lane) = find_dispatcher(&self.dispatchers.load(), &target, address) {
-            return Some(lane);
+        if let Some(dispatcher) = find_dispatcher(&self.dispatchers.load(), &target, address) {
+            return Some(dispatcher);
         }
-        // An entry of an earlier release does not name the domain; the target then stands alone.
+        // Entries of earlier releases send no domain; the target is then a domain of its own.
         let domain = attempt
             .domain
             .parse()
@@ -86,7 +86,7 @@
         self.add_dispatcher(target, address, domain, attempt.slots)
     }
 
-    /// Makes the lane of a target ahead of its first attempt.
+    /// Creates the dispatcher of a target before its first attempt.
     pub fn prepare_target(&self, replica: &ReplicaEntry) {
         if find_dispatcher(&self.dispatchers.load(), &replica.target, replica.address).is_none() {
             let domain = replica.domain.clone();
@@ -99,18 +99,18 @@
         }
     }
 
-    /// Gets the number of attempts that wait or are at targets.
+    /// Returns the number of attempts that wait or run, over all dispatchers.
     #[must_use]
     pub fn unfinished_count(&self) -> usize {
         self.dispatchers
             .load()
             .values()
             .flatten()
-            .map(|lane| lane.unfinished_count())
+            .map(|dispatcher| dispatcher.unfinished_count())
             .sum()
     }
 
-    /// Gets the lanes of a target that has had attempts, one for each of its addresses.
+    /// Returns the dispatchers of a target, one per address; empty if the target is unknown.
     #[must_use]
     pub fn dispatchers_of(&self, target: &str) -> TargetDispatchers {
         let target: Option<TargetId> = target.parse().ok();
@@ -119,49 +119,49 @@
             .unwrap_or_default()
     }
 
-    /// Gets what is known of requests that crash targets.
+    /// Returns the quarantine of requests that crash targets.
     #[must_use]
     pub const fn strikes(&self) -> &Arc<StrikeTracker> {
         &self.strikes
     }
 
-    /// Gets the clock that all lanes share.
+    /// Returns the clock that all dispatchers share.
     #[must_use]
     pub const fn clock(&self) -> ProcessClock {
         self.clock
     }
 
-    /// Answers, in all lanes, the waiting attempts whose time is up, until the process ends.
+    /// Answers the waiting attempts that have expired, at a fixed interval, until the task is
+    /// dropped.
     ///
-    /// An attempt that has been given up on gets its answer within one tick, not when the target
-    /// next frees a slot.
+    /// Without it, an expired attempt would be answered only when the target next frees a slot.
     pub async fn expire_forever(self: Arc<Self>) {
         let mut ticks = time::interval(EXPIRY_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            for lane in self.dispatchers.load().values().flatten() {
-                lane.expire_waiting();
+            for dispatcher in self.dispatchers.load().values().flatten() {
+                dispatcher.expire_waiting();
             }
         }
     }
 
-    /// Gets all lanes.
+    /// Returns all dispatchers, each with its target's id.
     #[must_use]
     pub fn all_dispatchers(&self) -> Vec<(TargetId, Arc<TargetDispatcher>)> {
         self.dispatchers
             .load()
             .iter()
-            .flat_map(|(target, lanes)| lanes.iter().map(|lane| (target.clone(), Arc::clone(lane))))
+            .flat_map(|(target, items)| items.iter().map(|item| (target.clone(), Arc::clone(item))))
             .collect()
     }
 
-    /// Gets the state of all lanes for the dump.
+    /// Returns the state of all dispatchers for the dump, by target.
     #[must_use]
     pub fn reports(&self) -> HashMap<String, DispatcherReport> {
         self.all_dispatchers()
             .into_iter()
-            .map(|(target, lane)| (target.to_string(), lane.report()))
+            .map(|(target, dispatcher)| (target.to_string(), dispatcher.report()))
             .collect()
     }
 
@@ -172,16 +172,16 @@
         domain: FailureDomain,
         slots: u32,
     ) -> Option<Arc<TargetDispatcher>> {
-        let _writing = self
+        let _write_guard = self
             .write_lock
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let mut lanes = HashMap::clone(&self.dispatchers.load());
-        // Another thread may have added the lane while this one waited.
-        if let Some(lane) = find_dispatcher(&lanes, &target, address) {
-            return Some(lane);
+        let mut dispatchers = HashMap::clone(&self.dispatchers.load());
+        // Another thread may have added the dispatcher while this one waited for the lock.
+        if let Some(dispatcher) = find_dispatcher(&dispatchers, &target, address) {
+            return Some(dispatcher);
         }
-        if lanes.len() >= MAX_TARGETS && !lanes.contains_key(&target) {
+        if dispatchers.len() >= MAX_TARGETS && !dispatchers.contains_key(&target) {
             return None;
         }
         let connections = TargetConnections::new(
@@ -190,7 +190,7 @@
             self.options.health.clone(),
             self.clock,
         );
-        let shared = DispatcherContext {
+        let context = DispatcherContext {
             target: target.clone(),
             domain,
             connections,
@@ -199,23 +199,25 @@
             target_watch: self.target_watch.clone(),
             strikes: Arc::clone(&self.strikes),
         };
-        let lane = Arc::new(TargetDispatcher::new(shared, slots, &self.options));
-        let of_target = lanes.entry(target).or_default();
-        of_target.retain(|earlier| earlier.unfinished_count() > 0);
-        of_target.push(Arc::clone(&lane));
-        let warmed = Arc::clone(&lane);
-        tokio::spawn(async move { warmed.open_connections().await });
-        self.dispatchers.store(Arc::new(lanes));
-        Some(lane)
+        let dispatcher = Arc::new(TargetDispatcher::new(context, slots, &self.options));
+        let target_dispatchers = dispatchers.entry(target).or_default();
+        target_dispatchers.retain(|earlier| earlier.unfinished_count() > 0);
+        target_dispatchers.push(Arc::clone(&dispatcher));
+        let new_dispatcher = Arc::clone(&dispatcher);
+        tokio::spawn(async move { new_dispatcher.open_connections().await });
+        self.dispatchers.store(Arc::new(dispatchers));
+        Some(dispatcher)
     }
 }
 
 fn find_dispatcher(
-    lanes: &DispatcherMap,
+    dispatchers: &DispatcherMap,
     target: &TargetId,
     address: SocketAddr,
 ) -> Option<Arc<TargetDispatcher>> {
-    let of_target = lanes.get(target)?;
-    let found = of_target.iter().find(|lane| lane.address() == address);
-    found.cloned()
+    let target_dispatchers = dispatchers.get(target)?;
+    let dispatcher = target_dispatchers
+        .iter()
+        .find(|dispatcher| dispatcher.address() == address);
+    dispatcher.cloned()
 }
--- a/alderhaven-relay/src/peer_server.rs
+++ b/alderhaven-relay/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! The relay's side of the connections from entries.
+//! Server for the connections from entries: takes their attempts, cancellations and crash strikes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,35 +24,35 @@
 use crate::dispatcher_table::DispatcherTable;
 use crate::relay_attempt::RelayAttempt;
 
-/// The pause after a connection could not be accepted.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// The longest remaining time that an entry may claim; it bounds how long an attempt is held.
+/// Upper limit on the remaining time of an attempt; it bounds how long the relay holds it.
 const MAX_REMAINING: TimeSpan = TimeSpan::from_secs(60);
 
-/// The silence after which the connection of an entry that sends pings is closed; entries give up a
-/// silent connection within seconds.
+/// Silence after which the connection of an entry that sends pings is closed. An entry replaces a
+/// silent connection earlier than that.
 const ENTRY_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts connections from entries until the process ends.
+/// Accepts connections from entries until the task is dropped.
 ///
-/// A connection beyond the limit is closed at once: an entry that waited in the operating system's
-/// queue would hold a link that looks open and send attempts into it.
+/// A connection above the limit is closed at once. If it stayed in the operating system's accept
+/// queue, it would look open to the entry, which would send attempts on it.
 pub async fn serve(
     listener: TcpListener,
     table: Arc<DispatcherTable>,
     stop: StopHandle,
     connection_limit: usize,
-    refused: Counter,
+    refused_connections: Counter,
 ) {
     let permits = Arc::new(Semaphore::new(connection_limit));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors: later ones may be free again.
+            // Usually out of file descriptors, which may become free.
             time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
-            refused.inc();
+            refused_connections.inc();
             continue;
         };
         let table = Arc::clone(&table);
@@ -64,17 +64,19 @@
     }
 }
 
-/// Serves one entry. When the relay leaves, the entry is told on this connection at once, so that
-/// it sends elsewhere before gossip has reached it; attempts that are on their way are still run.
+/// Serves one entry until its connection ends.
+///
+/// When the relay starts to leave, the entry is notified on this connection, so that it uses other
+/// relays before gossip reaches it. Attempts that still arrive are run.
 async fn serve_entry(stream: TcpStream, table: &DispatcherTable, stop: &StopHandle) {
     let Ok((sender, mut reader)) = connection::split(stream) else {
         return;
     };
-    let _hears_of_strikes = table.strikes().subscribe(sender.clone());
+    let _strike_subscription = table.strikes().subscribe(sender.clone());
     let mut has_pinged = false;
     let leaving = stop.leaving();
     tokio::pin!(leaving);
-    let mut is_told = false;
+    let mut is_notified = false;
     loop {
         tokio::select! {
             message = next_entry_message(&mut reader, has_pinged) => match message {
@@ -84,16 +86,16 @@
                 }
                 None => return,
             },
-            () = &mut leaving, if !is_told => {
-                is_told = true;
+            () = &mut leaving, if !is_notified => {
+                is_notified = true;
                 let _entry_gone = sender.send(PeerMessage::Leaving(LeavingNotice {}));
             }
         }
     }
 }
 
-/// Reads the next message; one that sends pings and then nothing has a connection that is silent,
-/// which it has replaced by now.
+/// Reads the next message. Returns `None` at the end of the connection, or if an entry that has
+/// sent pings is silent for [`ENTRY_SILENCE_TIMEOUT`].
 async fn next_entry_message(reader: &mut FrameReader, has_pinged: bool) -> Option<PeerMessage> {
     if !has_pinged {
         return connection::next_message(reader).await;
@@ -126,17 +128,18 @@
 }
 
 fn offer_attempts(table: &DispatcherTable, sender: &FrameSender, request: &ScatterRequest) {
-    let arrived = table.clock().now();
-    let remaining = TimeSpan::from_micros(request.remaining_us).min(MAX_REMAINING);
+    let arrived_at = table.clock().now();
+    let remaining_time = TimeSpan::from_micros(request.remaining_us).min(MAX_REMAINING);
     let class = QueryClass::from_rank(u8::try_from(request.class).unwrap_or(u8::MAX));
     let template: Option<TemplateName> = request.template.parse().ok();
     let fingerprint = RequestFingerprint::of_canonical(&request.template, &request.parameters);
     for attempt in &request.attempts {
-        let (Some(lane), Some(template)) = (table.dispatcher_for(attempt), template.clone()) else {
+        let (Some(dispatcher), Some(template)) = (table.dispatcher_for(attempt), template.clone())
+        else {
             reply_no_route(sender, attempt.sequence);
             continue;
         };
-        lane.offer(RelayAttempt {
+        dispatcher.offer(RelayAttempt {
             request: target_request(request, attempt),
             template,
             fingerprint,
@@ -144,8 +147,8 @@
             class,
             order: request.order,
             is_hedge: request.is_hedge,
-            deadline: arrived + remaining,
-            arrived_at: arrived,
+            deadline: arrived_at + remaining_time,
+            arrived_at,
             reply_to: sender.clone(),
         });
     }
@@ -178,8 +181,8 @@
 
 fn cancel_attempts(table: &DispatcherTable, cancel: &CancelAttempts) {
     for attempt in &cancel.attempts {
-        for lane in table.dispatchers_of(&attempt.target) {
-            lane.cancel(AttemptId {
+        for dispatcher in table.dispatchers_of(&attempt.target) {
+            dispatcher.cancel(AttemptId {
                 origin: cancel.origin,
                 sequence: attempt.sequence,
             });
