--- a/alderhaven-entry/src/admission_controller.rs
+++ b/alderhaven-entry/src/admission_controller.rs
@@ -97,7 +97,7 @@
         let now = self.clock.now();
         // The waiter is there before the lock is given up: else another thread could decide on the
         // query in between, find nobody to tell, and its caller would wait for ever.
-        let verdict = {
+        let receiver = {
             let mut state = self.lock();
             match state.gate.offer(request.clone(), now) {
                 AdmitDecision::Admit(ticket) => {
@@ -105,13 +105,13 @@
                 }
                 AdmitDecision::Refuse(refusal) => return Err(refusal),
                 AdmitDecision::Queue => {
-                    let (sender, verdict) = oneshot::channel();
+                    let (sender, receiver) = oneshot::channel();
                     state.waiters.insert(request.id, sender);
-                    verdict
+                    receiver
                 }
             }
         };
-        let ticket = self.wait_for_result(request, verdict).await?;
+        let ticket = self.wait_for_result(request, receiver).await?;
         Ok(AdmissionPermit::new(Arc::clone(self), ticket))
     }
 
@@ -189,38 +189,38 @@
     async fn wait_for_result(
         &self,
         request: AdmitRequest,
-        verdict: oneshot::Receiver<AdmissionResult>,
+        result: oneshot::Receiver<AdmissionResult>,
     ) -> AdmissionResult {
-        let mut place = QueuedQuery {
+        let mut query = QueuedQuery {
             controller: self,
             request,
-            result: verdict,
+            result,
         };
         self.query_queued.notify_one();
-        let verdict = (&mut place.result).await;
+        let result = (&mut query.result).await;
         // A waiter is only dropped after it was answered.
-        verdict.unwrap_or_else(|_| Err(place.dropped_refusal()))
+        result.unwrap_or_else(|_| Err(query.dropped_refusal()))
     }
 }
 
 impl ControllerState {
     /// Answers the waiting queries that are decided now.
     fn decide_ready(&mut self, now: TimePoint) {
-        let mut unclaimed = Vec::new();
+        let mut undelivered = Vec::new();
         while let Some(ready) = self.gate.next_ready(now) {
-            let (id, verdict) = match ready {
+            let (id, result) = match ready {
                 ReadyQuery::Admit(ticket) => (ticket.request.id, Ok(ticket)),
                 ReadyQuery::Refuse { id, refusal } => (id, Err(refusal)),
             };
-            let verdict = match self.waiters.remove(&id) {
-                Some(waiter) => waiter.send(verdict),
-                None => Err(verdict),
+            let result = match self.waiters.remove(&id) {
+                Some(waiter) => waiter.send(result),
+                None => Err(result),
             };
-            if let Err(Ok(ticket)) = verdict {
-                unclaimed.push(ticket);
+            if let Err(Ok(ticket)) = result {
+                undelivered.push(ticket);
             }
         }
-        for ticket in unclaimed {
+        for ticket in undelivered {
             self.gate
                 .record_finished(&ticket, QueryReport::default(), now);
         }
--- a/alderhaven-entry/src/admission_permit.rs
+++ b/alderhaven-entry/src/admission_permit.rs
@@ -30,9 +30,9 @@
 impl AdmissionPermit {
     /// Returns the pass of a ticket.
     #[must_use]
-    pub const fn new(desk: Arc<AdmissionController>, ticket: AdmitTicket) -> Self {
+    pub const fn new(controller: Arc<AdmissionController>, ticket: AdmitTicket) -> Self {
         Self {
-            controller: desk,
+            controller,
             ticket,
             total_queue_wait: TimeSpan::ZERO,
             total_service_time: TimeSpan::ZERO,
@@ -51,8 +51,8 @@
     /// Gets the order of the query at all relays, in microseconds since the Unix epoch.
     #[must_use]
     pub fn order(&self, plan: &QueryPlan) -> u64 {
-        let arrived = self.controller.clock().time_point(plan.arrived_at);
-        plan.order + self.ticket.order_at.since(arrived).as_micros()
+        let arrived_at = self.controller.clock().time_point(plan.arrived_at);
+        plan.order + self.ticket.order_at.since(arrived_at).as_micros()
     }
 
     /// Returns true where queries wait for admission to the same service.
--- a/alderhaven-entry/src/applied_config.rs
+++ b/alderhaven-entry/src/applied_config.rs
@@ -86,8 +86,8 @@
     #[must_use]
     pub fn status(&self, config: &ConfigHandle) -> FollowerStatus {
         let status = config.status();
-        let is_taken_over = Arc::ptr_eq(&self.view(), &config.view());
-        let revision = if is_taken_over {
+        let is_applied = Arc::ptr_eq(&self.view(), &config.view());
+        let revision = if is_applied {
             status.revision
         } else {
             self.revision.load_full().map(|revision| *revision)
@@ -143,9 +143,9 @@
             };
             self.manifests.insert(key, recent);
         }
-        let life = MAX_DEADLINE.as_duration();
+        let retention = MAX_DEADLINE.as_duration();
         self.manifests
-            .retain(|_, recent| recent.replaced_at.is_none_or(|at| now - at < life));
+            .retain(|_, recent| recent.replaced_at.is_none_or(|at| now - at < retention));
     }
 
     /// Gets all manifests, those in force first, so that what they say of a target counts.
--- a/alderhaven-entry/src/caller_server.rs
+++ b/alderhaven-entry/src/caller_server.rs
@@ -234,13 +234,13 @@
         request: Request<Incoming>,
         record: &mut RequestRecord,
     ) -> Result<Response<Full<Bytes>>, ErrorAnswer> {
-        let arrived = Instant::now();
+        let arrived_at = Instant::now();
         let (head, body) = request.into_parts();
         let body = self.read_body(body).await?;
         let query = QueryRequest::parse(&body)?;
         let view = self.applied.view();
         let token = bearer_token(&head.headers);
-        let plan = QueryPlan::build(&view, template, query, token, arrived)
+        let plan = QueryPlan::build(&view, template, query, token, arrived_at)
             .map_err(|error| self.explain_missing_config(error, &view))?;
         record.record_plan(&plan);
         let class = plan.template.class;
@@ -258,7 +258,7 @@
         let outcome = answer
             .as_ref()
             .map_or_else(|error| error.error.code.outcome(), |answer| answer.outcome);
-        let seconds = arrived.elapsed().as_secs_f64();
+        let seconds = arrived_at.elapsed().as_secs_f64();
         self.metrics.observe_query(class, outcome, seconds);
         Ok(json_response(StatusCode::OK, &answer?))
     }
@@ -288,8 +288,8 @@
 
     async fn admit_and_run(&self, plan: &QueryPlan) -> Result<QueryAnswer, ErrorAnswer> {
         self.runner.check_quarantine(plan)?;
-        let mut pass = self.admission.admit(plan).await.map_err(refusal_answer)?;
-        self.runner.run(plan, &mut pass).await
+        let mut permit = self.admission.admit(plan).await.map_err(refusal_answer)?;
+        self.runner.run(plan, &mut permit).await
     }
 
     async fn read_body(&self, body: Incoming) -> Result<Bytes, ErrorAnswer> {
--- a/alderhaven-entry/src/claim_ledger.rs
+++ b/alderhaven-entry/src/claim_ledger.rs
@@ -138,18 +138,18 @@
 
     /// Makes the calls to the store until the process ends.
     pub async fn run_forever(self: Arc<Self>) {
-        let mut under_way = FuturesUnordered::new();
+        let mut calls_in_flight = FuturesUnordered::new();
         loop {
             let (calls, wake) = self.poll_batcher();
             for call in calls {
-                under_way.push(self.call_store(call));
+                calls_in_flight.push(self.call_store(call));
             }
             let wake = wake.map_or(Either::Left(futures::future::pending()), |point| {
                 let instant = time::Instant::from_std(self.clock.instant(point));
                 Either::Right(time::sleep_until(instant))
             });
             tokio::select! {
-                Some((slot, reply)) = under_way.next() => {
+                Some((slot, reply)) = calls_in_flight.next() => {
                     let now = self.clock.now();
                     self.lock().batcher.handle_reply(slot, reply, now);
                 }
@@ -168,12 +168,12 @@
             calls.push(call);
         }
         for (ticket, verdict) in state.batcher.take_verdicts() {
-            let unheard = state
+            let undelivered = state
                 .waiters
                 .remove(&ticket)
                 .and_then(|waiter| waiter.send(verdict).err());
             // Nobody is left to dispatch for the claim, so nothing has run.
-            if let Some(ClaimVerdict::Granted(ticket)) = unheard {
+            if let Some(ClaimVerdict::Granted(ticket)) = undelivered {
                 state.batcher.release(ticket);
             }
         }
--- a/alderhaven-entry/src/claim_peers.rs
+++ b/alderhaven-entry/src/claim_peers.rs
@@ -68,8 +68,8 @@
             fingerprint: fingerprint.to_string(),
             remaining_us: remaining.as_micros(),
         };
-        let asking = send_query(holder, query);
-        time::timeout(remaining.as_duration(), asking).await.ok()?
+        let fetch = send_query(holder, query);
+        time::timeout(remaining.as_duration(), fetch).await.ok()?
     }
 }
 
@@ -135,9 +135,9 @@
     let mut outcome = held.find(key, fingerprint, clock.now())?;
     let remaining = TimeSpan::from_micros(query.remaining_us).min(MAX_WAIT);
     let waiting = outcome.wait_for(Option::is_some);
-    let shown = time::timeout(remaining.as_duration(), waiting)
+    let outcome = time::timeout(remaining.as_duration(), waiting)
         .await
         .ok()?
         .ok()?;
-    serde_json::to_vec(shown.as_deref()?).ok()
+    serde_json::to_vec(outcome.as_deref()?).ok()
 }
--- a/alderhaven-entry/src/claimed_runner.rs
+++ b/alderhaven-entry/src/claimed_runner.rs
@@ -84,21 +84,21 @@
     /// The answer for the caller where the request was refused, or its outcome is not known.
     pub async fn answer(self: &Arc<Self>, key: ClaimKey, plan: QueryPlan) -> RunOutcome {
         let fingerprint = ClaimFingerprint::of(&plan.fingerprint(), &plan.team.name);
-        let expires = time::Instant::from_std(plan.expires_at());
+        let expires_at = time::Instant::from_std(plan.expires_at());
         match self.held.start(key, fingerprint, self.clock.now()) {
             HeldLookup::Conflict => Err(key_conflict()),
-            HeldLookup::Known(outcome) => self.replay(outcome, expires).await,
-            HeldLookup::New(place) => {
-                let mut outcome = place.watch();
+            HeldLookup::Known(outcome) => self.replay(outcome, expires_at).await,
+            HeldLookup::New(request) => {
+                let mut outcome = request.watch();
                 let runner = Arc::clone(self);
-                tokio::spawn(async move { runner.run(place, key, fingerprint, plan).await });
+                tokio::spawn(async move { runner.run(request, key, fingerprint, plan).await });
                 wait_for_outcome(&mut outcome).await
             }
         }
     }
 
-    async fn replay(&self, mut outcome: OutcomeWatch, expires: time::Instant) -> RunOutcome {
-        let Ok(outcome) = time::timeout_at(expires, wait_for_outcome(&mut outcome)).await else {
+    async fn replay(&self, mut outcome: OutcomeWatch, expires_at: time::Instant) -> RunOutcome {
+        let Ok(outcome) = time::timeout_at(expires_at, wait_for_outcome(&mut outcome)).await else {
             return Err(unknown_answer("the request still runs"));
         };
         self.metrics.replays.inc();
@@ -107,20 +107,20 @@
 
     async fn run(
         &self,
-        place: RunningRequest,
+        request: RunningRequest,
         key: ClaimKey,
         fingerprint: ClaimFingerprint,
         plan: QueryPlan,
     ) {
         match self.admit_claim_run(key, fingerprint, &plan).await {
             DispatchOutcome::Dispatched(outcome) => {
-                place.finish_and_hold(outcome, self.clock.now())
+                request.finish_and_hold(outcome, self.clock.now());
             }
             DispatchOutcome::Learned(outcome) => match mark_replayed(outcome) {
-                Ok(answer) => place.finish_and_hold(Ok(answer), self.clock.now()),
-                Err(error) => place.finish_and_remove(Err(error)),
+                Ok(answer) => request.finish_and_hold(Ok(answer), self.clock.now()),
+                Err(error) => request.finish_and_remove(Err(error)),
             },
-            DispatchOutcome::NotDispatched(error) => place.finish_and_remove(Err(error)),
+            DispatchOutcome::NotDispatched(error) => request.finish_and_remove(Err(error)),
         }
     }
 
@@ -134,17 +134,17 @@
         if let Some(error) = self.key_refusal(&key) {
             return DispatchOutcome::NotDispatched(error);
         }
-        let mut pass = match self.admission.admit(plan).await {
-            Ok(pass) => pass,
+        let mut permit = match self.admission.admit(plan).await {
+            Ok(permit) => permit,
             Err(refusal) => {
                 return DispatchOutcome::NotDispatched(caller_server::refusal_answer(refusal));
             }
         };
         let deadline = self.clock.time_point(plan.expires_at());
         match self.ledger.claim(key, fingerprint, deadline).await {
-            ClaimVerdict::Granted(ticket) => self.dispatch(ticket, plan, &mut pass).await,
+            ClaimVerdict::Granted(ticket) => self.dispatch(ticket, plan, &mut permit).await,
             ClaimVerdict::Taken(holder) => {
-                drop(pass);
+                drop(permit);
                 self.fetch_outcome(&holder, key, fingerprint, plan).await
             }
             ClaimVerdict::Conflict => DispatchOutcome::NotDispatched(key_conflict()),
@@ -164,7 +164,7 @@
         &self,
         ticket: ClaimTicket,
         plan: &QueryPlan,
-        pass: &mut AdmissionPermit,
+        permit: &mut AdmissionPermit,
     ) -> DispatchOutcome {
         if self.clock.now() >= self.clock.time_point(plan.expires_at()) {
             self.ledger.release(ticket);
@@ -174,7 +174,7 @@
                 message,
             ));
         }
-        match self.runner.run(plan, pass).await {
+        match self.runner.run(plan, permit).await {
             Err(error) if error.error.not_run => {
                 self.ledger.release(ticket);
                 DispatchOutcome::NotDispatched(error)
@@ -217,10 +217,10 @@
             .clock
             .now()
             .until(self.clock.time_point(plan.expires_at()));
-        let asking = self
+        let fetch = self
             .peers
             .fetch_outcome(holder.address, key, fingerprint, remaining);
-        match asking.await {
+        match fetch.await {
             Some(outcome) => {
                 self.metrics.learned.inc();
                 DispatchOutcome::Learned(outcome)
@@ -256,7 +256,7 @@
 /// Waits for the outcome of a request.
 async fn wait_for_outcome(outcome: &mut OutcomeWatch) -> RunOutcome {
     match outcome.wait_for(Option::is_some).await {
-        Ok(shown) => shown.as_ref().map_or_else(
+        Ok(outcome) => outcome.as_ref().map_or_else(
             || Err(unknown_answer("the request has no outcome")),
             |outcome| RunOutcome::clone(outcome),
         ),
--- a/alderhaven-entry/src/group_follower.rs
+++ b/alderhaven-entry/src/group_follower.rs
@@ -45,7 +45,7 @@
             relays.clone_from(&self.configured_relays);
         }
         // The order does not depend on the order of news, so that equal groups choose alike.
-        relays.sort_by(|one, other| one.candidate.node.cmp(&other.candidate.node));
+        relays.sort_by(|left, right| left.candidate.node.cmp(&right.candidate.node));
         let entries = match self.group.working_members(MemberRole::Entry).len() {
             // Each host runs one entry and one relay.
             0 => relays.len(),
--- a/alderhaven-entry/src/link_monitor.rs
+++ b/alderhaven-entry/src/link_monitor.rs
@@ -71,9 +71,9 @@
     /// The time counts from the ping, not from the last frame: this process may have been paused.
     fn is_silent(&self) -> bool {
         let limit = self.options.max_silence.as_duration();
-        let asked_long_ago = self
+        let is_ping_overdue = self
             .unanswered_ping_at
             .is_some_and(|at| at.elapsed() >= limit);
-        !limit.is_zero() && self.answers_pings && asked_long_ago
+        !limit.is_zero() && self.answers_pings && is_ping_overdue
     }
 }
--- a/alderhaven-entry/src/node.rs
+++ b/alderhaven-entry/src/node.rs
@@ -99,19 +99,19 @@
         let clock = ProcessClock::default();
         let strikes = Arc::new(strike_tracker(&settings, clock));
         let routes = Arc::new(relay_routes(&settings, &strikes, &metrics));
-        let desk = Arc::new(admission_controller(&settings, clock));
-        let board = Arc::new(replica_selector(&settings, clock));
+        let admission = Arc::new(admission_controller(&settings, clock));
+        let selector = Arc::new(replica_selector(&settings, clock));
         let applied = AppliedConfig::default();
-        let taking_over = ConfigApplier {
+        let config_applier = ConfigApplier {
             config: config.clone(),
-            admission: Arc::clone(&desk),
+            admission: Arc::clone(&admission),
             routes: Arc::clone(&routes),
-            selector: Arc::clone(&board),
+            selector: Arc::clone(&selector),
             applied: applied.clone(),
         };
         let parts = RunnerParts {
             routes: Arc::clone(&routes),
-            selector: board,
+            selector,
             watch: watch.clone(),
             strikes: Arc::clone(&strikes),
             config: applied.clone(),
@@ -121,13 +121,13 @@
         let claims = Arc::new(claimed_runner(
             &settings,
             peer_address,
-            &desk,
+            &admission,
             &runner,
             &config,
         ));
         let options = group_options(&settings, peer_address, caller_address);
         let group = NodeGroup::start(options, &config).await?;
-        let follower = group_follower(&settings, &group, &routes, &desk);
+        let follower = group_follower(&settings, &group, &routes, &admission);
         follower.apply();
         let stop = StopHandle::default();
         let connections = TaskTracker::new();
@@ -136,7 +136,7 @@
             config: config.clone(),
             applied: applied.clone(),
             routes,
-            admission: Arc::clone(&desk),
+            admission: Arc::clone(&admission),
             watch: watch.clone(),
             strikes,
             claimed_runner: Arc::clone(&claims),
@@ -146,7 +146,7 @@
         });
         let service = CallerService {
             limits: settings.limits.clone(),
-            admission: Arc::clone(&desk),
+            admission: Arc::clone(&admission),
             runner,
             claimed_runner: claims,
             config,
@@ -169,8 +169,8 @@
                 Arc::clone(state.claimed_runner.held()),
                 clock,
             )),
-            tokio::spawn(Arc::clone(&desk).expire_queries_forever()),
-            tokio::spawn(taking_over.follow()),
+            tokio::spawn(Arc::clone(&admission).expire_queries_forever()),
+            tokio::spawn(config_applier.follow()),
             tokio::spawn(caller_server::serve(listener, Arc::new(service))),
             tokio::spawn(operator_server::serve(
                 operator_listener,
@@ -320,7 +320,7 @@
 fn claimed_runner(
     settings: &EntrySettings,
     address: SocketAddr,
-    desk: &Arc<AdmissionController>,
+    admission: &Arc<AdmissionController>,
     runner: &Arc<QueryRunner>,
     config: &ConfigHandle,
 ) -> ClaimedRunner<HttpStore> {
@@ -331,7 +331,7 @@
         settings.node.clone(),
         address,
         settings.claims,
-        desk.clock(),
+        admission.clock(),
         metrics.clone(),
     );
     let held = HeldAnswers::new(
@@ -344,10 +344,10 @@
         .ledger(Arc::new(ledger))
         .held(Arc::new(held))
         .peers(ClaimPeers::new(address))
-        .admission(Arc::clone(desk))
+        .admission(Arc::clone(admission))
         .runner(Arc::clone(runner))
         .config(config.clone())
-        .clock(desk.clock())
+        .clock(admission.clock())
         .metrics(metrics)
         .build()
 }
@@ -356,12 +356,12 @@
     settings: &EntrySettings,
     group: &NodeGroup,
     routes: &Arc<RelayRoutes>,
-    desk: &Arc<AdmissionController>,
+    admission: &Arc<AdmissionController>,
 ) -> GroupFollower {
     GroupFollower {
         group: group.clone(),
         routes: Arc::clone(routes),
-        admission: Arc::clone(desk),
+        admission: Arc::clone(admission),
         configured_relays: group_follower::configured_relays(&settings.relays, &settings.domain),
     }
 }
--- a/alderhaven-entry/src/query_plan.rs
+++ b/alderhaven-entry/src/query_plan.rs
@@ -83,7 +83,7 @@
         name: &str,
         request: QueryRequest,
         token: Option<&str>,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<Self, ErrorAnswer> {
         let template = find_template(view, name)?;
         let team = find_team(view, &request.team, token)?;
@@ -112,7 +112,7 @@
             manifest,
             shard_positions: positions,
             order: arrival_order(),
-            arrived_at: arrived,
+            arrived_at,
             deadline,
         })
     }
--- a/alderhaven-entry/src/query_runner.rs
+++ b/alderhaven-entry/src/query_runner.rs
@@ -89,11 +89,11 @@
     pub async fn run(
         &self,
         plan: &QueryPlan,
-        pass: &mut AdmissionPermit,
+        permit: &mut AdmissionPermit,
     ) -> Result<QueryAnswer, ErrorAnswer> {
         // A strike may have come in while the query waited for its turn.
         self.check_quarantine(plan)?;
-        let query = RunningQuery::run(self, plan, pass).await;
+        let query = RunningQuery::run(self, plan, permit).await;
         if !query.needs_newer_snapshot() {
             return query.finish();
         }
@@ -102,7 +102,7 @@
         };
         drop(query);
         self.metrics.snapshot_restarts.inc();
-        RunningQuery::run(self, &newer, pass).await.finish()
+        RunningQuery::run(self, &newer, permit).await.finish()
     }
 
     /// Refuses a query that crashed targets.
@@ -120,7 +120,7 @@
     /// Waits for a manifest that is newer than the plan's, until the plan's time is up.
     async fn newer_plan(&self, plan: &QueryPlan) -> Option<QueryPlan> {
         let mut changed = self.config.subscribe();
-        let expires = time::Instant::from_std(plan.expires_at());
+        let expires_at = time::Instant::from_std(plan.expires_at());
         loop {
             let newer = self
                 .config
@@ -132,7 +132,7 @@
             if let Some(manifest) = newer {
                 return plan.pinned_to(manifest).ok();
             }
-            match time::timeout_at(expires, changed.changed()).await {
+            match time::timeout_at(expires_at, changed.changed()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return None,
             }
--- a/alderhaven-entry/src/relay_link.rs
+++ b/alderhaven-entry/src/relay_link.rs
@@ -117,17 +117,17 @@
         self.shared.lock().pending.len()
     }
 
-    /// Sends the attempts of a query; each gets exactly one reply on `sink` unless it is forgotten.
+    /// Sends the attempts of a query; each gets exactly one reply on `reply_sender` unless it is forgotten.
     ///
     /// Returns false where the link is down: then no byte was sent and no reply comes.
     #[must_use]
-    pub fn scatter(&self, request: ScatterRequest, sink: &ReplySender) -> bool {
+    pub fn scatter(&self, request: ScatterRequest, reply_sender: &ReplySender) -> bool {
         let mut state = self.shared.lock();
         let Some(sender) = state.sender.clone() else {
             return false;
         };
         for attempt in &request.attempts {
-            state.pending.insert(attempt.sequence, sink.clone());
+            state.pending.insert(attempt.sequence, reply_sender.clone());
         }
         let sequences: Vec<u64> = request
             .attempts
@@ -178,18 +178,18 @@
         let mut state = self.lock();
         state.sender = sender;
         state.is_leaving = false;
-        let awaited = std::mem::take(&mut state.pending);
+        let pending = std::mem::take(&mut state.pending);
         drop(state);
-        for (sequence, sink) in awaited {
-            let _query_over = sink.send(LinkReply::relay_lost(sequence));
+        for (sequence, reply_sender) in pending {
+            let _query_over = reply_sender.send(LinkReply::relay_lost(sequence));
         }
     }
 
     fn deliver(&self, reply: AttemptReply) {
-        let sink = self.lock().pending.remove(&reply.sequence);
+        let reply_sender = self.lock().pending.remove(&reply.sequence);
         // A reply that nobody awaits is late, doubled or of another life of this entry.
-        if let Some(sink) = sink {
-            let _query_over = sink.send(LinkReply::from(reply));
+        if let Some(reply_sender) = reply_sender {
+            let _query_over = reply_sender.send(LinkReply::from(reply));
         }
     }
 }
@@ -293,18 +293,18 @@
     if is_suspect && !answers_ping(&sender, &mut reader).await {
         return LinkEnd::Unresponsive;
     }
-    let _hears_of_strikes = parts.strikes.subscribe(sender.clone());
+    let _strike_subscription = parts.strikes.subscribe(sender.clone());
     shared.set_connected(sender.clone());
-    let mut watch = LinkMonitor::new(sender, parts.options);
+    let mut monitor = LinkMonitor::new(sender, parts.options);
     loop {
         let message = tokio::select! {
             message = connection::next_message(&mut reader) => message,
-            () = watch.wait_for_silence() => {
+            () = monitor.wait_for_silence() => {
                 parts.silent_links.inc();
                 return LinkEnd::Silent;
             }
         };
-        watch.record_message(message.as_ref());
+        monitor.record_message(message.as_ref());
         match message {
             Some(PeerMessage::Reply(reply)) => shared.deliver(reply),
             // It is passed on to all relays before the replies that come after it are taken.
--- a/alderhaven-entry/src/relay_routes.rs
+++ b/alderhaven-entry/src/relay_routes.rs
@@ -61,11 +61,11 @@
         if known.relays == relays {
             return;
         }
-        let before = self.links.load_full();
+        let current_links = self.links.load_full();
         let links: Vec<Arc<RelayLink>> = relays
             .iter()
             .map(|relay| {
-                before
+                current_links
                     .iter()
                     .find(|link| link.address() == relay.address)
                     .cloned()
--- a/alderhaven-entry/src/running_query.rs
+++ b/alderhaven-entry/src/running_query.rs
@@ -68,7 +68,7 @@
     expires_at: Instant,
     /// When a latency-first query answers with what it has.
     answer_by: Option<Instant>,
-    /// When attempts that are still under way are hedged.
+    /// When attempts that are still under way are slots.
     hedge_at: Option<Instant>,
     hedge_delay: TimeSpan,
 }
@@ -78,9 +78,9 @@
     pub(crate) async fn run(
         runner: &'a QueryRunner,
         plan: &'a QueryPlan,
-        pass: &'a mut AdmissionPermit,
+        permit: &'a mut AdmissionPermit,
     ) -> Self {
-        let (sink, replies) = mpsc::unbounded_channel();
+        let (reply_sender, replies) = mpsc::unbounded_channel();
         let group = HedgeGroup {
             service: plan.template.service.clone(),
             template: plan.template.name.clone(),
@@ -90,12 +90,12 @@
         let mut query = Self {
             runner,
             plan,
-            permit: pass,
+            permit,
             table: runner.selector.table_for(plan),
             expected_service_time: runner.selector.expected_service_time(&group),
             group,
             gather: QueryGather::new(manifest, &plan.shard_positions, is_idempotent),
-            reply_sender: sink,
+            reply_sender,
             open_attempts: HashMap::with_capacity(plan.shard_positions.len()),
             lost_paths: SmallVec::new(),
             slowest_target: TimeSpan::ZERO,
@@ -191,10 +191,10 @@
             .iter()
             .enumerate()
             .filter(|(_, replica)| !self.runner.watch.is_leaving(replica.target.as_str()))
-            .filter_map(|(place, replica)| {
+            .filter_map(|(position, replica)| {
                 let index = self.table.index_of(&replica.target)?;
                 let link = self.runner.routes.route(&replica.target)?;
-                Some((index, place, link))
+                Some((index, position, link))
             })
             .collect();
         let indexes: TargetIndexes = usable.iter().map(|(index, _, _)| *index).collect();
@@ -225,7 +225,7 @@
             .attempts(slot)
             .iter()
             .enumerate()
-            .filter(|(place, attempt)| *place == 0 || attempt.outcome != no_slot)
+            .filter(|(number, attempt)| *number == 0 || attempt.outcome != no_slot)
             .filter(|(_, attempt)| !self.lost_paths.contains(&attempt.sequence))
             .filter_map(|(_, attempt)| {
                 let target = &self.gather.shard_entry(slot).replicas[attempt.replica].target;
@@ -326,18 +326,18 @@
             return;
         }
         let is_overloaded = self.permit.is_overloaded();
-        let board = Arc::clone(&self.runner.selector);
-        let late: Vec<usize> = self
+        let selector = Arc::clone(&self.runner.selector);
+        let late_slots: Vec<usize> = self
             .gather
             .open_slots()
             .filter(|slot| self.attempts_in_flight(*slot) == 1 && self.has_untried_replica(*slot))
             .collect();
-        let hedged: Vec<usize> = late
+        let slots: Vec<usize> = late_slots
             .into_iter()
-            .take_while(|_| board.take_hedge(is_overloaded))
+            .take_while(|_| selector.take_hedge(is_overloaded))
             .collect();
-        if !hedged.is_empty() {
-            self.scatter(&hedged, true);
+        if !slots.is_empty() {
+            self.scatter(&slots, true);
         }
     }
 
@@ -408,14 +408,14 @@
 
     /// Learns from the end of an attempt.
     fn record_ended(&mut self, reply: &LinkReply) {
-        let Some(placed) = self.open_attempts.remove(&reply.sequence) else {
+        let Some(attempt) = self.open_attempts.remove(&reply.sequence) else {
             return;
         };
-        let board = &self.runner.selector;
-        let now = board.clock().now();
+        let selector = &self.runner.selector;
+        let now = selector.clock().now();
         let outcome = reply.result.outcome;
-        if placed.is_hedge {
-            board.record_hedge_end(outcome == AttemptOutcome::NotRun(NotRunReason::QueueFull));
+        if attempt.is_hedge {
+            selector.record_hedge_end(outcome == AttemptOutcome::NotRun(NotRunReason::QueueFull));
         }
         let sample = match outcome {
             AttemptOutcome::Answered => AttemptSample::Answered {
@@ -432,14 +432,14 @@
             AttemptOutcome::NotRun(_) | AttemptOutcome::VersionGone => AttemptSample::NotRun,
         };
         if outcome == AttemptOutcome::Answered {
-            board.record_answer(&self.group, now.since(placed.sent_at), reply.service_time);
+            selector.record_answer(&self.group, now.since(attempt.sent_at), reply.service_time);
         }
-        if let Some(entry) = self.table.get(placed.target_index) {
+        if let Some(entry) = self.table.get(attempt.target_index) {
             if outcome == AttemptOutcome::NotRun(NotRunReason::Draining) {
                 self.runner.watch.record_draining_reply(&entry.target);
             }
             let is_ejected =
-                board
+                selector
                     .chooser()
                     .record_finished(entry, sample, Some(reply.estimated_wait), now);
             if is_ejected {
@@ -458,8 +458,8 @@
         }
         let tried = self.excluded_replicas(slot).len();
         let retries = self.gather.attempts(slot).len().saturating_sub(1);
-        let board = &self.runner.selector;
-        let decision = board.decide_retry(EndedAttempt {
+        let selector = &self.runner.selector;
+        let decision = selector.decide_retry(EndedAttempt {
             outcome,
             is_idempotent: self.plan.template.idempotent,
             retries: u32::try_from(retries).unwrap_or(u32::MAX),
@@ -470,7 +470,7 @@
                 .len()
                 .saturating_sub(tried),
             expected_service_time: self.expected_service_time,
-            deadline: board.clock().time_point(self.plan.expires_at()),
+            deadline: selector.clock().time_point(self.plan.expires_at()),
         });
         match decision {
             RetryDecision::Retry => {
@@ -535,13 +535,13 @@
         let now = self.runner.selector.clock().now();
         let mut by_link: HashMap<SocketAddr, (Arc<RelayLink>, Vec<CancelledAttempt>)> =
             HashMap::new();
-        for (sequence, placed) in self.open_attempts.drain() {
-            let Some(entry) = self.table.get(placed.target_index) else {
+        for (sequence, attempt) in self.open_attempts.drain() {
+            let Some(entry) = self.table.get(attempt.target_index) else {
                 continue;
             };
             let waited = entry.stats.wait(now);
             let sample = AttemptSample::Unfinished {
-                elapsed: now.since(placed.sent_at).saturating_sub(waited),
+                elapsed: now.since(attempt.sent_at).saturating_sub(waited),
                 expected: self.expected_service_time,
             };
             let _never_ejects = self
@@ -550,8 +550,8 @@
                 .chooser()
                 .record_finished(entry, sample, None, now);
             by_link
-                .entry(placed.link.address())
-                .or_insert_with(|| (Arc::clone(&placed.link), Vec::new()))
+                .entry(attempt.link.address())
+                .or_insert_with(|| (Arc::clone(&attempt.link), Vec::new()))
                 .1
                 .push(CancelledAttempt {
                     sequence,
--- a/alderhaven-entry/tests/at_most_once/scenarios.rs
+++ b/alderhaven-entry/tests/at_most_once/scenarios.rs
@@ -134,15 +134,15 @@
         ..TargetFaults::default()
     });
     let key = fresh_key();
-    let mut caller = HttpConnection::connect(system.address(0)).await.unwrap();
-    let mut call = Box::pin(caller.send(build_request("assign", Some(&key), ISBN)));
+    let mut connection = HttpConnection::connect(system.address(0)).await.unwrap();
+    let mut call = Box::pin(connection.send(build_request("assign", Some(&key), ISBN)));
     tokio::select! {
         biased;
         () = wait_until("the request runs", || system.run_count() == 1) => {}
         _ = &mut call => panic!("the run is over too soon"),
     }
     drop(call);
-    drop(caller);
+    drop(connection);
     let answer = system.assign(0, &key, ISBN).await;
     assert_replayed(&answer);
     assert_eq!(system.run_count(), 1);
--- a/alderhaven-entry/tests/at_most_once/small_system.rs
+++ b/alderhaven-entry/tests/at_most_once/small_system.rs
@@ -177,8 +177,8 @@
         key: Option<&str>,
         isbn: &str,
     ) -> Answer {
-        let mut caller = HttpConnection::connect(self.address(entry)).await.unwrap();
-        let response = caller
+        let mut connection = HttpConnection::connect(self.address(entry)).await.unwrap();
+        let response = connection
             .send(build_request(template, key, isbn))
             .await
             .unwrap();
--- a/alderhaven-entry/tests/failures/quarantine.rs
+++ b/alderhaven-entry/tests/failures/quarantine.rs
@@ -85,7 +85,7 @@
     let system = TestSystem::start(4, 2, &json!({})).await;
     for kills in 1..=2 {
         let entry = system.entries[0].caller_address();
-        let asking = tokio::spawn(send_query(entry, "slow-book"));
+        let query = tokio::spawn(send_query(entry, "slow-book"));
         let busy = || {
             system
                 .targets
@@ -94,7 +94,7 @@
         };
         wait_until("an attempt under way", || busy().is_some()).await;
         busy().unwrap().crash();
-        let answer = asking.await.unwrap();
+        let answer = query.await.unwrap();
         assert_eq!(answer["outcome"], "complete", "{answer}");
         assert_eq!(system.dead_target_count(), kills);
     }
--- a/alderhaven-entry/tests/failures/silence.rs
+++ b/alderhaven-entry/tests/failures/silence.rs
@@ -17,8 +17,8 @@
 /// were taken out of use although they were well.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn silent_target_connections_are_replaced() {
-    let more = json!({ "relay": { "health": { "idle_suspect": "0us" } } });
-    let system = TestSystem::start(3, 1, &more).await;
+    let settings = json!({ "relay": { "health": { "idle_suspect": "0us" } } });
+    let system = TestSystem::start(3, 1, &settings).await;
     for round in 0..30 {
         assert_eq!(
             system.query(0, &format!("a-{round}")).await["outcome"],
@@ -63,9 +63,9 @@
     // The relay has answered a ping once its first answers are through.
     path.freeze();
     let entry = system.entries[1].caller_address();
-    let asking =
+    let queries =
         (0..20).map(|round| async move { send_query(entry, &format!("after-{round}")).await });
-    for answer in futures::future::join_all(asking).await {
+    for answer in futures::future::join_all(queries).await {
         assert_eq!(answer["outcome"], "complete", "{answer}");
     }
     let entry = system.entries[1].state();
@@ -90,8 +90,8 @@
     async fn start(relay: SocketAddr) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let era = Arc::new(AtomicU64::new(0));
-        let shared = Arc::clone(&era);
+        let generation = Arc::new(AtomicU64::new(0));
+        let shared = Arc::clone(&generation);
         tokio::spawn(async move {
             while let Ok((entry, _)) = listener.accept().await {
                 let relay = TcpStream::connect(relay).await.unwrap();
@@ -100,7 +100,7 @@
         });
         Self {
             address,
-            generation: era,
+            generation,
         }
     }
 
@@ -111,14 +111,14 @@
 
 /// Carries bytes both ways until the path is frozen, and then keeps both ends open.
 async fn forward_bytes(entry: TcpStream, relay: TcpStream, shared: Arc<AtomicU64>) {
-    let era = shared.load(Ordering::SeqCst);
+    let generation = shared.load(Ordering::SeqCst);
     let mut buffers = ([0_u8; 4096], [0_u8; 4096]);
     loop {
         let (from, to, count, buffer) = tokio::select! {
             ready = entry.readable() => (ready, &relay, entry.try_read(&mut buffers.0), &buffers.0),
             ready = relay.readable() => (ready, &entry, relay.try_read(&mut buffers.1), &buffers.1),
         };
-        let is_frozen = shared.load(Ordering::SeqCst) != era;
+        let is_frozen = shared.load(Ordering::SeqCst) != generation;
         match (from, count) {
             (Ok(()), Ok(0)) | (Err(_), _) => return,
             (Ok(()), Ok(count)) if !is_frozen => write_all(to, &buffer[..count]).await,
--- a/alderhaven-entry/tests/failures/system.rs
+++ b/alderhaven-entry/tests/failures/system.rs
@@ -30,12 +30,17 @@
 
 impl TestSystem {
     /// Starts a service of one shard with a replica in each domain.
-    pub async fn start(replicas: usize, nodes: usize, more: &Value) -> Self {
-        Self::start_sharded(1, replicas, nodes, more).await
+    pub async fn start(replicas: usize, nodes: usize, overrides: &Value) -> Self {
+        Self::start_sharded(1, replicas, nodes, overrides).await
     }
 
     /// Starts a service of several shards.
-    pub async fn start_sharded(shards: usize, replicas: usize, nodes: usize, more: &Value) -> Self {
+    pub async fn start_sharded(
+        shards: usize,
+        replicas: usize,
+        nodes: usize,
+        overrides: &Value,
+    ) -> Self {
         let mut targets = Vec::new();
         for _ in 0..shards * replicas {
             targets.push(FakeTarget::start().await);
@@ -43,7 +48,7 @@
         let config = build_config(&targets, replicas);
         let mut relays = Vec::new();
         for number in 0..nodes {
-            let settings = node_settings("relay", number, &more["relay"]);
+            let settings = node_settings("relay", number, &overrides["relay"]);
             let settings = serde_json::from_value(settings).unwrap();
             relays.push(RelayNode::start(settings, config.clone()).await.unwrap());
         }
@@ -55,14 +60,16 @@
             entries: Vec::new(),
         };
         for number in 0..nodes {
-            system.add_entry(number, &addresses, &more["entry"]).await;
+            system
+                .add_entry(number, &addresses, &overrides["entry"])
+                .await;
         }
         system
     }
 
     /// Starts an entry and waits until it reaches its relays.
-    pub async fn add_entry(&mut self, number: usize, relays: &[SocketAddr], more: &Value) {
-        let mut settings = node_settings("entry", number, more);
+    pub async fn add_entry(&mut self, number: usize, relays: &[SocketAddr], overrides: &Value) {
+        let mut settings = node_settings("entry", number, overrides);
         settings["listen"] = json!("127.0.0.1:0");
         settings["relays"] = json!(relays);
         let settings = serde_json::from_value(settings).unwrap();
@@ -96,8 +103,8 @@
     let request = Request::post("/v1/query/lookup")
         .body(Full::new(Bytes::from(body)))
         .unwrap();
-    let mut caller = HttpConnection::connect(entry).await.unwrap();
-    let answer = time::timeout(CONDITION_TIMEOUT, caller.send(request))
+    let mut connection = HttpConnection::connect(entry).await.unwrap();
+    let answer = time::timeout(CONDITION_TIMEOUT, connection.send(request))
         .await
         .unwrap();
     serde_json::from_slice(answer.unwrap().body()).unwrap()
@@ -105,24 +112,24 @@
 
 /// Asks until an answer is complete: the entry has taken over its configuration.
 async fn wait_until_complete(entry: SocketAddr) {
-    let waiting = async {
+    let polling = async {
         while send_query(entry, "ready").await["outcome"] != "complete" {
             time::sleep(Duration::from_millis(1)).await;
         }
     };
-    time::timeout(CONDITION_TIMEOUT, waiting)
+    time::timeout(CONDITION_TIMEOUT, polling)
         .await
         .expect("a complete answer");
 }
 
 /// Waits until a condition holds.
 pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let waiting = async {
+    let polling = async {
         while !holds() {
             time::sleep(Duration::from_millis(1)).await;
         }
     };
-    time::timeout(CONDITION_TIMEOUT, waiting)
+    time::timeout(CONDITION_TIMEOUT, polling)
         .await
         .unwrap_or_else(|_| panic!("{what}"));
 }
@@ -136,7 +143,7 @@
         .unwrap_or_else(|| panic!("no metric {name} in {text}"))
 }
 
-fn node_settings(role: &str, number: usize, more: &Value) -> Value {
+fn node_settings(role: &str, number: usize, overrides: &Value) -> Value {
     let mut settings = json!({
         "node": format!("{role}-{number}"),
         "host": format!("host-{number}"),
@@ -146,18 +153,18 @@
         // Nothing listens there; the configuration is handed in.
         "platform": SocketAddr::from((Ipv4Addr::LOCALHOST, 9)),
     });
-    if let (Some(settings), Some(more)) = (settings.as_object_mut(), more.as_object()) {
-        settings.extend(more.clone());
+    if let (Some(settings), Some(overrides)) = (settings.as_object_mut(), overrides.as_object()) {
+        settings.extend(overrides.clone());
     }
     settings
 }
 
 fn build_config(targets: &[FakeTarget], replicas: usize) -> ConfigHandle {
     let entry = |shard: usize, targets: &[FakeTarget]| {
-        let replica = |(place, target): (usize, &FakeTarget)| {
+        let replica = |(position, target): (usize, &FakeTarget)| {
             json!({
-                "target": format!("stock-{shard}-{place}"), "address": target.address,
-                "domain": format!("domain-{place}"), "slots": 2, "connections": 25,
+                "target": format!("stock-{shard}-{position}"), "address": target.address,
+                "domain": format!("domain-{position}"), "slots": 2, "connections": 25,
             })
         };
         let replicas: Vec<Value> = targets.iter().enumerate().map(replica).collect();
--- a/alderhaven-entry/tests/failures/target.rs
+++ b/alderhaven-entry/tests/failures/target.rs
@@ -78,24 +78,24 @@
 
 async fn accept_connections(listener: TcpListener, state: Arc<FakeState>) {
     while let Some(stream) = accept_connection(&listener, &state.crashed).await {
-        let death = state.crashed.clone();
+        let crashed = state.crashed.clone();
         let connection = serve_one(stream, Arc::clone(&state));
-        tokio::spawn(death.run_until_cancelled_owned(connection));
+        tokio::spawn(crashed.run_until_cancelled_owned(connection));
     }
 }
 
 async fn serve_one(stream: TcpStream, state: Arc<FakeState>) {
-    let era = state.generation.load(Ordering::SeqCst);
-    let handler = move |request| handle_request(Arc::clone(&state), era, request);
+    let generation = state.generation.load(Ordering::SeqCst);
+    let handler = move |request| handle_request(Arc::clone(&state), generation, request);
     serve_connection(stream, handler, CancellationToken::new()).await;
 }
 
 async fn handle_request(
     state: Arc<FakeState>,
-    era: u64,
+    generation: u64,
     request: Request<Incoming>,
 ) -> Result<HttpReply, ConnectionAborted> {
-    if state.generation.load(Ordering::SeqCst) != era {
+    if state.generation.load(Ordering::SeqCst) != generation {
         future::pending::<()>().await;
     }
     let (head, body) = request.into_parts();
@@ -106,8 +106,8 @@
     let parameters = String::from_utf8_lossy(&body).into_owned();
     state.started_count.fetch_add(1, Ordering::SeqCst);
     state.running_count.fetch_add(1, Ordering::SeqCst);
-    let slow = if parameters.contains("slow") { 25 } else { 1 };
-    tokio::time::sleep(SERVICE_TIME * slow).await;
+    let slowdown = if parameters.contains("slow") { 25 } else { 1 };
+    tokio::time::sleep(SERVICE_TIME * slowdown).await;
     state.running_count.fetch_sub(1, Ordering::SeqCst);
     if parameters.contains("poison") {
         state.crashed.cancel();
--- a/alderhaven-entry/tests/replica_selector.rs
+++ b/alderhaven-entry/tests/replica_selector.rs
@@ -46,13 +46,13 @@
 }
 
 /// A manifest names new targets. The view that queries are planned by has it a moment before the
-/// board has taken it over, and a query that waited for its admission has an older one. Both must
+/// selector has taken it over, and a query that waited for its admission has an older one. Both must
 /// find their replicas: a shard whose replicas are unknown was called "unreachable", in an answer
 /// that was partial without need.
 #[test]
 fn table_for_lists_targets_that_the_board_does_not() {
     let domain = "domain-1".parse().unwrap();
-    let board = ReplicaSelector::new(
+    let selector = ReplicaSelector::new(
         PolicyKind::Current,
         SelectorOptions::default(),
         domain,
@@ -63,13 +63,13 @@
         let target = plan_query(view).manifest.shards[0].replicas[0]
             .target
             .clone();
-        let before = board.table_for(&plan_query(view));
+        let before = selector.table_for(&plan_query(view));
         let index = before
             .index_of(&target)
             .expect("the table lists the target");
         let manifests: Vec<_> = view.manifests.values().cloned().collect();
-        board.apply(&manifests, view);
-        let after = board.table_for(&plan_query(view));
+        selector.apply(&manifests, view);
+        let after = selector.table_for(&plan_query(view));
         assert_eq!(after.index_of(&target), Some(index));
     }
 }
