--- a/alderhaven-entry/examples/claim_load.rs
+++ b/alderhaven-entry/examples/claim_load.rs
@@ -1,7 +1,8 @@
-//! Measures the claim ledger: several entries claim keys at a steady rate in one store in memory.
+//! Load test of the claim ledger: several entries claim keys at a constant rate in one in-memory
+//! store.
 //!
 //! `cargo run --release --example claim_load -- [claims/s] [entries] [store ms] [seconds] [writes/s]`
-//! prints one JSON line. Arrivals are open-loop: a claim's time counts from when it was due.
+//! prints one JSON line. Arrivals are open-loop: latency is measured from the scheduled time.
 
 use std::env;
 use std::sync::Arc;
@@ -20,7 +21,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// The longest run.
+/// Longest duration of a run.
 const MAX_SECONDS: u64 = 60;
 
 #[tokio::main]
--- a/alderhaven-entry/src/admission_controller.rs
+++ b/alderhaven-entry/src/admission_controller.rs
@@ -1,6 +1,5 @@
-//! The admission of queries at an entry: who runs now, who waits, who is refused at once.
-//!
-//! The decisions are those of [`AdmissionGate`]; this module lets callers wait for them.
+//! Admission control of an entry's queries: admit now, queue, or refuse at once. [`AdmissionGate`]
+//! makes the decisions; this module lets callers wait for them.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,13 +24,13 @@
 
 type AdmissionResult = Result<AdmitTicket, Refusal>;
 
-/// An `AdmissionDesk` admits the queries of one entry.
+/// Admission control shared by all queries of one entry.
 #[derive(Debug)]
 pub struct AdmissionController {
     clock: ProcessClock,
     next_id: AtomicU64,
     state: Mutex<ControllerState>,
-    /// Wakes the task that gives up on waiting queries, when the next such time may be earlier.
+    /// Wakes the expiry task, since the next expiry may have moved forward.
     query_queued: Notify,
 }
 
@@ -41,7 +40,7 @@
     waiters: HashMap<u64, oneshot::Sender<AdmissionResult>>,
 }
 
-/// Takes a waiting query out again where its caller goes away.
+/// A query in the queue. Dropping it removes the query, for example when its caller disconnects.
 struct QueuedQuery<'a> {
     controller: &'a AdmissionController,
     request: AdmitRequest,
@@ -49,7 +48,7 @@
 }
 
 impl AdmissionController {
-    /// Returns a desk.
+    /// Creates a controller that knows no services or teams yet; see [`Self::apply`].
     #[must_use]
     pub fn new(policy: PolicyKind, options: AdmissionOptions, clock: ProcessClock) -> Self {
         Self {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Takes over the sizes of services and the teams of a configuration.
+    /// Applies the shard counts and slots of the services and the team policies of a configuration.
     pub fn apply(&self, view: &ConfigView) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -82,21 +81,21 @@
         }
     }
 
-    /// Takes over how many entries share the services.
+    /// Sets the number of entries among which the capacity of the services is divided.
     pub fn set_entries(&self, entries: u32) {
         let now = self.clock.now();
         self.lock().gate.set_entries(entries, now);
     }
 
-    /// Decides on a query; waits where it has to wait its turn.
+    /// Admits or refuses a query, after waiting in the queue if necessary.
     ///
     /// # Errors
-    /// The refusal: nothing ran, and it says when to come back.
+    /// The refusal, with the time after which a retry makes sense. Nothing ran in that case.
     pub async fn admit(self: &Arc<Self>, plan: &QueryPlan) -> Result<AdmissionPermit, Refusal> {
         let request = self.build_request(plan);
         let now = self.clock.now();
-        // The waiter is there before the lock is given up: else another thread could decide on the
-        // query in between, find nobody to tell, and its caller would wait for ever.
+        // The waiter is registered under the same lock, so that another thread can't decide on the
+        // query before there is a receiver.
         let receiver = {
             let mut state = self.lock();
             match state.gate.offer(request.clone(), now) {
@@ -115,7 +114,7 @@
         Ok(AdmissionPermit::new(Arc::clone(self), ticket))
     }
 
-    /// Gets the load of all services that `view` names, for the dump.
+    /// Current load of every service in `view` that the gate knows, for the state dump.
     #[must_use]
     pub fn loads(&self, view: &ConfigView) -> Vec<(String, ServiceLoad)> {
         let state = self.lock();
@@ -125,7 +124,7 @@
             .collect()
     }
 
-    /// Returns true where queries wait for admission to a service.
+    /// Whether queries are queued for admission to the service.
     #[must_use]
     pub fn is_overloaded(&self, service: &ServiceName) -> bool {
         self.lock()
@@ -134,13 +133,13 @@
             .is_some_and(|load| load.waiting > 0)
     }
 
-    /// Gets the clock of the tickets.
+    /// The clock on which ticket times are measured.
     #[must_use]
     pub const fn clock(&self) -> ProcessClock {
         self.clock
     }
 
-    /// Gives up on waiting queries when their time has come, until the process ends.
+    /// Expires queued queries at their deadlines, until the process ends.
     pub async fn expire_queries_forever(self: Arc<Self>) {
         loop {
             let next = {
@@ -161,7 +160,7 @@
         }
     }
 
-    /// Runs a change of the gate and then decides on what waits.
+    /// Applies a change to the gate, then decides on the queued queries that it affects.
     pub(crate) fn update_gate(&self, change: impl FnOnce(&mut AdmissionGate, TimePoint)) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -198,13 +197,13 @@
         };
         self.query_queued.notify_one();
         let result = (&mut query.result).await;
-        // A waiter is only dropped after it was answered.
+        // The sender is dropped without a result only if the waiter was removed.
         result.unwrap_or_else(|_| Err(query.dropped_refusal()))
     }
 }
 
 impl ControllerState {
-    /// Answers the waiting queries that are decided now.
+    /// Delivers the decisions that are due. A ticket whose caller is gone is returned to the gate.
     fn decide_ready(&mut self, now: TimePoint) {
         let mut undelivered = Vec::new();
         while let Some(ready) = self.gate.next_ready(now) {
@@ -242,7 +241,7 @@
         let mut state = self.controller.lock();
         state.waiters.remove(&self.request.id);
         state.gate.cancel(&self.request.service, self.request.id);
-        // The ticket may have been sent while the caller went away.
+        // The ticket may have been sent while the caller disconnected.
         if let Ok(Ok(ticket)) = self.result.try_recv() {
             state
                 .gate
--- a/alderhaven-entry/src/admission_permit.rs
+++ b/alderhaven-entry/src/admission_permit.rs
@@ -1,4 +1,4 @@
-//! The pass of an admitted query; giving it back, in whatever way, frees its place.
+//! The permit of an admitted query. Dropping it frees its slot at the gate.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 use crate::query_plan::QueryPlan;
 use crate::relay_link::LinkReply;
 
-/// An `AdmissionPass` stands for one admitted query.
+/// Slot of one admitted query, held while the query runs.
 ///
-/// It is given back when it is dropped: a caller that goes away drops its query at any point, and
-/// a place that was never given back would shrink the entry for good.
+/// Released on drop, because a query is dropped at any await point when its caller disconnects. A
+/// leaked permit would lower the capacity of the entry permanently.
 #[derive(Debug)]
 pub struct AdmissionPermit {
     controller: Arc<AdmissionController>,
@@ -28,7 +28,7 @@
 }
 
 impl AdmissionPermit {
-    /// Returns the pass of a ticket.
+    /// Creates the permit of an admitted query from its ticket.
     #[must_use]
     pub const fn new(controller: Arc<AdmissionController>, ticket: AdmitTicket) -> Self {
         Self {
@@ -42,26 +42,26 @@
         }
     }
 
-    /// Gets the class by which relays order the query.
+    /// The class by which relays order the query. It may differ from the template's class.
     #[must_use]
     pub const fn class(&self) -> QueryClass {
         self.ticket.class
     }
 
-    /// Gets the order of the query at all relays, in microseconds since the Unix epoch.
+    /// Sort key of the query in the queues of all relays, in microseconds since the Unix epoch.
     #[must_use]
     pub fn order(&self, plan: &QueryPlan) -> u64 {
         let arrived_at = self.controller.clock().time_point(plan.arrived_at);
         plan.order + self.ticket.order_at.since(arrived_at).as_micros()
     }
 
-    /// Returns true where queries wait for admission to the same service.
+    /// Whether other queries are queued for admission to the same service.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
         self.controller.is_overloaded(&self.ticket.request.service)
     }
 
-    /// Notes the end of one attempt.
+    /// Records the end of one attempt, for the report that is given on drop.
     pub fn record_reply(&mut self, reply: &LinkReply) {
         self.attempts += 1;
         self.total_queue_wait = self.total_queue_wait + reply.queue_wait;
--- a/alderhaven-entry/src/answer.rs
+++ b/alderhaven-entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! What callers are answered: an answer with its coverage, or an error in one form.
+//! Bodies of the replies to callers: a query's answer with its coverage, or an error.
 
 use alderhaven_core::coverage::CoverageReport;
 use alderhaven_core::ids::SnapshotId;
@@ -9,67 +9,67 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A `QueryAnswer` is the body of an answered query.
+/// Body of the reply to a query that was answered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QueryAnswer {
-    /// Complete or partial.
+    /// `Complete` or `Partial`.
     pub outcome: QueryOutcome,
-    /// The merged rows, a JSON array.
+    /// The merged rows as a JSON array.
     pub rows: Box<RawValue>,
-    /// The shards that the answer covers.
+    /// The shards that the rows cover.
     pub coverage: CoverageReport,
-    /// The snapshot that the whole answer reflects.
+    /// The snapshot from which all rows are taken.
     pub snapshot: SnapshotId,
-    /// Where the time went.
+    /// How long the query and its attempts took.
     pub timing: AnswerTiming,
-    /// Whether this is the answer to an earlier send of the same request.
+    /// Whether this repeats the answer to an earlier request with the same idempotency key.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub replayed: bool,
 }
 
-/// An `AnswerTiming` says where the time of a query went.
+/// Duration and number of attempts of a query.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct AnswerTiming {
-    /// From the request's arrival to its answer, in microseconds.
+    /// Time from the arrival of the request to its answer, in microseconds.
     pub total_us: u64,
-    /// The longest time of an attempt at its target, in microseconds.
+    /// Longest service time of an attempt at its target, in microseconds.
     pub slowest_target_us: u64,
-    /// The number of attempts that were begun.
+    /// Number of attempts started, including hedges and retries.
     pub attempts: usize,
 }
 
-/// An `ErrorCode` is the closed set of errors that callers are told.
+/// The error codes that callers can receive. The set is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, EncodeLabelValue)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
-    /// The request can't be read, or a parameter is out of its bounds.
+    /// The request is malformed, or a parameter is outside its bounds.
     BadRequest,
     /// The team's bearer token is missing or wrong.
     Unauthorized,
     /// The team may not use the template.
     Forbidden,
-    /// There is no such path, template or team.
+    /// No such path, template or team exists.
     NotFound,
-    /// The method is not allowed on the path.
+    /// The path does not support the method.
     MethodNotAllowed,
-    /// The head or the body is too large.
+    /// The request head or body exceeds its limit.
     TooLarge,
-    /// The request is refused for now because of load; nothing ran.
+    /// Refused because of load. Nothing ran.
     Overloaded,
-    /// The request can't be served now, for another reason than load; nothing ran.
+    /// Refused for a reason other than load, for example an unreachable store. Nothing ran.
     Unavailable,
-    /// The request ran without a usable answer; repeating it does no harm.
+    /// The request ran without a usable answer. It is idempotent, so that a retry is safe.
     Failed,
     /// A non-idempotent request may or may not have run.
     Unknown,
-    /// The idempotency key was used before with other content.
+    /// The idempotency key was used before for a different request.
     KeyConflict,
-    /// The request crashed targets and is refused for a while; nothing ran.
+    /// The request crashed targets and is refused for some time.
     Quarantined,
 }
 
 impl ErrorCode {
-    /// Gets the HTTP status that goes with the code.
+    /// The HTTP status of a reply with this code.
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
@@ -90,7 +90,7 @@
 }
 
 impl ErrorCode {
-    /// Gets the query's outcome that the code stands for.
+    /// The outcome under which a query with this code is counted and logged.
     #[must_use]
     pub const fn outcome(self) -> QueryOutcome {
         match self {
@@ -101,35 +101,35 @@
     }
 }
 
-/// An `ErrorAnswer` is the body of everything that is not an answer.
+/// Body of every error reply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorAnswer {
-    /// The error.
+    /// Code and message of the error.
     pub error: ErrorDetail,
-    /// The coverage, where the query was scattered.
+    /// The coverage, if attempts were sent to shards.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub coverage: Option<CoverageReport>,
-    /// Whether this is the answer to an earlier send of the same request.
+    /// Whether this repeats the outcome of an earlier request with the same idempotency key.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub replayed: bool,
 }
 
-/// An `ErrorDetail` says what went wrong and what the caller may do.
+/// What went wrong, and whether a retry makes sense.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// The code.
+    /// Machine-readable cause of the error.
     pub code: ErrorCode,
-    /// One sentence for people.
+    /// One sentence that explains the error to a person.
     pub message: String,
     /// Whether it is certain that nothing ran.
     pub not_run: bool,
-    /// The milliseconds after which asking again makes sense; none where it never does.
+    /// Time after which a retry makes sense, in milliseconds. Absent if it never does.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl ErrorAnswer {
-    /// Returns an error of a request that was refused before anything ran.
+    /// Creates the error of a request that certainly did not run.
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             error: ErrorDetail {
@@ -143,21 +143,21 @@
         }
     }
 
-    /// Returns an error of a request that ran, or may have run.
+    /// Creates the error of a request that ran or may have run.
     pub fn may_have_run(code: ErrorCode, message: impl Into<String>) -> Self {
         let mut answer = Self::not_run(code, message);
         answer.error.not_run = false;
         answer
     }
 
-    /// Adds when asking again makes sense.
+    /// Sets the time after which a retry makes sense; at least 1 ms.
     #[must_use]
     pub fn with_retry_after(mut self, span: TimeSpan) -> Self {
         self.error.retry_after_ms = Some(span.as_millis().max(1));
         self
     }
 
-    /// Adds the coverage.
+    /// Adds the coverage of a query whose attempts were sent.
     #[must_use]
     pub fn with_coverage(mut self, coverage: CoverageReport) -> Self {
         self.coverage = Some(coverage);
--- a/alderhaven-entry/src/applied_config.rs
+++ b/alderhaven-entry/src/applied_config.rs
@@ -1,4 +1,5 @@
-//! The configuration as queries read it: visible only once every part of the entry has taken it over.
+//! The configuration on which queries are planned. A change becomes visible only after every part
+//! of the entry has applied it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,34 +17,34 @@
 use crate::relay_routes::RelayRoutes;
 use crate::replica_selector::ReplicaSelector;
 
-/// An `AppliedConfig` is the view that queries are planned on; its clones share it.
+/// Configuration view on which queries are planned. Clones share the same view.
 ///
-/// Were queries planned on the view that the store's watch has just brought, the first ones on a
-/// new manifest would find no relay for its targets yet and report its shards as unreachable.
+/// Planning on the newest view of the store would fail for a new manifest: there would be no relay
+/// routes for its targets yet, and its shards would be reported as unreachable.
 #[derive(Clone, Debug)]
 pub struct AppliedConfig {
     view: Arc<ArcSwap<ConfigView>>,
-    /// The revision up to which the view holds every change.
+    /// Every change up to this revision is contained in the view.
     revision: Arc<ArcSwapOption<StoreVersion>>,
     changes: watch::Sender<u64>,
 }
 
-/// A `ConfigApplier` hands each change of the configuration to the parts of the entry.
+/// Applies each configuration change to admission, routes and replica selection, then publishes it.
 #[derive(Debug)]
 pub struct ConfigApplier {
-    /// The configuration in force.
+    /// The newest configuration from the store.
     pub config: ConfigHandle,
-    /// What admits queries.
+    /// Receives the services and teams.
     pub admission: Arc<AdmissionController>,
-    /// The routes through relays.
+    /// Receives the targets to be reached through relays.
     pub routes: Arc<RelayRoutes>,
-    /// What is known of the targets.
+    /// Receives the targets to choose from.
     pub selector: Arc<ReplicaSelector>,
-    /// What queries read.
+    /// Publishes the view to queries, after all other parts.
     pub applied: AppliedConfig,
 }
 
-/// A `RecentManifests` holds the manifests in force and those that running queries may be pinned to.
+/// Current manifests and replaced ones to which running queries may still be pinned.
 #[derive(Debug, Default)]
 struct RecentManifests {
     manifests: BTreeMap<(ServiceName, SnapshotId), RecentManifest>,
@@ -66,23 +67,23 @@
 }
 
 impl AppliedConfig {
-    /// Gets the view.
+    /// The view that every part of the entry has applied.
     #[must_use]
     pub fn view(&self) -> Arc<ConfigView> {
         self.view.load_full()
     }
 
-    /// Gets a channel that changes with each change of the view.
+    /// Subscribes to a counter that increases with each published view.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Gets the follower's state as queries see it: the revision is one whose changes they see.
+    /// Status of the configuration follower, with the revision that queries already see.
     ///
-    /// Failure: an operator waits until a template is in force, and a caller's next query is answered by
-    /// the one before, because the parts of the entry still take over what its watch has brought. The
-    /// follower's state is read first, so that a view which is taken over after it holds its changes.
+    /// Without this, an operator could see a revision as applied while queries still use the one
+    /// before. The follower's status is read first, so that a view published later contains its
+    /// changes.
     #[must_use]
     pub fn status(&self, config: &ConfigHandle) -> FollowerStatus {
         let status = config.status();
@@ -103,13 +104,13 @@
 }
 
 impl ConfigApplier {
-    /// Takes over each change of the configuration until the task is ended.
+    /// Applies each change until the configuration handle is closed.
     pub async fn follow(self) {
         let mut changed = self.config.subscribe();
         let mut recent = RecentManifests::default();
         loop {
             changed.borrow_and_update();
-            // Read before the view, which then holds every change up to it.
+            // Read before the view, so that the view contains every change up to it.
             let revision = self.config.complete_revision();
             let view = self.config.view();
             recent.update(&view, Instant::now());
@@ -126,7 +127,7 @@
 }
 
 impl RecentManifests {
-    /// Takes over the manifests of a view; replaced ones stay for as long as a query may run.
+    /// Adds the manifests of a view. Replaced ones are kept for the longest deadline of a query.
     fn update(&mut self, view: &ConfigView, now: Instant) {
         for recent in self.manifests.values_mut() {
             let manifest = &recent.manifest;
@@ -148,7 +149,7 @@
             .retain(|_, recent| recent.replaced_at.is_none_or(|at| now - at < retention));
     }
 
-    /// Gets all manifests, those in force first, so that what they say of a target counts.
+    /// All manifests, current ones first, so that their entry for a target takes precedence.
     fn current_first(&self) -> Vec<Arc<SnapshotManifest>> {
         let mut recent: Vec<&RecentManifest> = self.manifests.values().collect();
         recent.sort_by_key(|recent| recent.replaced_at.is_some());
--- a/alderhaven-entry/src/caller_server.rs
+++ b/alderhaven-entry/src/caller_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for callers.
+//! HTTP server for callers: queries, health and the list of entries.
 
 use std::convert::Infallible;
 use std::io;
@@ -41,61 +41,61 @@
 use crate::request_record::{REQUEST_ID_HEADER, RequestId, RequestRecord};
 use crate::settings::EntryLimits;
 
-/// The room for a head beyond its limit, within which a head that is too large is told so in the
-/// common form; hyper itself refuses a larger one.
+/// Ratio of hyper's buffer to the head limit. Heads up to it get an [`ErrorAnswer`]; larger ones
+/// are rejected by hyper itself.
 const HEAD_BUFFER_FACTOR: usize = 2;
-/// The connections beyond the limit that are told so at a time.
+/// Number of connections above the limit that receive an error reply at the same time.
 const MAX_CONCURRENT_REFUSALS: usize = 64;
-/// The time that telling a caller so may take.
+/// Time limit for sending that reply.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most bytes of a refused caller that are read, so that it gets its answer.
+/// Number of request bytes that are read and discarded after the reply, so that it isn't lost.
 const MAX_DISCARDED_BYTES: u64 = 64 << 10;
-/// When a refused caller may come back; it should go to another entry before.
+/// `retry_after_ms` of a refused connection. Callers should try another entry first.
 const REFUSED_CONNECTION_RETRY_AFTER: TimeSpan = TimeSpan::from_secs(1);
-/// The pause after a connection could not be accepted.
+/// Delay after a failed `accept`.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// The path below which templates are queried.
+/// Prefix of the query paths; the template's name follows.
 const QUERY_PREFIX: &str = "/v1/query/";
-/// The path that says whether the entry serves.
+/// Path that reports whether the entry serves or drains.
 const HEALTH_PATH: &str = "/v1/health";
-/// The path that says which entries to use.
+/// Path that lists the entries to use.
 const ENTRIES_PATH: &str = "/v1/entries";
-/// The time after which a caller may ask a node again that does not know its configuration yet.
+/// `retry_after_ms` of an entry without a complete configuration.
 const NO_CONFIG_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(500);
-/// The header with the key of a non-idempotent request, a `UUIDv7`.
+/// Header with the key of a non-idempotent request, a `UUIDv7`.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// A `CallerService` answers callers.
+/// Handles the requests of callers.
 #[derive(Debug)]
 pub struct CallerService {
-    /// The limits on what callers send.
+    /// Limits on connections and on the size of requests.
     pub limits: EntryLimits,
-    /// The configuration in force.
+    /// The newest configuration from the store.
     pub config: ConfigHandle,
-    /// The configuration that queries are planned on.
+    /// The configuration on which queries are planned.
     pub applied: AppliedConfig,
-    /// What admits the queries.
+    /// Admits or refuses queries.
     pub admission: Arc<AdmissionController>,
-    /// What runs the queries.
+    /// Runs idempotent queries.
     pub runner: Arc<QueryRunner>,
-    /// What runs the non-idempotent ones.
+    /// Runs non-idempotent requests, each at most once.
     pub claimed_runner: Arc<ClaimedRunner<HttpStore>>,
-    /// What is counted.
+    /// Counters and histograms of this entry.
     pub metrics: Arc<EntryMetrics>,
     /// The group of entries and relays.
     pub group: NodeGroup,
-    /// The planned stop of this entry.
+    /// State of the entry's drain.
     pub stop: StopHandle,
-    /// The tasks of open connections.
+    /// Tasks of the open connections.
     pub connections: TaskTracker,
-    /// How callers are told which entries to use.
+    /// Answers which entries a caller should use.
     pub directory: EntryDirectory,
 }
 
-/// Accepts connections from callers until the process ends.
+/// Accepts connections from callers until the entry finishes its drain.
 ///
-/// A connection beyond the limit is answered with an error and closed, or closed at once while many
-/// others are being refused: a caller that waited unseen could not go to another entry.
+/// A connection above the limit receives an error and is closed, so that its caller can try another
+/// entry instead of waiting. If too many are being refused already, it is closed without a reply.
 pub async fn serve(listener: TcpListener, caller_service: Arc<CallerService>) {
     let permits = Arc::new(Semaphore::new(caller_service.limits.caller_connections));
     let refusals = Arc::new(Semaphore::new(MAX_CONCURRENT_REFUSALS));
@@ -105,7 +105,7 @@
             () = caller_service.stop.finishing() => return,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of file descriptors: later ones may be free again.
+            // Probably out of file descriptors. Some may be free after the delay.
             time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
@@ -128,7 +128,7 @@
     }
 }
 
-/// Tells a caller that there are too many connections.
+/// Sends the error reply for a connection above the limit.
 async fn refuse_connection(mut stream: TcpStream) -> io::Result<()> {
     let answer = ErrorAnswer::not_run(ErrorCode::Overloaded, "too many connections are open")
         .with_retry_after(REFUSED_CONNECTION_RETRY_AFTER);
@@ -141,8 +141,7 @@
     );
     stream.write_all(reply.as_bytes()).await?;
     stream.shutdown().await?;
-    // What the caller has sent is read: closing before would reset the connection, and the caller
-    // could lose the answer.
+    // Closing with unread data would reset the connection, and the caller could lose the reply.
     let mut unread = stream.take(MAX_DISCARDED_BYTES);
     tokio::io::copy(&mut unread, &mut tokio::io::sink()).await?;
     Ok(())
@@ -162,11 +161,11 @@
         .max_buf_size((HEAD_BUFFER_FACTOR * limits.head.as_bytes()).max(8 << 10))
         .serve_connection(TokioIo::new(stream), answering);
     tokio::pin!(connection);
-    // A malformed request is answered by hyper and ends this connection only.
+    // hyper answers malformed requests and closes only their connection.
     tokio::select! {
         _ended = &mut connection => {}
         () = stop.finishing() => {
-            // The request in flight is answered; only then is the connection closed.
+            // The request in flight is answered before the connection is closed.
             connection.as_mut().graceful_shutdown();
             let _ended = connection.await;
         }
@@ -174,7 +173,7 @@
 }
 
 impl CallerService {
-    /// Answers a request; every reply carries the request's id.
+    /// Answers one request. Every reply carries the request's id.
     async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let _in_flight = self.stop.begin_request();
         let mut record = RequestRecord::new(RequestId::from_headers(request.headers()));
@@ -189,8 +188,8 @@
         let headers = response.headers_mut();
         headers.insert(REQUEST_ID_HEADER, record.id.header_value());
         if self.stop.state() != DrainState::Serving {
-            // Guards against a request that is sent just as its kept connection is closed: the
-            // caller would not know whether it ran. Told here, the caller sends no other on it.
+            // Tells the caller to send no further request on this connection. A request sent while
+            // the connection is being closed would have an unknown outcome.
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
@@ -263,12 +262,12 @@
         Ok(json_response(StatusCode::OK, &answer?))
     }
 
-    /// Says that a name is not known yet, where the plan's view may lack it.
+    /// Replaces `NotFound` by `Unavailable` while the configuration may be incomplete.
     ///
-    /// A node that starts while the store is down learns its configuration from its peers; until
-    /// then "there is no such template" would be untrue. It would also be for as long as the parts
-    /// of the entry take over what has just been learnt, so the plan's view must be the one in force
-    /// after the configuration was known to be complete.
+    /// An entry that starts while the store is down learns its configuration from its peers. Until
+    /// then, and until every part has applied it, a missing template doesn't mean that it does not
+    /// exist. The error is kept only if the query was planned on the current view and the
+    /// configuration was complete before.
     fn explain_missing_config(
         &self,
         error: ErrorAnswer,
@@ -294,7 +293,7 @@
 
     async fn read_body(&self, body: Incoming) -> Result<Bytes, ErrorAnswer> {
         let limit = self.limits.body;
-        // A length that is told to be too large is refused before the body is read.
+        // Refuses an oversized `content-length` before reading the body.
         if body.size_hint().lower() > limit.as_bytes() as u64 {
             return Err(too_large_body(limit));
         }
@@ -352,7 +351,7 @@
     ))
 }
 
-/// Gets the size of a head as it came in: its line and all headers with their separators.
+/// Size of the request line and all headers on the wire, separators included.
 fn head_bytes<B>(request: &Request<B>) -> usize {
     let headers = request.headers().iter();
     let lines = headers.map(|(name, value)| name.as_str().len() + value.len() + 4);
@@ -361,7 +360,7 @@
     request.method().as_str().len() + target + " HTTP/1.1\r\n\r\n ".len() + lines.sum::<usize>()
 }
 
-/// Gets the bearer token; none where there is none, or where there are several.
+/// The bearer token, or `None` if the header is absent, malformed or repeated.
 fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let mut given = headers.get_all(header::AUTHORIZATION).iter();
     let (value, None) = (given.next()?, given.next()) else {
--- a/alderhaven-entry/src/claim_ledger.rs
+++ b/alderhaven-entry/src/claim_ledger.rs
@@ -1,4 +1,5 @@
-//! The claim ledger of one entry: makes the calls to the store that the batcher asks for.
+//! Claims idempotency keys in the store. A [`ClaimBatcher`] decides which store calls to make; this
+//! module makes them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,14 +27,14 @@
 
 use crate::claim_metrics::ClaimMetrics;
 
-/// A `ClaimLedger` claims keys in the store on behalf of one entry.
+/// Claims keys in the store on behalf of one entry.
 #[derive(Debug)]
 pub struct ClaimLedger<S> {
     store: Arc<S>,
     clock: ProcessClock,
     options: ClaimOptions,
     state: Mutex<LedgerState>,
-    /// Wakes the task that makes the calls.
+    /// Wakes the task that calls the store.
     work_added: Notify,
     metrics: ClaimMetrics,
 }
@@ -45,19 +46,20 @@
     last_counts: ClaimCounts,
 }
 
-/// A `LedgerReport` is the ledger's state for the dump.
+/// State of the ledger, for the state dump.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LedgerReport {
-    /// What was done since the start.
+    /// Counts since the process started.
     pub counts: ClaimCounts,
-    /// The tries without a verdict.
+    /// Number of claims without a verdict.
     pub waiting: usize,
-    /// The claims that are still to be taken back.
+    /// Number of claims that are still to be released in the store.
     pub releases: usize,
 }
 
 impl<S: ObjectStore> ClaimLedger<S> {
-    /// Returns a ledger; [`Self::run_forever`] makes its calls. Other entries ask at `address`.
+    /// Creates a ledger; [`Self::run_forever`] makes its store calls. Other entries query outcomes
+    /// at `address`.
     #[must_use]
     pub fn new(
         store: Arc<S>,
@@ -67,7 +69,7 @@
         clock: ProcessClock,
         metrics: ClaimMetrics,
     ) -> Self {
-        // A random origin: a claim of this start is never taken for one of an earlier start.
+        // Random, so that claims from before a restart are not mistaken for this process's own.
         let origin = rand::random();
         let writer = ClaimWriter {
             node,
@@ -88,13 +90,13 @@
         }
     }
 
-    /// Gets the options.
+    /// Settings of the ledger.
     #[must_use]
     pub const fn options(&self) -> &ClaimOptions {
         &self.options
     }
 
-    /// Tries to claim a key until `deadline`.
+    /// Tries to claim a key until `deadline`, and waits for the verdict.
     pub async fn claim(
         &self,
         key: ClaimKey,
@@ -109,7 +111,7 @@
             state.waiters.insert(ticket, sender);
         }
         self.work_added.notify_one();
-        // The sender goes unused only where the process ends.
+        // The sender is dropped without a verdict only when the process ends.
         let verdict = verdict.await.unwrap_or(ClaimVerdict::Refused {
             reason: ClaimRefusal::StoreDown,
             retry_after: self.options.longest_pause,
@@ -118,14 +120,14 @@
         verdict
     }
 
-    /// Takes a granted claim back. To be called only with evidence that the request did not run.
+    /// Releases a granted claim. Call this only if the request certainly did not run.
     pub fn release(&self, ticket: ClaimTicket) {
         self.lock().batcher.release(ticket);
         self.metrics.releases.inc();
         self.work_added.notify_one();
     }
 
-    /// Gets the state for the dump.
+    /// Current counts and queue lengths, for the state dump.
     #[must_use]
     pub fn report(&self) -> LedgerReport {
         let state = self.lock();
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Makes the calls to the store until the process ends.
+    /// Calls the store for the batcher until the process ends.
     pub async fn run_forever(self: Arc<Self>) {
         let mut calls_in_flight = FuturesUnordered::new();
         loop {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Gets the calls that are to be made now, hands out verdicts, and says when to come again.
+    /// Returns the store calls that are due and the next wake-up time, and delivers verdicts.
     fn poll_batcher(&self) -> (Vec<ClaimCall>, Option<TimePoint>) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -172,7 +174,7 @@
                 .waiters
                 .remove(&ticket)
                 .and_then(|waiter| waiter.send(verdict).err());
-            // Nobody is left to dispatch for the claim, so nothing has run.
+            // The caller is gone, so that nothing will be dispatched under this claim.
             if let Some(ClaimVerdict::Granted(ticket)) = undelivered {
                 state.batcher.release(ticket);
             }
--- a/alderhaven-entry/src/claim_metrics.rs
+++ b/alderhaven-entry/src/claim_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of the claim ledger.
+//! Metrics of the claim ledger and of the held answers.
 
 use alderhaven_policy::claim_batcher::ClaimCounts;
 use alderhaven_policy::claim_verdict::ClaimVerdict;
@@ -22,7 +22,7 @@
     Refused,
 }
 
-/// A `ClaimMetrics` counts what the claim ledger does.
+/// Counters of claims, releases, replays and store calls.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimMetrics {
     verdicts: Family<VerdictLabels, Counter>,
@@ -32,18 +32,18 @@
     lost_replies: Counter,
     refused_calls: Counter,
     broken_buckets: Counter,
-    /// The claims that were taken back because their request did not run.
+    /// Claims released because their request did not run.
     pub releases: Counter,
-    /// The answers that were given again.
+    /// Requests answered with the outcome of an earlier request.
     pub replays: Counter,
-    /// The outcomes that were learned from the entry that claimed the key.
+    /// Outcomes fetched from the entry that claimed the key.
     pub learned: Counter,
-    /// The bytes of the answers that are held for resends.
+    /// Size of the held answers in bytes.
     pub held_bytes: Gauge,
 }
 
 impl ClaimMetrics {
-    /// Adds the metrics to a registry.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         let help = "Verdicts on tries to claim a key";
         registry.register("claims", help, self.verdicts.clone());
@@ -93,7 +93,7 @@
         registry.register("claim_held_bytes", help, self.held_bytes.clone());
     }
 
-    /// Counts a verdict.
+    /// Counts the verdict on one claim.
     pub fn observe_verdict(&self, verdict: &ClaimVerdict) {
         let verdict = match verdict {
             ClaimVerdict::Granted(_) => VerdictLabel::Granted,
@@ -107,7 +107,7 @@
             .inc();
     }
 
-    /// Adds what a batcher did between two counts.
+    /// Adds the differences between two readings of a batcher's counts.
     pub fn observe_counts(&self, before: &ClaimCounts, after: &ClaimCounts) {
         self.store_reads.inc_by(after.reads - before.reads);
         self.store_writes.inc_by(after.writes - before.writes);
--- a/alderhaven-entry/src/claim_peers.rs
+++ b/alderhaven-entry/src/claim_peers.rs
@@ -1,9 +1,8 @@
-//! How entries learn the outcome of a request from the entry that claimed it.
+//! Fetches the outcome of a request from the entry that claimed its key.
 //!
-//! A resend often comes to another entry, since callers keep several addresses. The ledger tells
-//! which entry claimed the key; while that entry is up and holds the outcome, the caller gets the
-//! same answer from either. Nothing rests on it: where the entry can't be reached, or does not
-//! know, the answer is "unknown".
+//! A caller often sends its request again to another entry. The ledger names the entry that claimed
+//! the key, and that entry may still hold the answer. If it can't be reached or does not hold it,
+//! the outcome is "unknown".
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,14 +20,14 @@
 
 use crate::held_answers::{HeldAnswers, RunOutcome};
 
-/// The most queries under way in each direction; resends to another entry are rare.
+/// Limit on concurrent outcome queries, separately for sent and received ones.
 const MAX_CONCURRENT_QUERIES: usize = 256;
-/// The longest that a query waits, whatever the other side asks for.
+/// Longest time that a received query waits for an outcome, whatever time it requests.
 const MAX_WAIT: TimeSpan = TimeSpan::from_secs(30);
-/// The time in which a connection is made; entries are a few milliseconds apart.
+/// Time limit for connecting to another entry.
 const CONNECT_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
 
-/// A `ClaimPeers` asks other entries.
+/// Client for the outcome queries to other entries.
 #[derive(Debug)]
 pub struct ClaimPeers {
     address: SocketAddr,
@@ -36,7 +35,7 @@
 }
 
 impl ClaimPeers {
-    /// Returns the asker of the entry that others ask at `address`.
+    /// Creates the client of the entry whose own peer address is `address`.
     #[must_use]
     pub const fn new(address: SocketAddr) -> Self {
         Self {
@@ -45,13 +44,14 @@
         }
     }
 
-    /// Gets the address at which other entries ask this one.
+    /// The address at which other entries query this one.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks the entry at `holder` for an outcome; none where it can't be had in time.
+    /// Fetches an outcome from the entry at `holder`. Returns `None` if it isn't available within
+    /// `remaining`, or if `holder` is this entry.
     pub async fn fetch_outcome(
         &self,
         holder: SocketAddr,
@@ -89,7 +89,7 @@
     None
 }
 
-/// Answers the queries of other entries until the process ends.
+/// Answers the outcome queries of other entries until the process ends.
 pub async fn serve(listener: TcpListener, held: Arc<HeldAnswers>, clock: ProcessClock) {
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_QUERIES));
     loop {
@@ -124,7 +124,7 @@
     }
 }
 
-/// Gets the outcome as JSON, once it is there; none where it is not held.
+/// Waits for the outcome and encodes it as JSON. Returns `None` if it isn't held.
 async fn find_outcome(
     query: &ClaimQuery,
     held: &HeldAnswers,
--- a/alderhaven-entry/src/claimed_runner.rs
+++ b/alderhaven-entry/src/claimed_runner.rs
@@ -1,4 +1,5 @@
-//! The running of requests that may run at most once: admit, claim, dispatch once, hold the answer.
+//! Runs non-idempotent requests at most once: admission, claim, a single dispatch, then the answer
+//! is held for resends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,7 +30,7 @@
 use crate::query_plan::QueryPlan;
 use crate::query_runner::QueryRunner;
 
-/// A `ClaimedRunner` runs non-idempotent requests, each at most once over all entries.
+/// Runs non-idempotent requests, each at most once across all entries.
 #[derive(Builder, Debug)]
 pub struct ClaimedRunner<S> {
     node: NodeId,
@@ -43,7 +44,7 @@
     metrics: ClaimMetrics,
 }
 
-/// A `RunEnd` is the outcome of a request, and where it was dispatched.
+/// Outcome of a request, and which entry dispatched it, if any.
 enum DispatchOutcome {
     Dispatched(RunOutcome),
     Learned(RunOutcome),
@@ -51,37 +52,38 @@
 }
 
 impl<S: ObjectStore> ClaimedRunner<S> {
-    /// Gets the ledger, whose calls are made by [`ClaimLedger::run_forever`].
+    /// The ledger. [`ClaimLedger::run_forever`] makes its store calls.
     #[must_use]
     pub const fn ledger(&self) -> &Arc<ClaimLedger<S>> {
         &self.ledger
     }
 
-    /// Gets the answers that are held for resends.
+    /// The running requests and held answers of this entry.
     #[must_use]
     pub const fn held(&self) -> &Arc<HeldAnswers> {
         &self.held
     }
 
-    /// Gets the address at which other entries ask for outcomes.
+    /// The address at which other entries query outcomes.
     #[must_use]
     pub const fn peer_address(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// Gets the state for the dump.
+    /// State of the ledger and the held answers, for the state dump.
     #[must_use]
     pub fn dump(&self) -> Value {
         json!({ "ledger": self.ledger.report(), "held": self.held.report() })
     }
 
-    /// Answers a request: from memory where it came before, else by claiming and running it.
+    /// Answers a request: with the held answer of an earlier request with the same key, or by
+    /// claiming the key and running it.
     ///
-    /// The request runs in a task of its own: a caller that hangs up does not stop it, and a resend
-    /// hears its outcome.
+    /// The request runs in its own task, so that it completes even if the caller disconnects, and a
+    /// resend receives its outcome.
     ///
     /// # Errors
-    /// The answer for the caller where the request was refused, or its outcome is not known.
+    /// The error for the caller if the request was refused or failed, or if its outcome is unknown.
     pub async fn answer(self: &Arc<Self>, key: ClaimKey, plan: QueryPlan) -> RunOutcome {
         let fingerprint = ClaimFingerprint::of(&plan.fingerprint(), &plan.team.name);
         let expires_at = time::Instant::from_std(plan.expires_at());
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Admission comes before the claim, so that a refusal for load costs the store nothing.
+    /// Admission comes before the claim, so that a refusal for load causes no store call.
     async fn admit_claim_run(
         &self,
         key: ClaimKey,
@@ -156,10 +158,10 @@
         }
     }
 
-    /// Dispatches a granted request once, and takes the claim back where it certainly did not run.
+    /// Dispatches a granted request once, and releases the claim if it certainly did not run.
     ///
-    /// The process may have been paused since the claim: what is over its deadline by now is not
-    /// dispatched any more, since its caller has given up on it.
+    /// A request whose deadline passed while the process was paused is not dispatched, since its
+    /// caller has given up.
     async fn dispatch(
         &self,
         ticket: ClaimTicket,
@@ -183,14 +185,13 @@
         }
     }
 
-    /// Gets the refusal of a key that is outside the window, and of any while the store's past is
-    /// in doubt.
+    /// Refuses a key outside the accepted time window, and any key after the store has regressed.
     fn key_refusal(&self, key: &ClaimKey) -> Option<ErrorAnswer> {
         if matches!(
             self.config.status().sync_state,
             StoreSyncState::Regressed { .. }
         ) {
-            // A store that was restored from an older copy lacks claims that were granted.
+            // A store restored from an older copy lacks some of the granted claims.
             return Some(unknown_answer(
                 "the store went backwards; claims may be missing",
             ));
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Asks the entry that claimed the key for the outcome.
+    /// Fetches the outcome from the entry that claimed the key.
     async fn fetch_outcome(
         &self,
         holder: &ClaimWriter,
@@ -239,7 +240,7 @@
     }
 }
 
-/// Marks an outcome as the one of an earlier send.
+/// Marks an outcome as that of an earlier request with the same key.
 fn mark_replayed(outcome: RunOutcome) -> RunOutcome {
     match outcome {
         Ok(mut answer) => {
@@ -253,7 +254,7 @@
     }
 }
 
-/// Waits for the outcome of a request.
+/// Waits until a running request has an outcome.
 async fn wait_for_outcome(outcome: &mut OutcomeWatch) -> RunOutcome {
     match outcome.wait_for(Option::is_some).await {
         Ok(outcome) => outcome.as_ref().map_or_else(
@@ -268,7 +269,7 @@
     ErrorAnswer::may_have_run(ErrorCode::Unknown, message)
 }
 
-/// "Not run" would be a guess: the key may have run before the ledger forgot it.
+/// The request may have run before the ledger dropped the key, so that `not_run` would be wrong.
 fn key_too_old() -> ErrorAnswer {
     unknown_answer("the idempotency key is too old: whether its request ran is not remembered")
 }
@@ -300,7 +301,7 @@
         ),
         ClaimRefusal::Busy => (ErrorCode::Overloaded, "too many claims are under way"),
     };
-    // Callers that were refused together must not come back together.
+    // Jitter, so that callers refused together don't retry together.
     let spread = retry_after.mul_f64(1.0 + rand::random::<f64>());
     ErrorAnswer::not_run(code, message).with_retry_after(spread)
 }
--- a/alderhaven-entry/src/entry_directory.rs
+++ b/alderhaven-entry/src/entry_directory.rs
@@ -1,4 +1,4 @@
-//! What callers are told when they ask which entries to use.
+//! Answers callers which entries to use, by failure domain and weight.
 
 use std::net::SocketAddr;
 
@@ -9,34 +9,34 @@
 
 use crate::answer::{ErrorAnswer, ErrorCode};
 
-/// The weight of an entry that knows of no other.
+/// Weight of this entry if no other member of the group is known.
 const SOLE_ENTRY_WEIGHT: u32 = 1_000;
 
-/// An `EntryDirectory` answers which entries to use.
+/// Chooses the entries to return to a caller.
 #[derive(Clone, Debug)]
 pub struct EntryDirectory {
-    /// The settings of the answers.
+    /// Number of entries to return and lifetime of the answer.
     pub options: AnswerOptions,
-    /// The failure domain of this entry.
+    /// Failure domain of this entry, used if the caller names none.
     pub domain: FailureDomain,
-    /// The address of this entry, which is named where no group is known.
+    /// Address of this entry, returned if the group has no known member.
     pub address: SocketAddr,
 }
 
-/// A `DirectoryAnswer` is the body of `GET /v1/entries`.
+/// Body of the reply to `GET /v1/entries`.
 #[derive(Clone, Debug, Serialize)]
 pub struct DirectoryAnswer {
-    /// The entries, the nearest first.
+    /// The entries, those in the caller's own domain first.
     pub entries: Vec<EntryAddress>,
-    /// How long the caller may keep the answer, in milliseconds.
+    /// How long the caller may cache the answer, in milliseconds.
     pub ttl_ms: u64,
 }
 
 impl EntryDirectory {
-    /// Answers a caller; `query` is the query part of its request.
+    /// Chooses entries for a caller. `query` is the query string of its request.
     ///
     /// # Errors
-    /// `BadRequest` for a query part other than `domain=NAME`.
+    /// `BadRequest` if the query string is not empty and not `domain=NAME`.
     pub fn answer(
         &self,
         group: &NodeGroup,
--- a/alderhaven-entry/src/group_follower.rs
+++ b/alderhaven-entry/src/group_follower.rs
@@ -1,4 +1,5 @@
-//! What an entry takes over from the group: the relays that take work and the number of entries.
+//! Applies group membership to the entry: the working relays, and the number of entries that share
+//! the services.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,21 +12,21 @@
 use crate::admission_controller::AdmissionController;
 use crate::relay_routes::{KnownRelay, RelayRoutes};
 
-/// A `GroupFollower` keeps routes and admission in line with the group.
+/// Updates routes and admission when the group changes.
 #[derive(Debug)]
 pub struct GroupFollower {
-    /// The group.
+    /// Source of the members.
     pub group: NodeGroup,
-    /// The routes through relays.
+    /// Receives the relays.
     pub routes: Arc<RelayRoutes>,
-    /// What admits queries.
+    /// Receives the number of entries.
     pub admission: Arc<AdmissionController>,
-    /// The relays that the settings name, used while the group names none.
+    /// Relays from the settings, used while the group knows no relay.
     pub configured_relays: Vec<KnownRelay>,
 }
 
 impl GroupFollower {
-    /// Takes over what the group knows now.
+    /// Applies the current members of the group.
     pub fn apply(&self) {
         let mut relays: Vec<KnownRelay> = self
             .group
@@ -44,10 +45,10 @@
         if relays.is_empty() {
             relays.clone_from(&self.configured_relays);
         }
-        // The order does not depend on the order of news, so that equal groups choose alike.
+        // Sorted, so that all entries with the same members choose the same relays.
         relays.sort_by(|left, right| left.candidate.node.cmp(&right.candidate.node));
         let entries = match self.group.working_members(MemberRole::Entry).len() {
-            // Each host runs one entry and one relay.
+            // No entry is known: each host runs one entry and one relay.
             0 => relays.len(),
             known => known,
         };
@@ -56,7 +57,7 @@
             .set_entries(u32::try_from(entries).unwrap_or(u32::MAX));
     }
 
-    /// Follows the group until the task is ended.
+    /// Applies each change until the group is closed.
     pub async fn follow(self) {
         let mut changed = self.group.subscribe();
         loop {
@@ -69,7 +70,8 @@
     }
 }
 
-/// Returns the relays that the settings name by address alone; their domains are not known.
+/// Builds relays from the addresses in the settings. Their domains are unknown, so that `domain` is
+/// used for all.
 #[must_use]
 pub fn configured_relays(addresses: &[SocketAddr], domain: &FailureDomain) -> Vec<KnownRelay> {
     addresses
--- a/alderhaven-entry/src/held_answers.rs
+++ b/alderhaven-entry/src/held_answers.rs
@@ -1,9 +1,8 @@
-//! The answers of non-idempotent requests, held so that a resend hears the same answer.
+//! Holds the outcomes of non-idempotent requests, so that a resend receives the same answer.
 //!
-//! Load pattern: a caller whose connection broke sends its request again, within seconds, often to
-//! the same entry, and perhaps while the first one still runs. Without the held answer it could
-//! only be told "unknown". The memory is bounded in bytes and time; a resend that comes after its
-//! answer was dropped finds the claim in the ledger and is told "unknown".
+//! A caller that loses its connection sends the request again, often while the first one still
+//! runs. The memory is limited in bytes and time. After its answer was evicted, a resend finds the
+//! claim in the ledger, and its outcome is "unknown".
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,16 +17,16 @@
 use crate::answer::{ErrorAnswer, QueryAnswer};
 use crate::claim_metrics::ClaimMetrics;
 
-/// The bytes that an entry of the memory takes besides the rows.
+/// Estimated size of an entry without its rows, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 512;
 
-/// A `RunOutcome` is what the caller of a request is answered.
+/// What the caller of a request receives.
 pub type RunOutcome = Result<QueryAnswer, ErrorAnswer>;
 
-/// An `OutcomeWatch` shows the outcome of a running request once it is there.
+/// Receiver that holds `None` until the request has an outcome.
 pub type OutcomeWatch = watch::Receiver<Option<Arc<RunOutcome>>>;
 
-/// A `HeldAnswers` remembers the running and the finished requests of one entry.
+/// The running and the finished requests of one entry, by idempotency key.
 #[derive(Debug)]
 pub struct HeldAnswers {
     max_bytes: ByteSize,
@@ -39,7 +38,7 @@
 #[derive(Debug, Default)]
 struct HeldState {
     entries: HashMap<ClaimKey, HeldEntry>,
-    /// The finished requests, the first that finished first.
+    /// Finished requests, oldest first.
     finished: VecDeque<FinishedEntry>,
     bytes: usize,
 }
@@ -57,19 +56,19 @@
     bytes: usize,
 }
 
-/// A `HeldStart` says what the memory knows of a request that came in.
+/// Result of looking up the key of an incoming request.
 #[derive(Debug)]
 pub enum HeldLookup {
-    /// Nothing: the request is to be claimed and run.
+    /// The key is new: the request must be claimed and run.
     New(RunningRequest),
-    /// The request runs or is finished: its outcome is this.
+    /// The same request is running or finished.
     Known(OutcomeWatch),
-    /// The key belongs to another request.
+    /// The key was used for a different request.
     Conflict,
 }
 
-/// A `RunningPlace` is the place of a request that runs; dropping it without an outcome tells those
-/// who wait that there is none.
+/// A request that is being run. Dropping it without an outcome removes it and closes its watch, so
+/// that waiting resends stop.
 #[derive(Debug)]
 pub struct RunningRequest {
     held: Arc<HeldAnswers>,
@@ -78,19 +77,19 @@
     is_finished: bool,
 }
 
-/// A `HeldReport` is the memory's size for the dump.
+/// Number and size of the held entries, for the state dump.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct HeldReport {
-    /// The running requests.
+    /// Number of running requests.
     pub running: usize,
-    /// The held answers.
+    /// Number of held answers.
     pub answers: usize,
-    /// The bytes of the held answers.
+    /// Size of the held answers in bytes.
     pub bytes: usize,
 }
 
 impl HeldAnswers {
-    /// Returns an empty memory.
+    /// Creates an empty memory with limits on size and age.
     #[must_use]
     pub fn new(max_bytes: ByteSize, held_time: TimeSpan, metrics: ClaimMetrics) -> Self {
         Self {
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Takes a place for a request, or finds the place of the same request.
+    /// Registers a request, or returns the outcome watch of the same request.
     pub fn start(
         self: &Arc<Self>,
         key: ClaimKey,
@@ -130,7 +129,7 @@
         })
     }
 
-    /// Finds the place of a request, running or finished.
+    /// Finds a request, running or finished, by key and fingerprint.
     #[must_use]
     pub fn find(
         &self,
@@ -144,7 +143,7 @@
         (entry.fingerprint == fingerprint).then(|| entry.outcome.clone())
     }
 
-    /// Gets the size for the dump.
+    /// Current number and size of the entries, for the state dump.
     #[must_use]
     pub fn report(&self) -> HeldReport {
         let state = self.lock();
@@ -155,7 +154,8 @@
         }
     }
 
-    /// Drops what is over its time, and the oldest answers where there are too many bytes.
+    /// Evicts answers older than `held_time`, and the oldest ones while the size is above its
+    /// limit.
     fn evict(&self, state: &mut HeldState, now: TimePoint) {
         while let Some(oldest) = state.finished.front() {
             let is_over = now.since(oldest.finished_at) >= self.held_time;
@@ -178,13 +178,13 @@
 }
 
 impl RunningRequest {
-    /// Gets where the outcome will show.
+    /// Subscribes to the outcome.
     #[must_use]
     pub fn watch(&self) -> OutcomeWatch {
         self.sender.subscribe()
     }
 
-    /// Gives the outcome of a request that was dispatched and may have run; it is held for resends.
+    /// Publishes the outcome of a request that was dispatched, and holds it for resends.
     pub fn finish_and_hold(mut self, outcome: RunOutcome, now: TimePoint) {
         self.is_finished = true;
         let bytes =
@@ -203,7 +203,8 @@
         self.sender.send_replace(Some(Arc::new(outcome)));
     }
 
-    /// Gives the outcome of a request that was not dispatched here; a resend begins anew.
+    /// Publishes the outcome of a request that wasn't dispatched, and removes it, so that a resend
+    /// starts over.
     pub fn finish_and_remove(mut self, outcome: RunOutcome) {
         self.is_finished = true;
         self.held.lock().entries.remove(&self.key);
--- a/alderhaven-entry/src/lib.rs
+++ b/alderhaven-entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry: it serves callers, plans and scatters queries through relays, gathers and answers.
+//! The entry process: it serves callers, sends queries to shards through relays, and merges the
+//! replies.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-entry/src/link_monitor.rs
+++ b/alderhaven-entry/src/link_monitor.rs
@@ -1,8 +1,8 @@
-//! The look-out for a link to a relay that has fallen silent.
+//! Detects a relay connection that has gone silent.
 //!
-//! A path that lost track of a connection shows as silence: frames that are sent arrive nowhere and
-//! none comes back, while nothing ends. Each attempt sent on it would wait for its deadline. Pings
-//! make the relay speak, so that silence means that the link is lost, not that there is no work.
+//! When a network path drops the state of a connection, nothing arrives in either direction and no
+//! error is reported; every attempt would wait for its deadline. Pings make the relay send
+//! regularly, so that silence means a lost connection.
 
 use alderhaven_peer::connection::FrameSender;
 use alderhaven_peer::frames::{PeerMessage, PingProbe};
@@ -11,7 +11,7 @@
 
 use crate::link_options::LinkOptions;
 
-/// A `LinkWatch` sends pings on one connection and says when it is silent.
+/// Sends pings on one connection and detects silence.
 #[derive(Debug)]
 pub struct LinkMonitor {
     sender: FrameSender,
@@ -19,14 +19,15 @@
     ping_interval: Interval,
     last_ping_number: u64,
     last_message_at: Instant,
-    /// When the oldest ping since then was sent.
+    /// Send time of the oldest ping since the last message.
     unanswered_ping_at: Option<Instant>,
-    /// A relay of an earlier release does not know pings; its silence means nothing.
+    /// Whether the relay has answered a ping. Silence of a relay that doesn't support pings is
+    /// ignored.
     answers_pings: bool,
 }
 
 impl LinkMonitor {
-    /// Returns the watch of a new connection.
+    /// Creates the monitor of a new connection.
     #[must_use]
     pub fn new(sender: FrameSender, options: LinkOptions) -> Self {
         let mut ticks = time::interval(options.ping_every.as_duration());
@@ -42,14 +43,14 @@
         }
     }
 
-    /// Notes what was heard: any frame shows that the link works.
+    /// Records a received message. Any message shows that the connection works.
     pub fn record_message(&mut self, message: Option<&PeerMessage>) {
         self.last_message_at = Instant::now();
         self.unanswered_ping_at = None;
         self.answers_pings |= matches!(message, Some(PeerMessage::Pong(_)));
     }
 
-    /// Sends pings until the link is silent; it may be dropped and called again.
+    /// Sends pings until the connection is silent. Cancel safe.
     pub async fn wait_for_silence(&mut self) {
         loop {
             self.ping_interval.tick().await;
@@ -66,9 +67,10 @@
         }
     }
 
-    /// Returns true where a ping and all that came after it were not answered for too long.
+    /// Whether a ping has been unanswered for `max_silence`.
     ///
-    /// The time counts from the ping, not from the last frame: this process may have been paused.
+    /// Measured from the ping and not from the last message, since this process may have been
+    /// paused.
     fn is_silent(&self) -> bool {
         let limit = self.options.max_silence.as_duration();
         let is_ping_overdue = self
--- a/alderhaven-entry/src/link_options.rs
+++ b/alderhaven-entry/src/link_options.rs
@@ -1,19 +1,15 @@
-//! The settings of the links to relays.
+//! Settings of the relay connections.
 
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// A `LinkOptions` says how soon a silent link is noticed.
-///
-/// Grounds for the figures: at 64 relays, four pings a second are 256 small frames a second for an
-/// entry, some 8 KB/s. A second without any frame is four lost answers, and leaves time for a retry
-/// within the templates' deadlines of some seconds.
+/// How often relay connections are checked, and when a silent one is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkOptions {
-    /// The time between two pings.
+    /// Interval between pings.
     pub ping_every: TimeSpan,
-    /// The silence after which a link is replaced; zero never does.
+    /// Time without any message after a ping, until the connection is replaced. Zero disables this.
     pub max_silence: TimeSpan,
 }
 
--- a/alderhaven-entry/src/main.rs
+++ b/alderhaven-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The alder-entry binary: one entry on one host.
+//! The `alder-entry` binary: runs one entry.
 
 use std::process::ExitCode;
 
--- a/alderhaven-entry/src/metrics.rs
+++ b/alderhaven-entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of an entry.
+//! Metrics of an entry.
 
 use alderhaven_core::class::QueryClass;
 use alderhaven_core::outcome::QueryOutcome;
@@ -13,12 +13,12 @@
 use crate::answer::ErrorCode;
 use crate::claim_metrics::ClaimMetrics;
 
-/// The upper bounds of the latency histogram in seconds; 0.37 s is the two-year goal at p99.
+/// Upper bounds of the latency histogram's buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 14] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.37, 0.5, 1.0, 2.5, 5.0, 10.0,
 ];
 
-/// A `QueryLabels` is the label set of a query's metrics; both sets are closed.
+/// Labels of the query metrics. All values come from closed sets.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct QueryLabels {
     class: ClassLabel,
@@ -41,40 +41,40 @@
     Unknown,
 }
 
-/// A `ErrorLabels` is the label set of the requests answered with an error; it is closed.
+/// Label of the error counter, from a closed set.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct ErrorLabels {
     code: ErrorCode,
 }
 
-/// An `EntryMetrics` counts what an entry does.
+/// Counters, gauges and histograms of an entry.
 #[derive(Debug)]
 pub struct EntryMetrics {
     registry: Registry,
     queries: Family<QueryLabels, Counter>,
     latency: Family<QueryLabels, Histogram>,
     errors: Family<ErrorLabels, Counter>,
-    /// The connections of callers that were refused because as many were open as may be.
+    /// Caller connections refused because the limit was reached.
     pub refused_connections: Counter,
-    /// The queries between arrival and answer.
+    /// Queries that have arrived and aren't answered yet.
     pub in_flight: Gauge,
-    /// The attempts that were begun.
+    /// Attempts started, including hedges and retries.
     pub attempts: Counter,
-    /// The attempts that were begun as hedges.
+    /// Attempts started as hedges.
     pub hedges: Counter,
-    /// The attempts that were begun after another one at the same shard was over.
+    /// Attempts started as retries, after an earlier attempt at the same shard ended.
     pub retries: Counter,
-    /// The ejections of targets that failed several times in a row.
+    /// Ejections of targets after consecutive failures.
     pub ejections: Counter,
-    /// The replies that belonged to no attempt under way.
+    /// Replies that matched no attempt in flight.
     pub stray_replies: Counter,
-    /// The queries that were refused because they crashed targets.
+    /// Queries refused because their request crashed targets.
     pub quarantined_queries: Counter,
-    /// The links to relays that were replaced because they were silent.
+    /// Relay connections replaced because they were silent.
     pub silent_links: Counter,
-    /// The queries that were restarted on a newer snapshot.
+    /// Queries restarted on a newer snapshot.
     pub snapshot_restarts: Counter,
-    /// What the claim ledger does.
+    /// Metrics of the claim ledger.
     pub claims: ClaimMetrics,
 }
 
@@ -162,7 +162,7 @@
 }
 
 impl EntryMetrics {
-    /// Counts an answered or refused query and its latency in seconds.
+    /// Counts a finished query and records its latency in seconds.
     pub fn observe_query(&self, class: QueryClass, outcome: QueryOutcome, seconds: f64) {
         let labels = QueryLabels {
             class: class.into(),
@@ -177,11 +177,11 @@
         self.errors.get_or_create(&ErrorLabels { code }).inc();
     }
 
-    /// Gets the metrics in the `OpenMetrics` text form.
+    /// Encodes the metrics in the `OpenMetrics` text format.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut body = String::new();
-        // Writing to a string does not fail.
+        // Writing to a `String` can't fail.
         let _written = text::encode(&mut body, &self.registry);
         body
     }
--- a/alderhaven-entry/src/node.rs
+++ b/alderhaven-entry/src/node.rs
@@ -1,4 +1,4 @@
-//! The entry as a whole: what it starts and what it answers operators.
+//! Starts and connects the parts of an entry, and serves its state to operators.
 
 use std::io;
 use std::net::SocketAddr;
@@ -44,10 +44,10 @@
 use crate::replica_selector::ReplicaSelector;
 use crate::settings::EntrySettings;
 
-/// The time that the last answers have to be written out.
+/// Time limit for writing the last answers after the drain.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An `EntryNode` is a running entry; dropping it ends its tasks.
+/// A running entry. Dropping it aborts its tasks.
 #[derive(Debug)]
 pub struct EntryNode {
     settings: EntrySettings,
@@ -58,38 +58,38 @@
     _tasks: [AbortOnDropHandle<()>; 9],
 }
 
-/// An `EntryState` is what the parts of an entry share, as operators see it.
+/// State shared by the parts of an entry, and shown to operators.
 #[derive(Debug)]
 pub struct EntryState {
-    /// The entry's own id.
+    /// Id of this entry.
     pub node: NodeId,
-    /// The configuration in force.
+    /// The newest configuration from the store.
     pub config: ConfigHandle,
-    /// The configuration that queries are planned on.
+    /// The configuration on which queries are planned.
     pub applied: AppliedConfig,
-    /// What admits queries.
+    /// Admits or refuses queries.
     pub admission: Arc<AdmissionController>,
-    /// The routes through relays.
+    /// Connections to relays, and the relays of each target.
     pub routes: Arc<RelayRoutes>,
-    /// The targets that get no new work.
+    /// Targets that receive no new attempts because they are draining or leaving.
     pub watch: TargetWatch,
-    /// What is known of requests that crash targets.
+    /// Crashes attributed to requests, and the requests in quarantine.
     pub strikes: Arc<StrikeTracker>,
-    /// What runs the non-idempotent requests.
+    /// Runs non-idempotent requests, each at most once.
     pub claimed_runner: Arc<ClaimedRunner<HttpStore>>,
-    /// What is counted.
+    /// Counters and histograms of this entry.
     pub metrics: Arc<EntryMetrics>,
     /// The group of entries and relays.
     pub group: NodeGroup,
-    /// The planned stop.
+    /// State of the entry's drain.
     pub stop: StopHandle,
 }
 
 impl EntryNode {
-    /// Starts an entry on the current runtime; `config` is kept up to date by the caller.
+    /// Starts an entry on the current runtime. The caller keeps `config` up to date.
     ///
     /// # Errors
-    /// An error of the operating system where an address can't be bound.
+    /// An I/O error if an address can't be bound.
     pub async fn start(settings: EntrySettings, config: ConfigHandle) -> io::Result<Self> {
         let (listener, caller_address) = bind(settings.listen).await?;
         let (operator_listener, operator_address) = bind(settings.operator_listen).await?;
@@ -187,46 +187,45 @@
         })
     }
 
-    /// Gets the address for callers.
+    /// The bound address for callers.
     #[must_use]
     pub const fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Gets the address for operators.
+    /// The bound address for operators.
     #[must_use]
     pub const fn operator_address(&self) -> SocketAddr {
         self.operator_address
     }
 
-    /// Gets the address for gossip, none where the entry takes no part in a group.
+    /// The bound gossip address, or `None` if the entry has no group.
     #[must_use]
     pub fn gossip_address(&self) -> Option<SocketAddr> {
         self.state.group.gossip_address()
     }
 
-    /// Asks for the planned stop; a second time, to end at once.
+    /// Starts the drain. A second call ends it at once.
     pub fn request_stop(&self) {
         self.state.stop.request_stop();
     }
 
-    /// Waits until the entry may end: all requests are answered, or the report says how many were
-    /// cut.
+    /// Waits until the drain is finished. The report contains the number of aborted requests.
     pub async fn stopped(&self) -> StopReport {
         let report = self.state.stop.stopped().await;
         self.connections.close();
-        // The last answers are written out; a caller that does not read is not waited for longer.
+        // A caller that doesn't read its answer delays the exit by no more than this.
         let _written = time::timeout(LAST_WRITE_TIMEOUT, self.connections.wait()).await;
         report
     }
 
-    /// Gets the settings in force.
+    /// The settings that the entry was started with.
     #[must_use]
     pub const fn settings(&self) -> &EntrySettings {
         &self.settings
     }
 
-    /// Gets what the parts of the entry share.
+    /// State shared by the parts of the entry.
     #[must_use]
     pub const fn state(&self) -> &Arc<EntryState> {
         &self.state
@@ -316,7 +315,7 @@
     }
 }
 
-/// Makes what runs the non-idempotent requests; the ledger's calls are not begun yet.
+/// Creates the runner of non-idempotent requests. The task of its ledger is spawned separately.
 fn claimed_runner(
     settings: &EntrySettings,
     address: SocketAddr,
--- a/alderhaven-entry/src/query_plan.rs
+++ b/alderhaven-entry/src/query_plan.rs
@@ -1,4 +1,5 @@
-//! The plan of one query: checked values, the pinned manifest, the asked shards and the deadline.
+//! Plan of one query: validated parameters, the manifest it is pinned to, its shards and its
+//! deadline.
 
 use std::sync::Arc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -16,31 +17,31 @@
 
 use crate::answer::{ErrorAnswer, ErrorCode};
 
-/// A `QueryRequest` is the body of `POST /v1/query/{template}`.
+/// Body of `POST /v1/query/{template}`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueryRequest {
-    /// The team on whose behalf the query runs.
+    /// The team for which the query runs.
     pub team: TeamId,
-    /// The values of the template's parameters.
+    /// Values of the template's parameters.
     #[serde(default)]
     pub parameters: ParameterSet,
-    /// The time within which the answer is of use, in milliseconds; the template's at most.
+    /// Time limit for the answer in milliseconds. The template's deadline is the maximum.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
 }
 
 impl QueryRequest {
-    /// Reads a body.
+    /// Parses the body of a request.
     ///
     /// # Errors
-    /// The answer for the caller, which names what is wrong and where.
+    /// `BadRequest`, with the position and the cause.
     pub fn parse(body: &[u8]) -> Result<Self, ErrorAnswer> {
         let refused = |reason: String| {
             let message = format!("the body is refused: {reason}");
             ErrorAnswer::not_run(ErrorCode::BadRequest, message)
         };
-        // serde would also take a list with the members in their order.
+        // serde would also accept an array with the fields in order.
         if body.trim_ascii_start().starts_with(b"[") {
             return Err(refused("allowed is an object with `team`".to_owned()));
         }
@@ -48,36 +49,36 @@
     }
 }
 
-/// A `QueryPlan` is a query that may be admitted.
+/// A validated query, ready for admission.
 #[derive(Clone, Debug)]
 pub struct QueryPlan {
-    /// The template.
+    /// The template that the query uses.
     pub template: Arc<QueryTemplate>,
-    /// The team.
+    /// Policy of the team for which the query runs.
     pub team: Arc<TeamPolicy>,
-    /// The checked values.
+    /// The validated parameters.
     pub values: ParameterSet,
-    /// The canonical values as they go to targets.
+    /// The parameters as canonical JSON, as they are sent to targets.
     pub parameters: Bytes,
-    /// The manifest that the query is pinned to.
+    /// The manifest to which the query is pinned.
     pub manifest: Arc<SnapshotManifest>,
-    /// The positions of the asked shards in the manifest.
+    /// Positions in the manifest of the shards to query.
     pub shard_positions: Vec<usize>,
-    /// The order among queries of a class at all relays: the arrival in microseconds since the
-    /// Unix epoch. Clocks of entries that differ favour one entry a little and cost no correctness.
+    /// Sort key among queries of one class at all relays: the arrival time in microseconds since
+    /// the Unix epoch. Clock differences between entries affect fairness, but not correctness.
     pub order: u64,
-    /// When the request came in.
+    /// When the request arrived.
     pub arrived_at: Instant,
-    /// The time within which the answer is of use.
+    /// Time limit for the answer, counted from the arrival.
     pub deadline: TimeSpan,
 }
 
 impl QueryPlan {
-    /// Makes the plan of a request that arrived at `arrived`.
+    /// Validates a request that arrived at `arrived_at` and plans it.
     ///
     /// # Errors
-    /// The answer for the caller: unknown template or team, wrong token, a parameter out of its
-    /// bounds, or a service without a manifest. Nothing ran.
+    /// The error for the caller: an unknown template or team, a wrong token, an invalid parameter,
+    /// or a service without a manifest. Nothing ran.
     pub fn build(
         view: &ConfigView,
         name: &str,
@@ -120,7 +121,7 @@
     /// Returns the same query pinned to another manifest of its service.
     ///
     /// # Errors
-    /// Where the selection asks for shards that the manifest does not have.
+    /// An error if the query selects shards that the manifest does not have.
     pub fn pinned_to(
         &self,
         manifest: Arc<SnapshotManifest>,
@@ -133,13 +134,13 @@
         })
     }
 
-    /// Gets the fingerprint of template and parameters.
+    /// Fingerprint of the template's name and the parameters.
     #[must_use]
     pub fn fingerprint(&self) -> RequestFingerprint {
         RequestFingerprint::of_canonical(self.template.name.as_str(), &self.parameters)
     }
 
-    /// Gets the instant at which the answer is of no more use.
+    /// When the deadline passes.
     #[must_use]
     pub fn expires_at(&self) -> Instant {
         self.arrived_at + self.deadline.as_duration()
@@ -152,7 +153,7 @@
         .map_or(0, |elapsed| TimeSpan::from(elapsed).as_micros())
 }
 
-/// Checks a caller's deadline against the bounds of templates' deadlines.
+/// Checks a caller's deadline against the allowed range of deadlines.
 fn check_deadline(millis: u64) -> Result<TimeSpan, ErrorAnswer> {
     let (least, most) = (MIN_DEADLINE.as_millis(), MAX_DEADLINE.as_millis());
     if (least..=most).contains(&millis) {
--- a/alderhaven-entry/src/query_runner.rs
+++ b/alderhaven-entry/src/query_runner.rs
@@ -1,4 +1,4 @@
-//! The running of a planned query, on one snapshot or, once more, on a newer one.
+//! Runs a planned query on its snapshot, and once more on a newer one if its version is gone.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,43 +17,44 @@
 use crate::replica_selector::ReplicaSelector;
 use crate::running_query::RunningQuery;
 
-/// A `QueryRunner` runs queries through the relays.
+/// Runs queries through relays.
 #[derive(Debug)]
 pub struct QueryRunner {
     origin: u64,
     next_sequence: AtomicU64,
-    /// The routes through relays.
+    /// Connections to relays, and the relays of each target.
     pub(crate) routes: Arc<RelayRoutes>,
-    /// What is known of the targets.
+    /// Chooses replicas, and decides on hedges and retries.
     pub(crate) selector: Arc<ReplicaSelector>,
-    /// The targets that get no new work.
+    /// Targets that receive no new attempts.
     pub(crate) watch: TargetWatch,
-    /// What is known of requests that crash targets.
+    /// Crashes attributed to requests, and the requests in quarantine.
     pub(crate) strikes: Arc<StrikeTracker>,
-    /// What is counted.
+    /// Counters and histograms of this entry.
     pub(crate) metrics: Arc<EntryMetrics>,
     config: AppliedConfig,
 }
 
-/// A `RunnerParts` is what a runner shares with the rest of the entry.
+/// Parts of the entry that a runner uses.
 #[derive(Debug)]
 pub struct RunnerParts {
-    /// The routes through relays.
+    /// Connections to relays, and the relays of each target.
     pub routes: Arc<RelayRoutes>,
-    /// What is known of the targets.
+    /// Chooses replicas, and decides on hedges and retries.
     pub selector: Arc<ReplicaSelector>,
-    /// The targets that get no new work.
+    /// Targets that receive no new attempts.
     pub watch: TargetWatch,
-    /// What is known of requests that crash targets.
+    /// Crashes attributed to requests, and the requests in quarantine.
     pub strikes: Arc<StrikeTracker>,
-    /// The configuration that queries are planned on.
+    /// The configuration on which queries are planned.
     pub config: AppliedConfig,
-    /// What is counted.
+    /// Counters and histograms of this entry.
     pub metrics: Arc<EntryMetrics>,
 }
 
 impl QueryRunner {
-    /// Returns a runner; `origin` is random so that attempt ids don't recur over restarts.
+    /// Creates a runner. `origin` must be random, so that attempt ids aren't reused after a
+    /// restart.
     #[must_use]
     pub fn new(origin: u64, parts: RunnerParts) -> Self {
         Self {
@@ -68,30 +69,30 @@
         }
     }
 
-    /// Gets the random half of the attempt ids.
+    /// The first half of every attempt id, random for each process.
     #[must_use]
     pub const fn origin(&self) -> u64 {
         self.origin
     }
 
-    /// Takes the counting half of a new attempt's id.
+    /// Allocates the second half of an attempt id.
     pub(crate) fn next_sequence(&self) -> u64 {
         self.next_sequence.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Runs a query to its answer.
+    /// Runs a query and returns its answer.
     ///
-    /// Where no replica of a shard holds the pinned version any more, an idempotent query is run
-    /// once more as a whole on a newer manifest; replies for the older one belong to nobody then.
+    /// If no replica of a shard holds the pinned version any more, an idempotent query is run once
+    /// more on a newer manifest. Late replies to the first run are ignored.
     ///
     /// # Errors
-    /// The answer for the caller where the query was refused, failed or has an unknown outcome.
+    /// The error for the caller if the query was refused or failed, or if its outcome is unknown.
     pub async fn run(
         &self,
         plan: &QueryPlan,
         permit: &mut AdmissionPermit,
     ) -> Result<QueryAnswer, ErrorAnswer> {
-        // A strike may have come in while the query waited for its turn.
+        // The request may have been quarantined while it was queued.
         self.check_quarantine(plan)?;
         let query = RunningQuery::run(self, plan, permit).await;
         if !query.needs_newer_snapshot() {
@@ -105,10 +106,10 @@
         RunningQuery::run(self, &newer, permit).await.finish()
     }
 
-    /// Refuses a query that crashed targets.
+    /// Refuses a query whose request is in quarantine.
     ///
     /// # Errors
-    /// The answer for the caller, with when to come back: nothing ran.
+    /// The error for the caller, with the time after which a retry makes sense. Nothing ran.
     pub fn check_quarantine(&self, plan: &QueryPlan) -> Result<(), ErrorAnswer> {
         let Some(wait) = self.strikes.refused_for(&plan.fingerprint()) else {
             return Ok(());
@@ -117,7 +118,7 @@
         Err(quarantine_answer(wait))
     }
 
-    /// Waits for a manifest that is newer than the plan's, until the plan's time is up.
+    /// Waits until the deadline for a manifest newer than the plan's.
     async fn newer_plan(&self, plan: &QueryPlan) -> Option<QueryPlan> {
         let mut changed = self.config.subscribe();
         let expires_at = time::Instant::from_std(plan.expires_at());
@@ -140,7 +141,7 @@
     }
 }
 
-/// Returns the answer to a request that crashed targets and is refused for `wait`.
+/// Creates the error of a request that is in quarantine for another `wait`.
 pub(crate) fn quarantine_answer(wait: TimeSpan) -> ErrorAnswer {
     ErrorAnswer::not_run(
         ErrorCode::Quarantined,
--- a/alderhaven-entry/src/relay_link.rs
+++ b/alderhaven-entry/src/relay_link.rs
@@ -1,4 +1,4 @@
-//! The connection from an entry to one relay, and the replies that are awaited on it.
+//! Connection from an entry to one relay, and the replies pending on it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,48 +24,47 @@
 use crate::link_monitor::LinkMonitor;
 use crate::link_options::LinkOptions;
 
-/// The pause before a lost relay is tried again.
+/// Delay before reconnecting to a lost relay.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// The time within which a relay that was silent answers a ping on a new connection: many times a
-/// round trip between failure domains (1 to 2 ms), and a quarter of the silence that led to it.
+/// Time limit for the first pong on a connection that replaces a silent one.
 const FIRST_PONG_TIMEOUT: Duration = Duration::from_millis(250);
-/// The time within which a connection to a relay is made.
+/// Time limit for connecting to a relay.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A `LinkReply` is what was heard of one attempt.
+/// Result of one attempt, as received from a relay or as determined by the link.
 #[derive(Clone, Debug)]
 pub struct LinkReply {
-    /// The counting half of the attempt's id.
+    /// The second half of the attempt's id.
     pub sequence: u64,
-    /// The result, not yet verified.
+    /// The result, not yet validated.
     pub result: AttemptResult,
-    /// The time in the relay's queue.
+    /// Time in the relay's queue.
     pub queue_wait: TimeSpan,
-    /// The time at the target.
+    /// Time at the target.
     pub service_time: TimeSpan,
-    /// The wait that a new attempt would have at the target.
+    /// Estimated queue wait of a further attempt at the same target.
     pub estimated_wait: TimeSpan,
     /// Whether the target ran the attempt.
     pub ran: bool,
-    /// Whether the reply was lost on the way, which says nothing of the target.
+    /// Whether the reply was lost on the network, which isn't a failure of the target.
     pub path_lost: bool,
 }
 
-/// A `LinkParts` is what all links of an entry share.
+/// Options and state shared by all links of an entry.
 #[derive(Clone, Debug)]
 pub struct LinkParts {
-    /// The settings.
+    /// Ping settings.
     pub options: LinkOptions,
-    /// What is known of requests that crash targets.
+    /// Crashes attributed to requests, exchanged with the relays.
     pub strikes: Arc<StrikeTracker>,
-    /// The links that were replaced because they were silent.
+    /// Counts links that were replaced because they were silent.
     pub silent_links: Counter,
 }
 
-/// A `ReplySink` takes the replies of one query.
+/// Sender for the replies to one query.
 pub type ReplySender = mpsc::UnboundedSender<LinkReply>;
 
-/// A `RelayLink` is the connection to one relay; it connects again by itself.
+/// Connection to one relay. It reconnects automatically.
 #[derive(Debug)]
 pub struct RelayLink {
     address: SocketAddr,
@@ -86,7 +85,7 @@
 }
 
 impl RelayLink {
-    /// Starts a link to the relay at `address`.
+    /// Starts connecting to the relay at `address`.
     #[must_use]
     pub fn start(address: SocketAddr, parts: LinkParts) -> Self {
         let shared = Arc::new(LinkShared::default());
@@ -98,28 +97,29 @@
         }
     }
 
-    /// Gets the relay's address.
+    /// The relay's address for attempts.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns true where the relay is connected and takes new attempts.
+    /// Whether the relay is connected and accepts new attempts.
     #[must_use]
     pub fn is_usable(&self) -> bool {
         let state = self.shared.lock();
         state.sender.is_some() && !state.is_leaving
     }
 
-    /// Gets the number of attempts whose reply is awaited.
+    /// Number of attempts without a reply.
     #[must_use]
     pub fn pending_count(&self) -> usize {
         self.shared.lock().pending.len()
     }
 
-    /// Sends the attempts of a query; each gets exactly one reply on `reply_sender` unless it is forgotten.
+    /// Sends the attempts of a query. Each one gets exactly one reply on `reply_sender`, unless it
+    /// is cancelled.
     ///
-    /// Returns false where the link is down: then no byte was sent and no reply comes.
+    /// Returns `false` if the link is down. Nothing was sent in that case, and no reply follows.
     #[must_use]
     pub fn scatter(&self, request: ScatterRequest, reply_sender: &ReplySender) -> bool {
         let mut state = self.shared.lock();
@@ -143,7 +143,7 @@
         false
     }
 
-    /// Forgets attempts and tells the relay that their answers are no longer wanted.
+    /// Removes attempts, and tells the relay to cancel them.
     pub fn cancel(&self, origin: u64, attempts: Vec<CancelledAttempt>) {
         let mut state = self.shared.lock();
         for attempt in &attempts {
@@ -169,11 +169,11 @@
         self.replace_connection(None);
     }
 
-    /// Takes over a new connection, or none, and answers every attempt that was awaited on the
-    /// former one with "unknown": its frame may have reached the relay.
+    /// Replaces the connection, and answers every attempt pending on the former one with "unknown",
+    /// since its message may have reached the relay.
     ///
-    /// A silent connection is replaced in one step, so that the retries of these attempts find the
-    /// new one.
+    /// A silent connection is replaced in one step, so that retries of these attempts find the new
+    /// one.
     fn replace_connection(&self, sender: Option<FrameSender>) {
         let mut state = self.lock();
         state.sender = sender;
@@ -187,7 +187,7 @@
 
     fn deliver(&self, reply: AttemptReply) {
         let reply_sender = self.lock().pending.remove(&reply.sequence);
-        // A reply that nobody awaits is late, doubled or of another life of this entry.
+        // Otherwise the reply is late, duplicated, or meant for this entry before a restart.
         if let Some(reply_sender) = reply_sender {
             let _query_over = reply_sender.send(LinkReply::from(reply));
         }
@@ -195,7 +195,7 @@
 }
 
 impl LinkReply {
-    /// Returns the reply of an attempt whose frame was certainly not sent.
+    /// Creates the reply to an attempt whose message was certainly not sent.
     #[must_use]
     pub fn not_sent(sequence: u64) -> Self {
         Self::without_target(
@@ -205,7 +205,7 @@
         )
     }
 
-    /// Returns the reply of an attempt whose relay was lost after its frame may have been sent.
+    /// Creates the reply to an attempt that may have been sent before the relay was lost.
     #[must_use]
     pub fn relay_lost(sequence: u64) -> Self {
         Self::without_target(sequence, AttemptOutcome::Unknown, true)
@@ -248,7 +248,7 @@
 enum LinkEnd {
     Closed,
     Silent,
-    /// A connection made after a silent one did not prove that the relay is there.
+    /// No pong arrived on a connection that replaced a silent one.
     Unresponsive,
 }
 
@@ -268,11 +268,10 @@
     }
 }
 
-/// Waits for the answer to a ping on a new connection; returns false where none comes.
+/// Sends a ping on a new connection. Returns `false` if no reply arrives in time.
 ///
-/// A frozen relay shows as silence, like a lost path, and yet its operating system takes new
-/// connections. Without the proof the retries of what was lost would go to it again, until the
-/// retries of their shards are used up; with it they go to the next relay of their target.
+/// The operating system of a frozen relay still accepts connections. Without this check, retries
+/// would go to the same relay until they are exhausted; with it they go to the target's next relay.
 async fn answers_ping(sender: &FrameSender, reader: &mut FrameReader) -> bool {
     let ping = PeerMessage::Ping(PingProbe { number: 0 });
     let answer = connection::next_message(reader);
@@ -280,7 +279,7 @@
         && matches!(time::timeout(FIRST_PONG_TIMEOUT, answer).await, Ok(Some(_)))
 }
 
-/// Takes what the relay sends until the connection ends or is silent.
+/// Handles messages from the relay until the connection ends or is silent.
 async fn read_replies(
     stream: TcpStream,
     shared: &LinkShared,
@@ -307,7 +306,7 @@
         monitor.record_message(message.as_ref());
         match message {
             Some(PeerMessage::Reply(reply)) => shared.deliver(reply),
-            // It is passed on to all relays before the replies that come after it are taken.
+            // Forwarded to all relays before the replies that follow it are handled.
             Some(PeerMessage::Strikes(notice)) => parts.strikes.merge(&notice),
             Some(PeerMessage::Leaving(_)) => shared.lock().is_leaving = true,
             Some(
--- a/alderhaven-entry/src/relay_routes.rs
+++ b/alderhaven-entry/src/relay_routes.rs
@@ -1,4 +1,4 @@
-//! Which relay an attempt goes through.
+//! Chooses the relays through which each target is reached.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,21 +12,22 @@
 
 use crate::relay_link::{LinkParts, RelayLink};
 
-/// A `KnownRelay` is a relay that takes work.
+/// A relay that accepts attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownRelay {
-    /// The relay and its failure domain.
+    /// Id and failure domain of the relay.
     pub candidate: RelayCandidate,
-    /// Where it takes attempts.
+    /// Address for attempts.
     pub address: SocketAddr,
 }
 
 type TargetLinks = SmallVec<[Arc<RelayLink>; 4]>;
 
-/// A `RelayRoutes` holds the links to relays, and for each target the relays that reach it.
+/// Links to relays, and the relays of each target.
 ///
-/// All entries choose alike, so that one relay sees all the work for a target and its few slots are
-/// shared out in one place. While entries disagree for a moment, a target is reached through two.
+/// All entries choose the same relays for a target, so that one relay sees all attempts and shares
+/// out the target's slots. While entries disagree after a change, a target may be reached through
+/// two.
 #[derive(Debug)]
 pub struct RelayRoutes {
     options: SubsetOptions,
@@ -43,7 +44,7 @@
 }
 
 impl RelayRoutes {
-    /// Returns routes without relays.
+    /// Creates routes without any relay or target.
     #[must_use]
     pub fn new(parts: LinkParts) -> Self {
         Self {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Takes over the relays that take work; links to those that stay are kept.
+    /// Sets the working relays. Links to relays that remain are kept open.
     pub fn set_relays(&self, relays: Vec<KnownRelay>) {
         let mut known = self.inputs.lock().unwrap_or_else(PoisonError::into_inner);
         if known.relays == relays {
@@ -79,7 +80,7 @@
         self.choose_routes(&known);
     }
 
-    /// Takes over the targets of manifests.
+    /// Sets the targets from the manifests, and chooses their relays.
     pub fn apply(&self, manifests: &[Arc<SnapshotManifest>]) {
         let mut known = self.inputs.lock().unwrap_or_else(PoisonError::into_inner);
         known.targets = manifests
@@ -94,15 +95,15 @@
         self.choose_routes(&known);
     }
 
-    /// Gets the links.
+    /// All links, in the order of the relays.
     #[must_use]
     pub fn links(&self) -> Arc<Vec<Arc<RelayLink>>> {
         self.links.load_full()
     }
 
-    /// Gets the first usable relay of a target.
+    /// The first usable relay of a target.
     ///
-    /// A target that no manifest of this entry names any more has no relay.
+    /// `None` if no relay is usable, or if no applied manifest lists the target.
     #[must_use]
     pub fn route(&self, target: &TargetId) -> Option<Arc<RelayLink>> {
         self.routes
--- a/alderhaven-entry/src/replica_selector.rs
+++ b/alderhaven-entry/src/replica_selector.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the targets, and the choices that it makes on it: replica, hedge, retry.
+//! Chooses replicas and decides on hedges and retries, from the statistics of the targets.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -20,19 +20,19 @@
 
 use crate::query_plan::QueryPlan;
 
-/// A `BoardOptions` holds the settings of the choices.
+/// Settings for replicas, hedges and retries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SelectorOptions {
-    /// The choice of replicas.
+    /// How replicas are chosen.
     pub replicas: ReplicaOptions,
-    /// The hedging.
+    /// When attempts are hedged, and how many.
     pub hedging: HedgeOptions,
-    /// The retries.
+    /// How many attempts are retried.
     pub retries: RetryOptions,
 }
 
-/// A `ReplicaBoard` is shared by all queries of an entry.
+/// Target statistics and budgets shared by all queries of an entry.
 #[derive(Debug)]
 pub struct ReplicaSelector {
     clock: ProcessClock,
@@ -44,7 +44,7 @@
 }
 
 impl ReplicaSelector {
-    /// Returns a board without targets.
+    /// Creates a selector without targets.
     #[must_use]
     pub fn new(
         policy: PolicyKind,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Takes over the targets of manifests; what is known of those that stay is kept.
+    /// Sets the targets from the manifests. Targets that remain keep their statistics.
     pub fn apply(&self, manifests: &[Arc<SnapshotManifest>], view: &ConfigView) {
         let listings = manifests
             .iter()
@@ -76,18 +76,17 @@
         self.table.store(Arc::new(table));
     }
 
-    /// Gets the targets as they are now; a query keeps this table until its end.
+    /// The current targets. A query uses one table until it ends.
     #[must_use]
     pub fn table(&self) -> Arc<ReplicaTable> {
         self.table.load_full()
     }
 
-    /// Gets the targets as they are now, with all those that a plan may ask.
+    /// The current targets, extended by those of the plan's shards if any are missing.
     ///
-    /// The configuration's view is ahead of the table for a moment after a manifest was published,
-    /// and behind it for a query that has waited for its admission meanwhile. Replicas that the
-    /// table does not list would never be chosen, and their shards be missing from the answer; such
-    /// a query gets a table of its own, which shares what is known of the others.
+    /// The view on which a query is planned may be newer than the table, or older if the query was
+    /// queued. Without its replicas in the table, a shard would be missing from the answer. The
+    /// extended table shares the statistics of the targets that are in both.
     #[must_use]
     pub fn table_for(&self, plan: &QueryPlan) -> Arc<ReplicaTable> {
         let table = self.table();
@@ -105,25 +104,25 @@
         Arc::new(ReplicaTable::build(&table, listings, &self.domain))
     }
 
-    /// Gets the rules of the choice.
+    /// Chooses a replica from a table.
     #[must_use]
     pub const fn chooser(&self) -> &ReplicaChooser {
         &self.chooser
     }
 
-    /// Gets the clock of what is known.
+    /// The clock on which all statistics are measured.
     #[must_use]
     pub const fn clock(&self) -> ProcessClock {
         self.clock
     }
 
-    /// Notes first attempts, which earn hedges and retries.
+    /// Records first attempts, which increase the budgets for hedges and retries.
     pub fn record_sent(&self, attempts: u32) {
         self.hedging().record_sent(attempts);
         self.retries().record_sent(attempts);
     }
 
-    /// Gets the service time that is expected of any target, zero where nothing is known.
+    /// Expected service time across all targets. Zero if there are no samples.
     #[must_use]
     pub fn expected_service_time(&self, group: &HedgeGroup) -> TimeSpan {
         self.hedging()
@@ -131,29 +130,29 @@
             .unwrap_or_default()
     }
 
-    /// Gets the time after which an attempt is hedged; none where it is not.
+    /// Delay after which an attempt is hedged, or `None` if it isn't.
     #[must_use]
     pub fn hedge_delay(&self, group: &HedgeGroup, is_idempotent: bool) -> Option<TimeSpan> {
         self.hedging().hedge_delay(group, is_idempotent)
     }
 
-    /// Takes a token for a hedge; false where none may be sent.
+    /// Takes one hedge from the budget. Returns `false` if none is left.
     #[must_use]
     pub fn take_hedge(&self, is_overloaded: bool) -> bool {
         self.hedging().take(is_overloaded)
     }
 
-    /// Notes whether a hedge was refused for want of a free slot.
+    /// Records the end of a hedge, and whether it was refused because no slot was free.
     pub fn record_hedge_end(&self, is_refused: bool) {
         self.hedging().record_hedge_end(is_refused);
     }
 
-    /// Notes the latency of an answered attempt and its time at the target.
+    /// Records the latency and the service time of an answered attempt.
     pub fn record_answer(&self, group: &HedgeGroup, latency: TimeSpan, service: TimeSpan) {
         self.hedging().record_answer(group, latency, service);
     }
 
-    /// Decides whether an attempt that ended is sent again.
+    /// Decides whether an ended attempt is retried, and if so charges the budget.
     #[must_use]
     pub fn decide_retry(&self, ended: EndedAttempt) -> RetryDecision {
         let now = self.clock.now();
--- a/alderhaven-entry/src/request_record.rs
+++ b/alderhaven-entry/src/request_record.rs
@@ -1,4 +1,4 @@
-//! The id of a request, and the log line of a request that was not answered.
+//! Request ids, and the log event of a request that was not answered.
 
 use std::fmt;
 
@@ -14,20 +14,21 @@
 use crate::answer::{ErrorAnswer, ErrorCode};
 use crate::query_plan::QueryPlan;
 
-/// The header that carries a request's id, in requests and in replies.
+/// Header that carries the request id, in requests and replies.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// The longest id that is taken over from a caller, in bytes; longer ones would swell the log.
+/// Longest request id accepted from a caller, in bytes. It limits the size of log events.
 pub const MAX_REQUEST_ID_BYTES: usize = 64;
 
-/// A `RequestId` names one request in its reply and in the log.
+/// Id of one request, returned in the reply and written to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct RequestId(String);
 
 impl RequestId {
-    /// Gets the caller's own id where it is well-formed, else a new one.
+    /// Takes the caller's id if it is well-formed, and generates one otherwise.
     ///
-    /// Well-formed are 1 to [`MAX_REQUEST_ID_BYTES`] ASCII letters, digits, `-`, `_` and `.`, given once.
+    /// A well-formed id occurs once and has 1 to [`MAX_REQUEST_ID_BYTES`] ASCII letters, digits,
+    /// `-`, `_` and `.`.
     #[must_use]
     pub fn from_headers(headers: &HeaderMap) -> Self {
         let mut given = headers.get_all(REQUEST_ID_HEADER).iter();
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Gets the value of the reply's header.
+    /// The id as a header value of the reply.
     #[must_use]
     pub(crate) fn header_value(&self) -> HeaderValue {
         HeaderValue::from_str(&self.0).expect("an id is made of visible ASCII characters")
@@ -56,24 +57,24 @@
     (1..=MAX_REQUEST_ID_BYTES).contains(&text.len()) && text.bytes().all(allowed)
 }
 
-/// A `RequestRecord` is what the log says of a request, as far as it is known.
+/// What is known about a request, for the log.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RequestRecord {
-    /// The request's id.
+    /// Id of the request.
     #[serde(rename = "request")]
     pub id: RequestId,
-    /// The template, once the request is known to be well-formed.
+    /// The template, once the request is planned.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub template: Option<TemplateName>,
-    /// The team, likewise.
+    /// The team, once the request is planned.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub team: Option<TeamId>,
-    /// The class, likewise.
+    /// The class, once the request is planned.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub class: Option<QueryClass>,
 }
 
-/// A `RequestEvent` is the log line of a request that was refused, failed or is unknown.
+/// Log event of a request that was refused or failed, or whose outcome is unknown.
 #[derive(Serialize)]
 #[serde(tag = "event", rename = "request_not_answered")]
 struct RequestEvent<'a> {
@@ -85,7 +86,7 @@
 }
 
 impl RequestRecord {
-    /// Returns the record of a request that has just come in.
+    /// Creates the record of a request that has just arrived.
     #[must_use]
     pub const fn new(id: RequestId) -> Self {
         Self {
@@ -96,16 +97,16 @@
         }
     }
 
-    /// Takes over what a plan tells.
+    /// Adds template, team and class from the plan.
     pub fn record_plan(&mut self, plan: &QueryPlan) {
         self.template = Some(plan.template.name.clone());
         self.team = Some(plan.team.name.clone());
         self.class = Some(plan.template.class);
     }
 
-    /// Logs the one line of a request that was not answered.
+    /// Logs the event of a request that was not answered.
     ///
-    /// The values of parameters and the message, which may quote them, stay out of the log.
+    /// Parameter values, and the error message, which may quote them, are not logged.
     pub fn log(&self, answer: &ErrorAnswer) {
         let code = answer.error.code;
         let outcome = code.outcome();
--- a/alderhaven-entry/src/running_query.rs
+++ b/alderhaven-entry/src/running_query.rs
@@ -1,4 +1,5 @@
-//! One query on one snapshot, between its scatter and its answer.
+//! Runs a query on one snapshot: sends its attempts, gathers the replies, hedges, retries and
+//! merges.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,7 +32,7 @@
 
 type TargetIndexes = SmallVec<[TargetIndex; 4]>;
 
-/// A `RunningQuery` is one query between scatter and answer.
+/// A query with attempts in flight.
 pub(crate) struct RunningQuery<'a> {
     runner: &'a QueryRunner,
     plan: &'a QueryPlan,
@@ -42,13 +43,13 @@
     gather: QueryGather,
     reply_sender: ReplySender,
     open_attempts: HashMap<u64, OpenAttempt>,
-    /// The attempts whose path was lost, so that their replicas may never have been asked.
+    /// Attempts whose path was lost. Their replicas may not have received them.
     lost_paths: SmallVec<[u64; 4]>,
     slowest_target: TimeSpan,
     trial: SuspectTrial,
 }
 
-/// A `PlacedAttempt` is an attempt whose end has not been heard of.
+/// An attempt without a reply.
 struct OpenAttempt {
     link: Arc<RelayLink>,
     target_index: TargetIndex,
@@ -56,25 +57,25 @@
     is_hedge: bool,
 }
 
-/// A `ChosenReplica` is where an attempt goes, and through which relay.
+/// The replica for an attempt, and the relay through which it is reached.
 struct ChosenReplica {
     replica_position: usize,
     target_index: TargetIndex,
     link: Arc<RelayLink>,
 }
 
-/// The times at which a running query does something without a reply.
+/// Times at which a running query acts without a reply.
 struct QueryTimers {
     expires_at: Instant,
-    /// When a latency-first query answers with what it has.
+    /// When a query that prefers latency answers with the shards it has.
     answer_by: Option<Instant>,
-    /// When attempts that are still under way are slots.
+    /// When attempts in flight are hedged.
     hedge_at: Option<Instant>,
     hedge_delay: TimeSpan,
 }
 
 impl<'a> RunningQuery<'a> {
-    /// Scatters a query and gathers until it is settled.
+    /// Sends the first attempts, and gathers replies until the query is settled.
     pub(crate) async fn run(
         runner: &'a QueryRunner,
         plan: &'a QueryPlan,
@@ -110,10 +111,10 @@
         query
     }
 
-    /// Begins one attempt at each of the slots' shards, grouped by relay.
+    /// Starts one attempt at each of the slots' shards, grouped by relay.
     ///
-    /// A shard without a replica to try is given up, but for a hedge, whose first attempt is still
-    /// under way.
+    /// Gives up a shard without an eligible replica, unless this is a hedge: then its first attempt
+    /// is still in flight.
     fn scatter(&mut self, slots: &[usize], is_hedge: bool) {
         let now = self.runner.selector.clock().now();
         let mut requests: HashMap<SocketAddr, (Arc<RelayLink>, ScatterRequest)> = HashMap::new();
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Chooses a replica that was not tried yet, and the relay to reach it through.
+    /// Chooses a replica that isn't excluded, and the relay through which to reach it.
     fn choose_replica(&self, slot: usize, now: TimePoint) -> Option<ChosenReplica> {
         let entry = self.gather.shard_entry(slot);
         let usable: SmallVec<[(TargetIndex, usize, Arc<RelayLink>); 4]> = entry
@@ -214,11 +215,11 @@
         })
     }
 
-    /// Gets the replicas that a further attempt must not go to.
+    /// Replicas to which a further attempt must not go.
     ///
-    /// One that merely had no free slot for a hedge has not been tried, and one whose path was lost
-    /// is still there to be asked in another way: when a relay freezes, both replicas of a shard may
-    /// be behind it.
+    /// A replica that had no free slot for a hedge is not excluded, nor is one whose path was lost:
+    /// a frozen relay may be on the path to all replicas of a shard, and they can be reached
+    /// through another.
     fn excluded_replicas(&self, slot: usize) -> TargetIndexes {
         let no_slot = Some(AttemptOutcome::NotRun(NotRunReason::QueueFull));
         self.gather
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Takes replies until every shard is settled or the time is up.
+    /// Handles replies and timers until every shard is settled or the deadline has passed.
     async fn gather_replies(&mut self, mut replies: UnboundedReceiver<LinkReply>) {
         let mut timers = self.start_timers();
         while !self.gather.is_settled() && !self.needs_newer_snapshot() {
@@ -301,7 +302,7 @@
         }
     }
 
-    /// Does what is due by the time.
+    /// Runs the actions that are due.
     fn handle_timers(&mut self, timers: &mut QueryTimers) {
         let now = Instant::now();
         if now >= timers.expires_at {
@@ -313,14 +314,14 @@
         }
         if timers.hedge_at.is_some_and(|at| now >= at) {
             self.send_hedges();
-            // A hedge that found no free slot is tried again after the same time.
+            // Hedges again after the same delay, in case a hedge found no free slot.
             timers.hedge_at = Some(now + timers.hedge_delay.as_duration());
         }
     }
 
-    /// Sends second attempts for the shards whose only attempt is still under way.
+    /// Hedges the shards that have exactly one attempt in flight.
     ///
-    /// A request that may crash targets is not hedged: the second target would be lost needlessly.
+    /// A request suspected of crashing targets is not hedged, since it could crash a second one.
     fn send_hedges(&mut self) {
         if self.runner.strikes.is_suspect(&self.plan.fingerprint()) {
             return;
@@ -361,7 +362,7 @@
                 .is_some_and(|share| self.gather.covered_share() >= share.as_f64())
     }
 
-    /// Returns true where the query can only be answered in full on a newer snapshot.
+    /// Whether a complete answer is possible only on a newer snapshot.
     pub(crate) fn needs_newer_snapshot(&self) -> bool {
         self.plan.template.idempotent && self.gather.is_version_gone()
     }
@@ -388,10 +389,10 @@
         self.resume_after_trial();
     }
 
-    /// Goes on with the shards that waited for the trial of a suspect, once that is over.
+    /// Retries the shards that were held back during a trial, once it has ended.
     ///
-    /// Where it was answered they are tried again at once. Where it cost another target the relays
-    /// refuse them, and the next one is on trial until then.
+    /// If the trial was answered, they are retried at once. If it crashed another target, relays
+    /// refuse the request; until they do, the next shard is on trial.
     fn resume_after_trial(&mut self) {
         let Some(slot) = self.trial.slot() else {
             return;
@@ -406,7 +407,7 @@
         }
     }
 
-    /// Learns from the end of an attempt.
+    /// Updates the statistics of the target with the end of an attempt.
     fn record_ended(&mut self, reply: &LinkReply) {
         let Some(attempt) = self.open_attempts.remove(&reply.sequence) else {
             return;
@@ -422,10 +423,10 @@
                 service: reply.service_time,
                 expected: self.expected_service_time,
             },
-            // What was lost on the way is not the target's failure.
+            // A lost path is not a failure of the target.
             _ if reply.path_lost => AttemptSample::NotRun,
-            // A target that takes no connection fails sooner than any other answers, so that it
-            // always looks free; unless it is ejected it is chosen again and again.
+            // A target that refuses connections replies faster than any other and appears idle. It
+            // must count as failed, or it would be chosen again and again.
             AttemptOutcome::Failed
             | AttemptOutcome::Unknown
             | AttemptOutcome::NotRun(NotRunReason::NotSent) => AttemptSample::Failed,
@@ -448,7 +449,8 @@
         }
     }
 
-    /// Tries another replica where that can do no harm and there is time and budget for it.
+    /// Retries a shard at another replica, if that is safe and deadline and budget allow it. Gives
+    /// the shard up otherwise.
     fn retry_or_give_up(&mut self, slot: usize, outcome: AttemptOutcome) {
         let strikes = &self.runner.strikes;
         let is_suspect =
@@ -484,7 +486,7 @@
         }
     }
 
-    /// Makes the answer.
+    /// Merges the rows into the answer, or creates the error for the caller.
     pub(crate) fn finish(self) -> Result<QueryAnswer, ErrorAnswer> {
         let coverage = self.gather.coverage();
         let outcome = self.gather.outcome();
@@ -530,7 +532,7 @@
         })
     }
 
-    /// Cancels the attempts under way and learns from how long they have taken.
+    /// Cancels the attempts in flight, and records how long they have taken.
     fn cancel_in_flight(&mut self) {
         let now = self.runner.selector.clock().now();
         let mut by_link: HashMap<SocketAddr, (Arc<RelayLink>, Vec<CancelledAttempt>)> =
@@ -565,7 +567,7 @@
 }
 
 impl QueryTimers {
-    /// Gets the next time at which something is due.
+    /// Time of the next action.
     fn next_at(&self) -> Instant {
         [self.answer_by, self.hedge_at]
             .into_iter()
@@ -575,7 +577,7 @@
 }
 
 impl Drop for RunningQuery<'_> {
-    /// Cancels what is under way, also where the caller has gone away and dropped the query.
+    /// Cancels attempts in flight, also if the query was dropped because its caller disconnected.
     fn drop(&mut self) {
         self.cancel_in_flight();
     }
--- a/alderhaven-entry/src/settings.rs
+++ b/alderhaven-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry.
+//! Settings of an entry.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -22,97 +22,97 @@
 use crate::link_options::LinkOptions;
 use crate::replica_selector::SelectorOptions;
 
-/// The least and the greatest limit on a body.
+/// Allowed range of the body limit.
 const BODY_RANGE: RangeInclusive<ByteSize> = ByteSize::from_kib(1)..=ByteSize::from_kib(1024);
-/// The least and the greatest limit on a head; hyper needs 8 KB at least.
+/// Allowed range of the head limit. hyper requires at least 8 KB.
 const HEAD_RANGE: RangeInclusive<ByteSize> = ByteSize::from_kib(8)..=ByteSize::from_kib(256);
-/// The most connections that may be allowed, as many as a process can have descriptors for.
+/// Largest allowed connection limit.
 const MAX_CONNECTIONS: usize = 65_536;
-/// The most waiting queries that may be allowed; each holds a few kilobytes.
+/// Largest allowed limit on queued queries.
 const MAX_WAITING_QUERIES: usize = 65_536;
-/// The least and the greatest time that a setting may hold.
+/// Allowed range of time settings.
 const TIME_RANGE: RangeInclusive<TimeSpan> = TimeSpan::from_millis(1)..=TimeSpan::from_secs(60);
 
-/// An `EntrySettings` is the content of an entry's settings file.
+/// Content of an entry's settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// The entry's own id.
+    /// Id of this entry.
     pub node: NodeId,
-    /// The host that the entry runs on.
+    /// Host on which the entry runs.
     pub host: HostId,
-    /// The failure domain of the host.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// The address for callers; port 0 takes a free one.
+    /// Address for callers. Port 0 selects a free port.
     #[serde(deserialize_with = "settings::address")]
     pub listen: SocketAddr,
-    /// The address for operators (metrics, dump).
+    /// Address for operators: metrics, state dump and drain.
     #[serde(deserialize_with = "settings::address")]
     pub operator_listen: SocketAddr,
-    /// The address for other processes of the system.
+    /// Address for outcome queries of other entries.
     #[serde(deserialize_with = "settings::address")]
     pub peer_listen: SocketAddr,
-    /// The platform's object API and host list.
+    /// Address of the platform's object API and host list.
     #[serde(deserialize_with = "settings::address")]
     pub platform: SocketAddr,
-    /// The relays that are known from the start.
+    /// Addresses of relays, used while the group knows none.
     #[serde(default, deserialize_with = "settings::addresses")]
     pub relays: Vec<SocketAddr>,
-    /// The address for gossip and exchange with the other processes; without it the entry knows
-    /// only the relays that the settings name.
+    /// Address for gossip and exchange with other processes. Without it, the entry has no group and
+    /// uses only the relays in its settings.
     #[serde(default)]
     pub gossip_listen: Option<SocketAddr>,
-    /// The gossip addresses of peers to learn from at the start.
+    /// Gossip addresses of the first peers to contact.
     #[serde(default, deserialize_with = "settings::addresses")]
     pub seeds: Vec<SocketAddr>,
-    /// The limits.
+    /// Limits on callers' connections and requests.
     #[serde(default)]
     pub limits: EntryLimits,
-    /// The admission of queries.
+    /// Admission control.
     #[serde(default)]
     pub admission: AdmissionOptions,
-    /// The ledger of non-idempotent requests.
+    /// Ledger of non-idempotent requests.
     #[serde(default)]
     pub claims: ClaimOptions,
-    /// The answers that tell callers which entries to use.
+    /// Answers to callers that request the list of entries.
     #[serde(default)]
     pub answers: AnswerOptions,
-    /// The planned stop.
+    /// Drain before a planned stop.
     #[serde(default)]
     pub stop: DrainOptions,
-    /// The choices of replicas, hedges and retries.
+    /// Replica choice, hedges and retries.
     #[serde(default)]
     pub choices: SelectorOptions,
-    /// The refusal of requests that crash targets.
+    /// Quarantine of requests that crash targets.
     #[serde(default)]
     pub quarantine: QuarantineOptions,
-    /// The links to relays.
+    /// Connections to relays.
     #[serde(default)]
     pub links: LinkOptions,
-    /// The decisions to run; `baseline` is for comparisons only.
+    /// Set of policies to use. `baseline` is meant for comparison only.
     #[serde(default)]
     pub policy: PolicyKind,
-    /// The least severe level that is logged.
+    /// Lowest severity that is logged.
     #[serde(default = "default_log_level")]
     pub log_level: log::LevelFilter,
 }
 
-/// An `EntryLimits` bounds what a caller can make the entry hold.
+/// Limits on the resources that callers can use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EntryLimits {
-    /// The largest body of a request.
+    /// Largest body of a request.
     pub body: ByteSize,
-    /// The largest head of a request: its line and all headers.
+    /// Largest head of a request: the request line and all headers.
     pub head: ByteSize,
-    /// The most open connections from callers.
+    /// Maximum number of open connections from callers.
     pub caller_connections: usize,
-    /// The time within which a request must have come in.
+    /// Time limit for receiving the head, and for receiving the body, of a request.
     pub read_timeout: TimeSpan,
 }
 
 impl EntrySettings {
-    /// Gets the settings of the links; the baseline policy replaces none.
+    /// Settings of the relay connections. The baseline policy never replaces a silent one.
     #[must_use]
     pub fn link_options(&self) -> LinkOptions {
         match self.policy {
--- a/alderhaven-entry/src/suspect_trial.rs
+++ b/alderhaven-entry/src/suspect_trial.rs
@@ -1,12 +1,12 @@
-//! The retries of a query that may have crashed the targets of several shards at once.
+//! Limits the retries of a query that may have crashed targets of several shards at once.
 //!
-//! Several targets lost under one query are either a host that died or the query's doing. Were all
-//! lost shards tried again at once, the second case would cost as many targets once more. So one of
-//! them is tried first, and the others wait for its end: the answer of a replica clears the query.
+//! The cause is either a failed host or the request itself. Retrying all lost shards at once could
+//! crash as many targets again, so one shard is retried first and the others wait for its outcome.
+//! An answer clears the query.
 
 use alderhaven_core::outcome::AttemptOutcome;
 
-/// A `SuspectTrial` holds back the retries of a suspect but for one.
+/// Holds back all retries of a suspected query except one.
 #[derive(Debug, Default)]
 pub struct SuspectTrial {
     trial_slot: Option<usize>,
@@ -15,14 +15,14 @@
 }
 
 impl SuspectTrial {
-    /// Gets the slot of the shard that is on trial.
+    /// The slot whose shard is on trial.
     #[must_use]
     pub const fn slot(&self) -> Option<usize> {
         self.trial_slot
     }
 
-    /// Returns true where a slot's shard may be tried again now; otherwise it waits, with the
-    /// outcome that it is to be retried for.
+    /// Starts a trial of the slot's shard, if none is running or the query is cleared. Otherwise
+    /// holds the retry back and returns `false`.
     pub fn try_begin(&mut self, slot: usize, outcome: AttemptOutcome) -> bool {
         let is_other = self.trial_slot.is_some_and(|tried| tried != slot);
         if is_other && !self.is_cleared {
@@ -33,12 +33,13 @@
         true
     }
 
-    /// Notes that a slot's shard was answered: no further trial is needed where it was on trial.
+    /// Records an answer. If the slot was on trial, the query is cleared and needs no further
+    /// trial.
     pub fn record_answer(&mut self, slot: usize) {
         self.is_cleared |= self.trial_slot == Some(slot);
     }
 
-    /// Ends the trial and gets the slots that waited for it.
+    /// Ends the trial, and returns the retries that were held back.
     pub fn finish(&mut self) -> Vec<(usize, AttemptOutcome)> {
         self.trial_slot = None;
         std::mem::take(&mut self.held_retries)
--- a/alderhaven-entry/tests/applied_config.rs
+++ b/alderhaven-entry/tests/applied_config.rs
@@ -1,4 +1,4 @@
-//! What an entry tells operators of the configuration that its queries see.
+//! The configuration status that an entry reports to operators.
 
 use std::sync::Arc;
 
@@ -9,9 +9,8 @@
 use alderhaven_store::config_follower::{ConfigFollower, FollowerOptions};
 use tokio_util::sync::CancellationToken;
 
-/// An operator publishes a template, waits until every entry says that it is in force, and a caller's next
-/// query is answered by the template before. The watch had brought the change, and the entry told its
-/// revision before its queries saw it.
+/// Guards against reporting a revision from the store before queries see it: an operator who waits
+/// for that revision would find queries still answered by the previous template.
 #[tokio::test]
 async fn status_tells_no_revision_that_queries_do_not_see() {
     let shutdown = CancellationToken::new();
@@ -28,7 +27,7 @@
         changed.changed().await.expect("the follower runs");
     }
     assert_eq!(config.status().revision, Some(StoreVersion(1)));
-    // Nothing has taken the view over yet.
+    // No part of the entry has applied the view.
     let applied = AppliedConfig::default();
     assert_eq!(applied.status(&config).revision, None);
 }
--- a/alderhaven-entry/tests/at_most_once/main.rs
+++ b/alderhaven-entry/tests/at_most_once/main.rs
@@ -1,4 +1,4 @@
-//! Requests that may run at most once, end to end over stand-ins on loopback.
+//! End-to-end tests of non-idempotent requests, with stand-ins on loopback.
 
 mod scenarios;
 mod small_system;
--- a/alderhaven-entry/tests/at_most_once/scenarios.rs
+++ b/alderhaven-entry/tests/at_most_once/scenarios.rs
@@ -1,4 +1,4 @@
-//! What threatens "at most once" and "not run", one failure a test.
+//! Failures that must not break "at most once" or "not run", one for each test.
 
 use alderhaven_standin::http_connection::HttpConnection;
 use alderhaven_standin::platform_faults::PlatformFaults;
@@ -22,8 +22,8 @@
     assert!(!answer.is_not_run(), "{answer:?}");
 }
 
-/// A publisher's connection breaks after the assignment ran, and its client sends the request
-/// again, to the same entry. It must get the same answer, and no second number is assigned.
+/// A resend to the same entry after a lost connection receives the same answer, and the request
+/// doesn't run again.
 #[tokio::test]
 async fn at_most_once_resend_same_entry() {
     let system = SmallSystem::start().await;
@@ -37,8 +37,8 @@
     system.stop().await;
 }
 
-/// The client sends the request again to another entry, which never saw it. That entry must not run
-/// it, and gets the answer from the one that did.
+/// A resend to another entry doesn't run the request. That entry fetches the answer from the one
+/// that ran it.
 #[tokio::test]
 async fn at_most_once_resend_other_entry() {
     let system = SmallSystem::start().await;
@@ -54,8 +54,7 @@
     system.stop().await;
 }
 
-/// A client sends the request to all entries at once, several times, as an impatient retry loop
-/// does. One of them runs it, and everybody hears of that one run.
+/// Concurrent sends to all entries run the request once, and all receive that answer.
 #[tokio::test]
 async fn at_most_once_sent_everywhere_at_once() {
     let system = SmallSystem::start().await;
@@ -69,8 +68,8 @@
     system.stop().await;
 }
 
-/// A client with a fault uses one key for two assignments. The second must be refused with a clear
-/// error at the entry that knows the first, and at one that finds it in the ledger.
+/// A key that is reused for other parameters is refused, both by the entry that ran the request and
+/// by one that finds the claim in the ledger.
 #[tokio::test]
 async fn at_most_once_other_parameters() {
     let system = SmallSystem::start().await;
@@ -86,8 +85,8 @@
     system.stop().await;
 }
 
-/// The store takes the claim's write and the answer to it is lost. The entry must find its claim
-/// and run the request; a resend elsewhere must not run it again.
+/// The reply to the claim's write is lost. The entry must find its claim and run the request, and a
+/// resend elsewhere must not run it again.
 #[tokio::test]
 async fn at_most_once_reply_lost_after_the_write() {
     let system = SmallSystem::start().await;
@@ -103,8 +102,8 @@
     system.stop().await;
 }
 
-/// The claim's write is late: it takes effect only after the client has sent its request to another
-/// entry, which ran it. The late write must not make the first entry run it as well.
+/// The claim's write takes effect only after another entry has run the request. The first entry
+/// must not run it as well.
 #[tokio::test]
 async fn at_most_once_write_late() {
     let system = SmallSystem::start().await;
@@ -124,8 +123,8 @@
     system.stop().await;
 }
 
-/// The client hangs up while the assignment runs, and asks again. The run must go on, and the
-/// client gets its answer.
+/// The caller disconnects while the request runs. The run continues, and a resend receives its
+/// answer.
 #[tokio::test]
 async fn at_most_once_caller_hangs_up() {
     let system = SmallSystem::start().await;
@@ -149,8 +148,8 @@
     system.stop().await;
 }
 
-/// The entry that ran the assignment is replaced, with nothing kept, and the client asks the new
-/// one and another. Nobody knows how the request ended; they must say so and not run it again.
+/// The entry that ran the request restarts without its state. A resend must be answered with
+/// "unknown" and must not run.
 #[tokio::test]
 async fn at_most_once_entry_restarted() {
     let mut system = SmallSystem::start().await;
@@ -164,8 +163,8 @@
     system.stop().await;
 }
 
-/// The platform's service is restored from an older copy, which lacks a claim. The entry that saw
-/// the later version must not claim in it any more: it refuses, and still knows its own answer.
+/// The store is restored from a copy that lacks a claim. The entry that saw the later version must
+/// refuse new claims, and still replays its own answer.
 #[tokio::test]
 async fn at_most_once_store_restored_from_an_older_copy() {
     let system = SmallSystem::start().await;
@@ -181,8 +180,8 @@
     system.stop().await;
 }
 
-/// The platform's store is out of service. A non-idempotent request must be refused as not run,
-/// with when to come back, and run once when it comes back; other queries go on meanwhile.
+/// During a store outage a non-idempotent request is refused as not run, with a retry time, and
+/// runs once afterwards. Idempotent queries are still answered.
 #[tokio::test]
 async fn not_run_store_outage() {
     let system = SmallSystem::start().await;
@@ -205,8 +204,8 @@
     system.stop().await;
 }
 
-/// All replicas shed the assignment: it was claimed and certainly did not run. The client is told
-/// so, and its resend through another entry must run, once.
+/// All replicas shed a claimed request. It is reported as not run, and a resend to another entry
+/// runs it once.
 #[tokio::test]
 async fn not_run_shed_gives_the_key_back() {
     let system = SmallSystem::start().await;
@@ -227,8 +226,8 @@
     system.stop().await;
 }
 
-/// A client forgets the key, sends one of another kind, or one whose time is far off. It is told
-/// what is wrong; only of an old key can't it be said that the request never ran.
+/// A missing key, a key that isn't a `UUIDv7` and a key from the future are refused as not run. For
+/// a key that is too old, it is unknown whether the request ran.
 #[tokio::test]
 async fn not_run_keys_that_are_refused() {
     let system = SmallSystem::start().await;
--- a/alderhaven-entry/tests/at_most_once/small_system.rs
+++ b/alderhaven-entry/tests/at_most_once/small_system.rs
@@ -1,4 +1,4 @@
-//! A platform, a service of two shards, a relay and two entries in one process.
+//! A platform, a service with two shards, a relay and two entries in one process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,9 +29,9 @@
 use serde_json::{Value, json};
 use tokio_util::sync::CancellationToken;
 
-/// The longest wait for a condition.
+/// Time limit for a condition to hold.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time between two looks at a condition.
+/// Interval between checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 pub struct SmallSystem {
@@ -43,7 +43,7 @@
     shutdown: CancellationToken,
 }
 
-/// An `Answer` is a reply to a caller.
+/// Reply to a caller.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Gets a key whose time is now.
+/// Creates a key with the current time.
 pub fn fresh_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
@@ -151,7 +151,7 @@
         entry
     }
 
-    /// Ends an entry at once and starts another in its place, which knows nothing.
+    /// Replaces an entry by a new one without its state.
     pub async fn restart(&mut self, number: usize) {
         let entry = self.start_entry(number).await;
         self.entries[number] = entry;
@@ -165,7 +165,7 @@
         self.entry(entry).caller_address()
     }
 
-    /// Sends an assignment to an entry.
+    /// Sends a non-idempotent request to an entry.
     pub async fn assign(&self, entry: usize, key: &str, isbn: &str) -> Answer {
         self.send(entry, "assign", Some(key), isbn).await
     }
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Waits until an entry has no claim left to take back.
+    /// Waits until an entry has no pending claims and releases.
     pub async fn wait_for_releases(&self, entry: usize) {
         wait_until("claims are taken back", || {
             let report = self.entry(entry).state().claimed_runner.ledger().report();
@@ -217,7 +217,7 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds, and fails the test if it doesn't.
 pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let waiting = async {
         while !holds() {
@@ -238,7 +238,7 @@
     builder.body(body).unwrap()
 }
 
-/// Gets a key whose time is off by so many milliseconds.
+/// Creates a key whose time is `offset_millis` from now.
 pub fn key_with_time_offset(offset_millis: i64) -> String {
     let now: ClaimKey = fresh_key().parse().unwrap();
     let millis = now.millis().saturating_add_signed(offset_millis);
--- a/alderhaven-entry/tests/caller_interface/connections.rs
+++ b/alderhaven-entry/tests/caller_interface/connections.rs
@@ -1,4 +1,4 @@
-//! The limit on open connections.
+//! The limit on open connections from callers.
 
 use std::time::Duration;
 
@@ -8,12 +8,11 @@
 
 use crate::support;
 
-/// The pause between two looks.
+/// Interval between attempts to connect.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Callers hold as many connections as an entry takes, and another one comes. Left in the queue of
-/// the operating system it would hang unseen until others leave; it is told at once to go
-/// elsewhere, and the ones that are open go on.
+/// Connections above the limit are refused at once, so that callers can try another entry instead
+/// of waiting in the accept queue. Open connections are not affected.
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_refuses_connections_beyond_limit() {
     let health: &[u8] = b"GET /v1/health HTTP/1.1\r\nhost: e\r\n\r\n";
@@ -34,7 +33,7 @@
     for stream in &mut open {
         assert_eq!(support::exchange(stream, health).await.status, 200);
     }
-    // A place that becomes free is given again, as soon as the entry sees that it is free.
+    // A closed connection frees its place as soon as the entry notices.
     drop(open);
     for _ in 0..1_000 {
         if entry.send(health).await.status == 200 {
--- a/alderhaven-entry/tests/caller_interface/main.rs
+++ b/alderhaven-entry/tests/caller_interface/main.rs
@@ -1,4 +1,4 @@
-//! Tests of what callers are told by a running entry.
+//! Tests of the HTTP interface for callers, against a running entry.
 
 mod connections;
 mod refusals;
--- a/alderhaven-entry/tests/caller_interface/refusals.rs
+++ b/alderhaven-entry/tests/caller_interface/refusals.rs
@@ -1,4 +1,4 @@
-//! What is refused, with which code, and what the message names.
+//! Status, code and message of refused requests.
 
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -94,7 +94,7 @@
     let body = format!(r#"{{"team":"desk","pad":"{}"}}"#, "x".repeat(2_000));
     let reply = entry.query("open", "", &body).await;
     reply.assert_refused(413, "too_large", "1KB");
-    // Only the length is sent: the refusal does not wait for ten gigabytes.
+    // Refused by its `content-length`, without waiting for the body.
     let told = b"POST /v1/query/open HTTP/1.1\r\nhost: e\r\ncontent-length: 10000000000\r\n\r\n{";
     entry
         .send(told)
@@ -129,7 +129,7 @@
     let long = format!("GET /{} HTTP/1.1\r\nhost: e\r\n\r\n", "x".repeat(9_000));
     let reply = entry.send(long.as_bytes()).await;
     reply.assert_refused(413, "too_large", "a head has at most 8KB");
-    // Beyond twice the limit, and for what is no HTTP, there is a status only.
+    // Heads above twice the limit and malformed ones get hyper's reply, which has only a status.
     let huge = format!("x-pad: {}\r\n", "x".repeat(40_000));
     assert_eq!(entry.query("open", &huge, "{}").await.status, 431);
     let many = "a: b\r\n".repeat(200);
@@ -216,7 +216,7 @@
         reply.assert_refused(401, "unauthorized", "team staff needs its bearer token");
         assert_eq!(reply.header("www-authenticate"), Some("bearer"));
     }
-    // With the token the query passes; there is no relay that would take it.
+    // With the token, the query is accepted. It fails because the entry has no relay.
     let reply = entry.query("closed", &right, body).await;
     reply.assert_refused(429, "overloaded", "no target took the query");
     let reply = entry.query("closed", &right, r#"{"team":"desk"}"#).await;
--- a/alderhaven-entry/tests/caller_interface/request_log.rs
+++ b/alderhaven-entry/tests/caller_interface/request_log.rs
@@ -1,4 +1,4 @@
-//! Request ids, and the one log line of a request that was not answered.
+//! Request ids, and the log event of a request that was not answered.
 
 use std::sync::Mutex;
 
@@ -7,7 +7,7 @@
 
 use crate::support;
 
-/// The lines that were logged; the other tests of this process log too.
+/// All lines logged by this process, also those of other tests.
 static LOGGED_LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
 struct CapturingLog;
--- a/alderhaven-entry/tests/caller_interface/support.rs
+++ b/alderhaven-entry/tests/caller_interface/support.rs
@@ -1,4 +1,4 @@
-//! A running entry over the platform's stand-in, and callers that send any bytes.
+//! A running entry with a stand-in for the platform, and callers that send raw bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 use tokio::time;
 use tokio_util::sync::CancellationToken;
 
-/// The token of the team `staff`.
+/// Bearer token of the team `staff`.
 pub const TOKEN: &str = "staff-token";
-/// The time within which everything must come about; far above what a busy machine needs.
+/// Time limit for a reply, and for the first configuration.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A `TestEntry` is a running entry without relays; what passes all checks is answered with 429.
+/// A running entry without relays. It answers 429 to a query that passes all checks.
 pub struct TestEntry {
     pub node: EntryNode,
     _platform: PlatformServer,
 }
 
-/// A `RawReply` is a reply as it came over the wire.
+/// An HTTP reply, parsed from the bytes on the wire.
 #[derive(Debug)]
 pub struct RawReply {
     pub status: u16,
@@ -35,7 +35,7 @@
     pub body: String,
 }
 
-/// Starts an entry with `limits` and waits for its configuration.
+/// Starts an entry with the given limits, and waits for its configuration.
 pub async fn start(limits: Value) -> TestEntry {
     let platform = PlatformServer::start(PlatformOptions {
         objects: vec![objects()],
@@ -95,24 +95,24 @@
 }
 
 impl TestEntry {
-    /// Gets the address for callers.
+    /// The entry's address for callers.
     pub const fn address(&self) -> SocketAddr {
         self.node.caller_address()
     }
 
-    /// Sends bytes over a connection of their own and reads the reply.
+    /// Sends bytes on a new connection, and reads the reply.
     pub async fn send(&self, bytes: &[u8]) -> RawReply {
         let mut stream = TcpStream::connect(self.address()).await.unwrap();
         exchange(&mut stream, bytes).await
     }
 
-    /// Sends a query with further headers, each ended by a line break.
+    /// Sends a query with additional headers, each terminated by `\r\n`.
     pub async fn query(&self, template: &str, headers: &str, body: &str) -> RawReply {
         self.send(&query_bytes(template, headers, body)).await
     }
 }
 
-/// Gets the bytes of a query.
+/// Encodes a query as an HTTP request.
 pub fn query_bytes(template: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
@@ -122,9 +122,9 @@
     .into_bytes()
 }
 
-/// Sends bytes and reads one reply.
+/// Sends bytes, and reads one reply.
 pub async fn exchange(stream: &mut TcpStream, bytes: &[u8]) -> RawReply {
-    // An entry that has refused may read no further.
+    // The entry may refuse the request and stop reading before all bytes are sent.
     let _refused_before = stream.write_all(bytes).await;
     time::timeout(REPLY_TIMEOUT, read_reply(stream))
         .await
@@ -154,7 +154,7 @@
 }
 
 impl RawReply {
-    /// Gets a header's value.
+    /// Value of a header. Names are in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
@@ -163,13 +163,13 @@
             .map(|(_, value)| value)
     }
 
-    /// Gets the body as JSON.
+    /// The body, parsed as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body)
             .unwrap_or_else(|error| panic!("{error}: {} {}", self.head, self.body))
     }
 
-    /// Checks that the reply is an error of nothing that ran, and that its message names `part`.
+    /// Checks that the reply is an error with `not_run`, and that its message contains `part`.
     #[track_caller]
     pub fn assert_refused(&self, status: u16, code: &str, part: &str) {
         let body = self.json();
--- a/alderhaven-entry/tests/failures/main.rs
+++ b/alderhaven-entry/tests/failures/main.rs
@@ -1,4 +1,4 @@
-//! Tests of an entry and its relays where targets crash and connections fall silent.
+//! Tests of entries and relays when targets crash and connections go silent.
 
 mod quarantine;
 mod silence;
--- a/alderhaven-entry/tests/failures/quarantine.rs
+++ b/alderhaven-entry/tests/failures/quarantine.rs
@@ -1,18 +1,17 @@
-//! A request that crashes every target it runs at.
+//! Requests that crash every target on which they run.
 
 use alderhaven_store::operator_server::OperatorSource;
 use serde_json::json;
 
 use crate::system::{TestSystem, metric, send_query, wait_until};
 
-/// The resends of the poisonous request, several through each entry.
+/// Number of times that the crashing request is sent, spread over the entries.
 const RESEND_COUNT: usize = 9;
-/// The harmless queries of each of the callers beside it.
+/// Number of queries that each concurrent caller sends.
 const HARMLESS_QUERY_COUNT: usize = 60;
 
-/// A caller sends a request that makes the process of its target die, gets no usable answer and
-/// sends it again through the next entry, while others go on with their work. Entries retry it at
-/// other replicas. Without a common memory of crashes every entry loses targets until none is left.
+/// A request that crashes its target is sent repeatedly to all entries, next to other queries.
+/// Without shared crash tracking, retries and resends would crash every replica.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn poison_takes_down_two_targets_at_most() {
     let system = TestSystem::start(5, 3, &json!({})).await;
@@ -30,7 +29,7 @@
             incomplete
         }));
     }
-    // The others' work is under way before the first crash.
+    // The other callers' queries run before the first crash.
     wait_until("first runs", || {
         system
             .targets
@@ -55,11 +54,11 @@
     }
 }
 
-/// The shards of the service in the test of a query over all shards.
+/// Number of shards in the test of a query over all shards.
 const SHARD_COUNT: usize = 6;
 
-/// A request that asks every shard kills a target of each before the first crash is known. If all
-/// lost shards were tried again at once, each would lose a second target, and each resend more.
+/// A request over all shards crashes one target of each. Retrying all lost shards at once would
+/// crash a second target of each.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn poison_over_all_shards_goes_no_further_than_one_wave() {
     let system = TestSystem::start_sharded(SHARD_COUNT, 3, 2, &json!({})).await;
@@ -77,9 +76,8 @@
     assert_eq!(answer["outcome"], "complete", "{answer}");
 }
 
-/// Two targets die one after the other for reasons of their own, each while the same harmless
-/// request is the only one there. It is tried again and answered each time, so it is innocent, and
-/// callers who send it later must not be refused at any entry.
+/// Two targets crash for other reasons while the same request runs on them. Its retries are
+/// answered, so that it must not be quarantined.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn crash_of_another_cause_refuses_nobody() {
     let system = TestSystem::start(4, 2, &json!({})).await;
--- a/alderhaven-entry/tests/failures/silence.rs
+++ b/alderhaven-entry/tests/failures/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that carry nothing any more while new ones work.
+//! Connections that go silent while new connections work.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -12,9 +12,8 @@
 
 use crate::system::{TestSystem, metric, send_query, wait_until};
 
-/// The path between a relay and its targets loses track of all kept connections. Attempts on them
-/// get no reply, and nothing says so. Callers used to wait for their deadline, and the targets
-/// were taken out of use although they were well.
+/// The network path between a relay and its targets drops the state of all open connections.
+/// Callers must not wait for their deadline, and targets must not be ejected.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn silent_target_connections_are_replaced() {
     let settings = json!({ "relay": { "health": { "idle_suspect": "0us" } } });
@@ -36,7 +35,7 @@
         let elsewhere = timing("total_us") - timing("slowest_target_us");
         longest_silence = longest_silence.max(elsewhere);
     }
-    // The silence is not counted as the target's time, or a healthy target would look slow.
+    // The silence must not count as service time, or a healthy target would appear slow.
     let bound = HealthOptions::default().min_silence.as_micros();
     assert!(longest_silence >= bound, "{longest_silence}");
     let relay = system.relays[0].state().metrics();
@@ -47,20 +46,20 @@
     assert_eq!(system.dead_target_count(), 0);
 }
 
-/// The path from an entry to its relay loses track of the connection. The entry sends attempts
-/// that arrive nowhere, and without pings it would take minutes until the system says so.
+/// The network path between an entry and its relay drops the state of the connection. Only pings
+/// reveal this in time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn silent_relay_link_is_replaced() {
     let mut system = TestSystem::start(2, 1, &json!({})).await;
     let path = FreezableProxy::start(system.relays[0].peer_address()).await;
-    // One failure would be enough to take a target out of use.
+    // A single failure would eject a target.
     let settings = json!({
         "links": { "ping_every": "20ms", "max_silence": "200ms" },
         "choices": { "replicas": { "eject_after": 1 } },
     });
     system.add_entry(1, &[path.address], &settings).await;
     assert_eq!(system.query(1, "before").await["outcome"], "complete");
-    // The relay has answered a ping once its first answers are through.
+    // By the first answer, the relay has also answered a ping.
     path.freeze();
     let entry = system.entries[1].caller_address();
     let queries =
@@ -69,7 +68,7 @@
         assert_eq!(answer["outcome"], "complete", "{answer}");
     }
     let entry = system.entries[1].state();
-    // The targets have nothing to do with the entry's path to the relay.
+    // A lost path between entry and relay must not eject targets.
     assert_eq!(
         metric(&entry.metrics(), "alderhaven_entry_ejections_total"),
         0
@@ -80,7 +79,7 @@
     .await;
 }
 
-/// A path to a relay that can lose track of the connections on it.
+/// A TCP proxy that can freeze its open connections.
 struct FreezableProxy {
     address: SocketAddr,
     generation: Arc<AtomicU64>,
@@ -109,7 +108,7 @@
     }
 }
 
-/// Carries bytes both ways until the path is frozen, and then keeps both ends open.
+/// Forwards bytes both ways until the proxy is frozen. Then it keeps both connections open.
 async fn forward_bytes(entry: TcpStream, relay: TcpStream, shared: Arc<AtomicU64>) {
     let generation = shared.load(Ordering::SeqCst);
     let mut buffers = ([0_u8; 4096], [0_u8; 4096]);
--- a/alderhaven-entry/tests/failures/system.rs
+++ b/alderhaven-entry/tests/failures/system.rs
@@ -1,4 +1,4 @@
-//! Entries and relays before small targets, all in one process.
+//! Entries, relays and small targets in one process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -17,10 +17,10 @@
 
 use crate::target::FakeTarget;
 
-/// The time within which a condition must come true; it fails the test, it measures nothing.
+/// Time limit for a condition to hold.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running system.
+/// Entries and relays with their targets.
 pub struct TestSystem {
     replicas: usize,
     pub targets: Vec<FakeTarget>,
@@ -29,12 +29,12 @@
 }
 
 impl TestSystem {
-    /// Starts a service of one shard with a replica in each domain.
+    /// Starts a service with one shard. Each replica is in its own failure domain.
     pub async fn start(replicas: usize, nodes: usize, overrides: &Value) -> Self {
         Self::start_sharded(1, replicas, nodes, overrides).await
     }
 
-    /// Starts a service of several shards.
+    /// Starts a service with several shards.
     pub async fn start_sharded(
         shards: usize,
         replicas: usize,
@@ -67,7 +67,7 @@
         system
     }
 
-    /// Starts an entry and waits until it reaches its relays.
+    /// Starts an entry, and waits until it is connected to its relays.
     pub async fn add_entry(&mut self, number: usize, relays: &[SocketAddr], overrides: &Value) {
         let mut settings = node_settings("entry", number, overrides);
         settings["listen"] = json!("127.0.0.1:0");
@@ -84,7 +84,7 @@
         self.entries.push(entry);
     }
 
-    /// Sends a query through an entry and gets the body of the answer.
+    /// Sends a query to an entry, and returns the body of the reply.
     pub async fn query(&self, entry: usize, name: &str) -> Value {
         send_query(self.entries[entry].caller_address(), name).await
     }
@@ -97,7 +97,7 @@
     }
 }
 
-/// Sends a query and gets the body of the answer.
+/// Sends a query to the entry at an address, and returns the body of the reply.
 pub async fn send_query(entry: SocketAddr, name: &str) -> Value {
     let body = json!({ "team": "desk", "parameters": { "name": name } }).to_string();
     let request = Request::post("/v1/query/lookup")
@@ -110,7 +110,8 @@
     serde_json::from_slice(answer.unwrap().body()).unwrap()
 }
 
-/// Asks until an answer is complete: the entry has taken over its configuration.
+/// Sends queries until an answer is complete, which shows that the entry has applied its
+/// configuration.
 async fn wait_until_complete(entry: SocketAddr) {
     let polling = async {
         while send_query(entry, "ready").await["outcome"] != "complete" {
@@ -122,7 +123,7 @@
         .expect("a complete answer");
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds, and fails the test if it doesn't.
 pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let polling = async {
         while !holds() {
@@ -134,7 +135,7 @@
         .unwrap_or_else(|_| panic!("{what}"));
 }
 
-/// Gets the value of a metric that has no labels.
+/// Value of a metric without labels.
 pub fn metric(text: &str, name: &str) -> u64 {
     let line = text
         .lines()
@@ -150,7 +151,7 @@
         "domain": "accra-a",
         "peer_listen": "127.0.0.1:0",
         "operator_listen": "127.0.0.1:0",
-        // Nothing listens there; the configuration is handed in.
+        // Nothing listens on this port. The configuration is passed in directly.
         "platform": SocketAddr::from((Ipv4Addr::LOCALHOST, 9)),
     });
     if let (Some(settings), Some(overrides)) = (settings.as_object_mut(), overrides.as_object()) {
--- a/alderhaven-entry/tests/failures/target.rs
+++ b/alderhaven-entry/tests/failures/target.rs
@@ -1,4 +1,4 @@
-//! A small target whose process can die and whose old connections can fall silent.
+//! A target that can crash, and whose open connections can go silent.
 
 use std::future;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// The service time of an attempt.
+/// Service time of an attempt.
 const SERVICE_TIME: Duration = Duration::from_millis(2);
 
 /// A running target.
@@ -28,9 +28,9 @@
 
 #[derive(Default)]
 struct FakeState {
-    /// Ends the process: the listener and all connections at once.
+    /// Cancelled on a crash: closes the listener and all connections.
     crashed: CancellationToken,
-    /// The connections made before the latest silence have a lower number.
+    /// Increased when connections go silent. Connections of an earlier generation don't reply.
     generation: AtomicU64,
     started_count: AtomicUsize,
     running_count: AtomicUsize,
@@ -49,22 +49,22 @@
         self.state.crashed.is_cancelled()
     }
 
-    /// Makes all connections that exist now carry nothing any more, without an end.
+    /// Makes all open connections silent, without closing them.
     pub fn silence_connections(&self) {
         self.state.generation.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Ends the process.
+    /// Crashes the target.
     pub fn crash(&self) {
         self.state.crashed.cancel();
     }
 
-    /// Gets the number of attempts that run.
+    /// Number of attempts that are running.
     pub fn running_count(&self) -> usize {
         self.state.running_count.load(Ordering::SeqCst)
     }
 
-    /// Gets the number of attempts that were begun.
+    /// Number of attempts that were started.
     pub fn started_count(&self) -> usize {
         self.state.started_count.load(Ordering::SeqCst)
     }
--- a/alderhaven-entry/tests/replica_selector.rs
+++ b/alderhaven-entry/tests/replica_selector.rs
@@ -1,4 +1,4 @@
-//! Tests of what an entry knows of targets while the configuration changes.
+//! Replica selection while the configuration changes.
 
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
 use alderhaven_policy::policy_kind::PolicyKind;
 use serde_json::{Value, json};
 
-/// Gets a view whose only shard has one replica.
+/// Creates a view with one shard that has one replica.
 fn view_with_target(target: &str) -> ConfigView {
     let replica = json!({ "target": target, "address": "127.0.0.1:1", "domain": "domain-1",
         "slots": 1, "connections": 1 });
@@ -45,10 +45,8 @@
     QueryPlan::build(view, "sweep", request, None, Instant::now()).unwrap()
 }
 
-/// A manifest names new targets. The view that queries are planned by has it a moment before the
-/// selector has taken it over, and a query that waited for its admission has an older one. Both must
-/// find their replicas: a shard whose replicas are unknown was called "unreachable", in an answer
-/// that was partial without need.
+/// A query may be planned on a view that is newer or older than the selector's table. Its replicas
+/// must be found in both cases, or the shard would be reported as unreachable.
 #[test]
 fn table_for_lists_targets_that_the_board_does_not() {
     let domain = "domain-1".parse().unwrap();
