--- a/alderhaven-entry/src/admission_controller.rs
+++ b/alderhaven-entry/src/admission_controller.rs
@@ -114,7 +114,7 @@
         Ok(AdmissionPermit::new(Arc::clone(self), ticket))
     }
 
-    /// Current load of every service in `view` that the gate knows, for the state dump.
+    /// Returns the current load of every service in `view` that the gate knows, for the state dump.
     #[must_use]
     pub fn loads(&self, view: &ConfigView) -> Vec<(String, ServiceLoad)> {
         let state = self.lock();
@@ -124,7 +124,7 @@
             .collect()
     }
 
-    /// Whether queries are queued for admission to the service.
+    /// Returns true if queries are queued for admission to the service.
     #[must_use]
     pub fn is_overloaded(&self, service: &ServiceName) -> bool {
         self.lock()
@@ -133,13 +133,13 @@
             .is_some_and(|load| load.waiting > 0)
     }
 
-    /// The clock on which ticket times are measured.
+    /// Returns the clock on which ticket times are measured.
     #[must_use]
     pub const fn clock(&self) -> ProcessClock {
         self.clock
     }
 
-    /// Expires queued queries at their deadlines, until the process ends.
+    /// Expires queued queries that have waited for too long, until the process ends.
     pub async fn expire_queries_forever(self: Arc<Self>) {
         loop {
             let next = {
--- a/alderhaven-entry/src/admission_permit.rs
+++ b/alderhaven-entry/src/admission_permit.rs
@@ -42,20 +42,22 @@
         }
     }
 
-    /// The class by which relays order the query. It may differ from the template's class.
+    /// Returns the class by which relays order the query. A query that has aged in the queue has a
+    /// higher one than its template.
     #[must_use]
     pub const fn class(&self) -> QueryClass {
         self.ticket.class
     }
 
-    /// Sort key of the query in the queues of all relays, in microseconds since the Unix epoch.
+    /// Returns the sort key of the query in the queues of all relays, in microseconds since the
+    /// Unix epoch.
     #[must_use]
     pub fn order(&self, plan: &QueryPlan) -> u64 {
         let arrived_at = self.controller.clock().time_point(plan.arrived_at);
         plan.order + self.ticket.order_at.since(arrived_at).as_micros()
     }
 
-    /// Whether other queries are queued for admission to the same service.
+    /// Returns true if other queries are queued for admission to the same service.
     #[must_use]
     pub fn is_overloaded(&self) -> bool {
         self.controller.is_overloaded(&self.ticket.request.service)
--- a/alderhaven-entry/src/answer.rs
+++ b/alderhaven-entry/src/answer.rs
@@ -69,7 +69,7 @@
 }
 
 impl ErrorCode {
-    /// The HTTP status of a reply with this code.
+    /// Returns the HTTP status of a reply with this code.
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
@@ -90,7 +90,7 @@
 }
 
 impl ErrorCode {
-    /// The outcome under which a query with this code is counted and logged.
+    /// Returns the outcome under which a query with this code is counted and logged.
     #[must_use]
     pub const fn outcome(self) -> QueryOutcome {
         match self {
--- a/alderhaven-entry/src/applied_config.rs
+++ b/alderhaven-entry/src/applied_config.rs
@@ -67,7 +67,7 @@
 }
 
 impl AppliedConfig {
-    /// The view that every part of the entry has applied.
+    /// Returns the view that every part of the entry has applied.
     #[must_use]
     pub fn view(&self) -> Arc<ConfigView> {
         self.view.load_full()
@@ -79,7 +79,8 @@
         self.changes.subscribe()
     }
 
-    /// Status of the configuration follower, with the revision that queries already see.
+    /// Returns the status of the configuration follower, with the revision that queries already
+    /// see.
     ///
     /// Without this, an operator could see a revision as applied while queries still use the one
     /// before. The follower's status is read first, so that a view published later contains its
@@ -149,7 +150,8 @@
             .retain(|_, recent| recent.replaced_at.is_none_or(|at| now - at < retention));
     }
 
-    /// All manifests, current ones first, so that their entry for a target takes precedence.
+    /// Returns all manifests, current ones first, so that their entry for a target takes
+    /// precedence.
     fn current_first(&self) -> Vec<Arc<SnapshotManifest>> {
         let mut recent: Vec<&RecentManifest> = self.manifests.values().collect();
         recent.sort_by_key(|recent| recent.replaced_at.is_some());
--- a/alderhaven-entry/src/caller_server.rs
+++ b/alderhaven-entry/src/caller_server.rs
@@ -84,7 +84,7 @@
     pub metrics: Arc<EntryMetrics>,
     /// The group of entries and relays.
     pub group: NodeGroup,
-    /// State of the entry's drain.
+    /// Phase of the entry's shutdown, and the requests in flight.
     pub stop: StopHandle,
     /// Tasks of the open connections.
     pub connections: TaskTracker,
@@ -92,7 +92,7 @@
     pub directory: EntryDirectory,
 }
 
-/// Accepts connections from callers until the entry finishes its drain.
+/// Accepts connections from callers until the entry no longer accepts requests.
 ///
 /// A connection above the limit receives an error and is closed, so that its caller can try another
 /// entry instead of waiting. If too many are being refused already, it is closed without a reply.
@@ -318,8 +318,8 @@
 
 pub(crate) fn refusal_answer(refusal: Refusal) -> ErrorAnswer {
     let message = match refusal.reason {
-        RefusalReason::TeamRate => "the team's rate is used up",
-        RefusalReason::TeamInFlight => "the team has as many queries in flight as it may",
+        RefusalReason::TeamRate => "the team's request rate is exhausted",
+        RefusalReason::TeamInFlight => "the team's limit of queries in flight is reached",
         RefusalReason::Overloaded => "the service is full",
         RefusalReason::Deadline => "the answer would come after the deadline",
     };
@@ -351,7 +351,7 @@
     ))
 }
 
-/// Size of the request line and all headers on the wire, separators included.
+/// Returns the size of the request line and all headers on the wire, separators included.
 fn head_bytes<B>(request: &Request<B>) -> usize {
     let headers = request.headers().iter();
     let lines = headers.map(|(name, value)| name.as_str().len() + value.len() + 4);
@@ -360,7 +360,7 @@
     request.method().as_str().len() + target + " HTTP/1.1\r\n\r\n ".len() + lines.sum::<usize>()
 }
 
-/// The bearer token, or `None` if the header is absent, malformed or repeated.
+/// Returns the bearer token, or `None` if the header is absent, malformed or repeated.
 fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let mut given = headers.get_all(header::AUTHORIZATION).iter();
     let (value, None) = (given.next()?, given.next()) else {
--- a/alderhaven-entry/src/claim_ledger.rs
+++ b/alderhaven-entry/src/claim_ledger.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Settings of the ledger.
+    /// Returns the settings of the ledger.
     #[must_use]
     pub const fn options(&self) -> &ClaimOptions {
         &self.options
@@ -127,7 +127,7 @@
         self.work_added.notify_one();
     }
 
-    /// Current counts and queue lengths, for the state dump.
+    /// Returns the current counts and queue lengths, for the state dump.
     #[must_use]
     pub fn report(&self) -> LedgerReport {
         let state = self.lock();
--- a/alderhaven-entry/src/claim_peers.rs
+++ b/alderhaven-entry/src/claim_peers.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The address at which other entries query this one.
+    /// Returns the address at which other entries query this one.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
--- a/alderhaven-entry/src/claimed_runner.rs
+++ b/alderhaven-entry/src/claimed_runner.rs
@@ -52,25 +52,25 @@
 }
 
 impl<S: ObjectStore> ClaimedRunner<S> {
-    /// The ledger. [`ClaimLedger::run_forever`] makes its store calls.
+    /// Returns the ledger. [`ClaimLedger::run_forever`] makes its store calls.
     #[must_use]
     pub const fn ledger(&self) -> &Arc<ClaimLedger<S>> {
         &self.ledger
     }
 
-    /// The running requests and held answers of this entry.
+    /// Returns the running requests and held answers of this entry.
     #[must_use]
     pub const fn held(&self) -> &Arc<HeldAnswers> {
         &self.held
     }
 
-    /// The address at which other entries query outcomes.
+    /// Returns the address at which other entries query outcomes.
     #[must_use]
     pub const fn peer_address(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// State of the ledger and the held answers, for the state dump.
+    /// Returns the state of the ledger and the held answers, for the state dump.
     #[must_use]
     pub fn dump(&self) -> Value {
         json!({ "ledger": self.ledger.report(), "held": self.held.report() })
@@ -101,7 +101,7 @@
 
     async fn replay(&self, mut outcome: OutcomeWatch, expires_at: time::Instant) -> RunOutcome {
         let Ok(outcome) = time::timeout_at(expires_at, wait_for_outcome(&mut outcome)).await else {
-            return Err(unknown_answer("the request still runs"));
+            return Err(unknown_answer("the request is still running"));
         };
         self.metrics.replays.inc();
         mark_replayed(outcome)
@@ -193,7 +193,7 @@
         ) {
             // A store restored from an older copy lacks some of the granted claims.
             return Some(unknown_answer(
-                "the store went backwards; claims may be missing",
+                "the store has regressed; granted claims may be missing",
             ));
         }
         match KeyAge::of(key, wall_clock_millis()) {
@@ -201,7 +201,7 @@
             KeyAge::TooOld => Some(key_too_old()),
             KeyAge::TooNew => Some(ErrorAnswer::not_run(
                 ErrorCode::BadRequest,
-                "the time in the idempotency key is too far ahead",
+                "the time in the idempotency key is too far in the future",
             )),
         }
     }
@@ -232,9 +232,9 @@
 
     fn taken_answer(&self, holder: &NodeId) -> ErrorAnswer {
         let holder = if *holder == self.node {
-            "this entry, which does not hold the answer any more".to_owned()
+            "this entry, which no longer holds the answer".to_owned()
         } else {
-            format!("entry {holder}, which does not tell the answer")
+            format!("entry {holder}, which did not return the outcome")
         };
         unknown_answer(format!("the key was claimed at {holder}"))
     }
@@ -293,13 +293,13 @@
         ),
         ClaimRefusal::LedgerBroken => (
             ErrorCode::Unavailable,
-            "the record of claims can't be trusted, and the request was not claimed",
+            "the claim ledger is unreadable or has regressed, and the request was not claimed",
         ),
         ClaimRefusal::BucketFull => (
             ErrorCode::Overloaded,
-            "too many keys have the same time; use a new key",
+            "too many idempotency keys have the same time; use a new key",
         ),
-        ClaimRefusal::Busy => (ErrorCode::Overloaded, "too many claims are under way"),
+        ClaimRefusal::Busy => (ErrorCode::Overloaded, "too many claims are in flight"),
     };
     // Jitter, so that callers refused together don't retry together.
     let spread = retry_after.mul_f64(1.0 + rand::random::<f64>());
--- a/alderhaven-entry/src/entry_directory.rs
+++ b/alderhaven-entry/src/entry_directory.rs
@@ -26,7 +26,7 @@
 /// Body of the reply to `GET /v1/entries`.
 #[derive(Clone, Debug, Serialize)]
 pub struct DirectoryAnswer {
-    /// The entries, those in the caller's own domain first.
+    /// The entries, those in the nearest failure domain first.
     pub entries: Vec<EntryAddress>,
     /// How long the caller may cache the answer, in milliseconds.
     pub ttl_ms: u64,
--- a/alderhaven-entry/src/held_answers.rs
+++ b/alderhaven-entry/src/held_answers.rs
@@ -143,7 +143,7 @@
         (entry.fingerprint == fingerprint).then(|| entry.outcome.clone())
     }
 
-    /// Current number and size of the entries, for the state dump.
+    /// Returns the current number and size of the entries, for the state dump.
     #[must_use]
     pub fn report(&self) -> HeldReport {
         let state = self.lock();
--- a/alderhaven-entry/src/link_monitor.rs
+++ b/alderhaven-entry/src/link_monitor.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether a ping has been unanswered for `max_silence`.
+    /// Returns true if a ping has been unanswered for `max_silence`.
     ///
     /// Measured from the ping and not from the last message, since this process may have been
     /// paused.
--- a/alderhaven-entry/src/node.rs
+++ b/alderhaven-entry/src/node.rs
@@ -44,7 +44,7 @@
 use crate::replica_selector::ReplicaSelector;
 use crate::settings::EntrySettings;
 
-/// Time limit for writing the last answers after the drain.
+/// Time limit for writing the last answers after the graceful shutdown.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running entry. Dropping it aborts its tasks.
@@ -81,7 +81,7 @@
     pub metrics: Arc<EntryMetrics>,
     /// The group of entries and relays.
     pub group: NodeGroup,
-    /// State of the entry's drain.
+    /// Phase of the entry's shutdown, and the requests in flight.
     pub stop: StopHandle,
 }
 
@@ -187,30 +187,30 @@
         })
     }
 
-    /// The bound address for callers.
+    /// Returns the bound address for callers.
     #[must_use]
     pub const fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// The bound address for operators.
+    /// Returns the bound address for operators.
     #[must_use]
     pub const fn operator_address(&self) -> SocketAddr {
         self.operator_address
     }
 
-    /// The bound gossip address, or `None` if the entry has no group.
+    /// Returns the bound gossip address, or `None` if the entry has no group.
     #[must_use]
     pub fn gossip_address(&self) -> Option<SocketAddr> {
         self.state.group.gossip_address()
     }
 
-    /// Starts the drain. A second call ends it at once.
+    /// Requests a graceful shutdown. A second call ends the process immediately.
     pub fn request_stop(&self) {
         self.state.stop.request_stop();
     }
 
-    /// Waits until the drain is finished. The report contains the number of aborted requests.
+    /// Waits for the end of the shutdown. The report contains the number of aborted requests.
     pub async fn stopped(&self) -> StopReport {
         let report = self.state.stop.stopped().await;
         self.connections.close();
@@ -219,7 +219,7 @@
         report
     }
 
-    /// The settings that the entry was started with.
+    /// Returns the settings that the entry was started with.
     #[must_use]
     pub const fn settings(&self) -> &EntrySettings {
         &self.settings
--- a/alderhaven-entry/src/query_plan.rs
+++ b/alderhaven-entry/src/query_plan.rs
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Fingerprint of the template's name and the parameters.
+    /// Returns the fingerprint of the template's name and the parameters.
     #[must_use]
     pub fn fingerprint(&self) -> RequestFingerprint {
         RequestFingerprint::of_canonical(self.template.name.as_str(), &self.parameters)
--- a/alderhaven-entry/src/query_runner.rs
+++ b/alderhaven-entry/src/query_runner.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The first half of every attempt id, random for each process.
+    /// Returns the first half of every attempt id, random for each process.
     #[must_use]
     pub const fn origin(&self) -> u64 {
         self.origin
--- a/alderhaven-entry/src/relay_link.rs
+++ b/alderhaven-entry/src/relay_link.rs
@@ -97,20 +97,20 @@
         }
     }
 
-    /// The relay's address for attempts.
+    /// Returns the relay's address for attempts.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether the relay is connected and accepts new attempts.
+    /// Returns true if the relay is connected and accepts new attempts.
     #[must_use]
     pub fn is_usable(&self) -> bool {
         let state = self.shared.lock();
         state.sender.is_some() && !state.is_leaving
     }
 
-    /// Number of attempts without a reply.
+    /// Returns the number of attempts without a reply.
     #[must_use]
     pub fn pending_count(&self) -> usize {
         self.shared.lock().pending.len()
--- a/alderhaven-entry/src/relay_routes.rs
+++ b/alderhaven-entry/src/relay_routes.rs
@@ -95,13 +95,13 @@
         self.choose_routes(&known);
     }
 
-    /// All links, in the order of the relays.
+    /// Returns all links, in the order of the relays.
     #[must_use]
     pub fn links(&self) -> Arc<Vec<Arc<RelayLink>>> {
         self.links.load_full()
     }
 
-    /// The first usable relay of a target.
+    /// Returns the first usable relay of a target.
     ///
     /// `None` if no relay is usable, or if no applied manifest lists the target.
     #[must_use]
--- a/alderhaven-entry/src/replica_selector.rs
+++ b/alderhaven-entry/src/replica_selector.rs
@@ -76,13 +76,13 @@
         self.table.store(Arc::new(table));
     }
 
-    /// The current targets. A query uses one table until it ends.
+    /// Returns the current targets. A query uses one table until it ends.
     #[must_use]
     pub fn table(&self) -> Arc<ReplicaTable> {
         self.table.load_full()
     }
 
-    /// The current targets, extended by those of the plan's shards if any are missing.
+    /// Returns the current targets, extended by those of the plan's shards if any are missing.
     ///
     /// The view on which a query is planned may be newer than the table, or older if the query was
     /// queued. Without its replicas in the table, a shard would be missing from the answer. The
@@ -110,7 +110,7 @@
         &self.chooser
     }
 
-    /// The clock on which all statistics are measured.
+    /// Returns the clock on which all statistics are measured.
     #[must_use]
     pub const fn clock(&self) -> ProcessClock {
         self.clock
@@ -122,7 +122,7 @@
         self.retries().record_sent(attempts);
     }
 
-    /// Expected service time across all targets. Zero if there are no samples.
+    /// Returns the expected service time across all targets. Zero if there are no samples.
     #[must_use]
     pub fn expected_service_time(&self, group: &HedgeGroup) -> TimeSpan {
         self.hedging()
@@ -130,7 +130,7 @@
             .unwrap_or_default()
     }
 
-    /// Delay after which an attempt is hedged, or `None` if it isn't.
+    /// Returns the delay after which an attempt is hedged, or `None` if it isn't.
     #[must_use]
     pub fn hedge_delay(&self, group: &HedgeGroup, is_idempotent: bool) -> Option<TimeSpan> {
         self.hedging().hedge_delay(group, is_idempotent)
--- a/alderhaven-entry/src/request_record.rs
+++ b/alderhaven-entry/src/request_record.rs
@@ -39,10 +39,10 @@
         }
     }
 
-    /// The id as a header value of the reply.
+    /// Returns the id as a header value of the reply.
     #[must_use]
     pub(crate) fn header_value(&self) -> HeaderValue {
-        HeaderValue::from_str(&self.0).expect("an id is made of visible ASCII characters")
+        HeaderValue::from_str(&self.0).expect("a request id contains only visible ASCII characters")
     }
 }
 
--- a/alderhaven-entry/src/running_query.rs
+++ b/alderhaven-entry/src/running_query.rs
@@ -215,7 +215,7 @@
         })
     }
 
-    /// Replicas to which a further attempt must not go.
+    /// Returns the replicas to which a further attempt must not go.
     ///
     /// A replica that had no free slot for a hedge is not excluded, nor is one whose path was lost:
     /// a frozen relay may be on the path to all replicas of a shard, and they can be reached
@@ -362,7 +362,7 @@
                 .is_some_and(|share| self.gather.covered_share() >= share.as_f64())
     }
 
-    /// Whether a complete answer is possible only on a newer snapshot.
+    /// Returns true if a complete answer is possible only on a newer snapshot.
     pub(crate) fn needs_newer_snapshot(&self) -> bool {
         self.plan.template.idempotent && self.gather.is_version_gone()
     }
@@ -516,7 +516,10 @@
         }
         let merged = row_merge::merge(&self.plan.template.merge, self.gather.rows());
         let rows = RawValue::from_string(merged).map_err(|error| {
-            ErrorAnswer::may_have_run(ErrorCode::Failed, format!("rows don't merge: {error}"))
+            ErrorAnswer::may_have_run(
+                ErrorCode::Failed,
+                format!("the rows of the shards can't be merged: {error}"),
+            )
         })?;
         Ok(QueryAnswer {
             outcome,
@@ -567,7 +570,7 @@
 }
 
 impl QueryTimers {
-    /// Time of the next action.
+    /// Returns the time of the next action.
     fn next_at(&self) -> Instant {
         [self.answer_by, self.hedge_at]
             .into_iter()
--- a/alderhaven-entry/src/settings.rs
+++ b/alderhaven-entry/src/settings.rs
@@ -77,7 +77,7 @@
     /// Answers to callers that request the list of entries.
     #[serde(default)]
     pub answers: AnswerOptions,
-    /// Drain before a planned stop.
+    /// Graceful shutdown.
     #[serde(default)]
     pub stop: DrainOptions,
     /// Replica choice, hedges and retries.
@@ -112,7 +112,8 @@
 }
 
 impl EntrySettings {
-    /// Settings of the relay connections. The baseline policy never replaces a silent one.
+    /// Returns the settings of the relay connections. The baseline policy never replaces a silent
+    /// one.
     #[must_use]
     pub fn link_options(&self) -> LinkOptions {
         match self.policy {
@@ -156,7 +157,7 @@
             errors.push(Error::invalid(
                 "stop.address_life",
                 format!(
-                    "{} is refused: allowed is answers.ttl ({}) or more, for callers keep an address that long",
+                    "{} is refused: allowed is answers.ttl ({}) or more, since callers cache an address for that long",
                     self.stop.directory_lifetime, self.answers.ttl
                 ),
             ));
--- a/alderhaven-entry/src/suspect_trial.rs
+++ b/alderhaven-entry/src/suspect_trial.rs
@@ -15,14 +15,14 @@
 }
 
 impl SuspectTrial {
-    /// The slot whose shard is on trial.
+    /// Returns the slot whose shard is on trial.
     #[must_use]
     pub const fn slot(&self) -> Option<usize> {
         self.trial_slot
     }
 
-    /// Starts a trial of the slot's shard, if none is running or the query is cleared. Otherwise
-    /// holds the retry back and returns `false`.
+    /// Starts a trial of the slot's shard, unless another shard is on trial and the query isn't
+    /// cleared. Otherwise holds the retry back and returns `false`.
     pub fn try_begin(&mut self, slot: usize, outcome: AttemptOutcome) -> bool {
         let is_other = self.trial_slot.is_some_and(|tried| tried != slot);
         if is_other && !self.is_cleared {
--- a/alderhaven-entry/tests/applied_config.rs
+++ b/alderhaven-entry/tests/applied_config.rs
@@ -24,7 +24,7 @@
     let config = ConfigFollower::start(Arc::new(store), FollowerOptions::default(), shutdown);
     let mut changed = config.subscribe();
     while config.complete_revision().is_none() {
-        changed.changed().await.expect("the follower runs");
+        changed.changed().await.expect("the follower is running");
     }
     assert_eq!(config.status().revision, Some(StoreVersion(1)));
     // No part of the entry has applied the view.
--- a/alderhaven-entry/tests/at_most_once/scenarios.rs
+++ b/alderhaven-entry/tests/at_most_once/scenarios.rs
@@ -137,8 +137,8 @@
     let mut call = Box::pin(connection.send(build_request("assign", Some(&key), ISBN)));
     tokio::select! {
         biased;
-        () = wait_until("the request runs", || system.run_count() == 1) => {}
-        _ = &mut call => panic!("the run is over too soon"),
+        () = wait_until("the request is running", || system.run_count() == 1) => {}
+        _ = &mut call => panic!("the request ended before its caller disconnected"),
     }
     drop(call);
     drop(connection);
--- a/alderhaven-entry/tests/at_most_once/small_system.rs
+++ b/alderhaven-entry/tests/at_most_once/small_system.rs
@@ -135,11 +135,11 @@
         while config.view().templates.len() < 2 || config.view().manifests.is_empty() {
             tokio::time::timeout(CONDITION_TIMEOUT, changed.changed())
                 .await
-                .expect("the configuration comes")
+                .expect("the configuration arrives in time")
                 .unwrap();
         }
         let entry = EntryNode::start(settings, config).await.unwrap();
-        wait_until("the relay is linked", || {
+        wait_until("the entry is connected to the relay", || {
             entry
                 .state()
                 .routes
@@ -201,7 +201,7 @@
 
     /// Waits until an entry has no pending claims and releases.
     pub async fn wait_for_releases(&self, entry: usize) {
-        wait_until("claims are taken back", || {
+        wait_until("claims are released", || {
             let report = self.entry(entry).state().claimed_runner.ledger().report();
             report.releases == 0 && report.waiting == 0
         })
@@ -225,7 +225,7 @@
         }
     };
     let waited = tokio::time::timeout(CONDITION_TIMEOUT, waiting).await;
-    assert!(waited.is_ok(), "it never came that {what}");
+    assert!(waited.is_ok(), "timed out waiting until {what}");
 }
 
 pub fn build_request(template: &str, key: Option<&str>, isbn: &str) -> Request<Full<Bytes>> {
--- a/alderhaven-entry/tests/caller_interface/connections.rs
+++ b/alderhaven-entry/tests/caller_interface/connections.rs
@@ -41,5 +41,5 @@
         }
         time::sleep(POLL_INTERVAL).await;
     }
-    panic!("the places that became free are not given again");
+    panic!("no connection is accepted after others were closed");
 }
--- a/alderhaven-entry/tests/caller_interface/refusals.rs
+++ b/alderhaven-entry/tests/caller_interface/refusals.rs
@@ -146,7 +146,7 @@
     let health = entry
         .send(b"GET /v1/health HTTP/1.1\r\nhost: e\r\n\r\n")
         .await;
-    assert_eq!(health.status, 200, "the entry goes on");
+    assert_eq!(health.status, 200, "the entry still answers");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/alderhaven-entry/tests/caller_interface/request_log.rs
+++ b/alderhaven-entry/tests/caller_interface/request_log.rs
@@ -48,7 +48,11 @@
         (&line["code"], &line["outcome"]),
         (&json!("bad_request"), &json!("refused"))
     );
-    assert_eq!(line["class"], Value::Null, "not known yet");
+    assert_eq!(
+        line["class"],
+        Value::Null,
+        "the class is unknown before planning"
+    );
 
     let reply = entry.query("open", "x-request-id: own-2\r\n", good).await;
     assert_eq!(reply.header("x-request-id"), Some("own-2"));
--- a/alderhaven-entry/tests/caller_interface/support.rs
+++ b/alderhaven-entry/tests/caller_interface/support.rs
@@ -63,7 +63,7 @@
         }
     })
     .await
-    .expect("the configuration comes in time");
+    .expect("the configuration arrives in time");
     TestEntry {
         node,
         _platform: platform,
@@ -95,7 +95,7 @@
 }
 
 impl TestEntry {
-    /// The entry's address for callers.
+    /// Returns the entry's address for callers.
     pub const fn address(&self) -> SocketAddr {
         self.node.caller_address()
     }
@@ -128,7 +128,7 @@
     let _refused_before = stream.write_all(bytes).await;
     time::timeout(REPLY_TIMEOUT, read_reply(stream))
         .await
-        .expect("the reply comes in time")
+        .expect("the reply arrives in time")
 }
 
 async fn read_reply(stream: &mut TcpStream) -> RawReply {
@@ -154,7 +154,7 @@
 }
 
 impl RawReply {
-    /// Value of a header. Names are in lower case.
+    /// Returns the value of a header. Names are in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
@@ -163,7 +163,7 @@
             .map(|(_, value)| value)
     }
 
-    /// The body, parsed as JSON.
+    /// Returns the body, parsed as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body)
             .unwrap_or_else(|error| panic!("{error}: {} {}", self.head, self.body))
@@ -181,7 +181,10 @@
         );
         assert_eq!(error["not_run"], json!(true), "{body}");
         let message = error["message"].as_str().unwrap();
-        assert!(message.contains(part), "`{message}` does not name `{part}`");
+        assert!(
+            message.contains(part),
+            "message `{message}` does not contain `{part}`"
+        );
         assert_eq!(self.header("content-type"), Some("application/json"));
     }
 }
--- a/alderhaven-entry/tests/failures/quarantine.rs
+++ b/alderhaven-entry/tests/failures/quarantine.rs
@@ -30,7 +30,7 @@
         }));
     }
     // The other callers' queries run before the first crash.
-    wait_until("first runs", || {
+    wait_until("a target has started several attempts", || {
         system
             .targets
             .iter()
@@ -90,7 +90,7 @@
                 .iter()
                 .find(|target| target.running_count() > 0 && !target.is_dead())
         };
-        wait_until("an attempt under way", || busy().is_some()).await;
+        wait_until("an attempt is running", || busy().is_some()).await;
         busy().unwrap().crash();
         let answer = query.await.unwrap();
         assert_eq!(answer["outcome"], "complete", "{answer}");
--- a/alderhaven-entry/tests/failures/silence.rs
+++ b/alderhaven-entry/tests/failures/silence.rs
@@ -73,7 +73,7 @@
         metric(&entry.metrics(), "alderhaven_entry_ejections_total"),
         0
     );
-    wait_until("a link counted", || {
+    wait_until("one silent link is counted", || {
         metric(&entry.metrics(), "alderhaven_entry_silent_links_total") == 1
     })
     .await;
--- a/alderhaven-entry/tests/failures/system.rs
+++ b/alderhaven-entry/tests/failures/system.rs
@@ -75,7 +75,7 @@
         let settings = serde_json::from_value(settings).unwrap();
         let entry = EntryNode::start(settings, build_config(&self.targets, self.replicas)).await;
         let entry = entry.unwrap();
-        wait_until("links", || {
+        wait_until("all relay links are usable", || {
             let links = entry.state().routes.links();
             links.len() == relays.len() && links.iter().all(|link| link.is_usable())
         })
@@ -120,7 +120,7 @@
     };
     time::timeout(CONDITION_TIMEOUT, polling)
         .await
-        .expect("a complete answer");
+        .expect("an answer is complete in time");
 }
 
 /// Waits until a condition holds, and fails the test if it doesn't.
@@ -132,10 +132,10 @@
     };
     time::timeout(CONDITION_TIMEOUT, polling)
         .await
-        .unwrap_or_else(|_| panic!("{what}"));
+        .unwrap_or_else(|_| panic!("timed out waiting until {what}"));
 }
 
-/// Value of a metric without labels.
+/// Returns the value of a metric without labels.
 pub fn metric(text: &str, name: &str) -> u64 {
     let line = text
         .lines()
--- a/alderhaven-entry/tests/failures/target.rs
+++ b/alderhaven-entry/tests/failures/target.rs
@@ -59,12 +59,12 @@
         self.state.crashed.cancel();
     }
 
-    /// Number of attempts that are running.
+    /// Returns the number of attempts that are running.
     pub fn running_count(&self) -> usize {
         self.state.running_count.load(Ordering::SeqCst)
     }
 
-    /// Number of attempts that were started.
+    /// Returns the number of attempts that were started.
     pub fn started_count(&self) -> usize {
         self.state.started_count.load(Ordering::SeqCst)
     }
