--- a/alderhaven-entry/src/running_query.rs
+++ b/alderhaven-entry/src/running_query.rs
@@ -226,7 +226,7 @@
             .attempts(slot)
             .iter()
             .enumerate()
-            .filter(|(number, attempt)| *number == 0 || attempt.outcome != no_slot)
+            .filter(|(position, attempt)| *position == 0 || attempt.outcome != no_slot)
             .filter(|(_, attempt)| !self.lost_paths.contains(&attempt.sequence))
             .filter_map(|(_, attempt)| {
                 let target = &self.gather.shard_entry(slot).replicas[attempt.replica].target;
--- a/alderhaven-entry/tests/failures/quarantine.rs
+++ b/alderhaven-entry/tests/failures/quarantine.rs
@@ -60,7 +60,7 @@
 /// A request over all shards crashes one target of each. Retrying all lost shards at once would
 /// crash a second target of each.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn poison_over_all_shards_goes_no_further_than_one_wave() {
+async fn poison_over_all_shards_is_limited_to_one_wave() {
     let system = TestSystem::start_sharded(SHARD_COUNT, 3, 2, &json!({})).await;
     for round in 0..RESEND_COUNT {
         let answer = system.query(round % 2, "poison").await;
--- a/alderhaven-entry/tests/replica_selector.rs
+++ b/alderhaven-entry/tests/replica_selector.rs
@@ -48,7 +48,7 @@
 /// A query may be planned on a view that is newer or older than the selector's table. Its replicas
 /// must be found in both cases, or the shard would be reported as unreachable.
 #[test]
-fn table_for_lists_targets_that_the_board_does_not() {
+fn table_for_lists_targets_that_the_selector_does_not() {
     let domain = "domain-1".parse().unwrap();
     let selector = ReplicaSelector::new(
         PolicyKind::Current,
