--- a/alderhaven-entry/src/claimed_runner.rs
+++ b/alderhaven-entry/src/claimed_runner.rs
@@ -1,4 +1,5 @@
-//! The running of requests that may run at most once: admit, claim, dispatch once, hold the answer.
+//! Runs non-idempotent requests at most once: admission, claim, a single dispatch, then the answer
+//! is held for resends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,7 +30,7 @@
 use crate::query_plan::QueryPlan;
 use crate::query_runner::QueryRunner;
 
-/// A `ClaimedRunner` runs non-idempotent requests, each at most once over all entries.
+/// Runs non-idempotent requests, each at most once across all entries.
 #[derive(Builder, Debug)]
 pub struct ClaimedRunner<S> {
     node: NodeId,
@@ -43,7 +44,7 @@
     metrics: ClaimMetrics,
 }
 
-/// A `RunEnd` is the outcome of a request, and where it was dispatched.
+/// Outcome of a request, and which entry dispatched it, if any.
 enum DispatchOutcome {
     Dispatched(RunOutcome),
     Learned(RunOutcome),
@@ -51,55 +52,56 @@
 }
 
 impl<S: ObjectStore> ClaimedRunner<S> {
-    /// Gets the ledger, whose calls are made by [`ClaimLedger::run_forever`].
+    /// Returns the ledger. [`ClaimLedger::run_forever`] makes its store calls.
     #[must_use]
     pub const fn ledger(&self) -> &Arc<ClaimLedger<S>> {
         &self.ledger
     }
 
-    /// Gets the answers that are held for resends.
+    /// Returns the running requests and held answers of this entry.
     #[must_use]
     pub const fn held(&self) -> &Arc<HeldAnswers> {
         &self.held
     }
 
-    /// Gets the address at which other entries ask for outcomes.
+    /// Returns the address at which other entries query outcomes.
     #[must_use]
     pub const fn peer_address(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// Gets the state for the dump.
+    /// Returns the state of the ledger and the held answers, for the state dump.
     #[must_use]
     pub fn dump(&self) -> Value {
         json!({ "ledger": self.ledger.report(), "held": self.held.report() })
     }
 
-    /// Answers a request: from memory where it came before, else by claiming and running it.
+    /// Answers a request: with the held answer of an earlier request with the same key, or by
+    /// claiming the key and running it.
     ///
-    /// The request runs in a task of its own: a caller that hangs up does not stop it, and a resend
-    /// hears its outcome.
+    /// The request runs in its own task, so that it completes even if the caller disconnects, and a
+    /// resend receives its outcome.
     ///
     /// # Errors
-    /// The answer for the caller where the request was refused, or its outcome is not known.
+    /// The error for the caller if the request was refused or failed, or if its outcome is unknown.
     pub async fn answer(self: &Arc<Self>, key: ClaimKey, plan: QueryPlan) -> RunOutcome {
         let fingerprint = ClaimFingerprint::of(&plan.fingerprint(), &plan.team.name);
-        let expires = time::Instant::from_std(plan.expires_at());
+        let expires_at = time::Instant::from_std(plan.expires_at());
         match self.held.start(key, fingerprint, self.clock.now()) {
             HeldLookup::Conflict => Err(key_conflict()),
-            HeldLookup::Known(outcome) => self.replay(outcome, expires).await,
-            HeldLookup::New(place) => {
-                let mut outcome = place.watch();
+            HeldLookup::Known(outcome) => self.replay(outcome, expires_at).await,
+            HeldLookup::New(request) => {
+                let mut outcome = request.watch();
                 let runner = Arc::clone(self);
-                tokio::spawn(async move { runner.run(place, key, fingerprint, plan).await });
+                tokio::spawn(async move { runner.run(request, key, fingerprint, plan).await });
                 wait_for_outcome(&mut outcome).await
             }
         }
     }
 
-    async fn replay(&self, mut outcome: OutcomeWatch, expires: time::Instant) -> RunOutcome {
-        let Ok(outcome) = time::timeout_at(expires, wait_for_outcome(&mut outcome)).await else {
-            return Err(unknown_answer("the request still runs"));
+    async fn replay(&self, mut outcome: OutcomeWatch, expires_at: time::Instant) -> RunOutcome {
+        let Ok(outcome) = time::timeout_at(expires_at, wait_for_outcome(&mut outcome)).await else {
+            return Err(unknown_answer("the request is still running"));
         };
         self.metrics.replays.inc();
         mark_replayed(outcome)
@@ -107,24 +109,24 @@
 
     async fn run(
         &self,
-        place: RunningRequest,
+        request: RunningRequest,
         key: ClaimKey,
         fingerprint: ClaimFingerprint,
         plan: QueryPlan,
     ) {
         match self.admit_claim_run(key, fingerprint, &plan).await {
             DispatchOutcome::Dispatched(outcome) => {
-                place.finish_and_hold(outcome, self.clock.now())
+                request.finish_and_hold(outcome, self.clock.now());
             }
             DispatchOutcome::Learned(outcome) => match mark_replayed(outcome) {
-                Ok(answer) => place.finish_and_hold(Ok(answer), self.clock.now()),
-                Err(error) => place.finish_and_remove(Err(error)),
+                Ok(answer) => request.finish_and_hold(Ok(answer), self.clock.now()),
+                Err(error) => request.finish_and_remove(Err(error)),
             },
-            DispatchOutcome::NotDispatched(error) => place.finish_and_remove(Err(error)),
+            DispatchOutcome::NotDispatched(error) => request.finish_and_remove(Err(error)),
         }
     }
 
-    /// Admission comes before the claim, so that a refusal for load costs the store nothing.
+    /// Admission comes before the claim, so that a refusal for load causes no store call.
     async fn admit_claim_run(
         &self,
         key: ClaimKey,
@@ -134,17 +136,17 @@
         if let Some(error) = self.key_refusal(&key) {
             return DispatchOutcome::NotDispatched(error);
         }
-        let mut pass = match self.admission.admit(plan).await {
-            Ok(pass) => pass,
+        let mut permit = match self.admission.admit(plan).await {
+            Ok(permit) => permit,
             Err(refusal) => {
                 return DispatchOutcome::NotDispatched(caller_server::refusal_answer(refusal));
             }
         };
         let deadline = self.clock.time_point(plan.expires_at());
         match self.ledger.claim(key, fingerprint, deadline).await {
-            ClaimVerdict::Granted(ticket) => self.dispatch(ticket, plan, &mut pass).await,
+            ClaimVerdict::Granted(ticket) => self.dispatch(ticket, plan, &mut permit).await,
             ClaimVerdict::Taken(holder) => {
-                drop(pass);
+                drop(permit);
                 self.fetch_outcome(&holder, key, fingerprint, plan).await
             }
             ClaimVerdict::Conflict => DispatchOutcome::NotDispatched(key_conflict()),
@@ -156,15 +158,15 @@
         }
     }
 
-    /// Dispatches a granted request once, and takes the claim back where it certainly did not run.
+    /// Dispatches a granted request once, and releases the claim if it certainly did not run.
     ///
-    /// The process may have been paused since the claim: what is over its deadline by now is not
-    /// dispatched any more, since its caller has given up on it.
+    /// A request whose deadline passed while the process was paused is not dispatched, since its
+    /// caller has given up.
     async fn dispatch(
         &self,
         ticket: ClaimTicket,
         plan: &QueryPlan,
-        pass: &mut AdmissionPermit,
+        permit: &mut AdmissionPermit,
     ) -> DispatchOutcome {
         if self.clock.now() >= self.clock.time_point(plan.expires_at()) {
             self.ledger.release(ticket);
@@ -174,7 +176,7 @@
                 message,
             ));
         }
-        match self.runner.run(plan, pass).await {
+        match self.runner.run(plan, permit).await {
             Err(error) if error.error.not_run => {
                 self.ledger.release(ticket);
                 DispatchOutcome::NotDispatched(error)
@@ -183,16 +185,15 @@
         }
     }
 
-    /// Gets the refusal of a key that is outside the window, and of any while the store's past is
-    /// in doubt.
+    /// Refuses a key outside the accepted time window, and any key after the store has regressed.
     fn key_refusal(&self, key: &ClaimKey) -> Option<ErrorAnswer> {
         if matches!(
             self.config.status().sync_state,
             StoreSyncState::Regressed { .. }
         ) {
-            // A store that was restored from an older copy lacks claims that were granted.
+            // A store restored from an older copy lacks some of the granted claims.
             return Some(unknown_answer(
-                "the store went backwards; claims may be missing",
+                "the store has regressed; granted claims may be missing",
             ));
         }
         match KeyAge::of(key, wall_clock_millis()) {
@@ -200,12 +201,12 @@
             KeyAge::TooOld => Some(key_too_old()),
             KeyAge::TooNew => Some(ErrorAnswer::not_run(
                 ErrorCode::BadRequest,
-                "the time in the idempotency key is too far ahead",
+                "the time in the idempotency key is too far in the future",
             )),
         }
     }
 
-    /// Asks the entry that claimed the key for the outcome.
+    /// Fetches the outcome from the entry that claimed the key.
     async fn fetch_outcome(
         &self,
         holder: &ClaimWriter,
@@ -217,10 +218,10 @@
             .clock
             .now()
             .until(self.clock.time_point(plan.expires_at()));
-        let asking = self
+        let fetch = self
             .peers
             .fetch_outcome(holder.address, key, fingerprint, remaining);
-        match asking.await {
+        match fetch.await {
             Some(outcome) => {
                 self.metrics.learned.inc();
                 DispatchOutcome::Learned(outcome)
@@ -231,15 +232,15 @@
 
     fn taken_answer(&self, holder: &NodeId) -> ErrorAnswer {
         let holder = if *holder == self.node {
-            "this entry, which does not hold the answer any more".to_owned()
+            "this entry, which no longer holds the answer".to_owned()
         } else {
-            format!("entry {holder}, which does not tell the answer")
+            format!("entry {holder}, which did not return the outcome")
         };
         unknown_answer(format!("the key was claimed at {holder}"))
     }
 }
 
-/// Marks an outcome as the one of an earlier send.
+/// Marks an outcome as that of an earlier request with the same key.
 fn mark_replayed(outcome: RunOutcome) -> RunOutcome {
     match outcome {
         Ok(mut answer) => {
@@ -253,10 +254,10 @@
     }
 }
 
-/// Waits for the outcome of a request.
+/// Waits until a running request has an outcome.
 async fn wait_for_outcome(outcome: &mut OutcomeWatch) -> RunOutcome {
     match outcome.wait_for(Option::is_some).await {
-        Ok(shown) => shown.as_ref().map_or_else(
+        Ok(outcome) => outcome.as_ref().map_or_else(
             || Err(unknown_answer("the request has no outcome")),
             |outcome| RunOutcome::clone(outcome),
         ),
@@ -268,7 +269,7 @@
     ErrorAnswer::may_have_run(ErrorCode::Unknown, message)
 }
 
-/// "Not run" would be a guess: the key may have run before the ledger forgot it.
+/// The request may have run before the ledger dropped the key, so that `not_run` would be wrong.
 fn key_too_old() -> ErrorAnswer {
     unknown_answer("the idempotency key is too old: whether its request ran is not remembered")
 }
@@ -292,15 +293,15 @@
         ),
         ClaimRefusal::LedgerBroken => (
             ErrorCode::Unavailable,
-            "the record of claims can't be trusted, and the request was not claimed",
+            "the claim ledger is unreadable or has regressed, and the request was not claimed",
         ),
         ClaimRefusal::BucketFull => (
             ErrorCode::Overloaded,
-            "too many keys have the same time; use a new key",
+            "too many idempotency keys have the same time; use a new key",
         ),
-        ClaimRefusal::Busy => (ErrorCode::Overloaded, "too many claims are under way"),
+        ClaimRefusal::Busy => (ErrorCode::Overloaded, "too many claims are in flight"),
     };
-    // Callers that were refused together must not come back together.
+    // Jitter, so that callers refused together don't retry together.
     let spread = retry_after.mul_f64(1.0 + rand::random::<f64>());
     ErrorAnswer::not_run(code, message).with_retry_after(spread)
 }
--- a/alderhaven-entry/src/node.rs
+++ b/alderhaven-entry/src/node.rs
@@ -1,4 +1,4 @@
-//! The entry as a whole: what it starts and what it answers operators.
+//! Starts and connects the parts of an entry, and serves its state to operators.
 
 use std::io;
 use std::net::SocketAddr;
@@ -44,10 +44,10 @@
 use crate::replica_selector::ReplicaSelector;
 use crate::settings::EntrySettings;
 
-/// The time that the last answers have to be written out.
+/// Time limit for writing the last answers after the graceful shutdown.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An `EntryNode` is a running entry; dropping it ends its tasks.
+/// A running entry. Dropping it aborts its tasks.
 #[derive(Debug)]
 pub struct EntryNode {
     settings: EntrySettings,
@@ -58,38 +58,38 @@
     _tasks: [AbortOnDropHandle<()>; 9],
 }
 
-/// An `EntryState` is what the parts of an entry share, as operators see it.
+/// State shared by the parts of an entry, and shown to operators.
 #[derive(Debug)]
 pub struct EntryState {
-    /// The entry's own id.
+    /// Id of this entry.
     pub node: NodeId,
-    /// The configuration in force.
+    /// The newest configuration from the store.
     pub config: ConfigHandle,
-    /// The configuration that queries are planned on.
+    /// The configuration on which queries are planned.
     pub applied: AppliedConfig,
-    /// What admits queries.
+    /// Admits or refuses queries.
     pub admission: Arc<AdmissionController>,
-    /// The routes through relays.
+    /// Connections to relays, and the relays of each target.
     pub routes: Arc<RelayRoutes>,
-    /// The targets that get no new work.
+    /// Targets that receive no new attempts because they are draining or leaving.
     pub watch: TargetWatch,
-    /// What is known of requests that crash targets.
+    /// Crashes attributed to requests, and the requests in quarantine.
     pub strikes: Arc<StrikeTracker>,
-    /// What runs the non-idempotent requests.
+    /// Runs non-idempotent requests, each at most once.
     pub claimed_runner: Arc<ClaimedRunner<HttpStore>>,
-    /// What is counted.
+    /// Counters and histograms of this entry.
     pub metrics: Arc<EntryMetrics>,
     /// The group of entries and relays.
     pub group: NodeGroup,
-    /// The planned stop.
+    /// Phase of the entry's shutdown, and the requests in flight.
     pub stop: StopHandle,
 }
 
 impl EntryNode {
-    /// Starts an entry on the current runtime; `config` is kept up to date by the caller.
+    /// Starts an entry on the current runtime. The caller keeps `config` up to date.
     ///
     /// # Errors
-    /// An error of the operating system where an address can't be bound.
+    /// An I/O error if an address can't be bound.
     pub async fn start(settings: EntrySettings, config: ConfigHandle) -> io::Result<Self> {
         let (listener, caller_address) = bind(settings.listen).await?;
         let (operator_listener, operator_address) = bind(settings.operator_listen).await?;
@@ -99,19 +99,19 @@
         let clock = ProcessClock::default();
         let strikes = Arc::new(strike_tracker(&settings, clock));
         let routes = Arc::new(relay_routes(&settings, &strikes, &metrics));
-        let desk = Arc::new(admission_controller(&settings, clock));
-        let board = Arc::new(replica_selector(&settings, clock));
+        let admission = Arc::new(admission_controller(&settings, clock));
+        let selector = Arc::new(replica_selector(&settings, clock));
         let applied = AppliedConfig::default();
-        let taking_over = ConfigApplier {
+        let config_applier = ConfigApplier {
             config: config.clone(),
-            admission: Arc::clone(&desk),
+            admission: Arc::clone(&admission),
             routes: Arc::clone(&routes),
-            selector: Arc::clone(&board),
+            selector: Arc::clone(&selector),
             applied: applied.clone(),
         };
         let parts = RunnerParts {
             routes: Arc::clone(&routes),
-            selector: board,
+            selector,
             watch: watch.clone(),
             strikes: Arc::clone(&strikes),
             config: applied.clone(),
@@ -121,13 +121,13 @@
         let claims = Arc::new(claimed_runner(
             &settings,
             peer_address,
-            &desk,
+            &admission,
             &runner,
             &config,
         ));
         let options = group_options(&settings, peer_address, caller_address);
         let group = NodeGroup::start(options, &config).await?;
-        let follower = group_follower(&settings, &group, &routes, &desk);
+        let follower = group_follower(&settings, &group, &routes, &admission);
         follower.apply();
         let stop = StopHandle::default();
         let connections = TaskTracker::new();
@@ -136,7 +136,7 @@
             config: config.clone(),
             applied: applied.clone(),
             routes,
-            admission: Arc::clone(&desk),
+            admission: Arc::clone(&admission),
             watch: watch.clone(),
             strikes,
             claimed_runner: Arc::clone(&claims),
@@ -146,7 +146,7 @@
         });
         let service = CallerService {
             limits: settings.limits.clone(),
-            admission: Arc::clone(&desk),
+            admission: Arc::clone(&admission),
             runner,
             claimed_runner: claims,
             config,
@@ -169,8 +169,8 @@
                 Arc::clone(state.claimed_runner.held()),
                 clock,
             )),
-            tokio::spawn(Arc::clone(&desk).expire_queries_forever()),
-            tokio::spawn(taking_over.follow()),
+            tokio::spawn(Arc::clone(&admission).expire_queries_forever()),
+            tokio::spawn(config_applier.follow()),
             tokio::spawn(caller_server::serve(listener, Arc::new(service))),
             tokio::spawn(operator_server::serve(
                 operator_listener,
@@ -187,46 +187,45 @@
         })
     }
 
-    /// Gets the address for callers.
+    /// Returns the bound address for callers.
     #[must_use]
     pub const fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
-    /// Gets the address for operators.
+    /// Returns the bound address for operators.
     #[must_use]
     pub const fn operator_address(&self) -> SocketAddr {
         self.operator_address
     }
 
-    /// Gets the address for gossip, none where the entry takes no part in a group.
+    /// Returns the bound gossip address, or `None` if the entry has no group.
     #[must_use]
     pub fn gossip_address(&self) -> Option<SocketAddr> {
         self.state.group.gossip_address()
     }
 
-    /// Asks for the planned stop; a second time, to end at once.
+    /// Requests a graceful shutdown. A second call ends the process immediately.
     pub fn request_stop(&self) {
         self.state.stop.request_stop();
     }
 
-    /// Waits until the entry may end: all requests are answered, or the report says how many were
-    /// cut.
+    /// Waits for the end of the shutdown. The report contains the number of aborted requests.
     pub async fn stopped(&self) -> StopReport {
         let report = self.state.stop.stopped().await;
         self.connections.close();
-        // The last answers are written out; a caller that does not read is not waited for longer.
+        // A caller that doesn't read its answer delays the exit by no more than this.
         let _written = time::timeout(LAST_WRITE_TIMEOUT, self.connections.wait()).await;
         report
     }
 
-    /// Gets the settings in force.
+    /// Returns the settings that the entry was started with.
     #[must_use]
     pub const fn settings(&self) -> &EntrySettings {
         &self.settings
     }
 
-    /// Gets what the parts of the entry share.
+    /// State shared by the parts of the entry.
     #[must_use]
     pub const fn state(&self) -> &Arc<EntryState> {
         &self.state
@@ -316,11 +315,11 @@
     }
 }
 
-/// Makes what runs the non-idempotent requests; the ledger's calls are not begun yet.
+/// Creates the runner of non-idempotent requests. The task of its ledger is spawned separately.
 fn claimed_runner(
     settings: &EntrySettings,
     address: SocketAddr,
-    desk: &Arc<AdmissionController>,
+    admission: &Arc<AdmissionController>,
     runner: &Arc<QueryRunner>,
     config: &ConfigHandle,
 ) -> ClaimedRunner<HttpStore> {
@@ -331,7 +330,7 @@
         settings.node.clone(),
         address,
         settings.claims,
-        desk.clock(),
+        admission.clock(),
         metrics.clone(),
     );
     let held = HeldAnswers::new(
@@ -344,10 +343,10 @@
         .ledger(Arc::new(ledger))
         .held(Arc::new(held))
         .peers(ClaimPeers::new(address))
-        .admission(Arc::clone(desk))
+        .admission(Arc::clone(admission))
         .runner(Arc::clone(runner))
         .config(config.clone())
-        .clock(desk.clock())
+        .clock(admission.clock())
         .metrics(metrics)
         .build()
 }
@@ -356,12 +355,12 @@
     settings: &EntrySettings,
     group: &NodeGroup,
     routes: &Arc<RelayRoutes>,
-    desk: &Arc<AdmissionController>,
+    admission: &Arc<AdmissionController>,
 ) -> GroupFollower {
     GroupFollower {
         group: group.clone(),
         routes: Arc::clone(routes),
-        admission: Arc::clone(desk),
+        admission: Arc::clone(admission),
         configured_relays: group_follower::configured_relays(&settings.relays, &settings.domain),
     }
 }
--- a/alderhaven-entry/tests/failures/silence.rs
+++ b/alderhaven-entry/tests/failures/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that carry nothing any more while new ones work.
+//! Connections that go silent while new connections work.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -12,13 +12,12 @@
 
 use crate::system::{TestSystem, metric, send_query, wait_until};
 
-/// The path between a relay and its targets loses track of all kept connections. Attempts on them
-/// get no reply, and nothing says so. Callers used to wait for their deadline, and the targets
-/// were taken out of use although they were well.
+/// The network path between a relay and its targets drops the state of all open connections.
+/// Callers must not wait for their deadline, and targets must not be ejected.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn silent_target_connections_are_replaced() {
-    let more = json!({ "relay": { "health": { "idle_suspect": "0us" } } });
-    let system = TestSystem::start(3, 1, &more).await;
+    let settings = json!({ "relay": { "health": { "idle_suspect": "0us" } } });
+    let system = TestSystem::start(3, 1, &settings).await;
     for round in 0..30 {
         assert_eq!(
             system.query(0, &format!("a-{round}")).await["outcome"],
@@ -36,7 +35,7 @@
         let elsewhere = timing("total_us") - timing("slowest_target_us");
         longest_silence = longest_silence.max(elsewhere);
     }
-    // The silence is not counted as the target's time, or a healthy target would look slow.
+    // The silence must not count as service time, or a healthy target would appear slow.
     let bound = HealthOptions::default().min_silence.as_micros();
     assert!(longest_silence >= bound, "{longest_silence}");
     let relay = system.relays[0].state().metrics();
@@ -47,40 +46,40 @@
     assert_eq!(system.dead_target_count(), 0);
 }
 
-/// The path from an entry to its relay loses track of the connection. The entry sends attempts
-/// that arrive nowhere, and without pings it would take minutes until the system says so.
+/// The network path between an entry and its relay drops the state of the connection. Only pings
+/// reveal this in time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn silent_relay_link_is_replaced() {
     let mut system = TestSystem::start(2, 1, &json!({})).await;
     let path = FreezableProxy::start(system.relays[0].peer_address()).await;
-    // One failure would be enough to take a target out of use.
+    // A single failure would eject a target.
     let settings = json!({
         "links": { "ping_every": "20ms", "max_silence": "200ms" },
         "choices": { "replicas": { "eject_after": 1 } },
     });
     system.add_entry(1, &[path.address], &settings).await;
     assert_eq!(system.query(1, "before").await["outcome"], "complete");
-    // The relay has answered a ping once its first answers are through.
+    // By the first answer, the relay has also answered a ping.
     path.freeze();
     let entry = system.entries[1].caller_address();
-    let asking =
+    let queries =
         (0..20).map(|round| async move { send_query(entry, &format!("after-{round}")).await });
-    for answer in futures::future::join_all(asking).await {
+    for answer in futures::future::join_all(queries).await {
         assert_eq!(answer["outcome"], "complete", "{answer}");
     }
     let entry = system.entries[1].state();
-    // The targets have nothing to do with the entry's path to the relay.
+    // A lost path between entry and relay must not eject targets.
     assert_eq!(
         metric(&entry.metrics(), "alderhaven_entry_ejections_total"),
         0
     );
-    wait_until("a link counted", || {
+    wait_until("one silent link is counted", || {
         metric(&entry.metrics(), "alderhaven_entry_silent_links_total") == 1
     })
     .await;
 }
 
-/// A path to a relay that can lose track of the connections on it.
+/// A TCP proxy that can freeze its open connections.
 struct FreezableProxy {
     address: SocketAddr,
     generation: Arc<AtomicU64>,
@@ -90,8 +89,8 @@
     async fn start(relay: SocketAddr) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let era = Arc::new(AtomicU64::new(0));
-        let shared = Arc::clone(&era);
+        let generation = Arc::new(AtomicU64::new(0));
+        let shared = Arc::clone(&generation);
         tokio::spawn(async move {
             while let Ok((entry, _)) = listener.accept().await {
                 let relay = TcpStream::connect(relay).await.unwrap();
@@ -100,7 +99,7 @@
         });
         Self {
             address,
-            generation: era,
+            generation,
         }
     }
 
@@ -109,16 +108,16 @@
     }
 }
 
-/// Carries bytes both ways until the path is frozen, and then keeps both ends open.
+/// Forwards bytes both ways until the proxy is frozen. Then it keeps both connections open.
 async fn forward_bytes(entry: TcpStream, relay: TcpStream, shared: Arc<AtomicU64>) {
-    let era = shared.load(Ordering::SeqCst);
+    let generation = shared.load(Ordering::SeqCst);
     let mut buffers = ([0_u8; 4096], [0_u8; 4096]);
     loop {
         let (from, to, count, buffer) = tokio::select! {
             ready = entry.readable() => (ready, &relay, entry.try_read(&mut buffers.0), &buffers.0),
             ready = relay.readable() => (ready, &entry, relay.try_read(&mut buffers.1), &buffers.1),
         };
-        let is_frozen = shared.load(Ordering::SeqCst) != era;
+        let is_frozen = shared.load(Ordering::SeqCst) != generation;
         match (from, count) {
             (Ok(()), Ok(0)) | (Err(_), _) => return,
             (Ok(()), Ok(count)) if !is_frozen => write_all(to, &buffer[..count]).await,
--- a/alderhaven-entry/tests/failures/system.rs
+++ b/alderhaven-entry/tests/failures/system.rs
@@ -1,4 +1,4 @@
-//! Entries and relays before small targets, all in one process.
+//! Entries, relays and small targets in one process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -17,10 +17,10 @@
 
 use crate::target::FakeTarget;
 
-/// The time within which a condition must come true; it fails the test, it measures nothing.
+/// Time limit for a condition to hold.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running system.
+/// Entries and relays with their targets.
 pub struct TestSystem {
     replicas: usize,
     pub targets: Vec<FakeTarget>,
@@ -29,13 +29,18 @@
 }
 
 impl TestSystem {
-    /// Starts a service of one shard with a replica in each domain.
-    pub async fn start(replicas: usize, nodes: usize, more: &Value) -> Self {
-        Self::start_sharded(1, replicas, nodes, more).await
+    /// Starts a service with one shard. Each replica is in its own failure domain.
+    pub async fn start(replicas: usize, nodes: usize, overrides: &Value) -> Self {
+        Self::start_sharded(1, replicas, nodes, overrides).await
     }
 
-    /// Starts a service of several shards.
-    pub async fn start_sharded(shards: usize, replicas: usize, nodes: usize, more: &Value) -> Self {
+    /// Starts a service with several shards.
+    pub async fn start_sharded(
+        shards: usize,
+        replicas: usize,
+        nodes: usize,
+        overrides: &Value,
+    ) -> Self {
         let mut targets = Vec::new();
         for _ in 0..shards * replicas {
             targets.push(FakeTarget::start().await);
@@ -43,7 +48,7 @@
         let config = build_config(&targets, replicas);
         let mut relays = Vec::new();
         for number in 0..nodes {
-            let settings = node_settings("relay", number, &more["relay"]);
+            let settings = node_settings("relay", number, &overrides["relay"]);
             let settings = serde_json::from_value(settings).unwrap();
             relays.push(RelayNode::start(settings, config.clone()).await.unwrap());
         }
@@ -55,20 +60,22 @@
             entries: Vec::new(),
         };
         for number in 0..nodes {
-            system.add_entry(number, &addresses, &more["entry"]).await;
+            system
+                .add_entry(number, &addresses, &overrides["entry"])
+                .await;
         }
         system
     }
 
-    /// Starts an entry and waits until it reaches its relays.
-    pub async fn add_entry(&mut self, number: usize, relays: &[SocketAddr], more: &Value) {
-        let mut settings = node_settings("entry", number, more);
+    /// Starts an entry, and waits until it is connected to its relays.
+    pub async fn add_entry(&mut self, number: usize, relays: &[SocketAddr], overrides: &Value) {
+        let mut settings = node_settings("entry", number, overrides);
         settings["listen"] = json!("127.0.0.1:0");
         settings["relays"] = json!(relays);
         let settings = serde_json::from_value(settings).unwrap();
         let entry = EntryNode::start(settings, build_config(&self.targets, self.replicas)).await;
         let entry = entry.unwrap();
-        wait_until("links", || {
+        wait_until("all relay links are usable", || {
             let links = entry.state().routes.links();
             links.len() == relays.len() && links.iter().all(|link| link.is_usable())
         })
@@ -77,7 +84,7 @@
         self.entries.push(entry);
     }
 
-    /// Sends a query through an entry and gets the body of the answer.
+    /// Sends a query to an entry, and returns the body of the reply.
     pub async fn query(&self, entry: usize, name: &str) -> Value {
         send_query(self.entries[entry].caller_address(), name).await
     }
@@ -90,44 +97,45 @@
     }
 }
 
-/// Sends a query and gets the body of the answer.
+/// Sends a query to the entry at an address, and returns the body of the reply.
 pub async fn send_query(entry: SocketAddr, name: &str) -> Value {
     let body = json!({ "team": "desk", "parameters": { "name": name } }).to_string();
     let request = Request::post("/v1/query/lookup")
         .body(Full::new(Bytes::from(body)))
         .unwrap();
-    let mut caller = HttpConnection::connect(entry).await.unwrap();
-    let answer = time::timeout(CONDITION_TIMEOUT, caller.send(request))
+    let mut connection = HttpConnection::connect(entry).await.unwrap();
+    let answer = time::timeout(CONDITION_TIMEOUT, connection.send(request))
         .await
         .unwrap();
     serde_json::from_slice(answer.unwrap().body()).unwrap()
 }
 
-/// Asks until an answer is complete: the entry has taken over its configuration.
+/// Sends queries until an answer is complete, which shows that the entry has applied its
+/// configuration.
 async fn wait_until_complete(entry: SocketAddr) {
-    let waiting = async {
+    let polling = async {
         while send_query(entry, "ready").await["outcome"] != "complete" {
             time::sleep(Duration::from_millis(1)).await;
         }
     };
-    time::timeout(CONDITION_TIMEOUT, waiting)
+    time::timeout(CONDITION_TIMEOUT, polling)
         .await
-        .expect("a complete answer");
+        .expect("an answer is complete in time");
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds, and fails the test if it doesn't.
 pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let waiting = async {
+    let polling = async {
         while !holds() {
             time::sleep(Duration::from_millis(1)).await;
         }
     };
-    time::timeout(CONDITION_TIMEOUT, waiting)
+    time::timeout(CONDITION_TIMEOUT, polling)
         .await
-        .unwrap_or_else(|_| panic!("{what}"));
+        .unwrap_or_else(|_| panic!("timed out waiting until {what}"));
 }
 
-/// Gets the value of a metric that has no labels.
+/// Returns the value of a metric without labels.
 pub fn metric(text: &str, name: &str) -> u64 {
     let line = text
         .lines()
@@ -136,28 +144,28 @@
         .unwrap_or_else(|| panic!("no metric {name} in {text}"))
 }
 
-fn node_settings(role: &str, number: usize, more: &Value) -> Value {
+fn node_settings(role: &str, number: usize, overrides: &Value) -> Value {
     let mut settings = json!({
         "node": format!("{role}-{number}"),
         "host": format!("host-{number}"),
         "domain": "accra-a",
         "peer_listen": "127.0.0.1:0",
         "operator_listen": "127.0.0.1:0",
-        // Nothing listens there; the configuration is handed in.
+        // Nothing listens on this port. The configuration is passed in directly.
         "platform": SocketAddr::from((Ipv4Addr::LOCALHOST, 9)),
     });
-    if let (Some(settings), Some(more)) = (settings.as_object_mut(), more.as_object()) {
-        settings.extend(more.clone());
+    if let (Some(settings), Some(overrides)) = (settings.as_object_mut(), overrides.as_object()) {
+        settings.extend(overrides.clone());
     }
     settings
 }
 
 fn build_config(targets: &[FakeTarget], replicas: usize) -> ConfigHandle {
     let entry = |shard: usize, targets: &[FakeTarget]| {
-        let replica = |(place, target): (usize, &FakeTarget)| {
+        let replica = |(position, target): (usize, &FakeTarget)| {
             json!({
-                "target": format!("stock-{shard}-{place}"), "address": target.address,
-                "domain": format!("domain-{place}"), "slots": 2, "connections": 25,
+                "target": format!("stock-{shard}-{position}"), "address": target.address,
+                "domain": format!("domain-{position}"), "slots": 2, "connections": 25,
             })
         };
         let replicas: Vec<Value> = targets.iter().enumerate().map(replica).collect();
--- a/alderhaven-entry/tests/failures/target.rs
+++ b/alderhaven-entry/tests/failures/target.rs
@@ -1,4 +1,4 @@
-//! A small target whose process can die and whose old connections can fall silent.
+//! A target that can crash, and whose open connections can go silent.
 
 use std::future;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// The service time of an attempt.
+/// Service time of an attempt.
 const SERVICE_TIME: Duration = Duration::from_millis(2);
 
 /// A running target.
@@ -28,9 +28,9 @@
 
 #[derive(Default)]
 struct FakeState {
-    /// Ends the process: the listener and all connections at once.
+    /// Cancelled on a crash: closes the listener and all connections.
     crashed: CancellationToken,
-    /// The connections made before the latest silence have a lower number.
+    /// Increased when connections go silent. Connections of an earlier generation don't reply.
     generation: AtomicU64,
     started_count: AtomicUsize,
     running_count: AtomicUsize,
@@ -49,22 +49,22 @@
         self.state.crashed.is_cancelled()
     }
 
-    /// Makes all connections that exist now carry nothing any more, without an end.
+    /// Makes all open connections silent, without closing them.
     pub fn silence_connections(&self) {
         self.state.generation.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Ends the process.
+    /// Crashes the target.
     pub fn crash(&self) {
         self.state.crashed.cancel();
     }
 
-    /// Gets the number of attempts that run.
+    /// Returns the number of attempts that are running.
     pub fn running_count(&self) -> usize {
         self.state.running_count.load(Ordering::SeqCst)
     }
 
-    /// Gets the number of attempts that were begun.
+    /// Returns the number of attempts that were started.
     pub fn started_count(&self) -> usize {
         self.state.started_count.load(Ordering::SeqCst)
     }
@@ -78,24 +78,24 @@
 
 async fn accept_connections(listener: TcpListener, state: Arc<FakeState>) {
     while let Some(stream) = accept_connection(&listener, &state.crashed).await {
-        let death = state.crashed.clone();
+        let crashed = state.crashed.clone();
         let connection = serve_one(stream, Arc::clone(&state));
-        tokio::spawn(death.run_until_cancelled_owned(connection));
+        tokio::spawn(crashed.run_until_cancelled_owned(connection));
     }
 }
 
 async fn serve_one(stream: TcpStream, state: Arc<FakeState>) {
-    let era = state.generation.load(Ordering::SeqCst);
-    let handler = move |request| handle_request(Arc::clone(&state), era, request);
+    let generation = state.generation.load(Ordering::SeqCst);
+    let handler = move |request| handle_request(Arc::clone(&state), generation, request);
     serve_connection(stream, handler, CancellationToken::new()).await;
 }
 
 async fn handle_request(
     state: Arc<FakeState>,
-    era: u64,
+    generation: u64,
     request: Request<Incoming>,
 ) -> Result<HttpReply, ConnectionAborted> {
-    if state.generation.load(Ordering::SeqCst) != era {
+    if state.generation.load(Ordering::SeqCst) != generation {
         future::pending::<()>().await;
     }
     let (head, body) = request.into_parts();
@@ -106,8 +106,8 @@
     let parameters = String::from_utf8_lossy(&body).into_owned();
     state.started_count.fetch_add(1, Ordering::SeqCst);
     state.running_count.fetch_add(1, Ordering::SeqCst);
-    let slow = if parameters.contains("slow") { 25 } else { 1 };
-    tokio::time::sleep(SERVICE_TIME * slow).await;
+    let slowdown = if parameters.contains("slow") { 25 } else { 1 };
+    tokio::time::sleep(SERVICE_TIME * slowdown).await;
     state.running_count.fetch_sub(1, Ordering::SeqCst);
     if parameters.contains("poison") {
         state.crashed.cancel();
