--- a/alderhaven-policy/src/claim_batcher.rs
+++ b/alderhaven-policy/src/claim_batcher.rs
@@ -1,14 +1,11 @@
 //! Batching of one process's idempotency claims into calls to the store.
 //!
-//! Claims may arrive much faster than the store accepts writes, so many claims share a write. The
-//! first claim after a quiet time is written at once; at higher rates the next write waits for its
-//! token and takes along all claims that arrived meanwhile. Entries write the same buckets, because
-//! new keys carry nearly the same time, so writes and retries after conflicts are spread at random.
-//!
-//! A store restored from an older copy lacks claims that were granted. Its versions otherwise only
-//! grow, so a version below one seen before reveals the restore; from then on the process grants no
-//! claims until it is restarted. While the store is out of service claims are refused at once, and
-//! after each pause one claim tests whether the store is back.
+//! The first claim after a quiet time is written at once. At higher rates the next write waits for
+//! its token and carries all claims that arrived meanwhile. Entries write the same buckets, so
+//! writes and retries after conflicts are spread at random. A version below one seen before reveals
+//! that the store was restored from an older copy; the process then grants no claims until it is
+//! restarted. While the store is out of service claims are refused at once, and after each pause one
+//! claim tests whether the store is back.
 
 use std::collections::BTreeMap;
 
@@ -55,7 +52,7 @@
     counts: ClaimCounts,
 }
 
-/// A time span without calls to the store.
+/// A time span in which no calls are made to the store.
 #[derive(Clone, Copy, Debug)]
 struct StorePause {
     until: TimePoint,
@@ -169,15 +166,15 @@
 
     /// Returns the next call to make now. To be repeated until it returns `None`.
     pub fn poll(&mut self, now: TimePoint) -> Option<ClaimCall> {
-        let retry = self.options.least_pause;
+        let retry_after = self.options.least_pause;
         // After a regression nothing is written, so that an operator finds the store as it was
         // restored.
         let is_paused =
             self.has_store_regressed || self.pause.is_some_and(|pause| now < pause.until);
         let mut call = None;
         for (slot, queue) in &mut self.queues {
-            queue.expire_claims(now, retry, &mut self.verdicts);
-            let needed = queue.needed_call(now, retry, &mut self.verdicts);
+            queue.expire_claims(now, retry_after, &mut self.verdicts);
+            let needed = queue.needed_call(now, retry_after, &mut self.verdicts);
             let is_blocked = is_paused || queue.is_backing_off(now);
             if needed == NeededCall::Nothing || is_blocked || call.is_some() {
                 continue;
@@ -187,8 +184,8 @@
                     continue;
                 }
                 if let Err(wait) = self.write_limiter.take(now) {
-                    let share = 1.0 + self.rng.random::<f64>();
-                    self.next_write_at = now + wait.mul_f64(share);
+                    let jitter_factor = 1.0 + self.rng.random::<f64>();
+                    self.next_write_at = now + wait.mul_f64(jitter_factor);
                     continue;
                 }
                 queue.grant_write_token();
@@ -214,7 +211,7 @@
             return;
         };
         let outcome = queue.handle_reply(reply, now, &mut self.verdicts);
-        self.highest_version = self.highest_version.max(queue.seen_version());
+        self.highest_version = self.highest_version.max(queue.cached_version());
         match outcome {
             CallOutcome::Answered => self.pause = None,
             CallOutcome::Conflict => {
@@ -235,8 +232,8 @@
             }
             CallOutcome::NotDone(None) => {
                 self.counts.not_done += 1;
-                let pause = self.begin_pause(true, now);
-                self.refuse_all(ClaimRefusal::StoreDown, pause);
+                let retry_after = self.begin_pause(true, now);
+                self.refuse_all(ClaimRefusal::StoreDown, retry_after);
             }
             CallOutcome::Lost => {
                 self.counts.lost_replies += 1;
@@ -245,14 +242,18 @@
             CallOutcome::StoreRegressed => {
                 self.counts.broken += 1;
                 self.has_store_regressed = true;
-                let retry = self.options.longest_pause;
-                self.refuse_all(ClaimRefusal::LedgerBroken, retry);
+                let retry_after = self.options.longest_pause;
+                self.refuse_all(ClaimRefusal::LedgerBroken, retry_after);
             }
             CallOutcome::Unreadable => {
                 self.counts.broken += 1;
-                let retry = self.begin_pause(false, now);
+                let retry_after = self.begin_pause(false, now);
                 if let Some(queue) = self.queues.get_mut(&slot) {
-                    queue.refuse_waiting(ClaimRefusal::LedgerBroken, retry, &mut self.verdicts);
+                    queue.refuse_waiting(
+                        ClaimRefusal::LedgerBroken,
+                        retry_after,
+                        &mut self.verdicts,
+                    );
                 }
             }
         }
@@ -280,13 +281,13 @@
             .filter_map(ClaimQueue::next_expiry)
             .min();
         let has_work = self.queues.values().any(|queue| !queue.is_idle());
-        let paused = self.pause.map(|pause| pause.until);
+        let pause_until = self.pause.map(|pause| pause.until);
         let backoffs = self.queues.values().map(ClaimQueue::backoff_until);
-        let next_call_at = [Some(self.next_write_at), paused]
+        let next_call_at = [Some(self.next_write_at), pause_until]
             .into_iter()
             .flatten()
             .chain(backoffs)
-            .filter(|point| has_work && *point > now)
+            .filter(|time| has_work && *time > now)
             .min();
         [expiry, next_call_at].into_iter().flatten().min()
     }
@@ -318,21 +319,21 @@
             .map(|pause| (ClaimRefusal::StoreDown, now.until(pause.until)))
     }
 
-    fn begin_pause(&mut self, refuses: bool, now: TimePoint) -> TimeSpan {
+    fn begin_pause(&mut self, refuses_claims: bool, now: TimePoint) -> TimeSpan {
         let span = self.pause.map_or(self.options.least_pause, |pause| {
             (pause.span + pause.span).min(self.options.longest_pause)
         });
         self.pause = Some(StorePause {
             until: now + span,
             span,
-            refuses_claims: refuses,
+            refuses_claims,
         });
         span
     }
 
-    fn refuse_all(&mut self, reason: ClaimRefusal, retry: TimeSpan) {
+    fn refuse_all(&mut self, reason: ClaimRefusal, retry_after: TimeSpan) {
         for queue in self.queues.values_mut() {
-            queue.refuse_waiting(reason, retry, &mut self.verdicts);
+            queue.refuse_waiting(reason, retry_after, &mut self.verdicts);
         }
     }
 
--- a/alderhaven-policy/src/claim_bucket.rs
+++ b/alderhaven-policy/src/claim_bucket.rs
@@ -56,7 +56,7 @@
 pub enum BucketVerdict {
     /// The key is not claimed.
     Free,
-    /// The key is held by this very claim.
+    /// The key is held by this claim.
     Own,
     /// The key is held by another claim of the same request.
     Taken(ClaimWriter),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns `true` if the key is held by this very claim.
+    /// Returns `true` if the key is held by this claim.
     #[must_use]
     pub fn holds(&self, key: &ClaimKey, id: ClaimId) -> bool {
         self.claims
@@ -151,9 +151,9 @@
         let verdict = self.check(&key, fingerprint, id);
         if verdict == BucketVerdict::Free {
             self.advance(claim_slot::slice_of(&key));
-            let position = self.writer_position(writer);
+            let index = self.writer_index(writer);
             self.claims
-                .insert(key, ClaimEntry(fingerprint, position, sequence));
+                .insert(key, ClaimEntry(fingerprint, index, sequence));
         }
         verdict
     }
@@ -186,7 +186,7 @@
         }
     }
 
-    fn writer_position(&mut self, writer: &ClaimWriter) -> usize {
+    fn writer_index(&mut self, writer: &ClaimWriter) -> usize {
         let found = self
             .writers
             .iter()
--- a/alderhaven-policy/src/claim_key.rs
+++ b/alderhaven-policy/src/claim_key.rs
@@ -8,7 +8,7 @@
 use uuid::{Uuid, Variant};
 
 /// The number of bits of a `UUIDv7` below its timestamp.
-const BITS_BELOW_TIME: u32 = 80;
+const BITS_BELOW_TIMESTAMP: u32 = 80;
 
 /// A caller's idempotency key, a `UUIDv7`.
 ///
@@ -28,7 +28,7 @@
     /// Returns the timestamp in milliseconds since the Unix epoch.
     #[must_use]
     pub fn millis(&self) -> u64 {
-        u64::try_from(self.0.as_u128() >> BITS_BELOW_TIME).unwrap_or(u64::MAX)
+        u64::try_from(self.0.as_u128() >> BITS_BELOW_TIMESTAMP).unwrap_or(u64::MAX)
     }
 }
 
@@ -42,10 +42,14 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::parse("idempotency key", text, "a UUID of version 7");
-        let uuid = Uuid::parse_str(text).map_err(|_| bad())?;
+        let parse_error = || Error::parse("idempotency key", text, "a UUID of version 7");
+        let uuid = Uuid::parse_str(text).map_err(|_| parse_error())?;
         let is_v7 = uuid.get_version_num() == 7 && uuid.get_variant() == Variant::RFC4122;
-        if is_v7 { Ok(Self(uuid)) } else { Err(bad()) }
+        if is_v7 {
+            Ok(Self(uuid))
+        } else {
+            Err(parse_error())
+        }
     }
 }
 
--- a/alderhaven-policy/src/claim_options.rs
+++ b/alderhaven-policy/src/claim_options.rs
@@ -18,13 +18,13 @@
     pub burst: u32,
     /// The maximum time that a claim waits for the store.
     pub claim_timeout: TimeSpan,
-    /// The pause in calls after the store was out of service; it doubles up to `longest_pause`.
+    /// The first pause between calls while the store fails; it doubles up to `longest_pause`.
     pub least_pause: TimeSpan,
-    /// The longest pause in calls.
+    /// The longest pause between calls.
     pub longest_pause: TimeSpan,
     /// The maximum number of claims without a verdict.
     pub max_waiting: usize,
-    /// The maximum size of the answers that are kept for resends.
+    /// The maximum total size of the answers that are kept for resends.
     pub held_bytes: ByteSize,
     /// How long an answer is kept for resends.
     pub held_time: TimeSpan,
@@ -49,19 +49,19 @@
     /// Returns all errors in the values.
     #[must_use]
     pub fn check(&self) -> Vec<Error> {
-        let zero = |field: &str| {
+        let zero_error = |field: &str| {
             let field = format!("claims.{field}");
             Error::invalid(field, "0 is refused: allowed is above 0")
         };
         let mut errors = Vec::new();
         if self.writes.per_second() <= 0.0 {
-            errors.push(zero("writes"));
+            errors.push(zero_error("writes"));
         }
         if self.burst == 0 {
-            errors.push(zero("burst"));
+            errors.push(zero_error("burst"));
         }
         if self.max_waiting == 0 {
-            errors.push(zero("max_waiting"));
+            errors.push(zero_error("max_waiting"));
         }
         let spans = [
             ("claim_timeout", self.claim_timeout),
@@ -70,7 +70,7 @@
         ];
         for (field, span) in spans {
             if span == TimeSpan::ZERO {
-                errors.push(zero(field));
+                errors.push(zero_error(field));
             }
         }
         errors
--- a/alderhaven-policy/src/claim_queue.rs
+++ b/alderhaven-policy/src/claim_queue.rs
@@ -1,12 +1,10 @@
 //! One process's claims on one bucket: waiting, being written, or being released.
 //!
-//! One call is in flight at a time, and all claims that arrive meanwhile share the next write.
-//!
-//! A write whose reply is lost may have taken effect, may do so later, or never. A read can prove
-//! only the first: a claim that the read shows is granted. Any other claim is written again over
-//! the version that was read, so that the store decides between the old write and the new one. A
-//! claim that expires in that state is removed from the bucket by a write, and that is complete
-//! only once the bucket's version has moved past the one that the lost write expected.
+//! One call is in flight at a time, and all claims that arrive meanwhile share the next write. A
+//! write whose reply is lost may have taken effect, may do so later, or never. A claim that a later
+//! read shows is granted. Any other claim is written again over the version that was read, so that
+//! the store decides between the two writes. If it expires meanwhile, it is removed by a write, which
+//! is complete once the bucket's version is above the one that the lost write expected.
 
 use std::mem;
 
@@ -20,14 +18,15 @@
 use crate::claim_verdict::{ClaimRefusal, ClaimTicket, ClaimVerdict};
 use crate::pending_claim::{PendingClaim, PendingRelease};
 
+/// The bucket as the store last returned it, or as it was last written.
 #[derive(Debug)]
-struct SeenBucket {
+struct CachedBucket {
     version: StoreVersion,
     bucket: ClaimBucket,
-    /// The number of the call that returned it.
-    shown_by_call: u64,
-    /// When it was returned.
-    seen_at: TimePoint,
+    /// The number of the call that the reply answered.
+    returned_by_call: u64,
+    /// When the reply arrived.
+    cached_at: TimePoint,
 }
 
 #[derive(Debug)]
@@ -54,7 +53,7 @@
 /// The state of one process in relation to one bucket.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimQueue {
-    seen: Option<SeenBucket>,
+    cached: Option<CachedBucket>,
     call_count: u64,
     waiting: Vec<PendingClaim>,
     releases: Vec<PendingRelease>,
@@ -72,12 +71,12 @@
 
 /// The maximum number of doublings of the backoff after conflicts.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// The longest backoff after a conflict. The duration of one slow call must not delay claims beyond
-/// their deadline.
+/// The longest backoff after a conflict, so that one slow call does not delay claims beyond their
+/// deadline.
 const MAX_BACKOFF: TimeSpan = TimeSpan::from_millis(500);
-/// How long a bucket that was seen is written over without another read. Other entries write it
-/// too, and a read costs less than a write that ends in a conflict.
-const MAX_SEEN_BUCKET_AGE: TimeSpan = TimeSpan::from_millis(10);
+/// How long a cached bucket is written over without another read. Other entries write it too, and a
+/// read costs less than a write that ends in a conflict.
+const MAX_CACHED_BUCKET_AGE: TimeSpan = TimeSpan::from_millis(10);
 
 /// Verdicts with the tickets of their claims.
 pub(crate) type ClaimVerdicts = Vec<(ClaimTicket, ClaimVerdict)>;
@@ -97,11 +96,11 @@
         });
     }
 
-    /// Returns the version of the bucket as last seen.
-    pub(crate) fn seen_version(&self) -> StoreVersion {
-        self.seen
+    /// Returns the version of the cached bucket, or 0 without one.
+    pub(crate) fn cached_version(&self) -> StoreVersion {
+        self.cached
             .as_ref()
-            .map_or(StoreVersion(0), |seen| seen.version)
+            .map_or(StoreVersion(0), |cached| cached.version)
     }
 
     /// Returns the time of the latest offer.
@@ -193,7 +192,7 @@
     /// Returns the verdict on a claim that ends without being made.
     ///
     /// "Refused" tells a caller that its request did not run. So the verdict is `Taken` if the
-    /// bucket, as last seen, shows that an earlier send claimed the key and may have run.
+    /// cached bucket shows that an earlier send claimed the key and may have run.
     pub(crate) fn refuse(
         &self,
         claim: &PendingClaim,
@@ -202,9 +201,9 @@
     ) -> (ClaimTicket, ClaimVerdict) {
         let ticket = claim.ticket;
         let bucket_verdict = self
-            .seen
+            .cached
             .as_ref()
-            .map(|seen| seen.bucket.check(&ticket.key, claim.fingerprint, ticket.id));
+            .map(|copy| copy.bucket.check(&ticket.key, claim.fingerprint, ticket.id));
         let verdict = match bucket_verdict {
             Some(BucketVerdict::Taken(holder)) => ClaimVerdict::Taken(holder),
             _ => ClaimVerdict::Refused {
@@ -228,7 +227,7 @@
         }
     }
 
-    /// Gives the verdicts that follow from the bucket as last seen, and returns the call needed next.
+    /// Gives the verdicts that follow from the cached bucket, and returns the call needed next.
     pub(crate) fn needed_call(
         &mut self,
         now: TimePoint,
@@ -241,7 +240,7 @@
         self.evaluate_waiting(retry_after, verdicts);
         if self.waiting.is_empty() && self.releases.is_empty() {
             NeededCall::Nothing
-        } else if self.must_read || !self.is_seen_fresh(now) {
+        } else if self.must_read || !self.is_cache_fresh(now) {
             NeededCall::Read
         } else {
             NeededCall::Write
@@ -258,19 +257,19 @@
     ) -> Option<ClaimAction> {
         self.call_count += 1;
         self.call_started_at = now;
-        let seen = match needed {
+        let cached = match needed {
             NeededCall::Nothing => return None,
             NeededCall::Read => None,
-            NeededCall::Write => self.seen.as_ref(),
+            NeededCall::Write => self.cached.as_ref(),
         };
-        let Some(seen) = seen else {
+        let Some(cached) = cached else {
             self.must_read = false;
             self.in_flight = Some(InFlightCall::Read);
             return Some(ClaimAction::Read);
         };
         self.has_write_token = false;
-        let expected = seen.version;
-        let mut bucket = seen.bucket.clone();
+        let expected = cached.version;
+        let mut bucket = cached.bucket.clone();
         for release in &self.releases {
             bucket.release(&release.ticket.key, release.ticket.id);
         }
@@ -344,12 +343,12 @@
         };
         match reply {
             ClaimReply::Written(version) if version > highest_version => {
-                let call = self.call_count;
-                self.seen = Some(SeenBucket {
+                let call_number = self.call_count;
+                self.cached = Some(CachedBucket {
                     version,
                     bucket,
-                    shown_by_call: call,
-                    seen_at: now,
+                    returned_by_call: call_number,
+                    cached_at: now,
                 });
                 for claim in claims {
                     if claim.is_abandoned {
@@ -397,15 +396,15 @@
         }
     }
 
-    /// Takes over the bucket that the store returned.
+    /// Caches the bucket that the store returned.
     fn observe(&mut self, object: Option<StoredObject>, now: TimePoint) -> CallOutcome {
         let version = object
             .as_ref()
             .map_or(StoreVersion(0), |object| object.version);
         let known = self
-            .seen
+            .cached
             .as_ref()
-            .map_or(StoreVersion(0), |seen| seen.version);
+            .map_or(StoreVersion(0), |cached| cached.version);
         if version < known {
             self.must_read = true;
             return CallOutcome::StoreRegressed;
@@ -420,12 +419,12 @@
             return CallOutcome::Unreadable;
         };
         self.must_read = false;
-        let call = self.call_count;
-        self.seen = Some(SeenBucket {
+        let call_number = self.call_count;
+        self.cached = Some(CachedBucket {
             version,
             bucket,
-            shown_by_call: call,
-            seen_at: now,
+            returned_by_call: call_number,
+            cached_at: now,
         });
         self.resolve_lost_writes();
         CallOutcome::Answered
@@ -433,10 +432,10 @@
 
     /// Clears the uncertainty about lost writes that the bucket's version has moved past.
     fn resolve_lost_writes(&mut self) {
-        let Some(seen) = &self.seen else { return };
-        let has_passed = |lost_version: StoreVersion| seen.version > lost_version;
+        let Some(cached) = &self.cached else { return };
+        let has_passed = |lost_version: StoreVersion| cached.version > lost_version;
         for claim in &mut self.waiting {
-            let holds = seen.bucket.holds(&claim.ticket.key, claim.ticket.id);
+            let holds = cached.bucket.holds(&claim.ticket.key, claim.ticket.id);
             claim.lost_write_version = claim
                 .lost_write_version
                 .filter(|lost_version| holds || !has_passed(*lost_version));
@@ -445,26 +444,28 @@
             let may_take_effect = release
                 .lost_write_version
                 .is_some_and(|lost_version| !has_passed(lost_version));
-            may_take_effect || seen.bucket.holds(&release.ticket.key, release.ticket.id)
+            may_take_effect || cached.bucket.holds(&release.ticket.key, release.ticket.id)
         });
     }
 
-    fn is_seen_fresh(&self, now: TimePoint) -> bool {
-        self.seen
+    fn is_cache_fresh(&self, now: TimePoint) -> bool {
+        self.cached
             .as_ref()
-            .is_some_and(|seen| now.since(seen.seen_at) <= MAX_SEEN_BUCKET_AGE)
+            .is_some_and(|cached| now.since(cached.cached_at) <= MAX_CACHED_BUCKET_AGE)
     }
 
-    /// Gives the verdicts on waiting claims that follow from the bucket as last seen.
+    /// Gives the verdicts on waiting claims that follow from the cached bucket.
     fn evaluate_waiting(&mut self, retry_after: TimeSpan, verdicts: &mut ClaimVerdicts) {
-        let Some(seen) = &self.seen else { return };
+        let Some(cached) = &self.cached else { return };
         let mut waiting = Vec::new();
         for claim in mem::take(&mut self.waiting) {
             let ticket = claim.ticket;
-            let verdict = seen.bucket.check(&ticket.key, claim.fingerprint, ticket.id);
+            let verdict = cached
+                .bucket
+                .check(&ticket.key, claim.fingerprint, ticket.id);
             // The holder may have released its claim since, so only a bucket that was requested
             // after the offer proves that the key is taken.
-            let is_fresh = seen.shown_by_call > claim.offered_after_call;
+            let is_fresh = cached.returned_by_call > claim.offered_after_call;
             match verdict {
                 BucketVerdict::Free => waiting.push(claim),
                 BucketVerdict::Own => verdicts.push((ticket, ClaimVerdict::Granted(ticket))),
--- a/alderhaven-policy/src/claim_slot.rs
+++ b/alderhaven-policy/src/claim_slot.rs
@@ -1,12 +1,10 @@
 //! Mapping of idempotency keys to buckets of the claim ledger.
 //!
-//! Buckets are chosen by the key's timestamp, not by a hash: new keys carry nearly the same time, so a
-//! batch of claims falls into one or two buckets and costs as many writes. The buckets form a ring, and
-//! each is reused for a later time slice.
-//!
-//! The sizes are constants and not settings: two entries with different values would look for the same
-//! key in two buckets, and both would run it. To change them, use a new name prefix and grant no claims
-//! for [`KEY_WINDOW`].
+//! The key's timestamp selects the bucket: new keys carry nearly the same time, so a batch of claims
+//! falls into one or two buckets and costs as many writes. The buckets form a ring, and each is
+//! reused for a later time slice. The sizes are constants because entries with different values
+//! would look for a key in different buckets, and several would run it. To change them, use a new
+//! name prefix and grant no claims for [`KEY_WINDOW`].
 
 use std::fmt;
 
--- a/alderhaven-policy/src/concurrency_limit.rs
+++ b/alderhaven-policy/src/concurrency_limit.rs
@@ -8,14 +8,13 @@
 
 use serde::Serialize;
 
-/// Limit before the first query has ended: above normal concurrency, low enough to adapt quickly if
-/// the front starts during overload.
+/// Limit before the first query has ended, in queries.
 const INITIAL_LIMIT: f64 = 8.0;
 
-/// Smallest limit; fewer queries would be too few samples to notice that capacity has returned.
+/// Smallest limit, in queries; fewer would give too few samples to notice that capacity has returned.
 const MIN_LIMIT: f64 = 2.0;
 
-/// Largest limit; more queries would exceed the processor share of one front.
+/// Largest limit, in queries.
 const MAX_LIMIT: f64 = 64.0;
 
 /// Share of a query's time that should pass until enough shards have answered. The rest covers the
--- a/alderhaven-policy/src/connection_health.rs
+++ b/alderhaven-policy/src/connection_health.rs
@@ -1,14 +1,11 @@
 //! Detection of connections that were lost without notice, as opposed to slow or failed targets.
 //!
-//! A network path may drop the state of an old connection: what is sent on it is lost without an
-//! error, while a new connection works. An attempt without a reply for several times the expected
-//! service time leads to a probe, a cheap request on a new connection; meanwhile idle connections
-//! are not used. If the probe is answered, older silent connections are replaced and their attempts
-//! end as unknown, without blame on the target. If it is refused or not answered, the target is
-//! down. Any reply on an old connection shows that the path works.
-//!
-//! A slow target answers the probe as well. So an attempt is ended only if its connection had been idle
-//! before ([`HealthOptions::idle_suspect`]) or attempts sent later have been answered meanwhile.
+//! A network path may drop the state of an old connection, so that requests on it are lost without
+//! an error. An attempt without a reply for several expected service times leads to a probe on a new
+//! connection; meanwhile idle connections are not used. If the probe fails, the target is down. If it
+//! is answered, older idle connections are replaced. A slow target answers the probe as well, so an
+//! attempt is ended as lost only if its connection had been idle before
+//! ([`HealthOptions::idle_suspect`]) or if attempts sent later have been answered.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
--- a/alderhaven-policy/src/cross_domain_cost.rs
+++ b/alderhaven-policy/src/cross_domain_cost.rs
@@ -1,10 +1,8 @@
 //! Cost of choosing a replica in another failure domain.
 //!
-//! Without this cost any short queue at a replica in the own domain would send the attempt to
-//! another one. That rarely makes an answer faster, as the answer waits for its slowest shard, and
-//! traffic between domains is expensive. The cost is twice the typical latency: a queue of one or
-//! two requests stays in the domain, while a pause or repeated failures outweigh it. The upper
-//! bound lets long requests leave a busy replica.
+//! The cost keeps attempts within the domain while the queue there is short, since traffic between
+//! domains is expensive. A paused or repeatedly failing replica outweighs it. The upper bound lets
+//! long requests leave a busy replica.
 
 use alderhaven_core::time::TimeSpan;
 
--- a/alderhaven-policy/src/domain_silence.rs
+++ b/alderhaven-policy/src/domain_silence.rs
@@ -1,12 +1,10 @@
 //! Detection of a failure domain that no longer answers.
 //!
-//! If a domain loses power or is cut off, all its replicas become silent at once; waiting for each
-//! of them delays every query. A domain is silent once several of its sources (targets, or
-//! connections to fronts) were asked and none of the domain has answered since. Only a domain that
-//! has answered before can become silent, since the first attempts of a starting node wait for
-//! their connections. A domain that is silent for longer is lost, and what was sent there has
-//! probably not run; before that, its targets may all just be slow. The silence ends with the first
-//! answer, or by itself after a while; a single overdue source then renews it.
+//! A domain is silent once several of its sources (targets, or connections to fronts) are overdue and
+//! none of the domain has answered since they were asked. Only a domain that has answered before can
+//! become silent, since the first attempts of a starting node wait for their connections. The silence
+//! ends with the first answer, or expires; a single overdue source then renews it. A domain that is
+//! silent for longer is lost, and what was sent there has probably not run.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
--- a/alderhaven-policy/src/drain_lifecycle.rs
+++ b/alderhaven-policy/src/drain_lifecycle.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct DrainLifecycle {
     options: DrainOptions,
-    asked_at: TimePoint,
+    stop_requested_at: TimePoint,
     report: Option<StopReport>,
 }
 
@@ -22,7 +22,7 @@
     fn serving(&mut self, event: &DrainEvent) -> Outcome<DrainPhase> {
         match *event {
             DrainEvent::StopRequested { now, .. } => {
-                self.asked_at = now;
+                self.stop_requested_at = now;
                 Transition(DrainPhase::leaving())
             }
             DrainEvent::Ticked { .. } => Handled,
@@ -38,7 +38,7 @@
             DrainEvent::Ticked { now, in_flight } => {
                 if self.is_over_limit(now) {
                     self.stop(StopReason::LimitReached, in_flight, now)
-                } else if now.since(self.asked_at) >= self.served_for() {
+                } else if now.since(self.stop_requested_at) >= self.leaving_span() {
                     Transition(DrainPhase::finishing())
                 } else {
                     Handled
@@ -77,7 +77,7 @@
     pub(crate) const fn new(options: DrainOptions) -> Self {
         Self {
             options,
-            asked_at: TimePoint::START,
+            stop_requested_at: TimePoint::START,
             report: None,
         }
     }
@@ -87,20 +87,25 @@
     }
 
     /// Returns how long the process serves after the announcement: other nodes name it until they
-    /// hear that it leaves, and callers keep such an answer for `directory_lifetime`.
-    fn served_for(&self) -> TimeSpan {
+    /// learn that it leaves, and callers keep such an answer for `directory_lifetime`.
+    fn leaving_span(&self) -> TimeSpan {
         self.options.leave_propagation_time + self.options.directory_lifetime
     }
 
     fn is_over_limit(&self, now: TimePoint) -> bool {
-        now.since(self.asked_at) >= self.options.limit
+        now.since(self.stop_requested_at) >= self.options.limit
     }
 
-    fn stop(&mut self, reason: StopReason, cut: usize, now: TimePoint) -> Outcome<DrainPhase> {
+    fn stop(
+        &mut self,
+        reason: StopReason,
+        aborted_requests: usize,
+        now: TimePoint,
+    ) -> Outcome<DrainPhase> {
         self.report = Some(StopReport {
             reason,
-            aborted_requests: cut,
-            elapsed: now.since(self.asked_at),
+            aborted_requests,
+            elapsed: now.since(self.stop_requested_at),
         });
         Transition(DrainPhase::stopped())
     }
--- a/alderhaven-policy/src/exchange/object_exchange.rs
+++ b/alderhaven-policy/src/exchange/object_exchange.rs
@@ -111,7 +111,7 @@
         rng: &mut impl Rng,
     ) -> ExchangeOutput {
         let mut output = ExchangeOutput::default();
-        let is_new = |stamp: &ObjectStamp| self.note_held(stamp);
+        let is_new = |stamp: &ObjectStamp| self.record_held(stamp);
         let stamps: Vec<ObjectStamp> = stamps.into_iter().filter(is_new).collect();
         self.announce(
             &stamps,
@@ -127,9 +127,10 @@
     /// Handles the digest of a peer.
     ///
     /// Of two nodes whose digests differ, the one with the lower version sum asks for a
-    /// comparison; if both lack something, the other one's sum is then lower. A change enters a
-    /// failure domain in a few copies and spreads within it. A node that still lags after
-    /// `own_domain_wait` compares with any peer.
+    /// comparison, and both do if the sums are equal. If the other one lacks versions too, its sum
+    /// is the lower one afterwards, and it asks in turn. Peers in other failure domains are
+    /// asked only at random, so that a change enters a domain in a few copies. A node that still
+    /// lags after `own_domain_wait` asks any peer.
     pub fn handle_digest(
         &mut self,
         peer: &NodeId,
@@ -228,7 +229,7 @@
         output: &mut ExchangeOutput,
     ) -> Option<ObjectStamp> {
         let stamp = ObjectStamp::from(&object);
-        if !self.note_held(&stamp) {
+        if !self.record_held(&stamp) {
             return None;
         }
         output.accept.push(object);
@@ -236,7 +237,7 @@
     }
 
     /// Records a held version; returns true if it is newer than the previous one.
-    fn note_held(&mut self, stamp: &ObjectStamp) -> bool {
+    fn record_held(&mut self, stamp: &ObjectStamp) -> bool {
         if !is_configuration(&stamp.key) || !self.index.insert(&stamp.key, stamp.version) {
             return false;
         }
--- a/alderhaven-policy/src/fair_queue.rs
+++ b/alderhaven-policy/src/fair_queue.rs
@@ -1,9 +1,9 @@
 //! Weighted fair queue of the queries that wait for admission to one service.
 //!
 //! Classes are served in order of priority, with one admission in [`AGED_ADMISSION_INTERVAL`] for
-//! an aged query of a lower class. Within a class, the team with the least recent usage for its
-//! weight goes first. Recent usage counts also what a team was admitted without waiting, so that a
-//! flood which used idle capacity gets no extra turns. Within a team, queries go in order of
+//! an aged query of a lower class. Within a class, the team with the lowest recent usage relative to
+//! its weight goes first. Queries that were admitted without waiting count as usage too, so that a
+//! team which used idle capacity gets no extra turns. Within a team, queries go in order of
 //! arrival; keys that use more than [`HOT_KEY_SHARE`] of the team's usage go last.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -229,8 +229,8 @@
             return 0;
         };
         let own_cost = team.keys.get(&key).map_or(0, |flow| flow.queued_cost);
-        // Keys take turns, so that of every other key as much goes first as of this key with the
-        // new query.
+        // Keys take turns: before the new query, each other key gets at most as much as this key
+        // including the query.
         let own_turns = own_cost + u64::from(cost);
         let other_cost = team
             .keys
--- a/alderhaven-policy/src/hedging.rs
+++ b/alderhaven-policy/src/hedging.rs
@@ -122,8 +122,8 @@
     /// should not be or too few latencies are known.
     #[must_use]
     pub fn hedge_delay(&self, group: &HedgeGroup, is_idempotent: bool) -> Option<TimeSpan> {
-        let is_on = self.options.enabled && self.policy == PolicyKind::Current;
-        if !is_on || !is_idempotent {
+        let is_enabled = self.options.enabled && self.policy == PolicyKind::Current;
+        if !is_enabled || !is_idempotent {
             return None;
         }
         let quantile = self
--- a/alderhaven-policy/src/membership/group_membership.rs
+++ b/alderhaven-policy/src/membership/group_membership.rs
@@ -136,7 +136,7 @@
         self.own_state = MemberState::Leaving;
         self.toggle_own_contribution();
         self.queue.push(self.own_update(false));
-        self.note_change(now);
+        self.record_change(now);
         self.broadcast(now, rng)
     }
 
@@ -145,7 +145,7 @@
         let mut outgoing = self.announce_leaving(now, rng);
         self.own_state = MemberState::Dead;
         self.queue.push(self.own_update(false));
-        self.note_change(now);
+        self.record_change(now);
         outgoing.extend(self.broadcast(now, rng));
         outgoing
     }
@@ -304,7 +304,7 @@
         self.buckets[bucket] ^= hash;
     }
 
-    pub(super) const fn note_change(&mut self, now: TimePoint) {
+    pub(super) const fn record_change(&mut self, now: TimePoint) {
         self.changed_at = now;
         self.revision += 1;
     }
@@ -343,7 +343,7 @@
         } else if was_dead {
             self.add_contact(&record);
         }
-        self.note_change(now);
+        self.record_change(now);
         true
     }
 
--- a/alderhaven-policy/src/membership/state_sync.rs
+++ b/alderhaven-policy/src/membership/state_sync.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Notes a sender whose view differs as a candidate for a sync.
+    /// Records a sender whose view differs as the peer to sync with next.
     ///
     /// A process that has not joined yet joins through any member that contacts it. If all seeds
     /// are down, a restarted process is still probed by members that knew its address before.
--- a/alderhaven-policy/src/membership/update_handling.rs
+++ b/alderhaven-policy/src/membership/update_handling.rs
@@ -215,7 +215,7 @@
         self.probing.add(update.node.clone(), rng);
         self.add_contact(&record);
         self.queue.push(update);
-        self.note_change(now);
+        self.record_change(now);
     }
 
     /// Adds a member that was unknown, unless it is dead or its version is not newer than its
@@ -250,7 +250,7 @@
         self.add_contact(&member.record);
         self.members.insert(update.node.clone(), member);
         self.probing.add(update.node, rng);
-        self.note_change(now);
+        self.record_change(now);
     }
 
     /// Refutes an update about this process that is newer than its own version and state.
@@ -265,7 +265,7 @@
             .is_some_and(|record| *record != self.record);
         if has_other_record && update.version.incarnation > self.version.incarnation {
             self.is_superseded = true;
-            self.note_change(now);
+            self.record_change(now);
             return;
         }
         let is_restart = update.version.incarnation > self.version.incarnation;
@@ -286,6 +286,6 @@
         }
         self.queue.push(self.own_update(is_restart));
         self.has_urgent_updates = true;
-        self.note_change(now);
+        self.record_change(now);
     }
 }
--- a/alderhaven-policy/src/quarantine.rs
+++ b/alderhaven-policy/src/quarantine.rs
@@ -1,15 +1,10 @@
 //! Quarantine of requests that crash targets ("queries of death").
 //!
-//! A crash of a target with a request in flight is a strike against that request. A request with a
-//! strike runs with no other request at its target, so that the next crash has one possible cause. It
-//! is refused after strikes at several targets, at one of which it was alone. An answer from a replica
-//! of the shard clears the strikes of that shard. A refusal expires; after that one more strike is
-//! enough, and each refusal lasts twice as long as the one before.
-//!
-//! Targets of different shards that crash together count as one, since they may share a host.
-//! Strikes from the failure of a whole domain don't count, unless the request was in flight at
-//! every target that crashed. Strikes of several processes merge by union, and all decisions are
-//! computed from the strikes alone, so that every process comes to the same result.
+//! A crash of a target with a request in flight is a strike against that request, which then runs
+//! alone at its targets. It is refused after independent strikes at several targets, at one of which
+//! it was alone. An answer from a replica of the shard clears the shard's strikes. A refusal expires;
+//! after that one more strike is enough, and each refusal lasts twice as long as the one before.
+//! Strikes of several processes merge by union, and all decisions are computed from the strikes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -155,10 +150,10 @@
             })
             .collect();
         self.record_recent_crash(crash.id, &crash.target, &crash.domain, now);
-        let fresh = self.merge(&updates, now);
+        let changed = self.merge(&updates, now);
         // A crash without requests in flight may still complete a domain failure.
         self.reevaluate_requests();
-        fresh
+        changed
     }
 
     /// Merges strikes from another process. Returns those that were new or newly cleared.
@@ -166,23 +161,23 @@
         if !self.options.enabled {
             return Vec::new();
         }
-        let mut fresh = Vec::new();
+        let mut changed = Vec::new();
         let memory = self.options.memory;
-        for item in updates.iter().filter(|item| item.age < memory) {
+        for update in updates.iter().filter(|update| update.age < memory) {
             let strike = CrashStrike {
-                at: now - item.age,
-                ..item.strike.clone()
+                at: now - update.age,
+                ..update.strike.clone()
             };
             self.record_recent_crash(strike.crash_id, &strike.target, &strike.domain, strike.at);
-            if self.add_strike(item.fingerprint, strike) {
-                fresh.push(item.clone());
+            if self.add_strike(update.fingerprint, strike) {
+                changed.push(update.clone());
             }
         }
-        if !fresh.is_empty() {
+        if !changed.is_empty() {
             self.prune(now);
             self.reevaluate_requests();
         }
-        fresh
+        changed
     }
 
     /// Records an answer from a replica of a shard. Returns the strikes that it cleared.
@@ -415,7 +410,7 @@
     }
 
     /// Returns `true` if many targets of the strike's domain crashed at about that time, at least
-    /// one of them without the request in flight.
+    /// one of them without the request in flight; the strike then doesn't count.
     fn is_domain_failure(&self, strike: &CrashStrike, record: &RequestRecord) -> bool {
         let window = self.options.domain_window;
         let simultaneous: Vec<(&u64, &RecentCrash)> = self
@@ -437,15 +432,12 @@
     }
 
     fn refusal_span(&self, refusals: u32) -> TimeSpan {
-        let doubled = 2_f64.powi(
+        let factor = 2_f64.powi(
             i32::try_from(refusals.saturating_sub(1))
                 .unwrap_or(30)
                 .min(30),
         );
-        self.options
-            .hold
-            .mul_f64(doubled)
-            .min(self.options.max_hold)
+        self.options.hold.mul_f64(factor).min(self.options.max_hold)
     }
 }
 
--- a/alderhaven-policy/src/query_gate.rs
+++ b/alderhaven-policy/src/query_gate.rs
@@ -2,8 +2,8 @@
 //!
 //! Whole queries are admitted, queued or refused before any attempt is sent, so that a refused
 //! query certainly didn't run. [`ConcurrencyLimit`] bounds the queries in flight. Some more wait in
-//! the order of their ranks, and a lower rank keeps a part of the share that the best rank is
-//! served. A query that would wait for too long is refused on arrival, and a waiting one is refused
+//! the order of their ranks; a lower rank goes first while its served share is below a fixed part
+//! of the best rank's. A query that would wait for too long is refused on arrival, and a waiting one is refused
 //! when a better rank takes its place. The retry time grows with the share of refused queries.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
--- a/alderhaven-policy/src/rate_meter.rs
+++ b/alderhaven-policy/src/rate_meter.rs
@@ -1,4 +1,4 @@
-//! Exponentially decaying rate of what arrives.
+//! Exponentially decaying rate of arriving amounts.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 
@@ -13,9 +13,9 @@
 impl RateMeter {
     /// Creates an empty meter; an amount decays to 1/e within `time_constant`.
     #[must_use]
-    pub const fn new(fade: TimeSpan) -> Self {
+    pub const fn new(time_constant: TimeSpan) -> Self {
         Self {
-            time_constant: fade,
+            time_constant,
             amount: 0.0,
             updated_at: TimePoint::START,
         }
--- a/alderhaven-policy/src/relay_queue.rs
+++ b/alderhaven-policy/src/relay_queue.rs
@@ -4,7 +4,7 @@
 //! overloaded relays serve the same whole queries. One start in
 //! [`RelayQueueOptions::aged_start_interval`] goes to an aged attempt of a lower class. Long jobs,
 //! and those of templates without a known service time, leave slots for short ones. An attempt that
-//! can't finish by its deadline is refused or dropped at once, except on an idle target: only a run
+//! can't finish by its deadline is refused or dropped at once, except at an idle target: only a run
 //! can correct an outdated service time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -126,7 +126,7 @@
     short_work: RateMeter,
     running: HashMap<AttemptId, TemplateName>,
     dropped: Vec<DroppedJob>,
-    means: ServiceTimes,
+    service_times: ServiceTimes,
     arrival_count: u64,
     starts_since_aged: u32,
 }
@@ -146,7 +146,7 @@
             short_work: RateMeter::new(SHORT_WORK_TIME_CONSTANT),
             running: HashMap::new(),
             dropped: Vec::new(),
-            means: ServiceTimes::default(),
+            service_times: ServiceTimes::default(),
             arrival_count: 0,
             starts_since_aged: 0,
         }
@@ -156,7 +156,7 @@
     ///
     /// [`Self::take_dropped`] returns the jobs that the new one displaces.
     pub fn offer(&mut self, job: QueueJob, now: TimePoint, slots: u32) -> OfferOutcome {
-        let expected_service_time = self.means.expected_service_time(&job.template);
+        let expected_service_time = self.service_times.expected_service_time(&job.template);
         if let Some(reason) = self.refusal_reason(&job, expected_service_time, now, slots) {
             return OfferOutcome::Refused(reason);
         }
@@ -197,7 +197,7 @@
             return;
         };
         if let Some(service_time) = service_time {
-            self.means.add(&template, service_time, now);
+            self.service_times.add(&template, service_time, now);
         }
     }
 
@@ -283,7 +283,7 @@
     /// Returns the expected service time of a template at this target.
     #[must_use]
     pub fn expected_service_time(&self, template: &TemplateName) -> TimeSpan {
-        self.means.expected_service_time(template)
+        self.service_times.expected_service_time(template)
     }
 
     fn refusal_reason(
@@ -304,8 +304,8 @@
             return None;
         }
         let remaining = now.until(job.deadline);
-        let is_tried_anyway = self.running.is_empty() && is_free;
-        if remaining == TimeSpan::ZERO || (expected_service_time > remaining && !is_tried_anyway) {
+        let is_target_idle = self.running.is_empty() && is_free;
+        if remaining == TimeSpan::ZERO || (expected_service_time > remaining && !is_target_idle) {
             return Some(NotRunReason::Expired);
         }
         let rank = self.class_rank(job.class);
@@ -320,7 +320,7 @@
             self.wait_behind(rank, own_ahead, now, slots)
         };
         let is_too_long = wait > self.options.max_wait || wait + expected_service_time > remaining;
-        (is_too_long && !is_tried_anyway).then_some(NotRunReason::QueueFull)
+        (is_too_long && !is_target_idle).then_some(NotRunReason::QueueFull)
     }
 
     /// Estimates the wait behind `own_ahead` of the same class and all work of higher classes,
@@ -341,7 +341,7 @@
         let min_share = 1.0 / f64::from(self.options.aged_start_interval.max(1));
         let remaining_share = (1.0 - higher_rate / slots).max(min_share);
         // It takes about one mean service time over the slots until the first running job ends.
-        let first_slot_wait = self.means.overall_mean().unwrap_or_default();
+        let first_slot_wait = self.service_times.overall_mean().unwrap_or_default();
         let higher_work = self.queued_work[..rank]
             .iter()
             .fold(first_slot_wait, |sum, work| sum + *work);
@@ -469,7 +469,7 @@
     }
 
     fn is_long(&self, template: &TemplateName, now: TimePoint) -> bool {
-        self.means
+        self.service_times
             .is_long(template, self.options.long_job_factor, now)
     }
 
--- a/alderhaven-policy/src/replica_choice.rs
+++ b/alderhaven-policy/src/replica_choice.rs
@@ -1,15 +1,11 @@
 //! Choice of the replica that an attempt is sent to.
 //!
 //! Of two random candidates the one with the lower expected time is taken ("power of two choices"),
-//! so that nodes with the same information don't all pick the same replica. The expected time is
-//! the wait that a relay reported, less the time since, plus the expected service time multiplied
-//! by the target's slowness and its attempts in flight per slot. A target in another failure domain
-//! costs [`ReplicaOptions::cross_domain_penalty`] more.
-//!
-//! Targets that fail several times in a row are ejected for a growing time, and targets whose
-//! connections are suspect are left out. If that affects more than half of a shard's replicas, all but
-//! the draining ones are candidates again: the cause is then likely elsewhere, and the rest could not
-//! carry the load. A draining target gets no new work.
+//! so that nodes with the same information don't all pick the same replica. Targets that fail several
+//! times in a row are ejected for a growing time, and targets whose connections are suspect are left
+//! out. If that affects more than half of a shard's replicas, all but the draining ones are candidates
+//! again: the cause is then likely elsewhere, and the rest could not carry the load. A draining target
+//! gets no new work.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use serde::{Deserialize, Serialize};
@@ -209,7 +205,11 @@
             .collect()
     }
 
-    /// Estimates the duration of an attempt at the target, in microseconds.
+    /// Estimates the duration of an attempt at the target, in microseconds, plus the penalty for
+    /// another failure domain.
+    ///
+    /// It is the wait that a relay reported, less the time since, plus the expected service time
+    /// multiplied by the target's slowness and by one plus its attempts in flight per slot.
     fn cost(&self, entry: &TargetEntry, expected: TimeSpan, now: TimePoint) -> f64 {
         let stats = &entry.stats;
         let service = expected.as_micros() as f64 * stats.slowness(now);
--- a/alderhaven-policy/src/replica_stats.rs
+++ b/alderhaven-policy/src/replica_stats.rs
@@ -30,8 +30,7 @@
 /// The time that a stuck replica is expected to stay stuck.
 const STUCK_COST: TimeSpan = TimeSpan::from_millis(60);
 /// The expected cost of a replica that fails every attempt, multiplied by the square of the failure
-/// rate: one retry covers a rare failure, while frequent ones use up the repeat budget that all
-/// nodes share.
+/// rate, so that rare failures, which a retry covers, cost little.
 const FAILURE_COST: TimeSpan = TimeSpan::from_millis(250);
 
 /// How an attempt at a replica ended, as far as the replica is concerned.
--- a/alderhaven-policy/src/retry.rs
+++ b/alderhaven-policy/src/retry.rs
@@ -2,8 +2,8 @@
 //!
 //! An attempt is retried only if it certainly didn't run or if it is idempotent, never at a replica
 //! that was tried, and never if the remaining time is shorter than the expected service time.
-//! Retries take from [`RetryBudget`], except those of attempts that never reached a target, which
-//! add no load.
+//! Retries take from [`RetryBudget`], except those of attempts that were not sent, had no route or
+//! met a draining target, which add no load.
 
 use alderhaven_core::outcome::{AttemptOutcome, NotRunReason};
 use alderhaven_core::time::{TimePoint, TimeSpan};
@@ -71,11 +71,11 @@
     RetryDecision::Retry
 }
 
-/// Returns true if the retry adds to work, or to a refusal, at a target.
+/// Returns true if a retry after this outcome takes from the budget.
 ///
-/// An attempt that never reached a target has cost none. When a failure domain is lost, many
-/// attempts end like this until its targets are ejected; with a budget for them, shards would stay
-/// uncovered that other replicas can answer.
+/// An attempt that was not sent, had no route or met a draining target has put no load on a target. When
+/// a failure domain is lost, many attempts end like this until its targets are ejected; if their
+/// retries used up the budget, shards that other replicas can answer would stay uncovered.
 const fn consumes_budget(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
--- a/alderhaven-policy/src/service_capacity.rs
+++ b/alderhaven-policy/src/service_capacity.rs
@@ -1,12 +1,11 @@
 //! Adaptive limit on the attempts that an entry has in flight at one service.
 //!
 //! A limit that is too high moves the queue into the relays, where attempts expire shard by shard;
-//! one that is too low leaves targets idle. The limit starts from the entry's share of the slots.
-//! It rises while it is used up and the wait in the relays' queues is below
-//! [`ServiceCapacityOptions::target_wait`] service times, as in TCP Vegas (Brakmo and Peterson,
-//! 1995), and falls above that or when attempts don't run. Each finished query applies its part of
-//! one round, since a changed limit shows in reports only after a round. Additive increase and
-//! multiplicative decrease let the limits of several entries converge (Chiu and Jain, 1989).
+//! one that is too low leaves targets idle. The limit starts from the entry's share of the slots. It
+//! rises while it is used up and the wait in the relays' queues is below
+//! [`ServiceCapacityOptions::target_wait`] service times (as in TCP Vegas), and falls above that or
+//! when attempts don't run. Additive increase and multiplicative decrease let the limits of several
+//! entries converge (Chiu and Jain, 1989).
 
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
@@ -239,7 +238,6 @@
         let wait_headroom = 1.0 - wait / service / self.options.target_wait * fair_limit_ratio;
         let not_run_share = f64::from(report.not_run) / f64::from(report.attempts);
         let adjustment = (wait_headroom - 4.0 * not_run_share).clamp(-1.0, 1.0);
-        // Additive increase and multiplicative decrease let the limits of several entries converge.
         let step = if adjustment < 0.0 {
             adjustment * self.options.multiplicative_decrease * self.limit
         } else if is_used_up {
--- a/alderhaven-policy/src/service_times.rs
+++ b/alderhaven-policy/src/service_times.rs
@@ -7,8 +7,7 @@
 
 use crate::running_mean::RunningMean;
 
-/// Number of samples that a mean covers: enough to smooth an exponential service time, few enough
-/// to follow a target that slows down.
+/// Number of samples that a mean covers.
 const MEAN_WINDOW: u32 = 32;
 /// Time since its last sample for which a template counts as running here.
 const RECENT_SPAN: TimeSpan = TimeSpan::from_secs(10);
--- a/alderhaven-policy/src/store_watch_plan.rs
+++ b/alderhaven-policy/src/store_watch_plan.rs
@@ -3,7 +3,7 @@
 //! Every change wakes every watch, so the number of watches must not grow with the group. The first
 //! nodes in an order that all nodes compute alike watch, and pass changes on. A node that can't
 //! reach the store reports it, and the next one in the order takes its place. Gossip headers carry
-//! the time since the store last answered any node. A node that has not heard of an answer for a
+//! the time since the store last answered any node. A node that has not learned of an answer for a
 //! while watches by itself, since it may be cut off from its peers but not from the store.
 
 use alderhaven_core::ids::NodeId;
@@ -76,7 +76,7 @@
     /// Returns `true` if the node should watch.
     #[must_use]
     pub fn should_watch(&self, options: &WatchOptions, now: TimePoint) -> bool {
-        if !self.hears_from_store(options, now) {
+        if !self.has_recent_store_answer(options, now) {
             return true;
         }
         if self.has_lost_store(self.own, options, now) {
@@ -89,7 +89,7 @@
     }
 
     /// Returns `true` if the store answered another node recently.
-    fn hears_from_store(&self, options: &WatchOptions, now: TimePoint) -> bool {
+    fn has_recent_store_answer(&self, options: &WatchOptions, now: TimePoint) -> bool {
         let has_answered = self
             .answered_age
             .is_some_and(|age| age < options.stale_after);
--- a/alderhaven-policy/src/subset.rs
+++ b/alderhaven-policy/src/subset.rs
@@ -1,14 +1,10 @@
 //! Assignment of relays to targets (subsetting).
 //!
-//! A target accepts only a few connections, far fewer than there are relays. Rendezvous hashing
-//! gives each target a short list of candidate relays that changes only if one of them joins or
-//! leaves. Of these candidates it takes relays in different failure domains first, and then relays
-//! below their load cap.
-//!
-//! Connections stay within a target's limit while the nodes' views differ: every view takes relays only
-//! from the first `2 * replicas` candidates, and each relay opens at most
-//! `limit / (2 * replicas + VIEW_MARGIN)` connections. Views that differ by up to `VIEW_MARGIN` relays
-//! together name at most that many candidates.
+//! Rendezvous hashing gives each target a short list of candidate relays that changes only if one of
+//! them joins or leaves. From it the target gets relays in different failure domains first, and then
+//! relays below their load cap. A target's connection limit holds while the views of nodes differ by
+//! up to [`VIEW_MARGIN`] relays: views take relays only from the first `2 * replicas` candidates, and
+//! each relay opens at most `limit / (2 * replicas + VIEW_MARGIN)` connections.
 
 use std::collections::BTreeMap;
 
--- a/alderhaven-policy/src/warmup_limit.rs
+++ b/alderhaven-policy/src/warmup_limit.rs
@@ -4,7 +4,7 @@
 //! not all send it their usual share. The nodes on large hosts are ranked for each target by a hash
 //! that all of them compute alike, and the first two send to it, half of the tolerated rate each.
 //! The other nodes use warm replicas. At most half of the bound is used, so that two parts of a
-//! group with different views of who is alive keep it together.
+//! group with different views of who is alive stay within it together.
 
 use std::collections::VecDeque;
 
--- a/alderhaven-policy/src/weighted_round_robin.rs
+++ b/alderhaven-policy/src/weighted_round_robin.rs
@@ -1,7 +1,7 @@
 //! Smooth weighted round robin over the services of a split route.
 //!
-//! Each service gains its weight at each request; the one with the most credit is chosen and pays
-//! the sum of the weights. Unlike random selection, this keeps the shares within one request.
+//! Each service gains its weight in credit at each request; the one with the most credit is chosen
+//! and loses the sum of the weights. Unlike random selection, this keeps the shares within one request.
 
 use smallvec::SmallVec;
 
--- a/alderhaven-policy/tests/claim_ledger/bucket.rs
+++ b/alderhaven-policy/tests/claim_ledger/bucket.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn key_parse_only_version_7() {
+fn key_parse_accepts_only_version_7() {
     let key = sample_key(1);
     assert_eq!(key.to_string().parse::<ClaimKey>().unwrap(), key);
     assert_eq!(key.millis(), SLICE_MILLIS * SLOT_COUNT * 9 + 1);
--- a/alderhaven-policy/tests/claim_ledger/ledger_simulation.rs
+++ b/alderhaven-policy/tests/claim_ledger/ledger_simulation.rs
@@ -261,16 +261,16 @@
         }
         let index = pick % self.calls.len();
         let reply = self.store_reply(self.calls[index].call.clone());
-        let message = &mut self.calls[index];
-        if message.is_awaited {
+        let pending = &mut self.calls[index];
+        if pending.is_awaited {
             self.replies.push(PendingReply {
-                node: message.node,
-                start: message.start,
-                slot: message.call.slot,
+                node: pending.node,
+                start: pending.start,
+                slot: pending.call.slot,
                 content: reply,
             });
         }
-        message.is_awaited = false;
+        pending.is_awaited = false;
         // A call that the store reported as not done must not take effect later.
         if !is_duplicated || self.is_store_down {
             self.calls.remove(index);
@@ -321,9 +321,9 @@
             return;
         }
         let index = pick % self.calls.len();
-        let message = &mut self.calls[index];
-        let (node, start, slot) = (message.node, message.start, message.call.slot);
-        let was_awaited = std::mem::replace(&mut message.is_awaited, false);
+        let pending = &mut self.calls[index];
+        let (node, start, slot) = (pending.node, pending.start, pending.call.slot);
+        let was_awaited = std::mem::replace(&mut pending.is_awaited, false);
         if is_lost {
             self.calls.remove(index);
         }
--- a/alderhaven-policy/tests/claim_ledger/main.rs
+++ b/alderhaven-policy/tests/claim_ledger/main.rs
@@ -14,14 +14,14 @@
 const CI_SEED: u64 = 20_261_202;
 
 fn fuzz_config() -> ProptestConfig {
-    let asked = std::env::var("PROPTEST_CASES")
+    let cases = std::env::var("PROPTEST_CASES")
         .ok()
         .and_then(|text| text.parse().ok());
     let seed = std::env::var("LEDGER_SEED")
         .ok()
         .and_then(|text| text.parse().ok());
     ProptestConfig {
-        cases: asked.unwrap_or(DEFAULT_CASES),
+        cases: cases.unwrap_or(DEFAULT_CASES),
         rng_seed: RngSeed::Fixed(seed.unwrap_or(CI_SEED)),
         failure_persistence: None,
         max_shrink_iters: 20_000,
--- a/alderhaven-policy/tests/common/mod.rs
+++ b/alderhaven-policy/tests/common/mod.rs
@@ -8,11 +8,11 @@
 use proptest::test_runner::{Config, RngSeed};
 
 /// Returns a configuration with a fixed seed; `PROPTEST_CASES` overrides the number of cases.
-pub fn proptest_config(count: u32) -> Config {
+pub fn proptest_config(default_cases: u32) -> Config {
     let cases = std::env::var("PROPTEST_CASES")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(count);
+        .unwrap_or(default_cases);
     Config {
         cases,
         rng_seed: RngSeed::Fixed(0x000a_1de4),
@@ -73,30 +73,30 @@
     }
 
     /// Schedules an event.
-    pub fn add(&mut self, time: TimePoint, body: E) {
+    pub fn add(&mut self, time: TimePoint, event: E) {
         self.count += 1;
         self.events.push(Reverse((time, self.count)));
-        self.payloads.insert(self.count, body);
+        self.payloads.insert(self.count, event);
     }
 
     /// Removes and returns the next event.
     pub fn next(&mut self) -> Option<(TimePoint, E)> {
         let Reverse((time, number)) = self.events.pop()?;
-        self.payloads.remove(&number).map(|body| (time, body))
+        self.payloads.remove(&number).map(|event| (time, event))
     }
 }
 
 /// Returns the quantile `share` of the values, which are sorted in place.
 pub fn quantile(values: &mut [TimeSpan], share: f64) -> TimeSpan {
     values.sort_unstable();
-    let place = (values.len().saturating_sub(1)) as f64 * share;
+    let index = (values.len().saturating_sub(1)) as f64 * share;
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "a non-negative index into a short list"
     )]
-    let place = place.round() as usize;
-    values.get(place).copied().unwrap_or_default()
+    let index = index.round() as usize;
+    values.get(index).copied().unwrap_or_default()
 }
 
 pub mod service_simulation;
--- a/alderhaven-policy/tests/common/shard_simulation.rs
+++ b/alderhaven-policy/tests/common/shard_simulation.rs
@@ -330,7 +330,7 @@
             let Some((query, _)) = self.shards[shard][replica].queue.pop_front() else {
                 return;
             };
-            // Work stops with the answer that it is for, and expired work is not started.
+            // Work ends at the query's deadline, and expired work is not started.
             let deadline = self.queries[query].arrived_at + self.kind(query).latency_target;
             if self.now >= deadline {
                 self.send_reply(query, shard, replica, self.now, false);
--- a/alderhaven-policy/tests/exchange/network.rs
+++ b/alderhaven-policy/tests/exchange/network.rs
@@ -99,10 +99,10 @@
 
 fn peers_of(index: usize, count: usize, domains: usize) -> PeerSet {
     let others = (0..count).filter(|other| *other != index);
-    let is_near = |other: &usize| other % domains == index % domains;
-    let (near, far): (Vec<usize>, Vec<usize>) = others.partition(is_near);
+    let is_in_own_domain = |other: &usize| other % domains == index % domains;
+    let (own_domain, other_domains): (Vec<usize>, Vec<usize>) = others.partition(is_in_own_domain);
     let ids = |indexes: Vec<usize>| indexes.into_iter().map(node_id).collect();
-    PeerSet::new(ids(near), ids(far))
+    PeerSet::new(ids(own_domain), ids(other_domains))
 }
 
 fn body_bytes(message: &ExchangeMessage) -> usize {
--- a/alderhaven-policy/tests/front_decisions.rs
+++ b/alderhaven-policy/tests/front_decisions.rs
@@ -1,4 +1,4 @@
-//! Tests of small decisions of a front: weighted splits, callers' waits, late deliveries, and the
+//! Tests of small decisions of a front: weighted splits, callers' delays, late deliveries, and the
 //! fronts that a caller is told to connect to.
 
 use std::net::SocketAddr;
@@ -58,29 +58,29 @@
 /// connecting; the answer would then miss the target.
 #[test]
 fn caller_delay_is_known_from_the_time_left() {
-    let mut wait = CallerDelayEstimator::default();
-    let first = wait.record_time_left(millis(800), at(0));
+    let mut estimator = CallerDelayEstimator::default();
+    let first = estimator.record_time_left(millis(800), at(0));
     assert_eq!(first.consumed_time(millis(60)), TimeSpan::ZERO);
-    let second = wait.record_time_left(millis(777), at(10));
+    let second = estimator.record_time_left(millis(777), at(10));
     assert_eq!(second.consumed_time(millis(60)), millis(23));
     assert!(!second.is_late(millis(60)));
 }
 
 #[test]
 fn caller_delay_beyond_the_target_is_late() {
-    let mut wait = CallerDelayEstimator::default();
-    wait.record_time_left(millis(800), at(0));
-    let delay = wait.record_time_left(millis(300), at(10));
+    let mut estimator = CallerDelayEstimator::default();
+    estimator.record_time_left(millis(800), at(0));
+    let delay = estimator.record_time_left(millis(300), at(10));
     assert_eq!(delay.consumed_time(millis(60)), TimeSpan::ZERO);
     assert!(delay.is_late(millis(60)));
 }
 
 #[test]
 fn caller_delay_forgets_an_old_timeout() {
-    let mut wait = CallerDelayEstimator::default();
-    wait.record_time_left(millis(830), at(0));
-    wait.record_time_left(millis(800), at(12_000));
-    let delay = wait.record_time_left(millis(800), at(25_000));
+    let mut estimator = CallerDelayEstimator::default();
+    estimator.record_time_left(millis(830), at(0));
+    estimator.record_time_left(millis(800), at(12_000));
+    let delay = estimator.record_time_left(millis(800), at(25_000));
     assert_eq!(delay.consumed_time(millis(60)), TimeSpan::ZERO);
 }
 
@@ -168,10 +168,13 @@
 fn four_domains() -> Vec<FrontCandidate> {
     let domains = ["a", "b", "c", "d"];
     let sizes = [1.0, 1.0, 0.24, 0.24];
-    let fronts = domains.iter().zip(0_u16..).flat_map(|(domain, place)| {
-        let of_size = move |(size, number)| candidate(place * 10 + number, domain, size);
-        sizes.into_iter().zip(0_u16..).map(of_size)
-    });
+    let fronts = domains
+        .iter()
+        .zip(0_u16..)
+        .flat_map(|(domain, domain_index)| {
+            let of_size = move |(size, number)| candidate(domain_index * 10 + number, domain, size);
+            sizes.into_iter().zip(0_u16..).map(of_size)
+        });
     fronts.collect()
 }
 
--- a/alderhaven-policy/tests/group_share.rs
+++ b/alderhaven-policy/tests/group_share.rs
@@ -34,8 +34,8 @@
 #[test]
 fn repeat_share_of_equal_hosts_is_even() {
     let fleet = [CpuCapacity(250); 8];
-    let part = share_of(fleet[0], &[&fleet]).repeat_share();
-    assert!((part - 0.125).abs() < 1e-9, "{part}");
+    let share = share_of(fleet[0], &[&fleet]).repeat_share();
+    assert!((share - 0.125).abs() < 1e-9, "{share}");
 }
 
 proptest! {
--- a/alderhaven-policy/tests/group_start.rs
+++ b/alderhaven-policy/tests/group_start.rs
@@ -10,7 +10,7 @@
 
 /// Returns the view of a node that knows peers; `is_among_first` says whether it comes first in the
 /// order.
-const fn knowing_peers(is_among_first: bool, has_peer_lost_store: bool) -> StartView {
+const fn view_with_peers(is_among_first: bool, has_peer_lost_store: bool) -> StartView {
     StartView {
         knows_peers: true,
         is_among_first,
@@ -19,7 +19,7 @@
 }
 
 /// The view of a node that knows no other node yet.
-const KNOWING_NOBODY: StartView = StartView {
+const VIEW_WITHOUT_PEERS: StartView = StartView {
     knows_peers: false,
     is_among_first: true,
     has_peer_lost_store: false,
@@ -35,16 +35,16 @@
         0..3 => GroupStart::SeedFirstStart,
         _ => GroupStart::FirstStart,
     });
-    let listing = starts.filter(|start| start.peer_wait(KNOWING_NOBODY) < PEER_ANSWER_TIME);
+    let listing = starts.filter(|start| start.peer_wait(VIEW_WITHOUT_PEERS) < PEER_ANSWER_TIME);
     assert_eq!(listing.count(), 3);
 }
 
 /// Guards against callers waiting when a group restarts: the first nodes list the store at once.
 #[test]
 fn peer_wait_of_a_restart_is_short() {
-    let wait = GroupStart::Restart.peer_wait(knowing_peers(true, false));
+    let wait = GroupStart::Restart.peer_wait(view_with_peers(true, false));
     assert!(wait <= TimeSpan::from_millis(20), "{wait}");
-    assert!(GroupStart::Restart.peer_wait(knowing_peers(false, false)) > wait);
+    assert!(GroupStart::Restart.peer_wait(view_with_peers(false, false)) > wait);
 }
 
 /// Guards against waiting for nodes that the store does not answer.
@@ -55,7 +55,7 @@
         GroupStart::SeedFirstStart,
         GroupStart::FirstStart,
     ] {
-        assert!(start.peer_wait(knowing_peers(false, true)) <= TimeSpan::from_millis(20));
+        assert!(start.peer_wait(view_with_peers(false, true)) <= TimeSpan::from_millis(20));
     }
 }
 
@@ -86,8 +86,8 @@
         0..3 => GroupStart::SeedRestart,
         _ => GroupStart::Restart,
     });
-    let listing = starts.filter(|start| start.peer_wait(KNOWING_NOBODY) < peer_answer_time);
+    let listing = starts.filter(|start| start.peer_wait(VIEW_WITHOUT_PEERS) < peer_answer_time);
     assert_eq!(listing.count(), 3);
     // The seed nodes may be gone, so the others must not wait long while their callers do.
-    assert!(GroupStart::Restart.peer_wait(KNOWING_NOBODY) <= TimeSpan::from_millis(250));
+    assert!(GroupStart::Restart.peer_wait(VIEW_WITHOUT_PEERS) <= TimeSpan::from_millis(250));
 }
--- a/alderhaven-policy/tests/quarantine.rs
+++ b/alderhaven-policy/tests/quarantine.rs
@@ -44,7 +44,7 @@
 /// Guards against refusing a harmless request that was in flight beside the one that crashed the
 /// target.
 #[test]
-fn quarantine_innocent_request_is_not_refused() {
+fn quarantine_harmless_request_is_not_refused() {
     let mut quarantine = quarantine();
     quarantine.record_crash(&crash(1, 0, &["poison", "harmless"]), at(0));
     assert!(quarantine.is_suspect(&request("harmless"), at(1)));
@@ -80,7 +80,7 @@
 
 /// Guards against refusing a request that was in flight while its targets' failure domain failed.
 #[test]
-fn quarantine_domain_failure_refuses_nobody() {
+fn quarantine_domain_failure_refuses_no_request() {
     let mut quarantine = quarantine();
     for (id, shard) in [(0, 0), (1, 1), (2, 2), (3, 0)] {
         let target = u32::try_from(id).expect("small");
@@ -91,7 +91,7 @@
     quarantine.record_crash(&crash_in(4, 4, "accra-a", &["other"]), at(40));
     assert!(!is_refused(&quarantine, "search", at(50)));
     assert!(!is_refused(&quarantine, "other", at(50)));
-    // Crashes of two targets in other domains are the request's doing.
+    // Crashes of two targets in other domains count against the request.
     quarantine.record_crash(&crash_in(5, 5, "accra-b", &["search"]), at(60));
     quarantine.record_crash(&crash_in(6, 6, "accra-c", &["search"]), at(80));
     assert!(is_refused(&quarantine, "search", at(90)));
@@ -141,12 +141,12 @@
 fn drawn_crash(index: usize, drawn: &DrawnCrash) -> (TargetCrash, TimePoint) {
     let (target, first, second, millis) = *drawn;
     let names = [NAMES[first], NAMES[second]];
-    let shown = if first == second {
+    let distinct_names = if first == second {
         &names[..1]
     } else {
         &names[..]
     };
-    (crash(index as u64, target, shown), at(millis))
+    (crash(index as u64, target, distinct_names), at(millis))
 }
 
 proptest! {
--- a/alderhaven-policy/tests/replica_choice.rs
+++ b/alderhaven-policy/tests/replica_choice.rs
@@ -41,7 +41,7 @@
 fn simulate(policy: PolicyKind, targets: u32, factor: f64, rate: f64) -> Vec<TimeSpan> {
     let (table, chooser) = (table(targets as usize), chooser(policy));
     let replicas = indexes(targets);
-    let mut draw = SeededRng(11);
+    let mut rng = SeededRng(11);
     let mut events = EventQueue::new();
     let mut slots: Vec<Vec<TimePoint>> = vec![vec![at(0); 2]; targets as usize];
     let mut times = Vec::new();
@@ -49,7 +49,7 @@
     let mut next = at(0);
     while next < at(10_000) {
         events.add(next, None);
-        next = next + draw.exponential(TimeSpan::from_secs(1).mul_f64(1.0 / rate));
+        next = next + rng.exponential(TimeSpan::from_secs(1).mul_f64(1.0 / rate));
     }
     while let Some((time, ended)) = events.next() {
         now = now.max(time);
@@ -64,13 +64,13 @@
             assert!(!chooser.record_finished(entry, sample, Some(now.until(*free)), now));
             continue;
         }
-        let random = draw.next();
+        let random = rng.next();
         let index = chooser
             .choose(&table, &replicas, &[], ms(10), now, random)
             .expect("a replica");
         chooser.record_sent(&table, index);
         let own_factor = if index.0 == 0 { factor } else { 1.0 };
-        let service = draw.exponential(ms(10)).mul_f64(own_factor);
+        let service = rng.exponential(ms(10)).mul_f64(own_factor);
         let slot = slots[index.0 as usize].iter_mut().min().expect("two slots");
         let end = (*slot).max(now) + service;
         *slot = end;
@@ -105,9 +105,9 @@
 fn burst_is_spread_by_what_was_sent() {
     let (table, chooser) = (table(2), chooser(PolicyKind::Current));
     let replicas = indexes(2);
-    let mut draw = SeededRng(3);
+    let mut rng = SeededRng(3);
     for _ in 0..100 {
-        let random = draw.next();
+        let random = rng.next();
         let index = chooser
             .choose(&table, &replicas, &[], ms(10), at(1), random)
             .expect("a replica");
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn far_target_is_used_when_the_near_one_is_busy() {
+fn other_domain_is_used_when_the_own_one_is_busy() {
     let (table, chooser) = (table(2), chooser(PolicyKind::Current));
     let choose = |random| chooser.choose(&table, &indexes(2), &[], ms(10), at(1), random);
     assert!((0..20).all(|random| choose(random) == Some(TargetIndex(0))));
@@ -224,9 +224,9 @@
         .map(|seed| {
             let (table, chooser) = (Arc::clone(&table), chooser.clone());
             thread::spawn(move || {
-                let mut draw = SeededRng(seed);
+                let mut rng = SeededRng(seed);
                 for step in 0..10_000 {
-                    let (now, random) = (at(step), draw.next());
+                    let (now, random) = (at(step), rng.next());
                     let index = chooser
                         .choose(&table, &indexes(2), &[], ms(10), now, random)
                         .expect("a replica");
--- a/alderhaven-policy/tests/replica_stats.rs
+++ b/alderhaven-policy/tests/replica_stats.rs
@@ -9,19 +9,19 @@
     TimePoint::START + TimeSpan::from_millis(millis)
 }
 
-/// Runs attempts one after another that take `took` milliseconds each, and returns the end.
+/// Runs attempts one after another that take `millis` milliseconds each, and returns the end.
 fn run_attempts(
     stats: &mut ReplicaStats,
     start: u64,
     count: u64,
-    took: u64,
+    millis: u64,
     result: AttemptResult,
 ) -> u64 {
     let mut now = start;
     for _ in 0..count {
         stats.begin_attempt(at(now));
-        stats.end_attempt(at(now), TYPICAL_LATENCY, result, at(now + took));
-        now += took;
+        stats.end_attempt(at(now), TYPICAL_LATENCY, result, at(now + millis));
+        now += millis;
     }
     now
 }
--- a/alderhaven-policy/tests/store_budget.rs
+++ b/alderhaven-policy/tests/store_budget.rs
@@ -58,13 +58,13 @@
     assert!(budget.take(StoreCall::Read, TimePoint::START).is_ok());
 }
 
-/// Guards against tokens saved in idle hours being spent all at once.
+/// Guards against tokens saved while idle being spent all at once.
 #[test]
 fn take_after_idle_time_grants_one_burst() {
     let mut budget = StoreBudget::new(options(10.0), TimePoint::START);
-    let morning = TimePoint::START + TimeSpan::from_secs(3_600);
+    let after_idle = TimePoint::START + TimeSpan::from_secs(3_600);
     let granted = (0..100)
-        .filter(|_| budget.take(StoreCall::Write, morning).is_ok())
+        .filter(|_| budget.take(StoreCall::Write, after_idle).is_ok())
         .count();
     assert_eq!(granted, 10);
 }
--- a/alderhaven-policy/tests/store_watch_plan.rs
+++ b/alderhaven-policy/tests/store_watch_plan.rs
@@ -14,11 +14,11 @@
     names.filter_map(|name| name.parse().ok()).collect()
 }
 
-fn contact(node: &NodeId, is_reached: bool, heard_at: TimePoint) -> StoreContact {
+fn contact(node: &NodeId, is_reached: bool, reported_at: TimePoint) -> StoreContact {
     StoreContact {
         node: node.clone(),
         is_reached,
-        reported_at: heard_at,
+        reported_at,
     }
 }
 
--- a/alderhaven-policy/tests/subset.rs
+++ b/alderhaven-policy/tests/subset.rs
@@ -118,7 +118,7 @@
 
     /// Nodes whose views differ by up to `VIEW_MARGIN` relays together stay within a target's limit.
     #[test]
-    fn connections_of_stays_within_the_limit(
+    fn connection_share_of_stays_within_the_limit(
         missing in proptest::collection::vec((0..20_usize, any::<bool>()), 12),
         connections in 4_u32..120,
     ) {
--- a/alderhaven-policy/tests/warmup_limit.rs
+++ b/alderhaven-policy/tests/warmup_limit.rs
@@ -42,8 +42,8 @@
 /// Guards against nodes outside the ranking, such as those on small hosts, sending to a cold target.
 #[test]
 fn allowance_of_other_nodes_is_none() {
-    let stranger: NodeId = "stranger".parse().expect("a node's name");
-    let none = warmup_limit::allowance(&stranger, &nodes(8), "i-1", rate(7.0), BOUND);
+    let unranked: NodeId = "unranked".parse().expect("a node's name");
+    let none = warmup_limit::allowance(&unranked, &nodes(8), "i-1", rate(7.0), BOUND);
     assert_eq!(none, 0);
 }
 
@@ -56,7 +56,9 @@
             |node: &&NodeId| warmup_limit::allowance(node, &nodes, target, rate(8.0), BOUND) > 0;
         nodes.iter().filter(is_sender).cloned().collect::<Vec<_>>()
     };
-    let mut used: Vec<NodeId> = (0..40).flat_map(|n| senders(&format!("i-{n}"))).collect();
+    let mut used: Vec<NodeId> = (0..40)
+        .flat_map(|number| senders(&format!("i-{number}")))
+        .collect();
     used.sort();
     used.dedup();
     assert_eq!(used.len(), 8);
