--- a/alderhaven-policy/src/concurrency_limit.rs
+++ b/alderhaven-policy/src/concurrency_limit.rs
@@ -11,7 +11,7 @@
 /// Limit before the first query has ended, in queries.
 const INITIAL_LIMIT: f64 = 8.0;
 
-/// Smallest limit, in queries; fewer would give too few samples to notice that capacity has returned.
+/// Smallest limit, in queries. Fewer would hardly show that capacity has returned.
 const MIN_LIMIT: f64 = 2.0;
 
 /// Largest limit, in queries.
--- a/alderhaven-policy/src/hedging.rs
+++ b/alderhaven-policy/src/hedging.rs
@@ -17,7 +17,7 @@
 use crate::policy_kind::PolicyKind;
 use crate::running_mean::RunningMean;
 
-/// Largest number of tracked groups, each of about 20 KB; all are reset when it is reached.
+/// Largest number of tracked groups; all are reset when it is reached.
 const MAX_GROUPS: usize = 256;
 /// Weight of one hedge in the moving share of refused hedges.
 const REFUSAL_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
--- a/alderhaven-policy/src/query_gate.rs
+++ b/alderhaven-policy/src/query_gate.rs
@@ -2,9 +2,10 @@
 //!
 //! Whole queries are admitted, queued or refused before any attempt is sent, so that a refused
 //! query certainly didn't run. [`ConcurrencyLimit`] bounds the queries in flight. Some more wait in
-//! the order of their ranks; a lower rank goes first while its served share is below a fixed part
-//! of the best rank's. A query that would wait for too long is refused on arrival, and a waiting one is refused
-//! when a better rank takes its place. The retry time grows with the share of refused queries.
+//! the order of their ranks; a worse rank goes first while its served share is below a fixed part
+//! of the best rank's. A query that would wait for too long is refused on arrival, and a waiting
+//! one is refused when a better rank displaces it. The retry time grows with the share of refused
+//! queries.
 
 use alderhaven_core::time::{TimePoint, TimeSpan};
 use smallvec::SmallVec;
@@ -22,7 +23,7 @@
 /// Time constant of the rates at which queries of a rank are offered and admitted.
 const RANK_RATE_TIME_CONSTANT: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// Smallest served share of a lower rank, relative to that of the best rank.
+/// Smallest served share of a worse rank, relative to that of the best rank.
 const MIN_SERVED_SHARE_RATIO: f64 = 0.5;
 
 /// Share of the limit that late queries may use, so that they don't keep out queries that can be in
@@ -222,7 +223,7 @@
         )
     }
 
-    /// Returns true if a lower rank is served less than its part of the best rank's served share.
+    /// Returns true if a worse rank is served less than its part of the best rank's served share.
     fn is_underserved(&self, rank: u32, now: TimePoint) -> bool {
         let best = self.ranks.iter().min_by_key(|rates| rates.rank);
         let own = self.ranks.iter().find(|rates| rates.rank == rank);
--- a/alderhaven-policy/src/replica_stats.rs
+++ b/alderhaven-policy/src/replica_stats.rs
@@ -25,7 +25,7 @@
 const MAX_EJECTION: TimeSpan = TimeSpan::from_millis(2_400);
 /// The multiple of the typical latency after which an attempt in flight marks the replica as stuck.
 const STUCK_FACTOR: f64 = 3.0;
-/// The shortest time after which a replica counts as stuck, above network jitter.
+/// The shortest time after which a replica counts as stuck.
 const MIN_STUCK_TIME: TimeSpan = TimeSpan::from_millis(12);
 /// The time that a stuck replica is expected to stay stuck.
 const STUCK_COST: TimeSpan = TimeSpan::from_millis(60);
--- a/alderhaven-policy/src/retry.rs
+++ b/alderhaven-policy/src/retry.rs
@@ -73,9 +73,9 @@
 
 /// Returns true if a retry after this outcome takes from the budget.
 ///
-/// An attempt that was not sent, had no route or met a draining target has put no load on a target. When
-/// a failure domain is lost, many attempts end like this until its targets are ejected; if their
-/// retries used up the budget, shards that other replicas can answer would stay uncovered.
+/// An attempt that was not sent, had no route or met a draining target has put no load on a target.
+/// When a failure domain is lost, many attempts end like this until its targets are ejected; if
+/// their retries used up the budget, shards that other replicas can answer would stay uncovered.
 const fn consumes_budget(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
--- a/alderhaven-policy/src/store_watch_plan.rs
+++ b/alderhaven-policy/src/store_watch_plan.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WatchOptions {
-    /// The number of nodes that watch; with three, two may fail at the same time without a gap.
+    /// The number of nodes that watch; all but one may fail at the same time without a gap.
     pub watchers: usize,
     /// The age of the latest known answer of the store after which a node watches by itself. It
     /// covers the longest wait of a watch and the propagation of its result, with a reserve.
--- a/alderhaven-policy/src/target_stats.rs
+++ b/alderhaven-policy/src/target_stats.rs
@@ -9,9 +9,9 @@
 
 /// The fixed-point scale of slowness: thousandths fit an atomic integer.
 const SLOWNESS_UNIT: f64 = 1000.0;
-/// The weight of a sample above the known slowness; high, since a slow target gives few samples.
+/// The weight of a sample above the known slowness.
 const RISE_WEIGHT: f64 = 0.3;
-/// The weight of a sample below the known slowness; low, since one fast reply is no recovery.
+/// The weight of a sample below the known slowness.
 const FALL_WEIGHT: f64 = 0.1;
 /// The time constant of the exponential decay of slowness, so that a slow target is tried again.
 const SLOWNESS_DECAY_TIME: TimeSpan = TimeSpan::from_secs(10);
