--- a/alderhaven-policy/src/hedging.rs
+++ b/alderhaven-policy/src/hedging.rs
@@ -17,7 +17,7 @@
 use crate::policy_kind::PolicyKind;
 use crate::running_mean::RunningMean;
 
-/// Largest number of tracked groups, each of about 20 KB; all are reset when it is reached.
+/// Largest number of tracked groups; all are reset when it is reached.
 const MAX_GROUPS: usize = 256;
 /// Weight of one hedge in the moving share of refused hedges.
 const REFUSAL_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
@@ -122,8 +122,8 @@
     /// should not be or too few latencies are known.
     #[must_use]
     pub fn hedge_delay(&self, group: &HedgeGroup, is_idempotent: bool) -> Option<TimeSpan> {
-        let is_on = self.options.enabled && self.policy == PolicyKind::Current;
-        if !is_on || !is_idempotent {
+        let is_enabled = self.options.enabled && self.policy == PolicyKind::Current;
+        if !is_enabled || !is_idempotent {
             return None;
         }
         let quantile = self
