--- a/alderhaven-front/src/abandoned_status.rs
+++ b/alderhaven-front/src/abandoned_status.rs
@@ -1,6 +1,6 @@
 //! Whether an attempt that was abandoned with its failure domain may still run.
 
-/// Chance that an abandoned attempt runs at its target.
+/// Whether an abandoned attempt may run at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonedStatus {
     /// Nothing was sent, and nothing will be.
--- a/alderhaven-front/src/attempt.rs
+++ b/alderhaven-front/src/attempt.rs
@@ -31,13 +31,14 @@
     Success(TargetReply),
     /// The target ran the request and replied with a failure.
     Failure(TargetReply),
-    /// The target rejected the request without running it.
+    /// The target refused the request without running it.
     NotRun,
     /// The address now belongs to another target, which did not run the request.
     WrongTarget,
     /// No connection could be made, or it was closed before the request was written.
     Unreachable,
-    /// The request finished, or the target stopped taking work, before anything was sent.
+    /// The request finished or timed out, or the target stopped taking work, before anything was
+    /// sent.
     Cancelled,
     /// The request was sent and no complete reply to it arrived. It may have run.
     Lost,
@@ -62,14 +63,14 @@
     pub call: Arc<QueryCall>,
     /// Whether the request may run more than once. If not, a new connection is opened for it.
     pub is_idempotent: bool,
-    /// When the attempt is no longer of use. The target is told the time that remains.
+    /// Time after which the attempt is of no use. The time that remains is sent to the target.
     pub deadline: TimePoint,
     /// Set when the request has been answered. An attempt that has sent nothing by then is
     /// cancelled.
     pub is_request_finished: Arc<AtomicBool>,
     /// Arbitrates between sending the request and cancelling the attempt.
     pub phase: AttemptPhase,
-    /// Typical latency of attempts of this route, against which the target's statistics are kept.
+    /// Typical latency of the route's attempts, to which the target's statistics compare this one.
     pub typical_latency: TimeSpan,
     /// Builds the request and classifies the reply.
     pub dialect: Arc<dyn WireDialect>,
--- a/alderhaven-front/src/caller_limits.rs
+++ b/alderhaven-front/src/caller_limits.rs
@@ -19,7 +19,7 @@
 }
 
 impl Default for CallerLimits {
-    /// The limits before the first configuration is known, as is usual for HTTP servers.
+    /// The limits that apply until a configuration sets others.
     fn default() -> Self {
         Self {
             max_head: ByteSize::from_kib(16),
--- a/alderhaven-front/src/caller_server.rs
+++ b/alderhaven-front/src/caller_server.rs
@@ -27,7 +27,7 @@
 /// The delay after a failed accept, typically for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
 
-/// Opens a listener.
+/// Opens a listener on an IPv4 address.
 ///
 /// # Errors
 /// The address can't be bound.
--- a/alderhaven-front/src/caller_service.rs
+++ b/alderhaven-front/src/caller_service.rs
@@ -27,14 +27,15 @@
 
 /// The minimum `Retry-After` of a front without a configuration.
 const NO_CONFIG_RETRY_MIN: TimeSpan = TimeSpan::from_millis(150);
-/// The maximum random addition to it.
+/// The maximum random addition to [`NO_CONFIG_RETRY_MIN`].
 const NO_CONFIG_RETRY_JITTER: TimeSpan = TimeSpan::from_millis(250);
 
 /// The longest wait of a request for the first configuration. Refusing at once would send callers
 /// to other fronts that are starting as well.
 const MAX_CONFIG_WAIT: TimeSpan = TimeSpan::from_millis(600);
 
-/// The share of the caller's timeout that this wait may use; the rest is left for another front.
+/// The share of the caller's timeout that the wait for a configuration may use; the rest is left
+/// for another front.
 const MAX_CONFIG_WAIT_FRACTION: f64 = 0.4;
 
 /// Answers one request of a caller.
@@ -102,7 +103,7 @@
     QueryRun::answer(context, &view, &route, &call).await
 }
 
-/// Gets how long the request is still refused for crashing targets; none if it may run.
+/// Gets how long the request is still refused for crashing targets; `None` if it may run.
 fn crash_retry_after(context: &FrontContext, call: &QueryCall) -> Option<TimeSpan> {
     let crashes = context.catalog.crashes();
     if !crashes.has_strikes() {
--- a/alderhaven-front/src/catalog.rs
+++ b/alderhaven-front/src/catalog.rs
@@ -38,7 +38,7 @@
 
 /// How long a target stays usable as a last resort after its registration was removed.
 /// Registrations of live targets expire while the store is unreachable and return shortly after it
-/// recovers; a target that has really left serves for longer than this.
+/// recovers; a target that leaves for good still serves for longer than this.
 const EXPIRED_TARGET_RETENTION: TimeSpan = TimeSpan::from_millis(1_700);
 
 /// The connection limit of a target whose service has no rule in the configuration.
@@ -64,7 +64,7 @@
     pub domain: FailureDomain,
     /// The processor time available to this process; its shares of group-wide limits depend on it.
     pub capacity: CpuCapacity,
-    /// The group-wide budget for hedges and retries.
+    /// The group-wide budget for hedges and retries at the start; see [`Catalog::set_repeats`].
     pub repeats: RepeatOptions,
     /// How far all nodes together may exceed the request rate that a cold target tolerates.
     pub warmup: WarmupBound,
@@ -143,8 +143,8 @@
     /// Returns true if the object set is complete: the store has listed every kind that it keeps,
     /// or a peer with a complete set has sent all of it.
     ///
-    /// A single listed kind doesn't suffice: peers would take missing kinds for empty ones and refuse
-    /// requests for lack of targets.
+    /// A single listed kind doesn't suffice: peers would take missing kinds for empty ones and
+    /// refuse requests for lack of targets.
     #[must_use]
     pub fn is_fully_listed(&self) -> bool {
         self.state().is_fully_listed()
@@ -160,7 +160,7 @@
 
     /// Returns true if a configuration and the list of targets are known.
     ///
-    /// A front without targets would refuse every request, so it must not be offered to callers before.
+    /// A front without targets would refuse every request, so it is not offered to callers before.
     #[must_use]
     pub fn can_serve_requests(&self) -> bool {
         self.view().routing.is_some() && self.is_kind_listed(ObjectKind::Target)
--- a/alderhaven-front/src/catalog/evacuations.rs
+++ b/alderhaven-front/src/catalog/evacuations.rs
@@ -60,8 +60,8 @@
             return;
         };
         for target in &targets {
-            // A target may have restarted during the evacuation before its registration says that
-            // it is cold.
+            // A target may have restarted during the evacuation, and its registration may not say
+            // yet that it is cold.
             if let Some(span) = state.warmup_duration(&target.entry().service) {
                 target.warmup().presume_cold(span, now);
             }
--- a/alderhaven-front/src/catalog/node_reports.rs
+++ b/alderhaven-front/src/catalog/node_reports.rs
@@ -17,8 +17,8 @@
 /// The body of a report from a node that doesn't reach the store.
 const STORE_LOST_BODY: &str = "lost";
 
-/// The number of strike objects in the catalog above which this node publishes no more; every node
-/// holds all of them in memory.
+/// The number of strike objects in the catalog from which on this node publishes no more; every
+/// node holds all of them in memory.
 const MAX_STRIKE_OBJECTS: usize = 256;
 
 impl Catalog {
@@ -44,14 +44,14 @@
         body: String,
         wall_millis: u64,
     ) {
-        let has_room = self
+        let is_below_limit = self
             .state()
             .objects
             .keys()
             .filter(|key| key.kind == ObjectKind::CrashStrike)
             .count()
             < MAX_STRIKE_OBJECTS;
-        if has_room {
+        if is_below_limit {
             let name = format!("{fingerprint}-{}", self.options.node);
             self.publish(ObjectKind::CrashStrike, name, body, wall_millis);
         }
--- a/alderhaven-front/src/catalog_state.rs
+++ b/alderhaven-front/src/catalog_state.rs
@@ -111,7 +111,7 @@
         Arc::clone(silence)
     }
 
-    /// Gets how long targets of a service are cold after their start; none if they tolerate any
+    /// Gets how long targets of a service are cold after their start; `None` if they tolerate any
     /// load.
     pub fn warmup_duration(&self, service: &str) -> Option<TimeSpan> {
         let routing = self.routing.as_ref()?;
@@ -175,7 +175,7 @@
         services
     }
 
-    /// Gets the requests a second that this node may send to a cold target; none if unlimited.
+    /// Gets the requests a second that this node may send to a cold target; `None` if unlimited.
     fn warmup_allowance(
         &self,
         rule: &ServiceRule,
--- a/alderhaven-front/src/catalog_view.rs
+++ b/alderhaven-front/src/catalog_view.rs
@@ -36,7 +36,7 @@
     pub version: u64,
     /// Latencies and split positions of the route; kept across configurations.
     pub state: Arc<RouteState>,
-    /// The set of shards to query; none if the route leads to one service.
+    /// The set of shards to query; `None` if the route leads to one service.
     pub shards: Option<ShardSetId>,
 }
 
--- a/alderhaven-front/src/crash_tracker.rs
+++ b/alderhaven-front/src/crash_tracker.rs
@@ -1,7 +1,7 @@
 //! Requests that crash targets, as known to all fronts.
 //!
 //! A front that loses an attempt and finds the target's process gone records a crash strike and
-//! publishes it. Each front then rejects requests whose strikes reach the limit of
+//! publishes it. Each front then refuses requests whose strikes reach the limit of
 //! [`alderhaven_policy::quarantine`].
 
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/alderhaven-front/src/event_log.rs
+++ b/alderhaven-front/src/event_log.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Process-wide, like the logger.
+/// The rate limits of all events; process-wide, like the logger.
 static LIMITS: OnceLock<ProcessLogLimits> = OnceLock::new();
 
 struct ProcessLogLimits {
@@ -63,7 +63,6 @@
 
 /// Sets the limits of the process. Ignored once limits are in use.
 pub fn configure(options: &LogOptions) {
-    // Limits that already count lines aren't replaced.
     let _is_set = LIMITS.set(ProcessLogLimits::new(options));
 }
 
@@ -107,8 +106,8 @@
     }
 }
 
-/// Asks the rate limit for a line; returns the number of lines suppressed before it, or none if
-/// this one is suppressed.
+/// Takes a line from the rate limit; returns the number of lines suppressed before it, or `None`
+/// if this one is suppressed.
 fn admit_line(level: Level, kind: &'static str) -> Option<u64> {
     if level > log::max_level() {
         return None;
--- a/alderhaven-front/src/front_answer.rs
+++ b/alderhaven-front/src/front_answer.rs
@@ -52,9 +52,9 @@
 pub enum RefusalReason {
     /// No configuration is known yet.
     NoConfiguration,
-    /// No target of the service is reachable.
+    /// No attempt was sent: no target of the service is known or may be used.
     NoTarget,
-    /// Every target that was tried refused the request.
+    /// Every target that was tried refused the request or was unreachable.
     Refused,
     /// The request crashed targets that ran it.
     Crashes,
@@ -62,7 +62,7 @@
     NoRoom,
     /// A query of higher rank took its place in the queue.
     Outranked,
-    /// Its time in the queue was up.
+    /// It waited in the queue for the longest time allowed.
     WaitOver,
 }
 
--- a/alderhaven-front/src/front_context.rs
+++ b/alderhaven-front/src/front_context.rs
@@ -83,7 +83,7 @@
     }
 
     /// Records that a timer due at `due` has fired now.
-    pub fn record_wake(&self, due: TimePoint) {
+    pub fn record_wakeup(&self, due: TimePoint) {
         let now = self.clock.now();
         let mut lag = self
             .timer_lag
--- a/alderhaven-front/src/front_event.rs
+++ b/alderhaven-front/src/front_event.rs
@@ -79,7 +79,8 @@
         domain: String,
     },
     /// A silent failure domain responds again.
-    DomainHeard {
+    #[serde(rename = "domain_heard")]
+    DomainRecovered {
         /// The name of the domain.
         domain: String,
     },
@@ -128,7 +129,8 @@
     LinkLost {
         /// The address of the other front.
         front: SocketAddr,
-        /// The number of pending requests on the connection.
+        /// The number of pending requests: those of the lost connection, or all to that front after
+        /// a timeout.
         open: usize,
     },
     /// The number of live nodes changed.
@@ -256,7 +258,7 @@
             Self::TargetDeregistered { .. } => "target_gone",
             Self::TargetEjected { .. } => "target_aside",
             Self::DomainSilent { .. } => "domain_silent",
-            Self::DomainHeard { .. } => "domain_heard",
+            Self::DomainRecovered { .. } => "domain_heard",
             Self::DomainEvacuated { .. } => "domain_evacuated",
             Self::DomainReturned { .. } => "domain_returned",
             Self::EvacuationUnreadable { .. } => "evacuation_unreadable",
--- a/alderhaven-front/src/front_metrics.rs
+++ b/alderhaven-front/src/front_metrics.rs
@@ -18,7 +18,7 @@
 
 /// The upper bounds of the latency buckets in seconds, from a lookup within a failure domain to
 /// the longest request deadline.
-const LATENCY_BUCKETS: [f64; 10] = [0.01, 0.02, 0.04, 0.06, 0.1, 0.15, 0.25, 0.5, 1.5, 6.0];
+const LATENCY_BUCKET_SECONDS: [f64; 10] = [0.01, 0.02, 0.04, 0.06, 0.1, 0.15, 0.25, 0.5, 1.5, 6.0];
 
 /// The metrics of a process; clones share their values.
 #[derive(Clone, Debug)]
@@ -112,9 +112,9 @@
     First,
     /// First attempt for its shard, sent through a front in another failure domain.
     Relayed,
-    /// The first attempt is late.
+    /// Sent because the first attempt is late.
     Hedge,
-    /// An attempt failed.
+    /// Sent after an attempt failed.
     Retry,
 }
 
@@ -150,7 +150,9 @@
     fn default() -> Self {
         Self {
             requests: Family::default(),
-            request_seconds: Family::new_with_constructor(|| Histogram::new(LATENCY_BUCKETS)),
+            request_seconds: Family::new_with_constructor(|| {
+                Histogram::new(LATENCY_BUCKET_SECONDS)
+            }),
             attempts: Family::default(),
             unanswered_attempts: Family::default(),
             store_calls: Family::default(),
--- a/alderhaven-front/src/front_node.rs
+++ b/alderhaven-front/src/front_node.rs
@@ -117,8 +117,8 @@
 
     /// Starts the drain, if it isn't in progress already.
     ///
-    /// Platforms may ask twice when maintenance operations overlap. A second request must not abort the
-    /// requests that the drain lets finish.
+    /// Platforms may request a stop twice when maintenance operations overlap. The second one must
+    /// not abort the requests that the drain lets finish.
     pub fn request_stop(&self) {
         let is_repeated = self.context.stop.state() != DrainState::Serving;
         FrontEvent::Stopping { is_repeated }.emit(Level::Info);
@@ -250,7 +250,7 @@
     let access = ConfigAccess::builder()
         .stamps(move || stamps.stamps())
         .look_up(move |key| objects.object(key))
-        .accept(move |news| accept.accept(news))
+        .accept(move |received| accept.accept(received))
         .is_fully_listed(move || listed.is_fully_listed())
         .changes(catalog.subscribe())
         .build();
--- a/alderhaven-front/src/group_links.rs
+++ b/alderhaven-front/src/group_links.rs
@@ -28,15 +28,13 @@
 
 /// The longest round trip of the empty first request on a connection. The other front derives the
 /// clock offset from it and uses that to detect late deliveries, so the round trip bounds the
-/// error of the time left that targets are told.
+/// error of the time left that is sent to targets.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a front is not used after an overdue reply or a failed connect. Sending to targets
-/// directly costs only bytes, while an unresponsive front costs each query its hedges.
+/// How long a front is not used after an overdue reply or a failed connect.
 const UNRESPONSIVE_PAUSE: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// How often an idle reader checks whether its connection was retired. A longer interval only
-/// keeps the connection open for longer.
+/// How often an idle reader checks whether its connection was retired.
 const RETIRED_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
 /// All links of a process; clones share them.
@@ -59,7 +57,7 @@
 #[derive(Debug, Default)]
 struct LinkState {
     sender: Option<FrameSender>,
-    /// Number of the current connection, by which pending requests are assigned to theirs.
+    /// Number of the current connection; a pending request holds the number of its own.
     epoch: u64,
     is_connecting: bool,
     paused_until: TimePoint,
@@ -75,7 +73,7 @@
     event_sender: mpsc::UnboundedSender<GroupEvent>,
 }
 
-/// What the sender of a group request is told.
+/// Notification to the sender of a group request.
 #[derive(Debug)]
 pub enum GroupEvent {
     /// Some of the attempts have ended.
@@ -333,8 +331,8 @@
 
 /// Opens a connection. Returns `None` if the front cannot be reached or does not answer in time.
 ///
-/// The empty first request prevents that a stalled front receives a real one: it would process
-/// that late, with the full time left of the caller, and pass this on to targets.
+/// The empty first request keeps real ones from a stalled front, which would process them late and
+/// send targets the full time left of the caller.
 async fn open(link: &GroupLink) -> Option<(FrameSender, FrameReader)> {
     let connecting = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(link.address));
     let (sender, mut reader) = connection::split(connecting.await.ok()?.ok()?).ok()?;
--- a/alderhaven-front/src/group_plan.rs
+++ b/alderhaven-front/src/group_plan.rs
@@ -98,9 +98,9 @@
                 continue;
             };
             let group = by_domain.entry(domain).or_default();
-            let is_first_target = group.last().is_none_or(|(last, _)| last != index);
+            let is_first_of_shard = group.last().is_none_or(|(last, _)| last != index);
             if !target.is_in_own_domain
-                && is_first_target
+                && is_first_of_shard
                 && cost <= lowest_cost + MAX_GROUPING_COST
             {
                 group.push((*index, Arc::clone(target)));
--- a/alderhaven-front/src/group_server.rs
+++ b/alderhaven-front/src/group_server.rs
@@ -115,7 +115,7 @@
     flush_at: TimePoint,
     deadline: TimePoint,
     is_request_finished: Arc<AtomicBool>,
-    attempt_ends: Vec<GroupAttemptResult>,
+    attempt_results: Vec<GroupAttemptResult>,
     reply_bodies: Vec<Bytes>,
 }
 
@@ -136,7 +136,7 @@
             sender,
             request,
             is_request_finished,
-            attempt_ends: Vec::new(),
+            attempt_results: Vec::new(),
             reply_bodies: Vec::new(),
         }
     }
@@ -178,8 +178,11 @@
             let target = view.targets.get(id);
             let ready = target.filter(|target| !target.is_closed());
             let Some(target) = ready else {
-                self.attempt_ends
-                    .push(group_end(index, GroupOutcome::NotSent, TimeSpan::ZERO));
+                self.attempt_results.push(attempt_result(
+                    index,
+                    GroupOutcome::NotSent,
+                    TimeSpan::ZERO,
+                ));
                 continue;
             };
             let plan = AttemptPlan {
@@ -217,11 +220,12 @@
     fn record_report(&mut self, report: AttemptReport) {
         let outcome = match report.outcome {
             AttemptOutcome::Success(reply) => {
-                let mut answered = group_end(report.shard, GroupOutcome::Answered, report.elapsed);
+                let mut answered =
+                    attempt_result(report.shard, GroupOutcome::Answered, report.elapsed);
                 if let Some(proof) = reply.proof {
                     answered.proof = Bytes::copy_from_slice(proof.as_bytes());
                 }
-                self.attempt_ends.push(answered);
+                self.attempt_results.push(answered);
                 self.reply_bodies.push(reply.reply.body);
                 return;
             }
@@ -234,15 +238,15 @@
             }
             AttemptOutcome::Lost => GroupOutcome::Lost,
         };
-        self.attempt_ends
-            .push(group_end(report.shard, outcome, report.elapsed));
+        self.attempt_results
+            .push(attempt_result(report.shard, outcome, report.elapsed));
     }
 
     fn flush(&mut self) {
         let records = usize::try_from(self.request.max_records).unwrap_or(usize::MAX);
         let reply = GroupReply {
             number: self.request.number,
-            results: std::mem::take(&mut self.attempt_ends),
+            results: std::mem::take(&mut self.attempt_results),
             records: top_records::greatest_records(&self.reply_bodies, records),
         };
         self.reply_bodies.clear();
@@ -251,7 +255,7 @@
     }
 }
 
-fn group_end(index: usize, outcome: GroupOutcome, elapsed: TimeSpan) -> GroupAttemptResult {
+fn attempt_result(index: usize, outcome: GroupOutcome, elapsed: TimeSpan) -> GroupAttemptResult {
     GroupAttemptResult {
         target_index: u32::try_from(index).unwrap_or(u32::MAX),
         outcome: outcome.into(),
--- a/alderhaven-front/src/query_call.rs
+++ b/alderhaven-front/src/query_call.rs
@@ -19,7 +19,7 @@
     pub forwarded_head: ForwardedHead,
     /// Complete request body.
     pub body: Bytes,
-    /// Request id that the caller gave to this attempt of its own.
+    /// Request id as the caller sent it.
     pub request_id: Arc<str>,
     /// Arrival time at this front.
     pub arrived_at: TimePoint,
@@ -28,7 +28,8 @@
 }
 
 impl QueryCall {
-    /// Identifies equal requests, whoever sends them: method, site, path and body.
+    /// Returns the fingerprint of method, site, URI and body, which equal requests of all callers
+    /// share.
     #[must_use]
     pub fn fingerprint(&self) -> RequestFingerprint {
         let site = self.head.headers.get(header::HOST);
--- a/alderhaven-front/src/query_run.rs
+++ b/alderhaven-front/src/query_run.rs
@@ -238,7 +238,7 @@
                 Some(report) = self.attempts.next() => self.handle_report(report),
                 (index, event) = group_requests::next_event(&mut self.group_requests) => self.handle_group_event(index, event),
                 () = front_context::sleep_until(self.context.clock, until) => {
-                    self.context.record_wake(until);
+                    self.context.record_wakeup(until);
                 }
             }
         }
@@ -260,8 +260,8 @@
         }
     }
 
-    /// Sends a hedge for each shard whose attempt is late. Hedges to targets in one other failure
-    /// domain share a group request.
+    /// Sends a hedge for each shard whose attempt is late. Hedges to targets in the same other
+    /// failure domain share a group request.
     fn send_hedges(&mut self, now: TimePoint) {
         let mut assignments = Vec::new();
         for index in 0..self.shards.len() {
--- a/alderhaven-front/src/query_run/completion.rs
+++ b/alderhaven-front/src/query_run/completion.rs
@@ -24,10 +24,10 @@
 use crate::route_destination::RouteDestination;
 use crate::shard_reply::ShardReply;
 
-/// The shortest `Retry-After` of a caller whose targets all refused.
+/// The shortest `Retry-After` of a request that no target ran.
 const RETRY_AFTER_MIN: TimeSpan = TimeSpan::from_millis(60);
-/// Upper bound of the random delay added to it, which spreads the retries of callers that were
-/// rejected together.
+/// Upper bound of the random delay added to [`RETRY_AFTER_MIN`], which spreads the retries of
+/// callers that were refused together.
 const RETRY_AFTER_JITTER: TimeSpan = TimeSpan::from_millis(120);
 
 /// Random factor on the retry delay of an admission refusal, which spreads the retries of callers
@@ -190,10 +190,10 @@
     fn query_signal(&self) -> QuerySignal {
         // Measured against the time of a caller without prior delay: a late caller says nothing
         // about capacity and must not lower the concurrency limit.
-        let time = self.usable_time.as_secs_f64();
+        let usable_seconds = self.usable_time.as_secs_f64();
         if let Some(reached_at) = self.min_coverage_at {
-            let passed = reached_at.since(self.started_at).as_secs_f64();
-            return QuerySignal::EnoughShards(passed / time.max(1e-3));
+            let elapsed_seconds = reached_at.since(self.started_at).as_secs_f64();
+            return QuerySignal::EnoughShards(elapsed_seconds / usable_seconds.max(1e-3));
         }
         // Only shards that were refused or are still running indicate missing capacity, not those
         // whose targets are gone or fail.
@@ -212,7 +212,7 @@
     fn ended_event(&self, outcome: RequestOutcome, now: TimePoint) -> FrontEvent {
         let mut unanswered = self.unanswered_attempts.clone();
         let mut present = self.shards.len();
-        // A complete answer has taken the replies out of the shards, and misses none.
+        // A complete answer has taken the replies out of the shards, and lacks none.
         if outcome != RequestOutcome::Complete {
             unanswered.extend(self.unanswered_attempts(now));
             present = self.count_shards().answered;
@@ -232,8 +232,7 @@
         }
     }
 
-    /// Returns the unfinished attempts of missing shards, which the slow or silent targets still
-    /// hold.
+    /// Returns the unfinished attempts of shards without a reply.
     fn unanswered_attempts(&self, now: TimePoint) -> Vec<UnansweredAttempt> {
         let missing = self.shards.iter().filter(|shard| shard.reply.is_none());
         let tried = missing.flat_map(|shard| shard.tried.iter().zip(&shard.sent_at));
@@ -258,7 +257,7 @@
         untried
             .filter_map(|(shard, service)| match (&shard.service, destination) {
                 (Some(known), _) => Some(known.name.clone()),
-                // Which of its services a split chose cannot be told from the position.
+                // The service that a split chose does not follow from the index of the shard.
                 (None, RouteDestination::Split(_)) => None,
                 (None, _) => Some(service.to_owned()),
             })
@@ -290,7 +289,7 @@
     }
 }
 
-/// Returns the retry delay of a caller whose targets all refused.
+/// Returns the retry delay of a request that no target ran.
 fn retry_after() -> TimeSpan {
     let jitter: f64 = rand::rng().random_range(0.0..1.0);
     RETRY_AFTER_MIN + RETRY_AFTER_JITTER.mul_f64(jitter)
--- a/alderhaven-front/src/query_run/crash_detection.rs
+++ b/alderhaven-front/src/query_run/crash_detection.rs
@@ -25,8 +25,7 @@
 use crate::target_handle::TargetHandle;
 use crate::wall_clock;
 
-/// The most lost attempts of a request that are probed. Two targets already decide, and each probe
-/// opens a connection.
+/// The most lost attempts of a request that are probed; each probe opens a connection.
 const MAX_CRASH_PROBES: usize = 4;
 
 /// Timeout of a probe. A host whose process is gone refuses the connection almost at once.
--- a/alderhaven-front/src/query_run/group_requests.rs
+++ b/alderhaven-front/src/query_run/group_requests.rs
@@ -28,8 +28,7 @@
 /// retired.
 const FLUSH_GRACE: TimeSpan = TimeSpan::from_millis(60);
 
-/// How long after the due time of its first reply a group request is given up. A front that is
-/// only busy or paused has replied by then.
+/// How long after the due time of its first reply a group request is given up.
 const FIRST_REPLY_GRACE: TimeSpan = TimeSpan::from_millis(240);
 
 /// Which attempts a group request carries.
@@ -66,8 +65,8 @@
         self.shards.iter().all(Option::is_none)
     }
 
-    /// Records at the targets without a reply how long their attempts have been out.
-    fn record_unanswered(&self, typical_latency: TimeSpan, now: TimePoint) {
+    /// Records the time since the send of the open attempts in the statistics of their targets.
+    fn record_open_attempts(&self, typical_latency: TimeSpan, now: TimePoint) {
         for (_, target) in self.shards.iter().flatten() {
             target.stats().end_attempt(
                 self.sent_at,
@@ -196,7 +195,7 @@
         }
     }
 
-    /// Applies the ends of attempts that another front made, and the records that it merged.
+    /// Applies the results of attempts that another front sent, and the records that it merged.
     pub(super) fn handle_group_reply(&mut self, index: usize, reply: GroupReply) {
         let now = self.context.clock.now();
         let request = &mut self.group_requests[index];
@@ -206,29 +205,37 @@
         }
         request.has_reply = true;
         let mut ended = Vec::with_capacity(reply.results.len());
-        for end in reply.results {
-            let position = usize::try_from(end.target_index).unwrap_or(usize::MAX);
-            if let Some(shard) = request.shards.get_mut(position).and_then(Option::take) {
-                ended.push((shard, end));
+        for result in reply.results {
+            let index_in_group = usize::try_from(result.target_index).unwrap_or(usize::MAX);
+            if let Some(shard) = request
+                .shards
+                .get_mut(index_in_group)
+                .and_then(Option::take)
+            {
+                ended.push((shard, result));
             }
         }
-        request.record_unanswered(self.typical_latency, now);
-        let answered = |end: &GroupAttemptResult| end.outcome() == GroupOutcome::Answered;
+        request.record_open_attempts(self.typical_latency, now);
+        let is_answered = |result: &GroupAttemptResult| result.outcome() == GroupOutcome::Answered;
         // Records of a shard that is already part of another block would count twice.
-        let has_duplicate = ended.iter().any(|((shard, _), end)| {
+        let has_duplicate = ended.iter().any(|((shard, _), result)| {
             let shard_reply = &self.shards[*shard].reply;
-            answered(end) && matches!(shard_reply, Some(ShardReply::Merged { .. }))
+            is_answered(result) && matches!(shard_reply, Some(ShardReply::Merged { .. }))
         });
-        let is_single = ended.iter().filter(|(_, end)| answered(end)).count() == 1;
+        let is_single = ended
+            .iter()
+            .filter(|(_, result)| is_answered(result))
+            .count()
+            == 1;
         let block_index = self.merged_blocks.len();
         if !has_duplicate && !is_single {
             self.merged_blocks.push(reply.records.clone());
         }
-        for ((shard, target), end) in ended {
+        for ((shard, target), result) in ended {
             self.shards[shard].open_attempts -= 1;
-            let elapsed = TimeSpan::from_micros(end.elapsed_us);
-            if !answered(&end) {
-                self.handle_failed_attempt(shard, &target, end.outcome(), elapsed, now);
+            let elapsed = TimeSpan::from_micros(result.elapsed_us);
+            if !is_answered(&result) {
+                self.handle_failed_attempt(shard, &target, result.outcome(), elapsed, now);
                 continue;
             }
             let sent_at = TimePoint::START + now.since(TimePoint::START).saturating_sub(elapsed);
@@ -237,7 +244,7 @@
                 .end_attempt(sent_at, self.typical_latency, AttemptResult::Answered, now);
             silent_domains::record_answer(&target, now);
             self.route.state.record_latency(elapsed);
-            let Ok(proof) = HeaderValue::from_maybe_shared(end.proof) else {
+            let Ok(proof) = HeaderValue::from_maybe_shared(result.proof) else {
                 continue;
             };
             let state = &mut self.shards[shard];
--- a/alderhaven-front/src/query_run/silent_domains.rs
+++ b/alderhaven-front/src/query_run/silent_domains.rs
@@ -23,10 +23,10 @@
     status: AbandonedStatus,
 }
 
-/// Records a reply of a target as a sign of life of its failure domain.
+/// Records a reply of a target, which ends a silence of its failure domain.
 pub(super) fn record_answer(target: &TargetHandle, now: TimePoint) {
     if target.silence().record_answer(now) {
-        FrontEvent::DomainHeard {
+        FrontEvent::DomainRecovered {
             domain: domain_name(target),
         }
         .emit(Level::Info);
@@ -69,12 +69,12 @@
 }
 
 impl QueryRun<'_> {
-    /// Counts attempts that are out for too long as overdue against their failure domains, once
-    /// each.
+    /// Counts attempts that lack a reply for too long as overdue against their failure domains,
+    /// once each.
     pub(super) fn record_overdue_attempts(&mut self, now: TimePoint) {
-        let wait = domain_silence::source_timeout(self.typical_latency);
+        let timeout = domain_silence::source_timeout(self.typical_latency);
         for open in &mut self.open_attempts {
-            if !open.is_overdue && now >= open.sent_at + wait {
+            if !open.is_overdue && now >= open.sent_at + timeout {
                 open.is_overdue = true;
                 record_overdue(&open.target, open.sent_at, now);
             }
@@ -92,12 +92,12 @@
 
     /// Returns when open attempts are to be checked next for the silence of their failure domains.
     pub(super) fn next_silence_check(&self, now: TimePoint) -> Option<TimePoint> {
-        let wait = domain_silence::source_timeout(self.typical_latency);
+        let timeout = domain_silence::source_timeout(self.typical_latency);
         let checks = self.open_attempts.iter().map(|open| {
             if open.is_overdue {
                 now + SILENCE_CHECK_INTERVAL
             } else {
-                open.sent_at + wait
+                open.sent_at + timeout
             }
         });
         checks.min()
@@ -130,8 +130,8 @@
     /// another target, or the domain counts as lost.
     fn may_abandon(&self, shard: usize, target: &TargetHandle, now: TimePoint) -> bool {
         let silence = *target.silence();
-        let has_more = self.shards[shard].counted_targets() < self.route.rule.max_targets;
-        silence.is_silent(now) && (has_more || silence.is_lost(now))
+        let is_below_limit = self.shards[shard].counted_targets() < self.route.rule.max_targets;
+        silence.is_silent(now) && (is_below_limit || silence.is_lost(now))
     }
 
     /// Removes direct attempts that are overdue at silent failure domains.
@@ -139,8 +139,11 @@
         let mut abandoned = Vec::new();
         let open = std::mem::take(&mut self.open_attempts);
         for open in open {
-            let is_wanted = self.shards[open.shard].reply.is_none();
-            if !open.is_overdue || !is_wanted || !self.may_abandon(open.shard, &open.target, now) {
+            let is_unanswered = self.shards[open.shard].reply.is_none();
+            if !open.is_overdue
+                || !is_unanswered
+                || !self.may_abandon(open.shard, &open.target, now)
+            {
                 self.open_attempts.push(open);
                 continue;
             }
--- a/alderhaven-front/src/route_destination.rs
+++ b/alderhaven-front/src/route_destination.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteDestination {
-    /// Any server of the service answers.
+    /// Any target of the service answers.
     Service(String),
-    /// Any server of one service answers. The service is chosen by weight.
+    /// Any target of one service answers. The service is chosen by weight.
     Split(Vec<WeightedService>),
-    /// Scatter-gather: one server of each service answers, and the records are merged.
+    /// Scatter-gather: one target of each service answers, and the records are merged.
     Shards {
         /// Services, each holding one shard.
         services: Vec<String>,
--- a/alderhaven-front/src/service_targets.rs
+++ b/alderhaven-front/src/service_targets.rs
@@ -11,7 +11,7 @@
 use crate::target_handle::{TargetHandle, TargetStatus};
 
 /// Expected cost added to a target whose registration has expired, so that it is used only if all
-/// others are stuck.
+/// others cost far more or can't be used.
 const EXPIRED_PENALTY: TimeSpan = TimeSpan::from_millis(200);
 
 /// Expected cost added to a target in a silent failure domain, so that it is used only if there is
--- a/alderhaven-front/src/shard_state.rs
+++ b/alderhaven-front/src/shard_state.rs
@@ -33,7 +33,7 @@
     pub open_attempts: usize,
     /// When the next hedge is due, or `None` if none is planned.
     pub hedge_at: Option<TimePoint>,
-    /// Whether a target rejected an attempt without running it.
+    /// Whether a target refused an attempt without running it.
     pub is_refused: bool,
     /// Reply that goes into the answer.
     pub reply: Option<ShardReply>,
@@ -71,7 +71,7 @@
         self.possible_runs += 1;
     }
 
-    /// Records that a target rejected an attempt without running it.
+    /// Records that a target refused an attempt without running it.
     pub const fn record_refused(&mut self) {
         self.possible_runs -= 1;
     }
--- a/alderhaven-front/src/store_availability.rs
+++ b/alderhaven-front/src/store_availability.rs
@@ -16,7 +16,7 @@
 /// Store availability as seen by the followers of one process.
 #[derive(Debug, Default)]
 pub struct StoreAvailability {
-    /// The kind whose follower probes the store; none if the last call was answered.
+    /// The kind whose follower probes the store; `None` if the last call was answered.
     probing_kind: watch::Sender<Option<ObjectKind>>,
 }
 
--- a/alderhaven-front/src/store_follower.rs
+++ b/alderhaven-front/src/store_follower.rs
@@ -1,5 +1,5 @@
-//! Follows one kind of object in the store while the watch plan assigns it to this node, and feeds
-//! the catalog, from which peers learn the rest.
+//! Follows one kind of object in the store while the watch plan assigns it to this node, and merges
+//! the objects into the catalog. Nodes that don't watch receive them from peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,30 +29,31 @@
 /// noticed.
 const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(3_000);
 
-/// The same for evacuations. They change rarely, so a longer wait saves calls.
+/// How long a watch call for evacuations waits for a change. They change rarely, so a longer wait
+/// saves calls.
 const EVACUATION_WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(4_500);
 
-/// The nodes that watch kinds other than the configuration. Fewer suffice: if all of them are
-/// lost, another node takes over before the change of a target matters.
+/// The number of nodes that watch each kind other than the configuration.
 const NON_CONFIG_WATCHERS: usize = 2;
 
 /// The delay after a configuration change before the next watch call, so that one call returns a
 /// burst of changes.
 const CONFIG_BATCH_DELAY: Duration = Duration::from_millis(250);
 
-/// The same after a change of targets, which often register and leave in groups.
+/// The delay after a change of targets before the next watch call; targets often register and
+/// leave in groups.
 const TARGET_BATCH_DELAY: Duration = Duration::from_millis(500);
 
 /// How often a node that doesn't watch re-evaluates the watch plan.
 const WATCH_PLAN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The timeout of the initial list. It is short, because a retry may find the store recovered.
+/// The timeout of each call for the initial list.
 const INITIAL_LIST_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// How often a starting node checks whether its peers have sent all objects.
 const PEER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The delays after failed calls; failed calls cost as much as answered ones.
+/// The delays after failed calls.
 const BACKOFF: BackoffOptions = BackoffOptions {
     initial_wait: TimeSpan::from_millis(250),
     max_wait: TimeSpan::from_millis(1_500),
@@ -166,7 +167,7 @@
     }
 
     /// Waits for peers to send all objects, which costs no store call. When a whole group starts
-    /// at once, its leading nodes ask the store and the others wait for them.
+    /// at once, its first nodes call the store and the others wait for them.
     async fn wait_for_peers(&self) {
         let started = self.clock.now();
         loop {
@@ -209,8 +210,8 @@
         self.availability.wait_while_probed(self.kind).await;
     }
 
-    /// Waits after a failed call. Nodes outside the leading ones wait longer the more nodes there
-    /// are.
+    /// Waits after a failed call. Nodes that aren't among the first ones wait longer the more nodes
+    /// there are.
     async fn wait_before_retry(&self, backoff: &mut RetryBackoff) {
         let random: f64 = rand::rng().random_range(0.0..1.0);
         let backoff_pause = backoff.next_wait(random);
@@ -250,12 +251,12 @@
         let contacts = self.catalog.store_contacts();
         let now = self.clock.now();
         let others = self.other_live_nodes();
-        let answered = self.group.since_store_answer();
+        let answer_age = self.group.since_store_answer();
         let plan = WatchPlan {
             own: &self.node,
             others: &others,
             contacts: &contacts,
-            answered_age: answered,
+            answered_age: answer_age,
         };
         plan.should_watch(&self.watch_options, now)
     }
@@ -284,9 +285,9 @@
 
     /// Lists the kind for the first time.
     ///
-    /// When a whole group starts at once every node may list all targets, so a cheaper stale read is used
-    /// for them: peers that watch the store send what it lacks. The configuration is a single object and
-    /// is read fresh.
+    /// When a whole group starts at once every node may list all targets, so a cheaper stale read
+    /// is used for them; peers that watch the store send what it lacks. The configuration is a
+    /// single object and is read fresh.
     async fn list_initial(&mut self) -> Result<(), StoreError> {
         let kinds = [self.kind];
         let list = match self.kind {
--- a/alderhaven-front/src/target_handle.rs
+++ b/alderhaven-front/src/target_handle.rs
@@ -24,13 +24,13 @@
     stats: Mutex<ReplicaStats>,
     status: Mutex<TargetStatus>,
     warmup: Mutex<WarmupLimit>,
-    /// Reachability of its failure domain, shared by all targets there.
+    /// Silence detector of its failure domain, shared by all targets there.
     silence: SharedSilence,
     is_evacuated: AtomicBool,
     has_preconnected: AtomicBool,
 }
 
-/// Reachability of a failure domain, shared by its targets.
+/// Silence detector of a failure domain, shared by its targets.
 pub type SharedSilence = Arc<Mutex<DomainSilence>>;
 
 /// Whether a target may be used, by its registration.
@@ -117,7 +117,7 @@
         self.is_evacuated() || self.status() == TargetStatus::Leaving
     }
 
-    /// Locks the reachability of its failure domain.
+    /// Locks the silence detector of its failure domain.
     pub fn silence(&self) -> MutexGuard<'_, DomainSilence> {
         self.silence.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/alderhaven-front/src/target_pool.rs
+++ b/alderhaven-front/src/target_pool.rs
@@ -159,11 +159,11 @@
                 .unwrap_or(DEFAULT_IDLE_TIMEOUT)
                 .mul_f64(IDLE_TIMEOUT_SHARE),
         };
-        let mut kept = self.idle();
+        let mut idle_connections = self.idle();
         // Requests that open new connections return them as well. Limiting the idle ones keeps the
         // total at the target bounded.
-        if kept.len() < self.max_idle() {
-            kept.push(idle);
+        if idle_connections.len() < self.max_idle() {
+            idle_connections.push(idle);
         }
     }
 
@@ -210,10 +210,10 @@
         let now = self.clock.now();
         let mut idle = self.idle();
         loop {
-            let kept = idle.pop()?;
-            let is_fresh = now.since(kept.idle_since) < kept.idle_timeout;
-            if is_fresh && kept.connection.sender.is_ready() {
-                return Some(kept.connection);
+            let newest = idle.pop()?;
+            let is_fresh = now.since(newest.idle_since) < newest.idle_timeout;
+            if is_fresh && newest.connection.sender.is_ready() {
+                return Some(newest.connection);
             }
         }
     }
--- a/alderhaven-front/src/wire_dialect.rs
+++ b/alderhaven-front/src/wire_dialect.rs
@@ -80,7 +80,7 @@
     /// Parses the head of a caller's request.
     fn caller_head(&self, head: &Parts) -> CallerHead;
 
-    /// Parses a directory query; none if the request is something else.
+    /// Parses a directory query; `None` if the request is something else.
     fn directory_query(&self, head: &Parts) -> Option<DirectoryQuery>;
 
     /// Returns true if the request is a readiness probe.
--- a/alderhaven-front/tests/drain_options.rs
+++ b/alderhaven-front/tests/drain_options.rs
@@ -35,8 +35,8 @@
 #[test]
 fn drain_with_long_directory_ttl_reserves_time_for_in_flight_requests() {
     let limit = TimeSpan::from_millis(5_500);
-    let spans = front_node::drain_options(&options(TimeSpan::from_secs(4), limit));
-    let mut sequence = DrainSequence::new(spans);
+    let drain = front_node::drain_options(&options(TimeSpan::from_secs(4), limit));
+    let mut sequence = DrainSequence::new(drain);
     let mut now = TimePoint::START;
     sequence.handle(DrainEvent::StopRequested { now, in_flight: 1 });
     while sequence.takes_requests() {
@@ -50,6 +50,6 @@
 #[test]
 fn drain_with_short_directory_ttl_waits_for_cached_entries() {
     let limit = TimeSpan::from_millis(5_500);
-    let spans = front_node::drain_options(&options(TimeSpan::from_secs(1), limit));
-    assert_eq!(spans.directory_lifetime, TimeSpan::from_secs(3));
+    let drain = front_node::drain_options(&options(TimeSpan::from_secs(1), limit));
+    assert_eq!(drain.directory_lifetime, TimeSpan::from_secs(3));
 }
--- a/alderhaven-node/src/lib.rs
+++ b/alderhaven-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! Shared parts of the entry and relay processes: the main function, participation in the group,
-//! and graceful shutdown.
+//! Shared parts of the long-running processes: the main function, participation in the group, and
+//! graceful shutdown.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/alderhaven-node/src/node_group.rs
+++ b/alderhaven-node/src/node_group.rs
@@ -1,4 +1,4 @@
-//! A process's participation in the group of entries and relays.
+//! A process's participation in the group of nodes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
         Self::start_with(options, config_access(config)).await
     }
 
-    /// Joins the group with objects that are not stored in a [`ConfigHandle`].
+    /// Joins the group and exchanges objects that are not kept in a [`ConfigHandle`].
     ///
     /// # Errors
     /// Returns an I/O error if the gossip address can't be bound.
@@ -211,7 +211,7 @@
     ConfigAccess::builder()
         .stamps(move || stamps.stamps())
         .look_up(move |key| objects.object(key))
-        .accept(move |accepted| accept.accept(accepted))
+        .accept(move |received| accept.accept(received))
         .is_fully_listed(move || listed.complete_revision().is_some())
         .changes(config.subscribe())
         .build()
--- a/alderhaven-node/src/stop_handle.rs
+++ b/alderhaven-node/src/stop_handle.rs
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Publishes a new state. The group learns of the leaving before this process acts on it.
+    /// Publishes a new state. That this process leaves is announced to the group first.
     async fn enter_state(&self, state: DrainState, group: &NodeGroup) {
         if self.state() == state {
             return;
