--- a/alderhaven-front/src/front_event.rs
+++ b/alderhaven-front/src/front_event.rs
@@ -79,8 +79,7 @@
         domain: String,
     },
     /// A silent failure domain responds again.
-    #[serde(rename = "domain_heard")]
-    DomainRecovered {
+    DomainHeard {
         /// The name of the domain.
         domain: String,
     },
@@ -258,7 +257,7 @@
             Self::TargetDeregistered { .. } => "target_gone",
             Self::TargetEjected { .. } => "target_aside",
             Self::DomainSilent { .. } => "domain_silent",
-            Self::DomainRecovered { .. } => "domain_heard",
+            Self::DomainHeard { .. } => "domain_heard",
             Self::DomainEvacuated { .. } => "domain_evacuated",
             Self::DomainReturned { .. } => "domain_returned",
             Self::EvacuationUnreadable { .. } => "evacuation_unreadable",
--- a/alderhaven-front/src/front_metrics.rs
+++ b/alderhaven-front/src/front_metrics.rs
@@ -18,7 +18,7 @@
 
 /// The upper bounds of the latency buckets in seconds, from a lookup within a failure domain to
 /// the longest request deadline.
-const LATENCY_BUCKET_SECONDS: [f64; 10] = [0.01, 0.02, 0.04, 0.06, 0.1, 0.15, 0.25, 0.5, 1.5, 6.0];
+const LATENCY_BUCKETS: [f64; 10] = [0.01, 0.02, 0.04, 0.06, 0.1, 0.15, 0.25, 0.5, 1.5, 6.0];
 
 /// The metrics of a process; clones share their values.
 #[derive(Clone, Debug)]
@@ -150,9 +150,7 @@
     fn default() -> Self {
         Self {
             requests: Family::default(),
-            request_seconds: Family::new_with_constructor(|| {
-                Histogram::new(LATENCY_BUCKET_SECONDS)
-            }),
+            request_seconds: Family::new_with_constructor(|| Histogram::new(LATENCY_BUCKETS)),
             attempts: Family::default(),
             unanswered_attempts: Family::default(),
             store_calls: Family::default(),
--- a/alderhaven-front/src/query_run/silent_domains.rs
+++ b/alderhaven-front/src/query_run/silent_domains.rs
@@ -26,7 +26,7 @@
 /// Records a reply of a target, which ends a silence of its failure domain.
 pub(super) fn record_answer(target: &TargetHandle, now: TimePoint) {
     if target.silence().record_answer(now) {
-        FrontEvent::DomainRecovered {
+        FrontEvent::DomainHeard {
             domain: domain_name(target),
         }
         .emit(Level::Info);
