--- a/alderhaven-front/src/query_run/group_requests.rs
+++ b/alderhaven-front/src/query_run/group_requests.rs
@@ -65,7 +65,7 @@
         self.shards.iter().all(Option::is_none)
     }
 
-    /// Records the time since the send of the open attempts in the statistics of their targets.
+    /// Records how long ago the open attempts were sent, in the statistics of their targets.
     fn record_open_attempts(&self, typical_latency: TimeSpan, now: TimePoint) {
         for (_, target) in self.shards.iter().flatten() {
             target.stats().end_attempt(
--- a/alderhaven-node/src/stop_handle.rs
+++ b/alderhaven-node/src/stop_handle.rs
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Publishes a new state. That this process leaves is announced to the group first.
+    /// Publishes a new state; announces leaving to the group first.
     async fn enter_state(&self, state: DrainState, group: &NodeGroup) {
         if self.state() == state {
             return;
