--- a/alderhaven-front/src/front_event.rs
+++ b/alderhaven-front/src/front_event.rs
@@ -128,7 +128,8 @@
     LinkLost {
         /// The address of the other front.
         front: SocketAddr,
-        /// The number of pending requests on the connection.
+        /// The number of pending requests: those of the lost connection, or all to that front after
+        /// a timeout.
         open: usize,
     },
     /// The number of live nodes changed.
--- a/alderhaven-front/src/front_metrics.rs
+++ b/alderhaven-front/src/front_metrics.rs
@@ -112,9 +112,9 @@
     First,
     /// First attempt for its shard, sent through a front in another failure domain.
     Relayed,
-    /// The first attempt is late.
+    /// Sent because the first attempt is late.
     Hedge,
-    /// An attempt failed.
+    /// Sent after an attempt failed.
     Retry,
 }
 
