--- a/alderhaven-core/src/log_queue.rs
+++ b/alderhaven-core/src/log_queue.rs
@@ -20,7 +20,7 @@
 /// How long the first line of a batch waits for further lines, to save system calls.
 const BATCH_DELAY: Duration = Duration::from_millis(250);
 
-/// How often [`LogQueue::wait_until_written`] checks the queue before it gives up.
+/// Maximum number of checks of the queue by [`LogQueue::wait_until_written`].
 const MAX_DRAIN_POLLS: u32 = 25;
 /// The pause between two of these checks.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the number of lines dropped since the last batch was written.
+    /// Returns the number of dropped lines that no batch has reported yet.
     #[must_use]
     pub fn dropped_lines(&self) -> u64 {
         self.dropped_lines.load(Ordering::Relaxed)
--- a/alderhaven-core/src/manifest.rs
+++ b/alderhaven-core/src/manifest.rs
@@ -76,7 +76,10 @@
             if pair[0].shard >= pair[1].shard {
                 errors.push(Error::invalid(
                     "shards",
-                    format!("shard {} must come after {}", pair[1].shard, pair[0].shard),
+                    format!(
+                        "shard {} is listed after shard {}, but the numbers must ascend",
+                        pair[1].shard, pair[0].shard
+                    ),
                 ));
             }
             if pair[0].first_key > pair[1].first_key {
--- a/alderhaven-core/src/startup.rs
+++ b/alderhaven-core/src/startup.rs
@@ -48,9 +48,9 @@
 /// # Errors
 /// The exit code for the process: 0 after the help was printed, 2 after an error was printed.
 pub fn parse_arguments<T: FromArgs>(name: &str) -> Result<T, ExitCode> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    T::from_args(&[name], &words).map_err(|exit| {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    T::from_args(&[name], &arguments).map_err(|exit| {
         if exit.status.is_ok() {
             println!("{}", exit.output);
             return ExitCode::SUCCESS;
--- a/alderhaven-core/src/template.rs
+++ b/alderhaven-core/src/template.rs
@@ -191,7 +191,7 @@
             ));
         }
         match self.preference {
-            AnswerPreference::Latency => self.check_latency_first(errors),
+            AnswerPreference::Latency => self.check_latency_preference(errors),
             AnswerPreference::Coverage => {
                 if self.answer_by.is_some() || self.min_coverage.is_some() {
                     errors.push(Error::invalid(
@@ -203,7 +203,7 @@
         }
     }
 
-    fn check_latency_first(&self, errors: &mut Vec<Error>) {
+    fn check_latency_preference(&self, errors: &mut Vec<Error>) {
         match self.answer_by {
             None => errors.push(Error::invalid(
                 "answer_by",
@@ -226,7 +226,7 @@
         if !self.idempotent {
             errors.push(Error::invalid(
                 "preference",
-                "a non-idempotent template can't answer with part of its shards",
+                "a non-idempotent template can't answer with partial coverage",
             ));
         }
     }
@@ -297,7 +297,7 @@
         if !self.idempotent && !matches!(self.shards, ShardSelection::ByKeyHash { .. }) {
             errors.push(Error::invalid(
                 "shards",
-                "a non-idempotent template asks one shard: allowed is `select: by_key_hash`",
+                "a non-idempotent template must request exactly one shard: allowed is `select: by_key_hash`",
             ));
         }
     }
--- a/alderhaven-core/tests/log_queue.rs
+++ b/alderhaven-core/tests/log_queue.rs
@@ -36,7 +36,7 @@
         resume: resumed,
         written,
     };
-    let mut queue = LogQueue::start(output).expect("a queue");
+    let mut queue = LogQueue::start(output).expect("the writer thread starts");
     for number in 0..10_000 {
         writeln!(queue, "{{\"event\":\"line\",\"number\":{number}}}")
             .expect("the line is accepted");
@@ -59,7 +59,7 @@
         resume: resumed,
         written,
     };
-    let mut queue = LogQueue::start(output).expect("a queue");
+    let mut queue = LogQueue::start(output).expect("the writer thread starts");
     for _ in 0..10_000 {
         writeln!(queue, "{{}}").expect("the line is accepted");
     }
--- a/alderhaven-peer/examples/member-slopes/simulated_group.rs
+++ b/alderhaven-peer/examples/member-slopes/simulated_group.rs
@@ -64,6 +64,7 @@
     traffic: Traffic,
     last_version: u64,
     is_partitioned: bool,
+    /// CPU time of the simulation's own checks, which the members' CPU time excludes.
     check_cpu_s: f64,
 }
 
--- a/alderhaven-peer/src/codec.rs
+++ b/alderhaven-peer/src/codec.rs
@@ -8,7 +8,7 @@
 
 use crate::frames::{PeerFrame, PeerMessage};
 
-/// Largest frame that is accepted, in bytes; well above the reply of one shard.
+/// Maximum size of a frame without its length prefix, in bytes.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// Encodes and decodes peer messages on a byte stream.
--- a/alderhaven-peer/src/connection.rs
+++ b/alderhaven-peer/src/connection.rs
@@ -19,9 +19,9 @@
 use crate::codec::FrameCodec;
 use crate::frames::{PeerFrame, PeerMessage};
 
-/// Most messages in one write; enough for all attempts of a query.
+/// Maximum number of messages in one write.
 const MAX_BATCH_MESSAGES: usize = 256;
-/// Largest capacity of the write buffer that is kept between writes.
+/// Maximum capacity of the write buffer that is kept between writes.
 const MAX_RETAINED_BUFFER_BYTES: usize = 64 << 10;
 /// Initial capacity of the read buffer.
 const READ_BUFFER_BYTES: usize = 8 << 10;
--- a/alderhaven-peer/src/peer_driver.rs
+++ b/alderhaven-peer/src/peer_driver.rs
@@ -229,18 +229,18 @@
         let now = self.clock.now();
         match command {
             PeerCommand::SetLoad(load) => self.membership.set_load(load),
-            PeerCommand::NoteStoreAnswer => self.membership.note_store_answer(now),
-            PeerCommand::Leave(sent) => {
+            PeerCommand::RecordStoreAnswer => self.membership.note_store_answer(now),
+            PeerCommand::Leave(sender) => {
                 let outgoing = self.membership.announce_leaving(now, &mut self.rng);
                 self.send_all(outgoing).await;
-                let _receiver_is_gone = sent.send(()).is_err();
+                let _receiver_is_gone = sender.send(()).is_err();
             }
-            PeerCommand::ShutDown(sent) => {
+            PeerCommand::ShutDown(sender) => {
                 let outgoing = self.membership.announce_gone(now, &mut self.rng);
                 self.send_all(outgoing).await;
                 // Ignores the publish interval: the task ends, so no later snapshot would follow.
                 self.publish_now(now);
-                let _receiver_is_gone = sent.send(()).is_err();
+                let _receiver_is_gone = sender.send(()).is_err();
                 return true;
             }
         }
--- a/alderhaven-peer/src/peer_handle.rs
+++ b/alderhaven-peer/src/peer_handle.rs
@@ -63,7 +63,7 @@
     /// Sets the load level that this process reports.
     SetLoad(LoadLevel),
     /// Records that the store answered this process.
-    NoteStoreAnswer,
+    RecordStoreAnswer,
 }
 
 impl PeerSnapshot {
@@ -113,7 +113,7 @@
 
     /// Reports to the group that the store has just answered this process.
     pub fn note_store_answer(&self) {
-        self.send_command(PeerCommand::NoteStoreAnswer);
+        self.send_command(PeerCommand::RecordStoreAnswer);
     }
 
     /// Returns the time since the store last answered another member, or `None` if no member
@@ -127,18 +127,18 @@
 
     /// Announces that this process is leaving; returns once the announcement is sent.
     pub async fn announce_leaving(&self) {
-        let (sent, is_sent) = oneshot::channel();
-        self.send_command(PeerCommand::Leave(sent));
+        let (sender, sent) = oneshot::channel();
+        self.send_command(PeerCommand::Leave(sender));
         // An error means that the driver has ended, which leaves nothing to announce.
-        let _ended = is_sent.await;
+        let _ended = sent.await;
     }
 
     /// Announces that this process is gone and ends gossip and exchange; returns once the
     /// announcement is sent.
     pub async fn shut_down(&self) {
-        let (sent, is_sent) = oneshot::channel();
-        self.send_command(PeerCommand::ShutDown(sent));
-        let _ended = is_sent.await;
+        let (sender, sent) = oneshot::channel();
+        self.send_command(PeerCommand::ShutDown(sender));
+        let _ended = sent.await;
     }
 
     fn send_command(&self, command: PeerCommand) {
--- a/alderhaven-peer/src/peer_node.rs
+++ b/alderhaven-peer/src/peer_node.rs
@@ -20,7 +20,7 @@
 use crate::peer_handle::{PeerHandle, PeerSnapshot, SharedPeers};
 use crate::peer_options::{ConfigAccess, PeerOptions};
 
-/// Attempts to find a port that is free for both UDP and TCP.
+/// Maximum number of attempts to find a port that is free for both UDP and TCP.
 const MAX_PORT_TRIES: usize = 16;
 
 /// Capacity of the link event queue; when it is full, connections are read more slowly.
--- a/alderhaven-soak/src/front_process.rs
+++ b/alderhaven-soak/src/front_process.rs
@@ -37,33 +37,34 @@
 pub struct FrontProcess {
     settings: FrontSettings,
     binary: PathBuf,
-    folder: PathBuf,
+    directory: PathBuf,
     log: HistoryLog,
     start_count: usize,
     child: Option<Child>,
     restart_at: TimePoint,
     kill_at: Option<TimePoint>,
+    /// When to resume the suspended process, and the index of its disruption.
     frozen: Option<(TimePoint, usize)>,
 }
 
 impl FrontProcess {
-    /// Starts the first process. Its settings file and the output of all processes go to `folder`.
+    /// Starts the first process. Its settings file and the output of all processes go to `directory`.
     ///
     /// # Errors
     /// A file can't be written, or the binary can't be started.
     pub fn start(
         settings: FrontSettings,
         binary: &Path,
-        folder: &Path,
+        directory: &Path,
         log: HistoryLog,
     ) -> Result<Self> {
-        let path = folder.join(format!("{}.toml", settings.name));
+        let path = directory.join(format!("{}.toml", settings.name));
         std::fs::write(&path, settings.to_toml())
             .wrap_err_with(|| format!("{} can't be written", path.display()))?;
         let mut process = Self {
             settings,
             binary: binary.to_owned(),
-            folder: folder.to_owned(),
+            directory: directory.to_owned(),
             log,
             start_count: 0,
             child: None,
@@ -99,13 +100,18 @@
     fn start_child(&mut self) -> Result<()> {
         self.start_count += 1;
         let name = &self.settings.name;
-        let output = self.folder.join(format!("{name}.{}.log", self.start_count));
+        let output = self
+            .directory
+            .join(format!("{name}.{}.log", self.start_count));
         let output = File::create(&output).wrap_err("the output log can't be created")?;
         let errors = output
             .try_clone()
             .wrap_err("the output log can't be duplicated for stderr")?;
         let child = Command::new(&self.binary)
-            .env(SETTINGS_VARIABLE, self.folder.join(format!("{name}.toml")))
+            .env(
+                SETTINGS_VARIABLE,
+                self.directory.join(format!("{name}.toml")),
+            )
             .stdin(Stdio::null())
             .stdout(output)
             .stderr(errors)
--- a/alderhaven-soak/src/link_proxy.rs
+++ b/alderhaven-soak/src/link_proxy.rs
@@ -72,19 +72,19 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let mode = watch::Sender::new(LinkMode::Open);
-        let stopping = CancellationToken::new();
+        let stop_token = CancellationToken::new();
         let mode_receiver = mode.subscribe();
-        let stopped = stopping.clone();
+        let accept_stop_token = stop_token.clone();
         tokio::spawn(async move {
             tokio::select! {
-                () = stopped.cancelled() => {}
-                () = accept_connections(listener, server, mode_receiver, stopped.clone()) => {}
+                () = accept_stop_token.cancelled() => {}
+                () = accept_connections(listener, server, mode_receiver, accept_stop_token.clone()) => {}
             }
         });
         Ok(Self {
             address,
             mode,
-            _stop_guard: Arc::new(stopping.drop_guard()),
+            _stop_guard: Arc::new(stop_token.drop_guard()),
         })
     }
 
@@ -104,13 +104,13 @@
     listener: TcpListener,
     server: SocketAddr,
     mode: watch::Receiver<LinkMode>,
-    stopped: CancellationToken,
+    stop_token: CancellationToken,
 ) {
     while let Ok((client, _)) = listener.accept().await {
-        let (mode, stopped) = (mode.clone(), stopped.clone());
+        let (mode, stop_token) = (mode.clone(), stop_token.clone());
         tokio::spawn(async move {
             tokio::select! {
-                () = stopped.cancelled() => {}
+                () = stop_token.cancelled() => {}
                 () = forward_connection(client, server, mode) => {}
             }
         });
@@ -125,8 +125,8 @@
 ) {
     let mut unblocked_mode = mode.clone();
     // While requests are blocked, the connection is accepted but none is opened to the server.
-    let is_unblocked = unblocked_mode.wait_for(|mode| !mode.blocks(LinkDirection::Upstream));
-    if is_unblocked.await.is_err() {
+    let unblocked = unblocked_mode.wait_for(|mode| !mode.blocks(LinkDirection::Upstream));
+    if unblocked.await.is_err() {
         return;
     }
     if *mode.borrow() == LinkMode::Reset {
@@ -161,8 +161,8 @@
 }
 
 async fn wait_for_reset(mode: &mut watch::Receiver<LinkMode>) {
-    let is_reset = mode.wait_for(|mode| *mode == LinkMode::Reset);
-    if is_reset.await.is_err() {
+    let reset = mode.wait_for(|mode| *mode == LinkMode::Reset);
+    if reset.await.is_err() {
         // The link was dropped, so no reset can follow.
         std::future::pending::<()>().await;
     }
@@ -195,7 +195,7 @@
     }
 }
 
-/// Makes the system send a reset when the connection is dropped.
+/// Makes the operating system send a reset when the connection is dropped.
 fn reset_when_dropped(stream: &TcpStream) {
     // If this fails, the connection is closed in order, which is a fault as well.
     let _refused = stream.set_zero_linger();
--- a/alderhaven-soak/src/main.rs
+++ b/alderhaven-soak/src/main.rs
@@ -136,7 +136,7 @@
     let is_selected = |case: &SeedCase| arguments.seed.is_none_or(|seed| seed == case.seed);
     let cases: Vec<SeedCase> = cases.into_iter().filter(is_selected).collect();
     if cases.is_empty() {
-        bail!("cases.yaml has no such seed");
+        bail!("cases.yaml has no case with the given seed");
     }
     let mut all_passed = true;
     for case in &cases {
@@ -213,8 +213,8 @@
         return Ok(path);
     }
     let own = std::env::current_exe().wrap_err("the path of this program is unknown")?;
-    let folder = own
+    let directory = own
         .parent()
         .ok_or_eyre("the path of this program has no parent directory")?;
-    Ok(folder.join("alder-front"))
+    Ok(directory.join("alder-front"))
 }
--- a/alderhaven-soak/src/promises/answers.rs
+++ b/alderhaven-soak/src/promises/answers.rs
@@ -59,7 +59,7 @@
 fn check_forwarded(id: &str, request: &RequestRecord, answer: &AnswerRecord) -> Option<String> {
     let Some((service, answered_id)) = shard_records::parse_proof(&answer.proof) else {
         return Some(format!(
-            "a success with the invalid digest `{}`",
+            "a success with the invalid proof `{}`",
             answer.proof
         ));
     };
@@ -88,7 +88,7 @@
         .map(|proof| shard_records::parse_proof(proof))
         .collect();
     let Some(parts) = parts else {
-        return Some(format!("an invalid digest in {:?}", answer.part_proofs));
+        return Some(format!("an invalid proof in {:?}", answer.part_proofs));
     };
     if let Some((service, other_id)) = parts.iter().find(|(_, answered_id)| *answered_id != id) {
         return Some(format!("the part of {service} is for {other_id}"));
--- a/alderhaven-soak/src/shard_records.rs
+++ b/alderhaven-soak/src/shard_records.rs
@@ -36,7 +36,7 @@
     records.concat()
 }
 
-/// Extracts the service and the request id from a target's digest, `d-{target}-{request id}`;
+/// Extracts the service and the request id from a target's proof, `d-{target}-{request id}`;
 /// `None` if it has another form.
 #[must_use]
 pub fn parse_proof(proof: &str) -> Option<(&str, &str)> {
--- a/alderhaven-soak/src/soak_fault.rs
+++ b/alderhaven-soak/src/soak_fault.rs
@@ -71,7 +71,7 @@
 }
 
 impl SoakFault {
-    /// Returns the name of the variant, as reports show it.
+    /// Returns the serialized name of the variant, as reports show it.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
--- a/alderhaven-soak/src/soak_history.rs
+++ b/alderhaven-soak/src/soak_history.rs
@@ -95,9 +95,9 @@
     pub status: u16,
     /// Whether it states that the request has not run and never will.
     pub is_refusal: bool,
-    /// The digests of the parts of a merged answer, one per shard.
+    /// The proofs of the parts of a merged answer, one per shard.
     pub part_proofs: Vec<String>,
-    /// The digest of an answer that was forwarded unmerged; empty if there is none.
+    /// The proof of an answer that was forwarded unmerged; empty if there is none.
     pub proof: String,
     /// The number of shards that the answer declares missing.
     pub missing: usize,
--- a/alderhaven-soak/src/soak_run.rs
+++ b/alderhaven-soak/src/soak_run.rs
@@ -67,23 +67,23 @@
 /// # Errors
 /// A part of the run can't be started or fails. A broken promise is no error: the report lists it.
 pub async fn run(options: &SoakOptions) -> Result<SoakReport> {
-    let folder = create_log_folder(options)?;
+    let directory = create_log_directory(options)?;
     let mut plan = SoakPlan::new(options.seed, options.span);
     if options.has_evacuations {
         plan = plan.with_evacuations(options.seed);
     }
-    let mut run = SoakRun::start(options, &folder).await?;
-    let _watch = stall_detector::start(run.log.clone());
+    let mut run = SoakRun::start(options, &directory).await?;
+    let _stall_guard = stall_detector::start(run.log.clone());
     let violations = run.run_plan(options, &plan).await?;
     let history = run.log.lock().clone();
     let logs = if violations.is_empty() {
-        std::fs::remove_dir_all(&folder).wrap_err("the log directory can't be removed")?;
+        std::fs::remove_dir_all(&directory).wrap_err("the log directory can't be removed")?;
         None
     } else {
-        let path = folder.join("history.json");
+        let path = directory.join("history.json");
         let content = serde_json::to_vec(&(&plan, &history, &violations))?;
         std::fs::write(path, content).wrap_err("history.json can't be written")?;
-        Some(folder.display().to_string())
+        Some(directory.display().to_string())
     };
     let mut faults = BTreeMap::new();
     for step in &plan.steps {
@@ -104,12 +104,12 @@
     })
 }
 
-fn create_log_folder(options: &SoakOptions) -> Result<PathBuf> {
+fn create_log_directory(options: &SoakOptions) -> Result<PathBuf> {
     let name = format!("seed-{}-{}", options.seed, std::process::id());
-    let folder = options.logs.join(name);
-    std::fs::create_dir_all(&folder)
-        .wrap_err_with(|| format!("{} can't be created", folder.display()))?;
-    Ok(folder)
+    let directory = options.logs.join(name);
+    std::fs::create_dir_all(&directory)
+        .wrap_err_with(|| format!("{} can't be created", directory.display()))?;
+    Ok(directory)
 }
 
 /// Returns the loopback address of a front's host. It contains the id of this process, since all
@@ -121,7 +121,7 @@
 }
 
 impl SoakRun {
-    async fn start(options: &SoakOptions, folder: &std::path::Path) -> Result<Self> {
+    async fn start(options: &SoakOptions, directory: &std::path::Path) -> Result<Self> {
         let log = HistoryLog::default();
         let store = StoreStandin::start()
             .await
@@ -138,7 +138,7 @@
             caller_tasks: Vec::new(),
         };
         for index in 0..options.fronts {
-            let front = run.start_front(options, folder, index).await?;
+            let front = run.start_front(options, directory, index).await?;
             run.fronts.push(front);
         }
         run.wait_until_ready().await?;
@@ -149,7 +149,7 @@
     async fn start_front(
         &self,
         options: &SoakOptions,
-        folder: &std::path::Path,
+        directory: &std::path::Path,
         index: usize,
     ) -> Result<RunningFront> {
         let link = LinkProxy::start(self.store.address())
@@ -167,7 +167,7 @@
             repeat_extra: repeat_budget::FREE_REPEATS_PER_WINDOW,
         };
         let log = self.log.clone();
-        let process = FrontProcess::start(settings.clone(), &options.front_binary, folder, log)?;
+        let process = FrontProcess::start(settings.clone(), &options.front_binary, directory, log)?;
         let (commands, received_commands) = mpsc::unbounded_channel();
         Ok(RunningFront {
             settings,
--- a/alderhaven-soak/src/soak_workload.rs
+++ b/alderhaven-soak/src/soak_workload.rs
@@ -31,8 +31,8 @@
 /// Extracts the failure domain from a target id of the form of [`target_id`].
 #[must_use]
 pub fn target_domain(target: &str) -> &str {
-    let (_, position) = target.rsplit_once('.').unwrap_or_default();
-    position.trim_end_matches(|letter: char| letter.is_ascii_digit())
+    let (_, domain_and_number) = target.rsplit_once('.').unwrap_or_default();
+    domain_and_number.trim_end_matches(|character: char| character.is_ascii_digit())
 }
 
 /// A way to divide the index into shards.
--- a/alderhaven-soak/tests/history/mod.rs
+++ b/alderhaven-soak/tests/history/mod.rs
@@ -83,7 +83,7 @@
         });
     }
 
-    /// Adds a request that is served 50 ms later, with its arrivals at targets.
+    /// Adds a request that is served after [`ANSWER_TIME`], with its arrivals at targets.
     pub fn add_request(&mut self, id: &str, kind: RequestKind, sent_at: TimePoint) {
         let services = kind.services(ShardSet::Old);
         let answer = if kind == RequestKind::FanOut {
--- a/alderhaven-soak/tests/links.rs
+++ b/alderhaven-soak/tests/links.rs
@@ -71,7 +71,7 @@
     assert_eq!(read_byte(&mut stream).await, None);
     let mut next = TcpStream::connect(link.address())
         .await
-        .expect("the address can be bound");
+        .expect("the link accepts the connection");
     assert_eq!(read_byte(&mut next).await, None);
 }
 
@@ -85,6 +85,6 @@
     let last = plan.steps.last().expect("the plan has a fault").at;
     assert!(
         last + FAULT_FREE_END <= span,
-        "no fault starts in the fault-free end"
+        "a fault starts in the fault-free end"
     );
 }
--- a/alderhaven-soak/tests/promises.rs
+++ b/alderhaven-soak/tests/promises.rs
@@ -72,7 +72,7 @@
     assert_eq!(builder.broken_promises(ALL), [PromiseKind::TrueCoverage]);
 }
 
-/// The answer names the digests of all shards but lacks the records of one.
+/// The answer contains the proofs of all shards but lacks the records of one.
 #[test]
 fn check_missing_records() {
     let mut builder = HistoryBuilder::valid();
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn read_proof_parts() {
+fn parse_proof_parts() {
     let parts = shard_records::parse_proof("d-old-3.b12-q1x7");
     assert_eq!(parts, Some(("old-3", "q1x7")));
     assert_eq!(shard_records::parse_proof("old-3"), None);
--- a/alderhaven-standin/src/fake_store.rs
+++ b/alderhaven-standin/src/fake_store.rs
@@ -276,7 +276,7 @@
         self.listings
             .iter()
             .rev()
-            .find(|(kept, _)| now.since(*kept) >= lag)
+            .find(|(recorded_at, _)| now.since(*recorded_at) >= lag)
             .map(|(_, listing)| listing.clone())
             .unwrap_or_default()
     }
--- a/alderhaven-standin/src/fleet_control.rs
+++ b/alderhaven-standin/src/fleet_control.rs
@@ -103,7 +103,7 @@
                 Ok(call) => control_reply(&services, call).await,
                 Err(error) => text_reply(StatusCode::BAD_REQUEST, error.to_string()),
             },
-            Err(refusal) => refusal.reply(),
+            Err(error) => error.reply(),
         },
         _ => text_reply(StatusCode::NOT_FOUND, "unknown path or method"),
     }
--- a/alderhaven-standin/src/held_indexes.rs
+++ b/alderhaven-standin/src/held_indexes.rs
@@ -69,8 +69,9 @@
     pub fn state_of(&self, requested: HeldIndex) -> IndexState {
         let state = self.lock_state();
         let now = Instant::now();
-        let is_kept = |(former, until): &(HeldIndex, Instant)| *former == requested && now < *until;
-        if state.current == requested || state.former.iter().any(is_kept) {
+        let is_in_grace_period =
+            |(former, until): &(HeldIndex, Instant)| *former == requested && now < *until;
+        if state.current == requested || state.former.iter().any(is_in_grace_period) {
             return IndexState::Held;
         }
         let is_known = state.current.shard == requested.shard
--- a/alderhaven-standin/src/http_server.rs
+++ b/alderhaven-standin/src/http_server.rs
@@ -59,11 +59,15 @@
             stop_token: CancellationToken::new(),
             tasks: TaskTracker::new(),
         };
-        let stopping = server.stop_token.clone();
+        let stop_token = server.stop_token.clone();
         let tasks = server.tasks.clone();
         server.tasks.spawn(async move {
-            while let Some(stream) = accept_connection(&listener, &stopping).await {
-                tasks.spawn(serve_connection(stream, handler.clone(), stopping.clone()));
+            while let Some(stream) = accept_connection(&listener, &stop_token).await {
+                tasks.spawn(serve_connection(
+                    stream,
+                    handler.clone(),
+                    stop_token.clone(),
+                ));
             }
         });
         Ok(server)
@@ -86,11 +90,11 @@
 /// Accepts the next connection; returns none once the server stops.
 pub async fn accept_connection(
     listener: &TcpListener,
-    stopping: &CancellationToken,
+    stop_token: &CancellationToken,
 ) -> Option<TcpStream> {
     loop {
         let accepted = tokio::select! {
-            () = stopping.cancelled() => return None,
+            () = stop_token.cancelled() => return None,
             accepted = listener.accept() => accepted,
         };
         match accepted {
@@ -107,7 +111,7 @@
 }
 
 /// Serves a connection until it is closed; a stop lets the request in flight finish.
-pub async fn serve_connection<H, F>(stream: TcpStream, handler: H, stopping: CancellationToken)
+pub async fn serve_connection<H, F>(stream: TcpStream, handler: H, stop_token: CancellationToken)
 where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Result<HttpReply, ConnectionAborted>> + Send + 'static,
@@ -118,7 +122,7 @@
     tokio::select! {
         // Clients and faults close connections at any time, so errors are ignored.
         _ended = connection.as_mut() => return,
-        () = stopping.cancelled() => connection.as_mut().graceful_shutdown(),
+        () = stop_token.cancelled() => connection.as_mut().graceful_shutdown(),
     }
     let _ended = connection.await;
 }
--- a/alderhaven-standin/src/main.rs
+++ b/alderhaven-standin/src/main.rs
@@ -18,7 +18,7 @@
 use serde::Serialize;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code for invalid arguments, unreadable files and addresses that can't be bound.
+/// Exit code after an error of a command, such as an unreadable file or an address in use.
 const EXIT_BAD_SETTINGS: u8 = 2;
 
 /// Stand-ins of the platform and of targets, for tests on loopback.
@@ -89,13 +89,13 @@
 }
 
 fn parse_service(text: &str) -> Result<ServiceLayout, String> {
-    let bad = || Error::parse("service", text, "NAME=SHARDSxREPLICAS").to_string();
-    let (name, counts) = text.split_once('=').ok_or_else(bad)?;
-    let (shards, replicas) = counts.split_once('x').ok_or_else(bad)?;
+    let parse_error = || Error::parse("service", text, "NAME=SHARDSxREPLICAS").to_string();
+    let (name, counts) = text.split_once('=').ok_or_else(parse_error)?;
+    let (shards, replicas) = counts.split_once('x').ok_or_else(parse_error)?;
     Ok(ServiceLayout {
         service: name.parse().map_err(|error: Error| error.to_string())?,
-        shards: shards.parse().map_err(|_| bad())?,
-        replicas: replicas.parse().map_err(|_| bad())?,
+        shards: shards.parse().map_err(|_| parse_error())?,
+        replicas: replicas.parse().map_err(|_| parse_error())?,
         ..ServiceLayout::default()
     })
 }
--- a/alderhaven-standin/src/platform_server.rs
+++ b/alderhaven-standin/src/platform_server.rs
@@ -73,8 +73,8 @@
 }
 
 impl From<BodyError> for CallError {
-    fn from(refusal: BodyError) -> Self {
-        refusal.reply().into()
+    fn from(error: BodyError) -> Self {
+        error.reply().into()
     }
 }
 
@@ -288,7 +288,7 @@
 fn header_number(headers: &HeaderMap, name: &str) -> Result<u64, CallError> {
     header_text(headers, name)?
         .parse()
-        .map_err(|_| bad_request(format!("header parameter `{name}` must be a whole number")))
+        .map_err(|_| bad_request(format!("header `{name}` must be a whole number")))
 }
 
 async fn read_text(body: Incoming) -> Result<String, CallError> {
--- a/alderhaven-standin/src/run_log.rs
+++ b/alderhaven-standin/src/run_log.rs
@@ -129,12 +129,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn end_run(&self, number: usize, end: RunStatus) {
+    fn end_run(&self, run_number: usize, status: RunStatus) {
         let now = self.elapsed_us();
         let mut state = self.lock_state();
-        let position = number.checked_sub(state.taken_count);
-        if let Some(record) = position.and_then(|position| state.records.get_mut(position)) {
-            record.status = end;
+        let index = run_number.checked_sub(state.taken_count);
+        if let Some(record) = index.and_then(|index| state.records.get_mut(index)) {
+            record.status = status;
             record.ended_us = now;
         }
     }
@@ -150,8 +150,8 @@
 
 impl RunGuard {
     /// Ends the run with the given status.
-    pub fn finish(mut self, end: RunStatus) {
-        self.status = end;
+    pub fn finish(mut self, status: RunStatus) {
+        self.status = status;
     }
 }
 
--- a/alderhaven-standin/src/service_layout.rs
+++ b/alderhaven-standin/src/service_layout.rs
@@ -10,8 +10,8 @@
 
 use crate::service_time::ServiceTime;
 
-/// Size of the key space that is divided evenly among the shards: four decimal digits.
-const KEY_RANGE_COUNT: u32 = 10_000;
+/// Number of keys, of four decimal digits, that are divided evenly among the shards.
+const KEY_SPACE_SIZE: u32 = 10_000;
 
 /// How a service is spread over targets, and their capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -133,9 +133,9 @@
     /// Assigns replicas to failure domains in turn, so that those of one shard differ.
     #[must_use]
     pub fn domain(&self, shard: u32, replica: u32) -> FailureDomain {
-        let position = (shard + replica) as usize % self.domains.len().max(1);
+        let index = (shard + replica) as usize % self.domains.len().max(1);
         self.domains
-            .get(position)
+            .get(index)
             .cloned()
             .unwrap_or_else(|| parse_literal("domain-1"))
     }
@@ -146,7 +146,7 @@
         if shard.0 == 0 {
             return String::new();
         }
-        format!("{:04}", shard.0 * KEY_RANGE_COUNT / self.shards.max(1))
+        format!("{:04}", shard.0 * KEY_SPACE_SIZE / self.shards.max(1))
     }
 
     /// Validates the counts.
--- a/alderhaven-standin/src/target_faults.rs
+++ b/alderhaven-standin/src/target_faults.rs
@@ -56,7 +56,7 @@
     /// the target.
     #[must_use]
     pub fn crash_downtime(&self, parameters: &str) -> Option<Duration> {
-        let down = self.poison_down_ms.map(Duration::from_millis)?;
-        parameters.contains(POISON_MARKER).then_some(down)
+        let downtime = self.poison_down_ms.map(Duration::from_millis)?;
+        parameters.contains(POISON_MARKER).then_some(downtime)
     }
 }
--- a/alderhaven-standin/src/target_server.rs
+++ b/alderhaven-standin/src/target_server.rs
@@ -160,29 +160,29 @@
 }
 
 async fn serve_connection(stream: TcpStream, context: TargetContext) {
-    let silenced = context.state.lifecycle().silence_token();
+    let silence_token = context.state.lifecycle().silence_token();
     tokio::time::sleep(context.state.spec().connect_cost.as_duration()).await;
-    let stopping = context.stop_token.clone();
+    let stop_token = context.stop_token.clone();
     let handler = move |request| {
-        let (context, silenced) = (context.clone(), silenced.clone());
+        let (context, silence_token) = (context.clone(), silence_token.clone());
         async move {
             // A silenced connection delivers no requests to the target and no replies to the
             // caller.
-            if silenced.is_cancelled() {
+            if silence_token.is_cancelled() {
                 return withhold_reply(&context.stop_token).await;
             }
             let reply = handle_request(context.state, request).await;
-            if silenced.is_cancelled() {
+            if silence_token.is_cancelled() {
                 return withhold_reply(&context.stop_token).await;
             }
             reply
         }
     };
-    http_server::serve_connection(stream, handler, stopping).await;
+    http_server::serve_connection(stream, handler, stop_token).await;
 }
 
-async fn withhold_reply(stopping: &CancellationToken) -> Result<HttpReply, ConnectionAborted> {
-    stopping.cancelled().await;
+async fn withhold_reply(stop_token: &CancellationToken) -> Result<HttpReply, ConnectionAborted> {
+    stop_token.cancelled().await;
     Err(ConnectionAborted)
 }
 
@@ -202,7 +202,7 @@
                     let parameters = String::from_utf8_lossy(&body).into_owned();
                     state.handle_attempt(&head, parameters).await
                 }
-                Err(refusal) => refusal.reply(),
+                Err(error) => error.reply(),
             }
         }
         (&Method::POST, target_dialect::CANCEL_PATH) => match parse_attempt_id(&parts.headers) {
--- a/alderhaven-standin/src/target_state.rs
+++ b/alderhaven-standin/src/target_state.rs
@@ -121,9 +121,9 @@
         };
         match self.indexes.state_of(requested) {
             _ if head.service != self.spec.service => {
-                Some(text_reply(StatusCode::NOT_FOUND, "not held here"))
+                Some(text_reply(StatusCode::NOT_FOUND, "service is not held"))
             }
-            IndexState::OtherShard => Some(text_reply(StatusCode::NOT_FOUND, "not held here")),
+            IndexState::OtherShard => Some(text_reply(StatusCode::NOT_FOUND, "shard is not held")),
             IndexState::Gone => Some(not_run_reply(StatusCode::GONE, "version no longer held")),
             IndexState::Held => None,
         }
--- a/alderhaven-standin/tests/faults.rs
+++ b/alderhaven-standin/tests/faults.rs
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn control_poison_crashes_and_comes_back() {
+async fn control_poison_crashes_and_restarts_target() {
     let fleet = sample_fleet().await;
     let call = json!({"call": "set_faults", "targets": [TARGET_ID],
         "faults": {"poison_down_ms": 1}});
@@ -97,13 +97,13 @@
         send_attempt(&mut idle, &sound).await,
         AttemptOutcome::Answered
     );
-    let mut hit = connect(&fleet).await;
+    let mut poisoned = connect(&fleet).await;
     let poison = attempt(2, 1, 1, "poison-1").to_http("target").unwrap();
-    assert!(hit.send(poison).await.is_err());
+    assert!(poisoned.send(poison).await.is_err());
     // A crash closes the target's other connections too.
     assert!(idle.send(sound.to_http("target").unwrap()).await.is_err());
     let address = fleet.target(&TARGET_ID.parse().unwrap()).unwrap().address();
-    let mut back = loop {
+    let mut reconnected = loop {
         match HttpConnection::connect(address).await {
             Ok(connection) => break connection,
             Err(_) => tokio::task::yield_now().await,
@@ -111,7 +111,7 @@
     };
     let again = attempt(3, 1, 1, "sound");
     assert_eq!(
-        send_attempt(&mut back, &again).await,
+        send_attempt(&mut reconnected, &again).await,
         AttemptOutcome::Answered
     );
     let reports: Vec<TargetReport> = get_json(fleet.control_address(), "/targets").await;
@@ -197,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn control_leave_lists_and_stops() {
+async fn control_leave_marks_host_and_stops_target() {
     let platform = PlatformServer::start(PlatformOptions::default());
     let platform = platform.await.unwrap();
     let fleet = sample_fleet().await;
--- a/alderhaven-standin/tests/object_table.rs
+++ b/alderhaven-standin/tests/object_table.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::{ProptestConfig, Strategy, any, prop_assert, prop_assert_eq, proptest};
 use proptest::test_runner::RngSeed;
 
-/// Object number, whether the expected version is right, and the body.
+/// Object number, whether the write expects the current version, and the body.
 type DrawnWrite = (u8, bool, Option<u8>);
 
 fn config() -> ProptestConfig {
@@ -43,18 +43,18 @@
         let mut table = ObjectTable::new(1_000);
         let mut oracle: BTreeMap<ObjectKey, (u64, Option<String>)> = BTreeMap::new();
         let mut revision = 0;
-        for (number, is_right, body) in writes {
+        for (number, is_expected, body) in writes {
             let key = key(number);
             let body = body.map(|body| body.to_string());
             let current = oracle.get(&key).map_or(0, |(version, _)| *version);
-            let expected = if is_right { current } else { current + 1 };
+            let expected = if is_expected { current } else { current + 1 };
             let outcome = table.write(ConditionalWrite {
                 key: key.clone(),
                 expected: StoreVersion(expected),
                 write_id: "test".to_owned(),
                 body: body.clone(),
             });
-            if is_right {
+            if is_expected {
                 revision += 1;
                 oracle.insert(key, (revision, body));
                 prop_assert_eq!(outcome, WriteOutcome::Written(StoreVersion(revision)));
@@ -70,9 +70,9 @@
         match table.changes(&[ObjectKind::Team, ObjectKind::Template], StoreVersion(after)) {
             WatchOutcome::Compacted => prop_assert!(after > revision),
             WatchOutcome::Changes(list) => {
-                let versions: Vec<u64> = list.objects.iter().map(|o| o.version.0).collect();
+                let versions: Vec<u64> = list.objects.iter().map(|object| object.version.0).collect();
                 let mut newer: Vec<u64> =
-                    oracle.values().map(|(version, _)| *version).filter(|v| *v > after).collect();
+                    oracle.values().map(|(version, _)| *version).filter(|version| *version > after).collect();
                 newer.sort_unstable();
                 prop_assert_eq!(versions, newer);
             }
--- a/alderhaven-standin/tests/servers.rs
+++ b/alderhaven-standin/tests/servers.rs
@@ -103,10 +103,10 @@
     let watched = connection.send(get("/watch?kinds=team,template&after=0&wait_ms=1000"));
     let watched: ObjectList = parse_body(&watched.await.unwrap());
     assert_eq!(watched.objects, vec![written]);
-    let gap = connection
+    let unavailable = connection
         .send(get("/watch?kinds=team&after=9&wait_ms=0"))
         .await;
-    assert_eq!(gap.unwrap().status(), StatusCode::GONE);
+    assert_eq!(unavailable.unwrap().status(), StatusCode::GONE);
     platform.stop().await;
 }
 
--- a/alderhaven-store/src/config_follower.rs
+++ b/alderhaven-store/src/config_follower.rs
@@ -62,7 +62,7 @@
     /// The store has compacted the changes. The next list waits for the backoff too, so that a store
     /// that compacts constantly isn't flooded with lists.
     Compacted,
-    /// The store went back behind the known state, so its result was not applied.
+    /// The store's state is older than the known one, so its result was not applied.
     StoreRegressed,
 }
 
@@ -145,13 +145,14 @@
 }
 
 impl FollowFailure {
-    fn retry_wait(&self, wait: TimeSpan) -> TimeSpan {
+    /// Returns the time to wait before the next call: the backoff, or longer if the store asks for it.
+    fn retry_wait(&self, backoff_wait: TimeSpan) -> TimeSpan {
         match self {
             Self::Store(StoreError::NotDone {
                 retry_after: Some(retry_after),
                 ..
-            }) => wait.max(*retry_after),
-            Self::Store(_) | Self::Compacted | Self::StoreRegressed => wait,
+            }) => backoff_wait.max(*retry_after),
+            Self::Store(_) | Self::Compacted | Self::StoreRegressed => backoff_wait,
         }
     }
 }
--- a/alderhaven-store/src/config_handle.rs
+++ b/alderhaven-store/src/config_handle.rs
@@ -53,7 +53,7 @@
         /// The last error.
         reason: String,
     },
-    /// The store went back behind the known state. The node keeps the configuration that it has
+    /// The store's state is older than the known one. The node keeps the configuration that it has
     /// accepted.
     #[serde(rename = "backwards")]
     Regressed {
--- a/alderhaven-store/src/config_state.rs
+++ b/alderhaven-store/src/config_state.rs
@@ -125,10 +125,10 @@
     ///
     /// Objects up to the complete revision are ignored: they are either known or have been deleted.
     pub fn accept_from_peer(&mut self, objects: Vec<StoredObject>) -> Vec<ObjectKey> {
-        let complete_at = self.complete_revision;
+        let complete_revision = self.complete_revision;
         let newer = objects
             .into_iter()
-            .filter(|object| Some(object.version) > complete_at);
+            .filter(|object| Some(object.version) > complete_revision);
         self.accept_all(newer)
     }
 
@@ -210,7 +210,7 @@
             Self::Revision { known, found } => {
                 write!(
                     formatter,
-                    "revision {found} is below the known revision {known}"
+                    "the store's revision {found} is below the known revision {known}"
                 )
             }
             Self::Object {
@@ -219,7 +219,7 @@
                 found: Some(found),
             } => write!(
                 formatter,
-                "{key} has version {found}, and version {known} is known"
+                "the store's {key} at version {found} contradicts the known version {known}"
             ),
             Self::Object {
                 key,
@@ -227,7 +227,7 @@
                 found: None,
             } => write!(
                 formatter,
-                "{key} is absent, and its version {known} is known"
+                "the store lacks {key}, which is known at version {known}"
             ),
         }
     }
--- a/alderhaven-store/src/object_store.rs
+++ b/alderhaven-store/src/object_store.rs
@@ -1,17 +1,4 @@
-//! Interface to the platform's object API.
-//!
-//! The API has these calls over HTTP/1.1; `kinds` is a comma-separated list:
-//!
-//! | Call | Response |
-//! |---|---|
-//! | `GET /objects?kinds=K` | 200 [`ObjectList`] |
-//! | `GET /objects/{kind}/{name}` | 200 [`StoredObject`], 404 |
-//! | `PUT /objects/{kind}/{name}`, `if-version`, `write-id`, body | 200 with the written [`StoredObject`], or 409 with the current one or `null` |
-//! | `DELETE /objects/{kind}/{name}`, `if-version`, `write-id` | like `PUT`; leaves a tombstone |
-//! | `GET /watch?kinds=K&after=V&wait_ms=N` | 200 [`ObjectList`] of the changes after V, empty after N ms without any; 410 if V is too old |
-//!
-//! 429 (with `retry-after-ms`) means that the call exceeded the rate limit and had no effect, 503 that
-//! the API is unavailable and the call had no effect. A call without a response may have taken effect.
+//! Interface to the platform's object API, with the types and headers of its HTTP calls.
 
 use std::fmt;
 use std::future::Future;
@@ -47,7 +34,7 @@
 pub struct ConditionalWrite {
     /// The key of the object to write.
     pub key: ObjectKey,
-    /// The version that the object must have, or 0 if it must not exist or be a tombstone.
+    /// The version that the object must have, or 0 if there must be no object or only a tombstone.
     pub expected: StoreVersion,
     /// The unique id by which the writer recognizes its own write.
     pub write_id: String,
@@ -123,6 +110,19 @@
 impl std::error::Error for StoreError {}
 
 /// Access to the platform's object API.
+///
+/// The API has these calls over HTTP/1.1; `kinds` is a comma-separated list:
+///
+/// | Call | Response |
+/// |---|---|
+/// | `GET /objects?kinds=K` | 200 [`ObjectList`] |
+/// | `GET /objects/{kind}/{name}` | 200 [`StoredObject`], 404 |
+/// | `PUT /objects/{kind}/{name}`, `if-version`, `write-id`, body | 200 with the written [`StoredObject`], or 409 with the current one or `null` |
+/// | `DELETE /objects/{kind}/{name}`, `if-version`, `write-id` | like `PUT`; leaves a tombstone |
+/// | `GET /watch?kinds=K&after=V&wait_ms=N` | 200 [`ObjectList`] of the changes after V, empty after N ms without any; 410 if V is too old |
+///
+/// 429 (with `retry-after-ms`) means that the call exceeded the rate limit and had no effect, 503 that
+/// the API is unavailable and the call had no effect. A call without a response may have taken effect.
 pub trait ObjectStore: Send + Sync + 'static {
     /// Lists all objects of the given kinds.
     fn list(&self, kinds: &[ObjectKind]) -> impl Future<Output = StoreResult<ObjectList>> + Send;
--- a/alderhaven-store/tests/http_store.rs
+++ b/alderhaven-store/tests/http_store.rs
@@ -33,8 +33,10 @@
 /// Starts a platform that sends `replies` in order over any number of connections and then repeats the
 /// last one. Returns a client of it and the number of received requests.
 async fn start_platform(replies: &'static [ScriptedReply]) -> (HttpStore, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a loopback port can be bound");
+    let address = listener.local_addr().expect("the listener has an address");
     let request_count = Arc::new(AtomicUsize::new(0));
     let counter = Arc::clone(&request_count);
     tokio::spawn(async move {
@@ -86,7 +88,10 @@
         "HTTP/1.1 {status}\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
     );
-    stream.write_all(text.as_bytes()).await.expect("written");
+    stream
+        .write_all(text.as_bytes())
+        .await
+        .expect("the connection is open");
 }
 
 /// Reads one request with its body. Returns false at the end of the connection.
@@ -162,8 +167,10 @@
 
 #[tokio::test]
 async fn write_refused_connection_is_not_done() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a loopback port can be bound");
+    let address = listener.local_addr().expect("the listener has an address");
     drop(listener);
     assert!(is_not_done(&store_at(address).write(team_write()).await));
 }
