--- a/alderhaven-soak/src/history_index.rs
+++ b/alderhaven-soak/src/history_index.rs
@@ -97,8 +97,8 @@
     }
 
     /// Returns the configurations that may have been in force during a request, if a change takes
-    /// at most `max_lag` to be applied. Without `max_lag`, all accepted before the end of the
-    /// request.
+    /// at most `max_lag` to be applied. Without `max_lag`, one hour is assumed, the length of the
+    /// longest run.
     #[must_use]
     pub fn configs_in_force(
         &self,
--- a/alderhaven-store/src/object_store.rs
+++ b/alderhaven-store/src/object_store.rs
@@ -8,7 +8,8 @@
 use alderhaven_core::time::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Request header with the version that the object must have, or 0 if it must not exist.
+/// Request header with the version that the object must have, or 0 if there must be no object or only
+/// a tombstone.
 pub const IF_VERSION_HEADER: &str = "if-version";
 /// Request header with the unique id of the write, chosen by the writer.
 pub const WRITE_ID_HEADER: &str = "write-id";
