--- a/alderhaven-ctl/src/commands.rs
+++ b/alderhaven-ctl/src/commands.rs
@@ -174,13 +174,17 @@
             Ok(wanted) => wanted,
             Err(error) => return CommandReport::failure(ExitStatus::Failed, error),
         };
-        let once = WaitOptions {
+        let single_round = WaitOptions {
             limit: TimeSpan::ZERO,
             ..WaitOptions::default()
         };
         CommandReport::Status(StatusReport {
             nodes: self.nodes.statuses().await,
-            in_force: Some(self.nodes.wait_until_in_force(&wanted, once, |_| {}).await),
+            in_force: Some(
+                self.nodes
+                    .wait_until_in_force(&wanted, single_round, |_| {})
+                    .await,
+            ),
         })
     }
 
--- a/alderhaven-ctl/src/in_force.rs
+++ b/alderhaven-ctl/src/in_force.rs
@@ -21,7 +21,7 @@
 const MAX_CONCURRENT_PROBES: usize = 64;
 /// The default of [`WaitOptions::poll_interval`].
 pub const DEFAULT_POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
-/// The default of [`WaitOptions::limit`], which leaves time for a node to restart.
+/// The default of [`WaitOptions::limit`].
 pub const DEFAULT_WAIT_LIMIT: TimeSpan = TimeSpan::from_secs(30);
 
 /// How long and how often nodes are probed.
@@ -209,7 +209,7 @@
     let mut report = InForceReport {
         nodes: nodes
             .iter()
-            .map(|node| NodeReport::unasked(*node))
+            .map(|node| NodeReport::unprobed(*node))
             .collect(),
     };
     loop {
@@ -223,7 +223,7 @@
 }
 
 impl NodeReport {
-    fn unasked(address: SocketAddr) -> Self {
+    fn unprobed(address: SocketAddr) -> Self {
         Self {
             address,
             node: None,
--- a/alderhaven-ctl/src/object_history.rs
+++ b/alderhaven-ctl/src/object_history.rs
@@ -9,9 +9,9 @@
 use alderhaven_core::ids::StoreVersion;
 use serde::{Deserialize, Serialize};
 
-/// Contents kept for one object.
+/// The most earlier contents that are kept for one object.
 pub const MAX_HISTORY_ENTRIES: usize = 16;
-/// Bound of a history's JSON text, below the platform's value limit of 1 MB.
+/// The largest JSON text of a history, in bytes, below the platform's value limit of 1 MB.
 pub const MAX_HISTORY_BYTES: usize = 900 << 10;
 
 /// The most recent earlier contents of one object.
--- a/alderhaven-ctl/src/publisher.rs
+++ b/alderhaven-ctl/src/publisher.rs
@@ -19,12 +19,12 @@
     options: RetryOptions,
 }
 
-/// The write of one publication over all its tries.
-struct WriteAttempt<'a> {
+/// The write of one publication over all its attempts.
+struct PendingWrite<'a> {
     change: &'a PlannedChange,
     id: PublicationId,
     write: ConditionalWrite,
-    /// Set once the reply to a try was lost.
+    /// Set once the reply to an attempt was lost.
     may_have_taken_effect: bool,
 }
 
@@ -63,45 +63,45 @@
             write_id: id.to_string(),
             body: change.body.clone(),
         };
-        let attempt = WriteAttempt {
+        let pending = PendingWrite {
             change,
             id,
             write,
             may_have_taken_effect: false,
         };
-        self.write_with_retries(attempt).await
+        self.write_with_retries(pending).await
     }
 
-    /// Writes until the outcome is known or the tries are exhausted.
+    /// Writes until the outcome is known or the attempts are exhausted.
     ///
     /// A write whose reply was lost may still reach the store after a read that does not show it.
-    /// All tries therefore use the same write id and expected version, so that at most one of them
+    /// All attempts therefore use the same write id and expected version, so that at most one of them
     /// takes effect.
-    async fn write_with_retries(&self, mut attempt: WriteAttempt<'_>) -> PublishOutcome {
+    async fn write_with_retries(&self, mut pending: PendingWrite<'_>) -> PublishOutcome {
         let mut reason = String::new();
-        for round in 0..self.options.attempts {
-            let error = match self.store.write(attempt.write.clone()).await {
+        for attempt_index in 0..self.options.attempts {
+            let error = match self.store.write(pending.write.clone()).await {
                 Ok(WriteOutcome::Written(version)) => {
-                    let id = attempt.id;
+                    let id = pending.id;
                     return PublishOutcome::Published { version, id };
                 }
                 Ok(WriteOutcome::Conflict(current)) => {
-                    return self.resolve_conflict(attempt, current).await;
+                    return self.resolve_conflict(pending, current).await;
                 }
                 Err(error) => error,
             };
-            attempt.may_have_taken_effect |= matches!(error, StoreError::Unknown { .. });
+            pending.may_have_taken_effect |= matches!(error, StoreError::Unknown { .. });
             reason = error.to_string();
-            self.options.back_off(round, &error).await;
-            if attempt.may_have_taken_effect
-                && let Ok(current) = self.store.get(&attempt.write.key).await
-                && !attempt.is_still_observed(current.as_ref())
+            self.options.back_off(attempt_index, &error).await;
+            if pending.may_have_taken_effect
+                && let Ok(current) = self.store.get(&pending.write.key).await
+                && !pending.is_still_observed(current.as_ref())
             {
-                return self.resolve_conflict(attempt, current).await;
+                return self.resolve_conflict(pending, current).await;
             }
         }
-        if attempt.may_have_taken_effect {
-            let id = attempt.id;
+        if pending.may_have_taken_effect {
+            let id = pending.id;
             PublishOutcome::Unknown { id, reason }
         } else {
             PublishOutcome::NotPublished { reason }
@@ -114,18 +114,18 @@
     /// it, which the history shows. Without a lost reply, this write has not taken effect.
     async fn resolve_conflict(
         &self,
-        attempt: WriteAttempt<'_>,
+        pending: PendingWrite<'_>,
         current: Option<StoredObject>,
     ) -> PublishOutcome {
-        let id = attempt.id;
+        let id = pending.id;
         if let Some(current) = &current
-            && current.write_id == attempt.write.write_id
+            && current.write_id == pending.write.write_id
         {
             let version = current.version;
             return PublishOutcome::Published { version, id };
         }
-        if !attempt.may_have_taken_effect {
-            return attempt.change.conflict_outcome(current);
+        if !pending.may_have_taken_effect {
+            return pending.change.conflict_outcome(current);
         }
         let Some(by) = current else {
             let reason = "the reply was lost, and the object no longer exists".to_owned();
@@ -135,11 +135,11 @@
             Ok(history) => history,
             Err(reason) => return PublishOutcome::Unknown { id, reason },
         };
-        if let Some(own) = history.entry_for_write_id(&attempt.write.write_id) {
+        if let Some(own) = history.entry_for_write_id(&pending.write.write_id) {
             let version = own.version;
             return PublishOutcome::Superseded { version, id, by };
         }
-        if descends_from_observed(&history, &by, attempt.change) {
+        if descends_from_observed(&history, &by, pending.change) {
             return PublishOutcome::Conflict { current: Some(by) };
         }
         let reason =
@@ -158,13 +158,13 @@
     async fn record_in_history(&self, observed: &StoredObject) -> Result<(), String> {
         let key = ObjectHistory::history_key(&observed.key);
         let mut reason = String::new();
-        for round in 0..self.options.attempts {
+        for attempt_index in 0..self.options.attempts {
             match self.try_record_in_history(&key, observed).await {
                 Ok(true) => return Ok(()),
                 Ok(false) => "other publishers keep changing the history".clone_into(&mut reason),
                 Err(error) => {
                     reason = error.to_string();
-                    self.options.back_off(round, &error).await;
+                    self.options.back_off(attempt_index, &error).await;
                 }
             }
         }
@@ -195,7 +195,7 @@
     }
 }
 
-impl WriteAttempt<'_> {
+impl PendingWrite<'_> {
     /// Returns `true` if the store still holds the observed version.
     fn is_still_observed(&self, current: Option<&StoredObject>) -> bool {
         match current {
--- a/alderhaven-ctl/src/retry_options.rs
+++ b/alderhaven-ctl/src/retry_options.rs
@@ -16,11 +16,11 @@
 /// The limits of retries of a call to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RetryOptions {
-    /// The number of calls including the first, 1 or more.
+    /// The number of attempts including the first, 1 or more.
     pub attempts: u32,
-    /// The wait after the first failed call; it doubles after each further one.
+    /// The wait after the first failed attempt; it doubles after each further one.
     pub initial_delay: TimeSpan,
-    /// The longest wait between calls, also if the store asks for a longer one.
+    /// The longest wait between attempts, also if the store asks for a longer one.
     pub max_delay: TimeSpan,
 }
 
@@ -38,47 +38,51 @@
     /// Gets an object, retrying failed calls.
     ///
     /// # Errors
-    /// The error of the last call.
+    /// The error of the last attempt.
     pub async fn get<S: ObjectStore>(
         &self,
         store: &S,
         key: &ObjectKey,
     ) -> StoreResult<Option<StoredObject>> {
-        let mut round = 0;
+        let mut attempt_index = 0;
         loop {
             match store.get(key).await {
-                Err(error) if round + 1 < self.attempts => self.back_off(round, &error).await,
+                Err(error) if attempt_index + 1 < self.attempts => {
+                    self.back_off(attempt_index, &error).await
+                }
                 answer => return answer,
             }
-            round += 1;
+            attempt_index += 1;
         }
     }
 
     /// Lists all objects of the kinds, retrying failed calls.
     ///
     /// # Errors
-    /// The error of the last call.
+    /// The error of the last attempt.
     pub async fn list<S: ObjectStore>(
         &self,
         store: &S,
         kinds: &[ObjectKind],
     ) -> StoreResult<ObjectList> {
-        let mut round = 0;
+        let mut attempt_index = 0;
         loop {
             match store.list(kinds).await {
-                Err(error) if round + 1 < self.attempts => self.back_off(round, &error).await,
+                Err(error) if attempt_index + 1 < self.attempts => {
+                    self.back_off(attempt_index, &error).await
+                }
                 answer => return answer,
             }
-            round += 1;
+            attempt_index += 1;
         }
     }
 
-    /// Waits after the failed call `round`, counted from 0: for the backoff or, if longer, for the
-    /// time that the store asks for, at most `max_delay`.
-    pub async fn back_off(&self, round: u32, error: &StoreError) {
+    /// Waits after the failed attempt `attempt_index`, counted from 0: for the backoff or, if
+    /// longer, for the time that the store asks for, at most `max_delay`.
+    pub async fn back_off(&self, attempt_index: u32, error: &StoreError) {
         let backoff = self
             .initial_delay
-            .mul_f64(f64::from(1_u32 << round.min(16)));
+            .mul_f64(f64::from(1_u32 << attempt_index.min(16)));
         let requested = match error {
             StoreError::NotDone { retry_after, .. } => retry_after.unwrap_or_default(),
             StoreError::Unknown { .. } => TimeSpan::ZERO,
--- a/alderhaven-ctl/tests/file_check.rs
+++ b/alderhaven-ctl/tests/file_check.rs
@@ -7,7 +7,7 @@
 
 /// The problems of the files in `tests/data/refused`, in the order of files and lines.
 const EXPECTED_PROBLEMS: [&str; 16] = [
-    "extras/x.yaml: the folder names no kind: allowed is templates, teams, manifests",
+    "extras/x.yaml: the folder is not named after a kind: allowed is templates, teams, manifests",
     "teams/heavy.yaml:2: weight: 1001 is refused: allowed is 1 to 1000",
     "teams/heavy.yaml:3: max_in_flight: allowed is 1 or more",
     "teams/heavy.yaml:4: token_hash: allowed is a BLAKE3 hash of 64 hexadecimal digits",
--- a/alderhaven-ctl/tests/publish/commands.rs
+++ b/alderhaven-ctl/tests/publish/commands.rs
@@ -59,7 +59,7 @@
     let behaviors = [
         NodeBehavior::InForceAfter(0),
         NodeBehavior::InForceAfter(3),
-        NodeBehavior::Refuses,
+        NodeBehavior::Rejects,
         NodeBehavior::Silent,
     ];
     let mut context = fake_context("ama", &behaviors);
@@ -101,7 +101,7 @@
 /// Files that would revert another operator's unreviewed change must not be published until the
 /// operator has reviewed the difference.
 #[tokio::test(start_paused = true)]
-async fn publish_refuses_unreviewed_replacement() {
+async fn publish_rejects_unreviewed_replacement() {
     let mut context = fake_context("kofi", &[]);
     let theirs = r#"{"name":"publishers","weight":9}"#;
     let key = team_key("publishers");
--- a/alderhaven-ctl/tests/publish/nodes.rs
+++ b/alderhaven-ctl/tests/publish/nodes.rs
@@ -15,7 +15,7 @@
     /// Has every version in force after this many probes.
     InForceAfter(u32),
     /// Rejects every version of the team `publishers`.
-    Refuses,
+    Rejects,
     /// Does not answer.
     Silent,
 }
@@ -76,9 +76,9 @@
         let revision = match self.behaviors[&node] {
             NodeBehavior::Silent => return Err(ProbeError::new("connection refused")),
             NodeBehavior::InForceAfter(after) if earlier_probes < after => None,
-            NodeBehavior::InForceAfter(_) | NodeBehavior::Refuses => Some(StoreVersion(u64::MAX)),
+            NodeBehavior::InForceAfter(_) | NodeBehavior::Rejects => Some(StoreVersion(u64::MAX)),
         };
-        let is_rejecting = self.behaviors[&node] == NodeBehavior::Refuses;
+        let is_rejecting = self.behaviors[&node] == NodeBehavior::Rejects;
         let rejected = RejectedStatus {
             key: "team/publishers".to_owned(),
             version: StoreVersion(u64::MAX),
--- a/alderhaven-ctl/tests/publish/races.rs
+++ b/alderhaven-ctl/tests/publish/races.rs
@@ -24,7 +24,7 @@
 /// One publication that an operator attempts.
 #[derive(Clone, Debug)]
 struct OperatorStep {
-    name: usize,
+    object_index: usize,
     is_delete: bool,
 }
 
@@ -49,12 +49,13 @@
 }
 
 fn operators() -> impl Strategy<Value = Vec<Vec<OperatorStep>>> {
-    let step = (0..OBJECT_NAMES.len(), any::<bool>(), any::<bool>()).prop_map(|(name, a, b)| {
-        OperatorStep {
-            name,
-            is_delete: a && b,
-        }
-    });
+    let step =
+        (0..OBJECT_NAMES.len(), any::<bool>(), any::<bool>()).prop_map(|(object_index, a, b)| {
+            OperatorStep {
+                object_index,
+                is_delete: a && b,
+            }
+        });
     collection::vec(collection::vec(step, 1..4), 1..4)
 }
 
@@ -78,7 +79,7 @@
     let mut reports = Vec::new();
     for (number, step) in steps.into_iter().enumerate() {
         let body = (!step.is_delete).then(|| format!(r#"{{"by":{operator},"step":{number}}}"#));
-        let key = team_key(OBJECT_NAMES[step.name]);
+        let key = team_key(OBJECT_NAMES[step.object_index]);
         // If the read fails, there is no plan to publish.
         if let Ok(change) = PlannedChange::build(&*store, key, body, options).await {
             let outcome = publisher.publish(&change).await;
@@ -223,7 +224,7 @@
     /// outcome may be reported wrongly and no unobserved content replaced, although a lost reply
     /// hides whether a conflict is with the operator's own write.
     #[test]
-    fn concurrent_publications_are_reported_truthfully(
+    fn concurrent_publications_are_reported_correctly(
         script in script(),
         operators in operators(),
         attempts in 1_u32..8,
--- a/alderhaven-ctl/tests/publish/support.rs
+++ b/alderhaven-ctl/tests/publish/support.rs
@@ -64,7 +64,7 @@
     /// Writes an object at its current version, without taking a step of the script.
     pub fn seed(&self, key: &ObjectKey, write_id: &str, body: Option<&str>) -> StoreVersion {
         let mut state = self.lock();
-        let expected = state.version_of(key);
+        let expected = state.current_version(key);
         let write = ConditionalWrite {
             key: key.clone(),
             expected,
@@ -121,7 +121,7 @@
 }
 
 impl StoreState {
-    fn version_of(&self, key: &ObjectKey) -> StoreVersion {
+    fn current_version(&self, key: &ObjectKey) -> StoreVersion {
         self.objects
             .get(key)
             .map(|object| object.version)
@@ -134,7 +134,7 @@
             .as_ref()
             .is_some_and(|object| object.body.is_none());
         let may_create = is_tombstone && write.expected == StoreVersion(0);
-        if self.version_of(&write.key) != write.expected && !may_create {
+        if self.current_version(&write.key) != write.expected && !may_create {
             return WriteOutcome::Conflict(replaced);
         }
         self.revision += 1;
@@ -150,12 +150,12 @@
     }
 
     fn apply_due_writes(&mut self) {
-        for (wait, _) in &mut self.late_writes {
-            *wait = wait.saturating_sub(1);
+        for (remaining_calls, _) in &mut self.late_writes {
+            *remaining_calls = remaining_calls.saturating_sub(1);
         }
         let (due, waiting) = std::mem::take(&mut self.late_writes)
             .into_iter()
-            .partition(|(wait, _)| *wait == 0);
+            .partition(|(remaining_calls, _)| *remaining_calls == 0);
         self.late_writes = waiting;
         let due: Vec<(u8, ConditionalWrite)> = due;
         for (_, write) in due {
@@ -201,8 +201,8 @@
                 state.apply(write);
                 Err(StoreError::unknown("connection reset"))
             }
-            StoreFault::Late(wait) => {
-                state.late_writes.push((wait.max(1), write));
+            StoreFault::Late(remaining_calls) => {
+                state.late_writes.push((remaining_calls.max(1), write));
                 Err(StoreError::unknown("timeout"))
             }
         }
--- a/alderhaven-load/src/answer_oracle.rs
+++ b/alderhaven-load/src/answer_oracle.rs
@@ -67,7 +67,7 @@
     #[must_use]
     pub fn check_reply(&self, query: &LoadQuery, reply: &QueryReply) -> Vec<ViolationKind> {
         let mut found = Vec::new();
-        let runs = self.runs_of(query);
+        let runs = self.runs_for_query(query);
         if !query.workload_template.template.idempotent && runs.len() > 1 {
             found.push(ViolationKind::DoubleRun);
         }
@@ -87,7 +87,7 @@
         found
     }
 
-    fn runs_of(&self, query: &LoadQuery) -> &[RunRecord] {
+    fn runs_for_query(&self, query: &LoadQuery) -> &[RunRecord] {
         let key = (
             query.workload_template.template.name.to_string(),
             query.parameters.canonical_json(),
--- a/alderhaven-load/src/caller_pool.rs
+++ b/alderhaven-load/src/caller_pool.rs
@@ -47,8 +47,8 @@
     /// Sends a request to the given entry, or to the next in turn, and waits for the complete
     /// reply.
     pub async fn post(&self, entry: Option<usize>, path: &str, body: Bytes) -> ReplyContent {
-        let turn = entry.unwrap_or_else(|| self.next_entry.fetch_add(1, Ordering::Relaxed));
-        self.entries[turn % self.entries.len()]
+        let index = entry.unwrap_or_else(|| self.next_entry.fetch_add(1, Ordering::Relaxed));
+        self.entries[index % self.entries.len()]
             .post(path, body)
             .await
     }
--- a/alderhaven-load/src/cpu_clock.rs
+++ b/alderhaven-load/src/cpu_clock.rs
@@ -1,5 +1,5 @@
-//! CPU time of this process and of the whole machine. It tells a run that the machine limited from
-//! one that the system limited.
+//! CPU time of this process and of the whole machine. High usage of the machine shows that it, not
+//! the system under test, limited a run.
 
 use std::fs;
 use std::time::Instant;
--- a/alderhaven-load/src/fault_script.rs
+++ b/alderhaven-load/src/fault_script.rs
@@ -35,7 +35,7 @@
 /// Pause between the publications of two services.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(300);
 /// Lag of the host list, in milliseconds.
-const HOST_LAG_MS: u64 = 1_000;
+const HOST_LIST_LAG_MS: u64 = 1_000;
 /// Delay between a target's leaving and its stop, in milliseconds.
 const STOP_DELAY_MS: u64 = 3_500;
 /// How long the platform is unavailable.
@@ -78,7 +78,7 @@
                 },
             ),
             ScenarioKind::TargetLeaving => self.test_bed.store().set_faults(PlatformFaults {
-                host_lag_ms: HOST_LAG_MS,
+                host_lag_ms: HOST_LIST_LAG_MS,
                 ..PlatformFaults::default()
             }),
             _ => {}
@@ -187,7 +187,9 @@
             template.deadline = template.deadline + TimeSpan::from_millis(1);
             let body = serde_json::to_string(&template).ok();
             let table = self.test_bed.store().table();
-            let expected = table.get(&key).map_or(StoreVersion(0), |kept| kept.version);
+            let expected = table
+                .get(&key)
+                .map_or(StoreVersion(0), |stored| stored.version);
             let write = |operator: &str| ConditionalWrite {
                 key: key.clone(),
                 expected,
--- a/alderhaven-load/src/report.rs
+++ b/alderhaven-load/src/report.rs
@@ -15,7 +15,7 @@
 /// Reads result files and writes the report into `directory`; returns the path of the page.
 ///
 /// # Errors
-/// Where a file can't be read or written, or a line is no result.
+/// Where a file can't be read or written, or a line is not a result.
 pub fn write_report(files: &[String], directory: &str) -> Result<PathBuf> {
     let mut lines = ReportLines::default();
     for file in files {
--- a/alderhaven-load/src/run_line.rs
+++ b/alderhaven-load/src/run_line.rs
@@ -102,7 +102,7 @@
     pub urgent_in_time: Option<f64>,
     /// Ratio of useful work.
     pub goodput: Option<f64>,
-    /// Ratio of the lowest teams' results.
+    /// Ratio of the fairness figures.
     pub fairness: Option<f64>,
     /// Ratio of mean coverage.
     pub coverage: Option<f64>,
--- a/alderhaven-load/src/run_tally.rs
+++ b/alderhaven-load/src/run_tally.rs
@@ -189,11 +189,11 @@
             p99_ms: quantile_ms(&self.all_latencies, 0.99),
             p999_ms: quantile_ms(&self.all_latencies, 0.999),
             urgent_p99_ms: quantile_ms(&self.urgent_latencies, 0.99),
-            urgent_in_time: share_of(counts.urgent_in_time as f64, counts.urgent as f64),
+            urgent_in_time: rounded_ratio(counts.urgent_in_time as f64, counts.urgent as f64),
             goodput: rounded(self.useful_work / (self.workload.capacity() * seconds)),
             fairness: rounded(self.fairness.fairness()),
-            coverage: share_of(self.coverage_sum, not_refused as f64),
-            extra_load: share_of(attempts as f64, self.needed_attempts as f64),
+            coverage: rounded_ratio(self.coverage_sum, not_refused as f64),
+            extra_load: rounded_ratio(attempts as f64, self.needed_attempts as f64),
             violations: self.violations,
             deployment: options.deployment,
             load: options.load,
@@ -246,8 +246,8 @@
 fn meets_coverage(query: &LoadQuery, answer: &AnswerBody) -> bool {
     let template = &query.workload_template.template;
     match (template.preference, template.min_coverage) {
-        (AnswerPreference::Latency, Some(least)) => {
-            answer.coverage.covered_share() >= least.as_f64()
+        (AnswerPreference::Latency, Some(min_coverage)) => {
+            answer.coverage.covered_share() >= min_coverage.as_f64()
         }
         _ => answer.coverage.is_complete(),
     }
@@ -265,6 +265,6 @@
     (!histogram.is_empty()).then(|| rounded(histogram.value_at_quantile(quantile) as f64 / 1_000.0))
 }
 
-fn share_of(amount: f64, whole: f64) -> Option<f64> {
+fn rounded_ratio(amount: f64, whole: f64) -> Option<f64> {
     (whole > 0.0).then(|| rounded(amount / whole))
 }
--- a/alderhaven-load/src/test_bed.rs
+++ b/alderhaven-load/src/test_bed.rs
@@ -107,9 +107,9 @@
             let config = self.start_follower(&settings.node);
             let relay = if number == 1 && options.scenario == ScenarioKind::RelayCrash {
                 let runtime = CrashableRuntime::new()?;
-                let starting = runtime.spawn(RelayNode::start(settings, config));
+                let start_task = runtime.spawn(RelayNode::start(settings, config));
                 *lock(&self.crashable_runtime) = Some(runtime);
-                starting.await?
+                start_task.await?
             } else {
                 RelayNode::start(settings, config).await
             };
@@ -156,9 +156,9 @@
     }
 
     async fn wait_until_ready(&self) -> Result<()> {
-        let limit = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_TIMEOUT;
         while !self.is_ready() {
-            if Instant::now() >= limit {
+            if Instant::now() >= deadline {
                 bail!(
                     "the system is not ready after {} s",
                     START_TIMEOUT.as_secs()
@@ -265,9 +265,9 @@
     /// # Errors
     /// Where an attempt still runs after `limit`.
     pub async fn wait_until_idle(&self, limit: Duration) -> Result<()> {
-        let end = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         while self.fleet.run_log().running_count() > 0 {
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 bail!(
                     "targets still run attempts after waiting {} s",
                     limit.as_secs()
--- a/alderhaven-load/tests/answer_oracle.rs
+++ b/alderhaven-load/tests/answer_oracle.rs
@@ -13,8 +13,8 @@
 use alderhaven_load::violations::ViolationKind;
 use alderhaven_standin::run_log::{RunRecord, RunStatus};
 use common::{
-    SHARD_COUNT, all_rows, complete_answer, duplicate_check, manifest, query_of, refusal, reply,
-    reply_of, rows_of, run_of, runs_of, target,
+    SHARD_COUNT, all_rows, all_shard_runs, build_query, complete_answer, duplicate_check, manifest,
+    refusal, reply, reply_with_content, shard_rows, shard_run, target,
 };
 use serde_json::{Value, json};
 
@@ -27,44 +27,48 @@
 fn check_complete_answer() {
     let query = duplicate_check(7, 0);
     assert_eq!(
-        check(&query, runs_of(&query, 1), &complete_answer(&query)),
+        check(&query, all_shard_runs(&query, 1), &complete_answer(&query)),
         []
     );
 }
 
 #[test]
-fn check_true_partial_answer() {
+fn check_correct_partial_answer() {
     let query = duplicate_check(7, 0);
-    let mut rows = rows_of(&query, 0, 1);
-    rows.extend(rows_of(&query, 2, 1));
+    let mut rows = shard_rows(&query, 0, 1);
+    rows.extend(shard_rows(&query, 2, 1));
     let body = json!({
         "outcome": "partial",
         "rows": rows,
         "coverage": {"asked": 3, "answered": 2, "missing": [{"shard": 1, "reason": "late"}]},
         "snapshot": 1,
     });
-    assert_eq!(check(&query, runs_of(&query, 1), &body), []);
+    assert_eq!(check(&query, all_shard_runs(&query, 1), &body), []);
 }
 
 #[test]
 fn check_merged_answers() {
     for template in ["ledger-audit", "ledger-review"] {
-        let query = query_of(template, 3, 0);
+        let query = build_query(template, 3, 0);
         let mut body = complete_answer(&query);
         if template == "ledger-audit" {
             let sum: u64 = all_rows(&query, 1).iter().map(|row| row.score).sum();
             body["rows"] = json!([{ "score": sum }]);
         }
-        assert_eq!(check(&query, runs_of(&query, 1), &body), [], "{template}");
+        assert_eq!(
+            check(&query, all_shard_runs(&query, 1), &body),
+            [],
+            "{template}"
+        );
     }
 }
 
 #[test]
 fn check_wrong_sum() {
-    let query = query_of("ledger-audit", 3, 0);
+    let query = build_query("ledger-audit", 3, 0);
     let mut body = complete_answer(&query);
     body["rows"] = json!([{ "score": 1 }]);
-    let found = check(&query, runs_of(&query, 1), &body);
+    let found = check(&query, all_shard_runs(&query, 1), &body);
     assert_eq!(found, [ViolationKind::UntrueCoverage]);
 }
 
@@ -72,12 +76,12 @@
 fn check_rows_of_another_version() {
     let query = duplicate_check(7, 0);
     let mut body = complete_answer(&query);
-    let mut rows = rows_of(&query, 0, 1);
-    rows.extend(rows_of(&query, 1, 2));
-    rows.extend(rows_of(&query, 2, 1));
+    let mut rows = shard_rows(&query, 0, 1);
+    rows.extend(shard_rows(&query, 1, 2));
+    rows.extend(shard_rows(&query, 2, 1));
     body["rows"] = json!(rows);
-    let mut runs = runs_of(&query, 1);
-    runs.extend(runs_of(&query, 2));
+    let mut runs = all_shard_runs(&query, 1);
+    runs.extend(all_shard_runs(&query, 2));
     let found = check(&query, runs, &body);
     assert_eq!(found, [ViolationKind::MixedSnapshot]);
 }
@@ -87,7 +91,7 @@
     let query = duplicate_check(7, 0);
     let mut body = complete_answer(&query);
     body["snapshot"] = json!(9);
-    let found = check(&query, runs_of(&query, 1), &body);
+    let found = check(&query, all_shard_runs(&query, 1), &body);
     assert_eq!(found, [ViolationKind::MixedSnapshot]);
 }
 
@@ -95,15 +99,15 @@
 fn check_shard_without_rows() {
     let query = duplicate_check(7, 0);
     let mut body = complete_answer(&query);
-    body["rows"] = json!(rows_of(&query, 0, 1));
-    let found = check(&query, runs_of(&query, 1), &body);
+    body["rows"] = json!(shard_rows(&query, 0, 1));
+    let found = check(&query, all_shard_runs(&query, 1), &body);
     assert_eq!(found, [ViolationKind::UntrueCoverage]);
 }
 
 #[test]
 fn check_shard_that_never_ran() {
     let query = duplicate_check(7, 0);
-    let mut runs = runs_of(&query, 1);
+    let mut runs = all_shard_runs(&query, 1);
     runs[1].status = RunStatus::Expired;
     let found = check(&query, runs, &complete_answer(&query));
     assert_eq!(found, [ViolationKind::UntrueCoverage]);
@@ -120,7 +124,7 @@
     for report in reports {
         let mut body = complete_answer(&query);
         body["coverage"] = report;
-        let found = check(&query, runs_of(&query, 1), &body);
+        let found = check(&query, all_shard_runs(&query, 1), &body);
         assert_eq!(found, [ViolationKind::UntrueCoverage]);
     }
 }
@@ -128,24 +132,24 @@
 #[test]
 fn check_rows_of_another_query() {
     let (query, other) = (duplicate_check(7, 0), duplicate_check(8, 0));
-    let found = check(&query, runs_of(&query, 1), &complete_answer(&other));
+    let found = check(&query, all_shard_runs(&query, 1), &complete_answer(&other));
     assert_eq!(found, [ViolationKind::Crossed]);
 }
 
 #[test]
-fn check_refusal_of_what_ran() {
+fn check_refusal_after_run() {
     let query = duplicate_check(7, 0);
     assert_eq!(check(&query, Vec::new(), &refusal()), []);
-    let mut run = run_of(&query, 1, 1);
+    let mut run = shard_run(&query, 1, 1);
     run.status = RunStatus::Cancelled;
     let found = check(&query, vec![run], &refusal());
     assert_eq!(found, [ViolationKind::FalseNotRun]);
 }
 
 #[test]
-fn check_second_run_of_non_idempotent() {
+fn check_second_run_of_non_idempotent_query() {
     let mut query = duplicate_check(7, 0);
-    let runs = vec![run_of(&query, 1, 1), run_of(&query, 1, 1)];
+    let runs = vec![shard_run(&query, 1, 1), shard_run(&query, 1, 1)];
     let body = json!({"error": {"code": "unknown", "message": "lost", "not_run": false}});
     assert_eq!(check(&query, runs.clone(), &body), []);
     Arc::make_mut(&mut query.workload_template)
@@ -158,12 +162,12 @@
 fn check_cut_connection() {
     let query = duplicate_check(7, 0);
     let oracle = AnswerOracle::new(vec![manifest(1)], Vec::new());
-    let cut = reply_of(&query, 10, ReplyContent::Aborted);
+    let aborted = reply_with_content(&query, 10, ReplyContent::Aborted);
     assert_eq!(
-        oracle.check_reply(&query, &cut),
+        oracle.check_reply(&query, &aborted),
         [ViolationKind::CutInFlight]
     );
-    let unsent = reply_of(&query, 10, ReplyContent::Unsent);
+    let unsent = reply_with_content(&query, 10, ReplyContent::Unsent);
     assert_eq!(oracle.check_reply(&query, &unsent), []);
 }
 
@@ -177,7 +181,7 @@
     let limit = 500 + LEAVING_GRACE.as_micros();
     let started_at = |shard, started_us| RunRecord {
         started_us,
-        ..run_of(&query, shard, 1)
+        ..shard_run(&query, shard, 1)
     };
     let records = [
         started_at(0, limit + 1),
@@ -196,13 +200,13 @@
         node: node.parse().unwrap(),
         revision: StoreVersion(revision),
     };
-    let sound = [
+    let ascending = [
         observation("entry-1", 3),
         observation("entry-2", 2),
         observation("entry-1", 4),
         observation("entry-2", 4),
     ];
-    assert_eq!(answer_oracle::count_config_reversions(&sound), 0);
+    assert_eq!(answer_oracle::count_config_reversions(&ascending), 0);
     let reverted = [observation("entry-1", 4), observation("entry-1", 3)];
     assert_eq!(answer_oracle::count_config_reversions(&reverted), 1);
 }
--- a/alderhaven-load/tests/common/mod.rs
+++ b/alderhaven-load/tests/common/mod.rs
@@ -19,10 +19,10 @@
 
 /// Returns an urgent query of all shards with concatenated rows, due at `due_ms`.
 pub fn duplicate_check(number: u64, due_ms: u64) -> LoadQuery {
-    query_of("duplicate-check", number, due_ms)
+    build_query("duplicate-check", number, due_ms)
 }
 
-pub fn query_of(template: &str, number: u64, due_ms: u64) -> LoadQuery {
+pub fn build_query(template: &str, number: u64, due_ms: u64) -> LoadQuery {
     let workload = Workload::for_deployment(DeploymentKind::Volta).unwrap();
     let workload_template = workload
         .mix
@@ -72,7 +72,7 @@
     format!("assignment-desk-{shard}-0").parse().unwrap()
 }
 
-pub fn run_of(query: &LoadQuery, shard: u32, snapshot: u64) -> RunRecord {
+pub fn shard_run(query: &LoadQuery, shard: u32, snapshot: u64) -> RunRecord {
     RunRecord {
         target: target(shard),
         attempt: AttemptId {
@@ -91,13 +91,13 @@
     }
 }
 
-pub fn runs_of(query: &LoadQuery, snapshot: u64) -> Vec<RunRecord> {
+pub fn all_shard_runs(query: &LoadQuery, snapshot: u64) -> Vec<RunRecord> {
     (0..SHARD_COUNT)
-        .map(|shard| run_of(query, shard, snapshot))
+        .map(|shard| shard_run(query, shard, snapshot))
         .collect()
 }
 
-pub fn rows_of(query: &LoadQuery, shard: u32, version: u64) -> Vec<DerivedRow> {
+pub fn shard_rows(query: &LoadQuery, shard: u32, version: u64) -> Vec<DerivedRow> {
     let parameters = query.parameters.canonical_json();
     derive_rows(
         &service(),
@@ -109,7 +109,7 @@
 
 pub fn all_rows(query: &LoadQuery, version: u64) -> Vec<DerivedRow> {
     (0..SHARD_COUNT)
-        .flat_map(|shard| rows_of(query, shard, version))
+        .flat_map(|shard| shard_rows(query, shard, version))
         .collect()
 }
 
@@ -128,14 +128,14 @@
 
 /// Returns a reply with `body` that arrives `latency_ms` after the query was due.
 pub fn reply(query: &LoadQuery, latency_ms: u64, body: &Value) -> QueryReply {
-    reply_of(
+    reply_with_content(
         query,
         latency_ms,
         ReplyContent::Body(Bytes::from(body.to_string())),
     )
 }
 
-pub fn reply_of(query: &LoadQuery, latency_ms: u64, content: ReplyContent) -> QueryReply {
+pub fn reply_with_content(query: &LoadQuery, latency_ms: u64, content: ReplyContent) -> QueryReply {
     QueryReply {
         sent_at: query.due_at,
         ended_at: query.due_at + TimeSpan::from_millis(latency_ms),
--- a/alderhaven-load/tests/figures.rs
+++ b/alderhaven-load/tests/figures.rs
@@ -13,7 +13,7 @@
 use alderhaven_load::violations::ViolationKind;
 use alderhaven_load::workload::{Workload, WorkloadTemplate};
 use alderhaven_standin::service_layout::DeploymentKind;
-use common::{complete_answer, duplicate_check, refusal, reply, reply_of};
+use common::{complete_answer, duplicate_check, refusal, reply, reply_with_content};
 use serde_json::{Value, json};
 
 /// Fields that readers of result lines rely on, in their order.
@@ -130,7 +130,10 @@
         let query = duplicate_check(3, 2_000);
         tally.add(&query, &reply(&query, 2, &refusal()));
         let query = duplicate_check(4, 2_000);
-        tally.add(&query, &reply_of(&query, 900, ReplyContent::TimedOut));
+        tally.add(
+            &query,
+            &reply_with_content(&query, 900, ReplyContent::TimedOut),
+        );
         // Due in the warm-up, so it isn't counted.
         let query = duplicate_check(5, 500);
         tally.add(&query, &reply(&query, 10, &complete_answer(&query)));
@@ -174,11 +177,11 @@
 fn line_fields_in_order() {
     let line = line(0, |_| {});
     let text = serde_json::to_string(&line).unwrap();
-    let places: Vec<usize> = RESULT_FIELDS
+    let offsets: Vec<usize> = RESULT_FIELDS
         .iter()
         .map(|field| text.find(&format!("\"{field}\":")).unwrap())
         .collect();
-    assert!(places.is_sorted());
+    assert!(offsets.is_sorted());
     let value: Value = serde_json::from_str(&text).unwrap();
     assert_eq!(value["p99_ms"], Value::Null);
     assert_eq!(
--- a/alderhaven-load/tests/load_plan.rs
+++ b/alderhaven-load/tests/load_plan.rs
@@ -28,7 +28,7 @@
 }
 
 /// Due time, template and team of each query of the base load.
-fn base_of(queries: &[LoadQuery]) -> Vec<(TimeSpan, String, String)> {
+fn base_load(queries: &[LoadQuery]) -> Vec<(TimeSpan, String, String)> {
     let base = queries
         .iter()
         .filter(|query| query.group == QueryGroup::Base);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn queries_even_load_same_without_specials() {
+fn base_load_same_without_special_queries() {
     for deployment in [DeploymentKind::Volta, DeploymentKind::Lagerblik] {
         for scenario in ScenarioKind::ALL {
             let with = options(scenario, deployment);
@@ -49,8 +49,8 @@
                 ..with.clone()
             };
             let (with, without) = (queries(&with), queries(&without));
-            assert_eq!(base_of(&with), base_of(&without), "{scenario}");
-            assert_eq!(base_of(&without).len(), without.len(), "{scenario}");
+            assert_eq!(base_load(&with), base_load(&without), "{scenario}");
+            assert_eq!(base_load(&without).len(), without.len(), "{scenario}");
             assert!(with.is_sorted_by_key(|query| query.due_at));
             let numbers: BTreeSet<u64> = with.iter().map(|query| query.number).collect();
             assert_eq!(numbers.len(), with.len());
--- a/alderhaven-load/tests/report.rs
+++ b/alderhaven-load/tests/report.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn lines_told_apart() {
+fn add_separates_runs_and_ratios() {
     let lines = lines();
     assert_eq!((lines.runs.len(), lines.ratios.len()), (3, 1));
     let error = ReportLines::default().add("other.jsonl", "\n{\"a\":1}");
--- a/alderhaven-load/tests/scenario_figures.rs
+++ b/alderhaven-load/tests/scenario_figures.rs
@@ -10,7 +10,7 @@
 use alderhaven_load::scenario_figures::{FigureMap, FigureTally};
 use alderhaven_standin::fleet_services::LeavingRecord;
 use alderhaven_standin::run_log::RunRecord;
-use common::{complete_answer, duplicate_check, refusal, reply, run_of, target};
+use common::{complete_answer, duplicate_check, refusal, reply, shard_run, target};
 
 /// The warm-up ends at 1 s, the event is at 3 s, a burst ends at 4 s and the run at 9 s.
 fn options(scenario: ScenarioKind) -> RunOptions {
@@ -104,7 +104,7 @@
 #[test]
 fn figures_most_crashes_of_a_poison_request() {
     let run = |text: &str| {
-        let mut record = run_of(&duplicate_check(1, 0), 0, 1);
+        let mut record = shard_run(&duplicate_check(1, 0), 0, 1);
         record.parameters = format!(r#"{{"title":"{text}"}}"#);
         record
     };
@@ -118,7 +118,7 @@
 #[test]
 fn figures_last_run_after_leaving() {
     let query = duplicate_check(1, 0);
-    let mut records = vec![run_of(&query, 0, 1), run_of(&query, 1, 1)];
+    let mut records = vec![shard_run(&query, 0, 1), shard_run(&query, 1, 1)];
     records[0].started_us = 2_500;
     records[1].started_us = 900_000;
     let leaving_targets = [LeavingRecord {
--- a/alderhaven-load/tests/whole_run.rs
+++ b/alderhaven-load/tests/whole_run.rs
@@ -9,7 +9,7 @@
 
 /// Below capacity every query has an outcome and there are no violations, on a slow machine too.
 #[tokio::test(flavor = "multi_thread")]
-async fn run_every_query_accounted_for() {
+async fn run_every_query_has_outcome() {
     for deployment in [DeploymentKind::Volta, DeploymentKind::Lagerblik] {
         let options = RunOptions {
             deployment,
--- a/alderhaven-proof/src/child_process.rs
+++ b/alderhaven-proof/src/child_process.rs
@@ -149,9 +149,9 @@
     /// # Errors
     /// The process has not ended in time.
     pub async fn await_exit(&mut self) -> Result<ExitStatus> {
-        let what = format!("the end of {}", self.name);
+        let description = format!("the end of {}", self.name);
         let child = &mut self.child;
-        condition::until(&what, async || Ok(child.try_wait()?)).await
+        condition::until(&description, async || Ok(child.try_wait()?)).await
     }
 
     fn signal(&self, signal: Signal) -> Result<()> {
--- a/alderhaven-proof/src/cluster.rs
+++ b/alderhaven-proof/src/cluster.rs
@@ -18,8 +18,9 @@
 use crate::operator_view;
 use crate::scratch_directory::ScratchDirectory;
 
-/// The durations of the phases of a planned stop in a group.
-const DRAIN_SPAN: &str = "300ms";
+/// The duration of each phase of a planned stop in a group, and how long callers keep the addresses
+/// of entries.
+const STOP_PHASE_DURATION: &str = "300ms";
 
 /// A running cluster. Dropping it kills all its processes.
 #[derive(Debug)]
@@ -114,8 +115,8 @@
             settings["links"] = json!({ "max_silence": silence });
         }
         if self.is_group {
-            settings["answers"] = json!({ "ttl": DRAIN_SPAN });
-            settings["stop"]["address_life"] = json!(DRAIN_SPAN);
+            settings["answers"] = json!({ "ttl": STOP_PHASE_DURATION });
+            settings["stop"]["address_life"] = json!(STOP_PHASE_DURATION);
         } else {
             settings["relays"] = json!(relays?);
         }
@@ -193,17 +194,22 @@
         .await
     }
 
-    /// Returns the targets to which a relay has a lane, each with the number of attempts in flight
-    /// there.
+    /// Returns the targets for which a relay has a dispatcher, each with its number of attempts in
+    /// flight.
     ///
     /// # Errors
     /// The relay can't be queried.
-    pub async fn lanes(&self, relay: usize) -> Result<Vec<(String, u64)>> {
+    pub async fn target_dispatchers(&self, relay: usize) -> Result<Vec<(String, u64)>> {
         let operator = self.relays[relay].address("operator")?;
         let dump: Value = operator_view::get_json(operator, "/debug/dump").await?;
-        let lanes = dump["lanes"].as_object().into_iter().flatten();
-        Ok(lanes
-            .map(|(target, lane)| (target.clone(), lane["in_flight"].as_u64().unwrap_or(0)))
+        let dispatchers = dump["lanes"].as_object().into_iter().flatten();
+        Ok(dispatchers
+            .map(|(target, dispatcher)| {
+                (
+                    target.clone(),
+                    dispatcher["in_flight"].as_u64().unwrap_or(0),
+                )
+            })
             .collect())
     }
 
@@ -214,8 +220,8 @@
     pub async fn await_busy_relay(&self) -> Result<usize> {
         condition::until("a relay with attempts in flight", async || {
             for relay in 0..self.relays.len() {
-                let lanes = self.lanes(relay).await?;
-                if lanes.iter().any(|(_, in_flight)| *in_flight > 0) {
+                let dispatchers = self.target_dispatchers(relay).await?;
+                if dispatchers.iter().any(|(_, in_flight)| *in_flight > 0) {
                     return Ok(Some(relay));
                 }
             }
@@ -251,7 +257,8 @@
             let seeds: Result<Vec<SocketAddr>> = nodes.map(|node| node.address("gossip")).collect();
             settings["gossip_listen"] = json!("127.0.0.1:0");
             settings["seeds"] = json!(seeds?);
-            settings["stop"] = json!({ "heard_within": DRAIN_SPAN, "address_life": "0ms" });
+            settings["stop"] =
+                json!({ "heard_within": STOP_PHASE_DURATION, "address_life": "0ms" });
         }
         Ok(settings)
     }
--- a/alderhaven-proof/src/cluster_changes.rs
+++ b/alderhaven-proof/src/cluster_changes.rs
@@ -87,9 +87,13 @@
     ///
     /// # Errors
     /// The condition does not hold in time.
-    pub async fn await_all_dumps(&self, what: &str, probe: impl Fn(&Value) -> bool) -> Result<()> {
+    pub async fn await_all_dumps(
+        &self,
+        description: &str,
+        probe: impl Fn(&Value) -> bool,
+    ) -> Result<()> {
         let operators = self.operator_addresses()?;
-        condition::until(what, async || {
+        condition::until(description, async || {
             for operator in &operators {
                 if !probe(&operator_view::get_json(*operator, "/debug/dump").await?) {
                     return Ok(None);
--- a/alderhaven-proof/src/operator_view.rs
+++ b/alderhaven-proof/src/operator_view.rs
@@ -12,7 +12,7 @@
 /// Fetches a JSON document from a process.
 ///
 /// # Errors
-/// The process can't be reached, or its answer is no success with the expected JSON.
+/// The process can't be reached, or its response is not a success with the expected JSON.
 pub async fn get_json<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Result<T> {
     Ok(serde_json::from_str(&get_text(address, path).await?)?)
 }
@@ -20,7 +20,7 @@
 /// Fetches a text from a process.
 ///
 /// # Errors
-/// The process can't be reached, or its answer is no success with UTF-8 text.
+/// The process can't be reached, or its response is not a success with UTF-8 text.
 pub async fn get_text(address: SocketAddr, path: &str) -> Result<String> {
     let mut connection = HttpConnection::connect(address).await?;
     let response = connection
--- a/alderhaven-proof/src/scratch_directory.rs
+++ b/alderhaven-proof/src/scratch_directory.rs
@@ -51,6 +51,6 @@
 impl Drop for ScratchDirectory {
     fn drop(&mut self) {
         // Files that can't be removed stay in the build's temporary directory.
-        let _left = fs::remove_dir_all(&self.directory);
+        let _result = fs::remove_dir_all(&self.directory);
     }
 }
--- a/alderhaven-proof/tests/end_to_end/at_most_once.rs
+++ b/alderhaven-proof/tests/end_to_end/at_most_once.rs
@@ -78,7 +78,7 @@
 /// another entry with the same key: the outcome is unknown. After the first entry has resumed and
 /// answered, a further resend gets the same answer. There is one run.
 #[tokio::test(flavor = "multi_thread")]
-async fn at_most_once_freeze() {
+async fn at_most_once_resend_other_entry_after_freeze() {
     let (cluster, reservation, pending_reply) = start_reservation().await;
     cluster.entries[0].freeze().unwrap();
     assert_resent_once(&cluster, &reservation, "unknown").await;
--- a/alderhaven-proof/tests/end_to_end/coverage.rs
+++ b/alderhaven-proof/tests/end_to_end/coverage.rs
@@ -114,7 +114,7 @@
         .build();
     let cluster = support::start_cluster(options).await;
     let entry = cluster.entry_address(0).unwrap();
-    let frozen_relay = support::relay_with_most_lanes(&cluster).await;
+    let frozen_relay = support::relay_with_most_targets(&cluster).await;
     cluster.relays[frozen_relay].freeze().unwrap();
     condition::until(
         "an answer without the suspended relay's shards",
@@ -158,7 +158,7 @@
 async fn coverage_relay_frozen_link_replaced() {
     let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
     let entry = cluster.entry_address(0).unwrap();
-    let frozen_relay = support::relay_with_most_lanes(&cluster).await;
+    let frozen_relay = support::relay_with_most_targets(&cluster).await;
     cluster.relays[frozen_relay].freeze().unwrap();
     let query = support::build_query(FAN_OUT_TEMPLATE, "left");
     let reply = query.send(entry).await.unwrap();
--- a/alderhaven-proof/tests/end_to_end/leaving.rs
+++ b/alderhaven-proof/tests/end_to_end/leaving.rs
@@ -93,11 +93,12 @@
     .unwrap();
 }
 
-/// Returns true if a node's debug dump shows the target as leaving and its lane as empty.
+/// Returns true if a node's debug dump shows the target as leaving and its dispatcher as empty.
 fn is_drained(dump: &Value, target: &str) -> bool {
     let leaving = dump["leaving_targets"].as_array();
-    let lane = &dump["lanes"][target];
-    let is_empty = lane.is_null() || (lane["in_flight"] == 0 && lane["queued"] == 0);
+    let dispatcher = &dump["lanes"][target];
+    let is_empty =
+        dispatcher.is_null() || (dispatcher["in_flight"] == 0 && dispatcher["queued"] == 0);
     leaving.is_some_and(|names| names.contains(&json!(target))) && is_empty
 }
 
--- a/alderhaven-proof/tests/end_to_end/own_answer.rs
+++ b/alderhaven-proof/tests/end_to_end/own_answer.rs
@@ -40,7 +40,7 @@
 async fn own_answer_after_late_replies() {
     let cluster = support::start_cluster(ClusterOptions::builder().build()).await;
     let entry = cluster.entry_address(0).unwrap();
-    let _relay = support::relay_with_most_lanes(&cluster).await;
+    let _relay = support::relay_with_most_targets(&cluster).await;
     for round in 0..5 {
         for relay in &cluster.relays {
             relay.freeze().unwrap();
--- a/alderhaven-proof/tests/end_to_end/stops.rs
+++ b/alderhaven-proof/tests/end_to_end/stops.rs
@@ -81,11 +81,11 @@
 async fn start_queries(
     cluster: &TestCluster,
     entry: SocketAddr,
-    query_of: impl Fn(usize) -> CallerQuery,
+    build_query: impl Fn(usize) -> CallerQuery,
 ) -> Vec<(CallerQuery, JoinHandle<Result<CallerReply>>)> {
     let mut pending = Vec::new();
     for number in 0..CALLERS {
-        let query = query_of(number);
+        let query = build_query(number);
         let mut connection = open_kept_connection(entry).await;
         let sent_query = query.clone();
         let task = tokio::spawn(async move { send_over(&mut connection, &sent_query).await });
@@ -170,7 +170,7 @@
     };
     let pending = start_queries(&cluster, entry, reservation).await;
     let leaving = cluster.await_busy_relay().await.unwrap();
-    let lanes_before = cluster.lanes(leaving).await.unwrap();
+    let dispatchers_before = cluster.target_dispatchers(leaving).await.unwrap();
     cluster.relays[leaving].terminate().unwrap();
     for round in 0..2 {
         let queries: Vec<CallerQuery> = (0..CALLERS)
@@ -196,12 +196,12 @@
     let reply = after.send(entry).await.unwrap();
     assert_complete(&cluster, &after, &reply);
     condition::until(
-        "lanes of the other relay to all targets of the stopped one",
+        "dispatchers of the other relay for all targets of the stopped one",
         async || {
-            let lanes = cluster.lanes(1 - leaving).await?;
-            let has_lane = |target| lanes.iter().any(|(known, _)| known == target);
-            let mut targets = lanes_before.iter().map(|(target, _)| target);
-            Ok(targets.all(has_lane).then_some(()))
+            let dispatchers = cluster.target_dispatchers(1 - leaving).await?;
+            let has_dispatcher = |target| dispatchers.iter().any(|(known, _)| known == target);
+            let mut targets = dispatchers_before.iter().map(|(target, _)| target);
+            Ok(targets.all(has_dispatcher).then_some(()))
         },
     )
     .await
--- a/alderhaven-proof/tests/end_to_end/support.rs
+++ b/alderhaven-proof/tests/end_to_end/support.rs
@@ -24,10 +24,10 @@
     CallerQuery::builder().template(template).key(key).build()
 }
 
-/// Sends fan-out queries until the relays have a lane to every target, and returns the relay with
-/// the most lanes. The assignment depends on the relays' random ports, so that a relay may have
-/// none.
-pub async fn relay_with_most_lanes(cluster: &TestCluster) -> usize {
+/// Sends fan-out queries until the relays have a dispatcher for every target, and returns the relay
+/// with the most dispatchers. The assignment depends on the relays' random ports, so that a relay
+/// may have none.
+pub async fn relay_with_most_targets(cluster: &TestCluster) -> usize {
     let entry = cluster
         .entry_address(0)
         .expect("the entry reported its address");
@@ -37,13 +37,13 @@
         .iter()
         .map(|shard| shard.replicas.len())
         .sum();
-    condition::until("a lane to every target", async || {
+    condition::until("a dispatcher for every target", async || {
         build_query(FAN_OUT_TEMPLATE, "warm").send(entry).await?;
         let mut counts = Vec::new();
         for relay in 0..cluster.relays.len() {
-            counts.push((cluster.lanes(relay).await?.len(), relay));
+            counts.push((cluster.target_dispatchers(relay).await?.len(), relay));
         }
-        let known: usize = counts.iter().map(|(lanes, _)| lanes).sum();
+        let known: usize = counts.iter().map(|(count, _)| count).sum();
         let most = counts.into_iter().max().map(|(_, relay)| relay);
         Ok(most.filter(|_| known == targets))
     })
--- a/alderhaven-proof/tests/settings.rs
+++ b/alderhaven-proof/tests/settings.rs
@@ -197,21 +197,21 @@
 }
 
 #[tokio::test]
-async fn entry_refuses_wrong_settings() {
+async fn entry_rejects_invalid_settings() {
     let binary = env!("CARGO_BIN_EXE_proof-entry");
     assert_all_rejected("entry", binary, VALID_ENTRY, &INVALID_FOR_BOTH).await;
     assert_all_rejected("entry", binary, VALID_ENTRY, &INVALID_FOR_ENTRY).await;
 }
 
 #[tokio::test]
-async fn relay_refuses_wrong_settings() {
+async fn relay_rejects_invalid_settings() {
     let binary = env!("CARGO_BIN_EXE_proof-relay");
     assert_all_rejected("relay", binary, VALID_RELAY, &INVALID_FOR_BOTH).await;
     assert_all_rejected("relay", binary, VALID_RELAY, &INVALID_FOR_RELAY).await;
 }
 
 #[tokio::test]
-async fn both_refuse_missing_files_keys_and_arguments() {
+async fn both_reject_missing_files_keys_and_arguments() {
     let binaries = [
         (
             "alder-entry",
--- a/alderhaven-quickstart/src/query_run.rs
+++ b/alderhaven-quickstart/src/query_run.rs
@@ -20,13 +20,13 @@
 
 /// The time that a caller waits for a reply, longer than the longest deadline of a template.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(65);
-/// The limit of concurrent callers; more would queue at the targets.
+/// The limit of concurrent callers, which keeps queries from queueing at the targets.
 const MAX_CALLERS: usize = 8;
 
 /// The queries of a run and the concurrency with which they are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunOptions {
-    /// The number of queries, at most [`MAX_CONCURRENT_QUERIES`].
+    /// The number of queries, at most [`MAX_QUERIES`].
     pub queries: usize,
     /// The seed of the choice of templates and parameters.
     pub seed: u64,
--- a/alderhaven-quickstart/tests/query_run.rs
+++ b/alderhaven-quickstart/tests/query_run.rs
@@ -13,11 +13,11 @@
         seed: 7,
         callers: 2,
     };
-    let mut steps = 0;
-    let report = query_run::run(&system, options, |_| steps += 1)
+    let mut reply_count = 0;
+    let report = query_run::run(&system, options, |_| reply_count += 1)
         .await
         .unwrap();
-    assert_eq!(steps, options.queries);
+    assert_eq!(reply_count, options.queries);
     let totals = report.totals;
     assert_eq!(totals.violations, 0, "{:?}", report.violations);
     assert_eq!(totals.queries, options.queries);
