--- a/alderhaven-ctl/src/publisher.rs
+++ b/alderhaven-ctl/src/publisher.rs
@@ -79,7 +79,7 @@
     /// takes effect.
     async fn write_with_retries(&self, mut pending: PendingWrite<'_>) -> PublishOutcome {
         let mut reason = String::new();
-        for attempt_index in 0..self.options.attempts {
+        for attempt in 0..self.options.attempts {
             let error = match self.store.write(pending.write.clone()).await {
                 Ok(WriteOutcome::Written(version)) => {
                     let id = pending.id;
@@ -92,7 +92,7 @@
             };
             pending.may_have_taken_effect |= matches!(error, StoreError::Unknown { .. });
             reason = error.to_string();
-            self.options.back_off(attempt_index, &error).await;
+            self.options.back_off(attempt, &error).await;
             if pending.may_have_taken_effect
                 && let Ok(current) = self.store.get(&pending.write.key).await
                 && !pending.is_still_observed(current.as_ref())
@@ -158,13 +158,13 @@
     async fn record_in_history(&self, observed: &StoredObject) -> Result<(), String> {
         let key = ObjectHistory::history_key(&observed.key);
         let mut reason = String::new();
-        for attempt_index in 0..self.options.attempts {
+        for attempt in 0..self.options.attempts {
             match self.try_record_in_history(&key, observed).await {
                 Ok(true) => return Ok(()),
                 Ok(false) => "other publishers keep changing the history".clone_into(&mut reason),
                 Err(error) => {
                     reason = error.to_string();
-                    self.options.back_off(attempt_index, &error).await;
+                    self.options.back_off(attempt, &error).await;
                 }
             }
         }
--- a/alderhaven-ctl/src/retry_options.rs
+++ b/alderhaven-ctl/src/retry_options.rs
@@ -44,15 +44,13 @@
         store: &S,
         key: &ObjectKey,
     ) -> StoreResult<Option<StoredObject>> {
-        let mut attempt_index = 0;
+        let mut attempt = 0;
         loop {
             match store.get(key).await {
-                Err(error) if attempt_index + 1 < self.attempts => {
-                    self.back_off(attempt_index, &error).await
-                }
+                Err(error) if attempt + 1 < self.attempts => self.back_off(attempt, &error).await,
                 answer => return answer,
             }
-            attempt_index += 1;
+            attempt += 1;
         }
     }
 
@@ -65,24 +63,22 @@
         store: &S,
         kinds: &[ObjectKind],
     ) -> StoreResult<ObjectList> {
-        let mut attempt_index = 0;
+        let mut attempt = 0;
         loop {
             match store.list(kinds).await {
-                Err(error) if attempt_index + 1 < self.attempts => {
-                    self.back_off(attempt_index, &error).await
-                }
+                Err(error) if attempt + 1 < self.attempts => self.back_off(attempt, &error).await,
                 answer => return answer,
             }
-            attempt_index += 1;
+            attempt += 1;
         }
     }
 
-    /// Waits after the failed attempt `attempt_index`, counted from 0: for the backoff or, if
-    /// longer, for the time that the store asks for, at most `max_delay`.
-    pub async fn back_off(&self, attempt_index: u32, error: &StoreError) {
+    /// Waits after the failed attempt number `attempt`, counted from 0: for the backoff or, if longer, for the
+    /// time that the store asks for, at most `max_delay`.
+    pub async fn back_off(&self, attempt: u32, error: &StoreError) {
         let backoff = self
             .initial_delay
-            .mul_f64(f64::from(1_u32 << attempt_index.min(16)));
+            .mul_f64(f64::from(1_u32 << attempt.min(16)));
         let requested = match error {
             StoreError::NotDone { retry_after, .. } => retry_after.unwrap_or_default(),
             StoreError::Unknown { .. } => TimeSpan::ZERO,
--- a/alderhaven-load/src/scenario_figures.rs
+++ b/alderhaven-load/src/scenario_figures.rs
@@ -153,7 +153,7 @@
         // Takes the first of equally bad windows.
         let mut worst: Option<(TimeSpan, f64)> = None;
         for (begin, p99) in &windows {
-            if worst.is_none_or(|(_, worst_p99)| *p99 > worst_p99) {
+            if worst.is_none_or(|(_, max_p99)| *p99 > max_p99) {
                 worst = Some((*begin, *p99));
             }
         }
@@ -161,9 +161,8 @@
             |p99: f64| steady.is_some_and(|steady| p99 <= steady * RECOVERED_FACTOR);
         // If the worst window is near the steady value, the first window counts as recovered.
         let is_recovered = |(begin, p99): &&(TimeSpan, f64)| {
-            worst.is_some_and(|(worst_begin, worst_p99)| {
-                *begin >= worst_begin || is_near_steady(worst_p99)
-            }) && is_near_steady(*p99)
+            worst.is_some_and(|(start, max_p99)| *begin >= start || is_near_steady(max_p99))
+                && is_near_steady(*p99)
         };
         let recovered_ms = windows.iter().find(is_recovered);
         let recovered_ms =
--- a/alderhaven-proof/src/cluster.rs
+++ b/alderhaven-proof/src/cluster.rs
@@ -204,12 +204,7 @@
         let dump: Value = operator_view::get_json(operator, "/debug/dump").await?;
         let dispatchers = dump["lanes"].as_object().into_iter().flatten();
         Ok(dispatchers
-            .map(|(target, dispatcher)| {
-                (
-                    target.clone(),
-                    dispatcher["in_flight"].as_u64().unwrap_or(0),
-                )
-            })
+            .map(|(target, state)| (target.clone(), state["in_flight"].as_u64().unwrap_or(0)))
             .collect())
     }
 
