--- a/alderhaven-ctl/src/retry_options.rs
+++ b/alderhaven-ctl/src/retry_options.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Waits after the failed attempt number `attempt`, counted from 0: for the backoff or, if longer, for the
-    /// time that the store asks for, at most `max_delay`.
+    /// Waits after the failed attempt number `attempt`, counted from 0: for the backoff or, if
+    /// longer, for the time that the store asks for, at most `max_delay`.
     pub async fn back_off(&self, attempt: u32, error: &StoreError) {
         let backoff = self
             .initial_delay
