--- a/alderhaven-ctl/src/object_file.rs
+++ b/alderhaven-ctl/src/object_file.rs
@@ -46,7 +46,8 @@
     /// Reads and checks one file.
     ///
     /// # Errors
-    /// If the folder is not named after a kind, or the file can't be read, is too large or can't be parsed.
+    /// If the folder is not named after a kind, or the file can't be read, is too large or can't be
+    /// parsed.
     pub fn read(path: &Path) -> Result<Self, FileProblem> {
         let kind = folder_kind(path).ok_or_else(|| unknown_folder_problem(path))?;
         let size = fs::metadata(path).map_err(|error| FileProblem::for_file(path, error))?;
--- a/alderhaven-ctl/src/publisher.rs
+++ b/alderhaven-ctl/src/publisher.rs
@@ -75,8 +75,8 @@
     /// Writes until the outcome is known or the attempts are exhausted.
     ///
     /// A write whose reply was lost may still reach the store after a read that does not show it.
-    /// All attempts therefore use the same write id and expected version, so that at most one of them
-    /// takes effect.
+    /// All attempts therefore use the same write id and expected version, so that at most one of
+    /// them takes effect.
     async fn write_with_retries(&self, mut pending: PendingWrite<'_>) -> PublishOutcome {
         let mut reason = String::new();
         for attempt in 0..self.options.attempts {
